--- a/crates/operation/src/hand.rs
+++ b/crates/admin/src/hand.rs
@@ -2,7 +2,7 @@
 //! one that drains while it is out, and one that has just started when it is called back.
 
 use serde::{Deserialize, Serialize};
-use starlingplank_records::framed::{decode, encode, Form, FrameError};
+use starlingplank_storage::framed::{decode, encode, Form, FrameError};
 use std::collections::BTreeMap;
 use thiserror::Error;
 
--- a/crates/operation/src/heard.rs
+++ b/crates/admin/src/heard.rs
@@ -5,7 +5,7 @@
 //! never heard is as this process's own start says.
 
 use serde::{Deserialize, Serialize};
-use starlingplank_records::framed::{decode, encode, Form, FrameError};
+use starlingplank_storage::framed::{decode, encode, Form, FrameError};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Unix milliseconds.
--- a/crates/lab/src/bed.rs
+++ b/crates/experiments/src/bed.rs
@@ -4,9 +4,9 @@
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp, LogNormal};
 use rand_pcg::Pcg64Mcg;
-use starlingplank_standins::client::{Answer, Client};
-use starlingplank_standins::engine::{Engine, Fleet, Wire};
-use starlingplank_standins::model::Spec;
+use starlingplank_test_doubles::client::{Answer, Client};
+use starlingplank_test_doubles::engine::{Engine, Fleet, Wire};
+use starlingplank_test_doubles::model::Spec;
 use std::cell::RefCell;
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader};
--- a/crates/lab/src/experiments.rs
+++ b/crates/experiments/src/experiments.rs
@@ -8,13 +8,13 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::json;
-use starlingplank_knowledge::folder::Files;
-use starlingplank_knowledge::recall::{self, Named, Recall};
-use starlingplank_knowledge::records::{Class, Engine as Known, Snapshot};
-use starlingplank_knowledge::{snapshot, store};
-use starlingplank_standins::client::{Answer, Caller, Speaks};
-use starlingplank_standins::engine::Wire;
-use starlingplank_standins::model::Spec;
+use starlingplank_persistence::folder::Files;
+use starlingplank_persistence::recall::{self, Named, Recall};
+use starlingplank_persistence::records::{Class, Engine as Known, Snapshot};
+use starlingplank_persistence::{snapshot, store};
+use starlingplank_test_doubles::client::{Answer, Caller, Speaks};
+use starlingplank_test_doubles::engine::Wire;
+use starlingplank_test_doubles::model::Spec;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -252,7 +252,7 @@
     jobs.iter_mut().filter(|j| j.at >= 4_000.0).for_each(|j| j.at -= 3_600.0);
     let done = play(&door, jobs, Instant::now()).await;
     let ratio = |span: f64| {
-        let of = |e: &starlingplank_standins::engine::Engine| {
+        let of = |e: &starlingplank_test_doubles::engine::Engine| {
             e.look(|m| m.arrived(returned, span) / m.budget(returned, span))
         };
         engines.all[..2].iter().map(of).fold(0.0, f64::max)
--- a/crates/lab/src/ledger.rs
+++ b/crates/experiments/src/ledger.rs
@@ -1,9 +1,9 @@
 //! Checkers and figures over what stand-ins and clients saw. Seconds of the play's clock.
 
 use serde_json::{json, Value};
-use starlingplank_standins::client::Answer;
-use starlingplank_standins::engine::{Arrival, Came};
-use starlingplank_standins::list::Asked;
+use starlingplank_test_doubles::client::Answer;
+use starlingplank_test_doubles::engine::{Arrival, Came};
+use starlingplank_test_doubles::list::Asked;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
--- a/crates/lab/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -1,11 +1,11 @@
-//! `starlingplank-lab run NAME`: an experiment on the real program, between stand-ins on loopback.
+//! `starlingplank-experiments run NAME`: an experiment on the real program, between stand-ins on loopback.
 //!
 //! A seed goes in, figures come out, as JSON and as rows and charts under `results/`. Each experiment has its
 //! baseline in the same run and says what it does not show.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
-use starlingplank_lab::{bed, experiments, report};
+use starlingplank_experiments::{bed, experiments, report};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -75,7 +75,7 @@
         Command::Run(run) => match go(&run) {
             Ok(()) => ExitCode::SUCCESS,
             Err(e) => {
-                eprintln!("starlingplank-lab: {}: {e}", run.name);
+                eprintln!("starlingplank-experiments: {}: {e}", run.name);
                 ExitCode::FAILURE
             }
         },
--- a/crates/lab/src/soak/client.rs
+++ b/crates/experiments/src/soak/client.rs
@@ -3,7 +3,7 @@
 use super::ledger::{Answer, Class, RequestEnd, RequestRecord};
 use super::Stage;
 use rand::Rng;
-use starlingplank_standins::client::{self as thrift, Answer as Read};
+use starlingplank_test_doubles::client::{self as thrift, Answer as Read};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/lab/src/soak/config.rs
+++ b/crates/experiments/src/soak/config.rs
@@ -2,7 +2,7 @@
 
 use super::run::Play;
 use super::{COLD_FROM, CORES, FALL_MULTIPLE, KEY_WINDOW_MS, TIP_AFTER_MS, WARM_WITHIN_MS};
-use starlingplank_standins::list::Entry;
+use starlingplank_test_doubles::list::Entry;
 
 impl Play {
     pub(super) fn write_config(&self, gateway: usize) -> std::io::Result<()> {
--- a/crates/lab/src/soak/discovery.rs
+++ b/crates/experiments/src/soak/discovery.rs
@@ -4,7 +4,7 @@
 use super::ledger::Announcement;
 use super::Stage;
 use rand::Rng;
-use starlingplank_standins::list::{answer, Entry};
+use starlingplank_test_doubles::list::{answer, Entry};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
--- a/crates/lab/src/soak/mod.rs
+++ b/crates/experiments/src/soak/mod.rs
@@ -73,7 +73,7 @@
     let folder = tempfile::tempdir()?;
     let plan = Plan {
         program: lab.program.clone(),
-        faults_library: lab.program.with_file_name("libstarlingplank_faults.so"),
+        faults_library: lab.program.with_file_name("libstarlingplank_fault_injection.so"),
         folder: folder.path().to_owned(),
         seed: lab.seed,
         gateways: if lab.gateways > MOST_GATEWAYS { GATEWAYS } else { lab.gateways },
--- a/crates/lab/src/soak/run.rs
+++ b/crates/experiments/src/soak/run.rs
@@ -9,7 +9,7 @@
 use super::{oracle, terms, Stage};
 use crate::bed::Failure;
 use rustix::process::Signal;
-use starlingplank_standins::list::Entry;
+use starlingplank_test_doubles::list::Entry;
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
--- a/crates/lab/src/soak/schedule.rs
+++ b/crates/experiments/src/soak/schedule.rs
@@ -304,7 +304,7 @@
     }
 }
 
-/// The faults of system calls of one process, as the library of `crates/faults` reads them.
+/// The faults of system calls of one process, as the library of `crates/fault-injection` reads them.
 pub fn system_call_faults(seed: u64) -> String {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut plan = format!("seed={}", rng.random_range(1..1_000_000));
--- a/crates/lab/tests/fleet.rs
+++ b/crates/experiments/tests/fleet.rs
@@ -2,8 +2,8 @@
 //! stand-ins and the clients saw. Each play has a bound in time, and its verdict hangs on counts alone.
 
 use rstest::rstest;
-use starlingplank_lab::fleet::{play, Played, Stage};
-use starlingplank_lab::scenario;
+use starlingplank_experiments::fleet::{play, Played, Stage};
+use starlingplank_experiments::scenario;
 use std::path::PathBuf;
 
 /// The program that was built beside these tests.
--- a/crates/lab/tests/soak.rs
+++ b/crates/experiments/tests/soak.rs
@@ -2,8 +2,8 @@
 //! still used seconds after the rule on drains has ended, with terms so wide that a slow machine breaks none of them.
 
 use rstest::rstest;
-use starlingplank_lab::soak::oracle::{self, Terms};
-use starlingplank_lab::soak::{self, play, Plan};
+use starlingplank_experiments::soak::oracle::{self, Terms};
+use starlingplank_experiments::soak::{self, play, Plan};
 use std::path::PathBuf;
 
 /// What was built beside these tests.
@@ -45,7 +45,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let plan = Plan {
         program: built("starlingplank"),
-        faults_library: built("libstarlingplank_faults.so"),
+        faults_library: built("libstarlingplank_fault_injection.so"),
         folder: folder.path().to_owned(),
         seed,
         gateways: 4,
--- a/crates/knowledge/src/lib.rs
+++ b/crates/persistence/src/lib.rs
@@ -10,7 +10,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub use starlingplank_records::{disk, folder};
+pub use starlingplank_storage::{disk, folder};
 
 pub mod gate;
 pub mod keeper;
--- a/crates/knowledge/src/list.rs
+++ b/crates/persistence/src/list.rs
@@ -2,13 +2,13 @@
 //!
 //! Two uses. Where the configuration names no engine it is what there is to start with: engines of an old list are
 //! perhaps gone, and, once they may have started anew unseen, perhaps cold. Where it names some, drains and stops that
-//! the former life heard still bind. Its bytes: a [head](starlingplank_records::framed) of 20 bytes, `SPKLIST\n` and
+//! the former life heard still bind. Its bytes: a [head](starlingplank_storage::framed) of 20 bytes, `SPKLIST\n` and
 //! version 1, then the records in postcard's form.
 
 use serde::{Deserialize, Serialize};
 use starlingplank_decision::interface::Ms;
-use starlingplank_records::disk::{self, Disk};
-use starlingplank_records::framed::{decode, encode, Form, FrameError};
+use starlingplank_storage::disk::{self, Disk};
+use starlingplank_storage::framed::{decode, encode, Form, FrameError};
 use std::io;
 use thiserror::Error;
 
--- a/crates/knowledge/src/show.rs
+++ b/crates/persistence/src/show.rs
@@ -9,7 +9,7 @@
 use crate::store::{self, Fault};
 use serde_json::{json, Value};
 use starlingplank_decision::interface::Ms;
-use starlingplank_records::framed::FrameError;
+use starlingplank_storage::framed::FrameError;
 use std::fmt::Write;
 use std::io;
 use std::path::Path;
--- a/crates/knowledge/src/snapshot.rs
+++ b/crates/persistence/src/snapshot.rs
@@ -1,10 +1,10 @@
-//! The bytes of a snapshot: a [head](starlingplank_records::framed) of 20 bytes, `SPKNOWL\n` and version 2, then the
+//! The bytes of a snapshot: a [head](starlingplank_storage::framed) of 20 bytes, `SPKNOWL\n` and version 2, then the
 //! records in postcard's form.
 
 use crate::records::{v1, Snapshot};
-use starlingplank_records::framed::{pack, unpack, Form};
+use starlingplank_storage::framed::{pack, unpack, Form};
 
-pub use starlingplank_records::framed::{FrameError as SnapshotError, HEAD};
+pub use starlingplank_storage::framed::{FrameError as SnapshotError, HEAD};
 
 /// What every snapshot begins with.
 pub const FORM: Form = Form { magic: *b"SPKNOWL\n", version: 2 };
--- a/crates/knowledge/tests/crash.rs
+++ b/crates/persistence/tests/crash.rs
@@ -4,11 +4,11 @@
 
 use common::snapshot;
 use rstest::rstest;
-use starlingplank_knowledge::gate::{key, Sends, Sent};
-use starlingplank_knowledge::keylog::{self, KeyLog, Mark, Record};
-use starlingplank_knowledge::snapshot as bytes_of;
-use starlingplank_knowledge::store::{load, Store};
-use starlingplank_standins::disk::{Fault, FaultyDisk};
+use starlingplank_persistence::gate::{key, Sends, Sent};
+use starlingplank_persistence::keylog::{self, KeyLog, Mark, Record};
+use starlingplank_persistence::snapshot as bytes_of;
+use starlingplank_persistence::store::{load, Store};
+use starlingplank_test_doubles::disk::{Fault, FaultyDisk};
 
 const MOST: usize = 1 << 20;
 const BOOT: [u8; 16] = [7; 16];
--- a/crates/knowledge/tests/gate.rs
+++ b/crates/persistence/tests/gate.rs
@@ -1,7 +1,7 @@
 //! Windows of keys by themselves: no disk, and the clock is a number.
 
 use rstest::rstest;
-use starlingplank_knowledge::gate::{key, Admission, Gate};
+use starlingplank_persistence::gate::{key, Admission, Gate};
 
 /// Another class, or an earlier configuration, sent the key under another window: a repeat leaves within the shorter of
 /// the two, and the key is kept for the longer.
--- a/crates/knowledge/tests/keeper.rs
+++ b/crates/persistence/tests/keeper.rs
@@ -3,13 +3,13 @@
 mod common;
 
 use common::snapshot;
-use starlingplank_knowledge::disk::Disk;
-use starlingplank_knowledge::folder::{Files, Folder, FolderError};
-use starlingplank_knowledge::gate::{key, Rewrite, Sent};
-use starlingplank_knowledge::keeper::{KeyKeeper, KeyNews, Offset, SnapshotKeeper, SnapshotNews, Written};
-use starlingplank_knowledge::show;
-use starlingplank_knowledge::store::Store;
-use starlingplank_standins::disk::{Fault, FaultyDisk};
+use starlingplank_persistence::disk::Disk;
+use starlingplank_persistence::folder::{Files, Folder, FolderError};
+use starlingplank_persistence::gate::{key, Rewrite, Sent};
+use starlingplank_persistence::keeper::{KeyKeeper, KeyNews, Offset, SnapshotKeeper, SnapshotNews, Written};
+use starlingplank_persistence::show;
+use starlingplank_persistence::store::Store;
+use starlingplank_test_doubles::disk::{Fault, FaultyDisk};
 use std::io;
 use std::os::unix::fs::PermissionsExt;
 use std::sync::mpsc::{channel, Receiver};
@@ -192,7 +192,7 @@
     assert!(text.contains("engines[s-0].slowness = 1\n") && text.contains("age_ms = 60\n"), "{text}");
 }
 
-const RULES: starlingplank_knowledge::recall::Rules = starlingplank_knowledge::recall::DEFAULT;
+const RULES: starlingplank_persistence::recall::Rules = starlingplank_persistence::recall::DEFAULT;
 
 /// A disk on which nothing can be made while it is said to be full.
 #[derive(Clone)]
@@ -231,8 +231,8 @@
 /// Lists come every second: a full disk is told of once, and once when it takes lists again.
 #[test]
 fn list_that_cannot_be_written_is_told_of_when_that_begins_and_ends() {
-    use starlingplank_knowledge::keeper::ListKeeper;
-    use starlingplank_knowledge::list::{self, KeptList};
+    use starlingplank_persistence::keeper::ListKeeper;
+    use starlingplank_persistence::list::{self, KeptList};
     let disk = Full(FaultyDisk::new(3), Arc::default());
     let (tell, told) = channel();
     let told_of = move |failed: Option<String>| {
--- a/crates/knowledge/tests/keylog.rs
+++ b/crates/persistence/tests/keylog.rs
@@ -1,8 +1,8 @@
 //! The log of keys, looked into from outside while its gateway goes on.
 
-use starlingplank_knowledge::disk::Disk;
-use starlingplank_knowledge::keylog::{last, KeyLog, Mark};
-use starlingplank_standins::disk::FaultyDisk;
+use starlingplank_persistence::disk::Disk;
+use starlingplank_persistence::keylog::{last, KeyLog, Mark};
+use starlingplank_test_doubles::disk::FaultyDisk;
 use std::cell::Cell;
 use std::io;
 
--- a/crates/knowledge/tests/recall.rs
+++ b/crates/persistence/tests/recall.rs
@@ -4,11 +4,11 @@
 
 use common::snapshot;
 use rstest::rstest;
-use starlingplank_knowledge::recall::{age, doubt, worth, Doubt, Named, Recall, Rules, Useless};
-use starlingplank_knowledge::records::Engine;
+use starlingplank_persistence::recall::{age, doubt, worth, Doubt, Named, Recall, Rules, Useless};
+use starlingplank_persistence::records::Engine;
 
 const TAKEN: f64 = 1_000_000.0;
-const RULES: Rules = starlingplank_knowledge::recall::DEFAULT;
+const RULES: Rules = starlingplank_persistence::recall::DEFAULT;
 
 fn named(id: &str, started: Option<f64>) -> Named {
     Named { id: id.into(), address: "127.0.0.1:9000".into(), started }
--- a/crates/knowledge/tests/twice.rs
+++ b/crates/persistence/tests/twice.rs
@@ -3,10 +3,10 @@
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use starlingplank_knowledge::disk::Disk as _;
-use starlingplank_knowledge::gate::{key, Admission, Gate, Key, Leave, Log, Sends, Sent};
-use starlingplank_knowledge::keylog::{self, KeyLog, Mark, Record};
-use starlingplank_standins::disk::{Fault, FaultyDisk};
+use starlingplank_persistence::disk::Disk as _;
+use starlingplank_persistence::gate::{key, Admission, Gate, Key, Leave, Log, Sends, Sent};
+use starlingplank_persistence::keylog::{self, KeyLog, Mark, Record};
+use starlingplank_test_doubles::disk::{Fault, FaultyDisk};
 use std::collections::HashMap;
 
 const WINDOW: f64 = 12_000.0;
--- a/crates/standins/src/disk.rs
+++ b/crates/test-doubles/src/disk.rs
@@ -4,7 +4,7 @@
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use starlingplank_knowledge::disk::Disk;
+use starlingplank_persistence::disk::Disk;
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::{Arc, Mutex};
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -12,7 +12,7 @@
 use crate::net::front::rules::ClassRules;
 use crate::wire::{self, Fields, WireError};
 use miniserde::json::{self, Number, Value};
-use starlingplank_knowledge::recall;
+use starlingplank_persistence::recall;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use thiserror::Error;
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -8,7 +8,7 @@
 use starlingplank_decision::permission::send::{
     may_repeat, may_send, never_ran, EarlierAttempt, Place, SendFacts, SendPermit,
 };
-use starlingplank_knowledge::gate::Leave;
+use starlingplank_persistence::gate::Leave;
 
 /// One attempt to execute a request on an engine.
 pub(super) struct Attempt {
--- a/src/core/membership.rs
+++ b/src/core/membership.rs
@@ -4,10 +4,10 @@
 use super::timers::Due;
 use super::{Core, Effect, Listed};
 use crate::interface::{Availability, EngineId, Event as DecisionEvent, Member, Ms};
-use starlingplank_knowledge::recall::Named;
-use starlingplank_operation::hand::Hand;
-use starlingplank_operation::heard::{Gone, Heard};
+use starlingplank_admin::hand::Hand;
+use starlingplank_admin::heard::{Gone, Heard};
 use starlingplank_pacing::come_back::ComeBack;
+use starlingplank_persistence::recall::Named;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -2,10 +2,10 @@
 
 use super::types::{Answer, Ask, AttemptId, End, Listed, Rows, Statement};
 use crate::interface::{ClassId, EngineId, Ms, Note, Outcome, Report, RequestId};
+use starlingplank_admin::hand::Hand;
+use starlingplank_admin::heard::Heard;
 use starlingplank_decision::permission::send::{SendPermit, SendRefusal};
-use starlingplank_knowledge::gate::{Key, Rewrite, Sends, Sent};
-use starlingplank_operation::hand::Hand;
-use starlingplank_operation::heard::Heard;
+use starlingplank_persistence::gate::{Key, Rewrite, Sends, Sent};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
--- a/src/core/records.rs
+++ b/src/core/records.rs
@@ -4,7 +4,7 @@
 use super::timers::Due;
 use super::{AttemptId, Core, Effect, End};
 use crate::interface::{Ms, Outcome};
-use starlingplank_knowledge::gate::{Gate, Key, Sends, Sent};
+use starlingplank_persistence::gate::{Gate, Key, Sends, Sent};
 
 /// A record that is being written.
 pub(super) struct PendingRecord {
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -4,7 +4,7 @@
 use super::timers::Due;
 use super::{Answer, Ask, Core, Effect, EngineError, Statement};
 use crate::interface::{ClassId, Event as DecisionEvent, Incoming, Ms, Outcome, Repeat, RequestId};
-use starlingplank_knowledge::gate::{self, Admission, Key};
+use starlingplank_persistence::gate::{self, Admission, Key};
 use std::rc::Rc;
 
 /// The priority of a request until the decision module sets another.
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -3,8 +3,8 @@
 use crate::interface::Ms;
 use crate::wire::{Fields, WireError};
 use rustix::process::{getrlimit, Resource};
-use starlingplank_membership::flows::MOST_FLOWS;
 use starlingplank_pacing::list;
+use starlingplank_service_discovery::flows::MOST_FLOWS;
 use std::time::Duration;
 
 /// The limits of one gateway.
--- a/src/main.rs
+++ b/src/main.rs
@@ -6,7 +6,7 @@
 use starlingplank::net::clock::Clock;
 use starlingplank::net::runtime::Signals;
 use starlingplank::net::{keep, log, runtime};
-use starlingplank_knowledge::{recall, show};
+use starlingplank_persistence::{recall, show};
 use std::error::Error;
 use std::io::Write;
 use std::path::PathBuf;
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -1,5 +1,5 @@
 //! Service discovery: the loop that asks for the list of engines and passes it on. What is asked when, and what an answer is
-//! worth, is decided in `starlingplank_membership`; [`message`] has the bytes and [`sockets`] the descriptors.
+//! worth, is decided in `starlingplank_service_discovery`; [`message`] has the bytes and [`sockets`] the descriptors.
 //!
 //! Nothing that the loop has read is dropped: a change of the service's address, a signal or a timer is looked at between
 //! datagrams, never in the middle of handing one on.
@@ -14,10 +14,10 @@
 use crate::net::log;
 use message::KnownAddresses;
 use sockets::{Datagram, Sockets};
-use starlingplank_membership::answers::AnswerKind;
-use starlingplank_membership::discovery::{Discovery, Received, Start, Verdict};
-use starlingplank_membership::questions::Question;
 use starlingplank_pacing::list::Rules;
+use starlingplank_service_discovery::answers::AnswerKind;
+use starlingplank_service_discovery::discovery::{Discovery, Received, Start, Verdict};
+use starlingplank_service_discovery::questions::Question;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/src/net/discovery/sockets.rs
+++ b/src/net/discovery/sockets.rs
@@ -2,7 +2,7 @@
 //! that a change of the address needs no new socket.
 
 use crate::net::conn::Retry;
-use starlingplank_membership::flows::FlowId;
+use starlingplank_service_discovery::flows::FlowId;
 use std::future::poll_fn;
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
--- a/src/net/frame.rs
+++ b/src/net/frame.rs
@@ -2,8 +2,8 @@
 
 use crate::core::{AttemptId, Send, Statement};
 use crate::interface::Ms;
+use starlingplank_admin::figures::{Count, Tally};
 use starlingplank_decision::permission::send::SendRefusal;
-use starlingplank_operation::figures::{Count, Tally};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
--- a/src/net/front/clickhouse.rs
+++ b/src/net/front/clickhouse.rs
@@ -11,7 +11,7 @@
 use crate::net::http::{self, Head, Length, Read};
 use crate::net::log;
 use sha2::{Digest, Sha256};
-use starlingplank_operation::figures::Tally;
+use starlingplank_admin::figures::Tally;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/src/net/front/thrift.rs
+++ b/src/net/front/thrift.rs
@@ -7,7 +7,7 @@
 use crate::net::frame::Frame;
 use crate::net::front::{count_of, Asked, Client, Desk, Seat};
 use crate::net::log;
-use starlingplank_operation::figures::Count;
+use starlingplank_admin::figures::Count;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
--- a/src/net/keep.rs
+++ b/src/net/keep.rs
@@ -4,17 +4,17 @@
 use crate::config::{describe, Config, KnowledgeSettings};
 use crate::core::{Core, Event, Listed};
 use crate::interface::{Availability, Ms, Repeat, Settings};
-use starlingplank_knowledge::disk::Disk;
-use starlingplank_knowledge::folder::{Boot, Files, Folder, FolderError};
-use starlingplank_knowledge::gate::{self as knowledge, Gate, Key, Rewrite, Sends, Sent};
-use starlingplank_knowledge::keeper::{
+use starlingplank_persistence::disk::Disk;
+use starlingplank_persistence::folder::{Boot, Files, Folder, FolderError};
+use starlingplank_persistence::gate::{self as knowledge, Gate, Key, Rewrite, Sends, Sent};
+use starlingplank_persistence::keeper::{
     KeyKeeper, KeyNews, ListKeeper, Offset, SnapshotKeeper, SnapshotNews, Written,
 };
-use starlingplank_knowledge::keylog;
-use starlingplank_knowledge::list::{self, KeptList};
-use starlingplank_knowledge::recall::{Recall, Rules};
-use starlingplank_knowledge::records::Snapshot;
-use starlingplank_knowledge::store::{self, Store};
+use starlingplank_persistence::keylog;
+use starlingplank_persistence::list::{self, KeptList};
+use starlingplank_persistence::recall::{Recall, Rules};
+use starlingplank_persistence::records::Snapshot;
+use starlingplank_persistence::store::{self, Store};
 use std::cell::Cell;
 use std::fs::File;
 use std::io;
--- a/src/net/operate.rs
+++ b/src/net/operate.rs
@@ -5,7 +5,7 @@
 use crate::net::http::{self, Length, Read};
 use crate::net::log;
 use crate::net::momentary::Backoff;
-use starlingplank_operation::calls::{self, Call, Reply};
+use starlingplank_admin::calls::{self, Call, Reply};
 use std::cell::Cell;
 use std::collections::VecDeque;
 use std::io;
--- a/src/net/runtime/calls.rs
+++ b/src/net/runtime/calls.rs
@@ -3,9 +3,9 @@
 use crate::core::Event;
 use crate::net::handover::Refused;
 use crate::net::runtime::Runtime;
-use starlingplank_operation::calls::{Call, Reply};
-use starlingplank_operation::figures::Now;
-use starlingplank_operation::hand::{Hand, No};
+use starlingplank_admin::calls::{Call, Reply};
+use starlingplank_admin::figures::Now;
+use starlingplank_admin::hand::{Hand, No};
 
 impl Runtime {
     /// Answers an operator's call. Changes that it makes are events for the reducer.
--- a/src/net/runtime/effects.rs
+++ b/src/net/runtime/effects.rs
@@ -4,7 +4,7 @@
 use crate::interface::{Outcome, Repeat};
 use crate::net::log;
 use crate::net::runtime::Runtime;
-use starlingplank_knowledge::gate::{self, Sent};
+use starlingplank_persistence::gate::{self, Sent};
 
 impl Runtime {
     /// Performs one effect. Events that arise at once are pushed to `new_events`.
--- a/src/net/runtime/peers.rs
+++ b/src/net/runtime/peers.rs
@@ -4,7 +4,7 @@
 use crate::net::front::Leaving;
 use crate::net::log;
 use crate::net::runtime::Runtime;
-use starlingplank_operation::lives::{self, Stage};
+use starlingplank_admin::lives::{self, Stage};
 use std::time::Duration;
 
 impl Runtime {
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -8,12 +8,12 @@
 use starlingplank::interface::*;
 use starlingplank::limits::Limits;
 use starlingplank::wire::Fields;
+use starlingplank_admin::hand::Hand;
+use starlingplank_admin::heard::Heard;
 use starlingplank_decision::permission::send::{SendPermit, SendRefusal};
-use starlingplank_knowledge::gate::{self, Gate, Log};
-use starlingplank_knowledge::recall::{self, Recall};
-use starlingplank_knowledge::records::Snapshot;
-use starlingplank_operation::hand::Hand;
-use starlingplank_operation::heard::Heard;
+use starlingplank_persistence::gate::{self, Gate, Log};
+use starlingplank_persistence::recall::{self, Recall};
+use starlingplank_persistence::records::Snapshot;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -2,9 +2,9 @@
 
 use rstest::rstest;
 use starlingplank::net::handover::{Handover, Refused};
-use starlingplank_knowledge::gate::{self, Gate, Sends, Sent};
-use starlingplank_operation::hand::No;
-use starlingplank_operation::lives::{Other, Stage};
+use starlingplank_admin::hand::No;
+use starlingplank_admin::lives::{Other, Stage};
+use starlingplank_persistence::gate::{self, Gate, Sends, Sent};
 use std::path::Path;
 
 const NOW: f64 = 1_000_000.0;
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -238,7 +238,7 @@
 #[test]
 fn page_for_staff_tells_every_figure_its_unit_and_its_meaning() {
     let page = include_str!("../docs/operate/day-to-day.md");
-    for (name, unit, meaning) in starlingplank_operation::figures::TABLE {
+    for (name, unit, meaning) in starlingplank_admin::figures::TABLE {
         let row = format!("| `{name}` | {unit} | {meaning} |");
         assert!(page.contains(&row), "{row}");
     }
@@ -715,8 +715,8 @@
     old.ended();
     // Its end is seen within a tenth of a second; the log is begun anew with all keys.
     let held = || {
-        let disk = starlingplank_knowledge::folder::Files::new(&kept);
-        let last = starlingplank_knowledge::keylog::last(&disk).expect("it can be read");
+        let disk = starlingplank_persistence::folder::Files::new(&kept);
+        let last = starlingplank_persistence::keylog::last(&disk).expect("it can be read");
         last.map_or(0, |(_, read)| read.sends.len())
     };
     let mut n = 200;
@@ -725,8 +725,8 @@
         load(&new, n) == "served" && held() > 40
     });
     assert!(whole, "{} keys are in the log", held());
-    let disk = starlingplank_knowledge::folder::Files::new(&kept);
-    let beside = || starlingplank_knowledge::keylog::sent_beside(&disk).expect("it can be read");
+    let disk = starlingplank_persistence::folder::Files::new(&kept);
+    let beside = || starlingplank_persistence::keylog::sent_beside(&disk).expect("it can be read");
     assert!((0..1_000_000).any(|_| !beside()), "nothing is beside it any more");
     new.signal("-KILL");
     drop(new);
@@ -791,7 +791,7 @@
     // Longer than a successor waits for the list where it knows engines.
     let begun = std::time::Instant::now();
     let mut asked = 0;
-    while begun.elapsed() < starlingplank_operation::lives::LIST_WAIT + Duration::from_millis(300) {
+    while begun.elapsed() < starlingplank_admin::lives::LIST_WAIT + Duration::from_millis(300) {
         assert_eq!(ask_often(&old, asked, 5), 5, "all are served by the old one");
         asked += 5;
     }
@@ -811,8 +811,8 @@
     let mut file = tempfile::NamedTempFile::new().expect("a file");
     write!(file, "knowledge {{\n  folder = {kept:?}\n  every = \"100ms\"\n}}\n").expect("written");
     site.operator = Some(file);
-    let disk = || starlingplank_knowledge::folder::Files::new(&kept);
-    let beside = || starlingplank_knowledge::keylog::sent_beside(&disk()).expect("it can be read");
+    let disk = || starlingplank_persistence::folder::Files::new(&kept);
+    let beside = || starlingplank_persistence::keylog::sent_beside(&disk()).expect("it can be read");
     let old = site.start();
     assert!((0..1_000_000).any(|_| load(&old, 1) == "served") && !beside());
     let new = site.start();
@@ -827,7 +827,7 @@
     std::fs::remove_dir_all(&shared[0]).expect("removed");
     let third = site.start();
     // Its own first file says until when nothing keyed may leave; then the word has done its part.
-    let mark = || starlingplank_knowledge::keylog::last(&disk()).ok()??.1.mark;
+    let mark = || starlingplank_persistence::keylog::last(&disk()).ok()??.1.mark;
     assert!((0..1_000_000).any(|_| !beside()), "the word is taken away");
     // Where the log was begun a second time at the start, its mark follows once that is durable.
     let first = (0..1_000_000).find_map(|_| mark());
--- a/tests/shared_folder.rs
+++ b/tests/shared_folder.rs
@@ -6,7 +6,7 @@
 use stand::requests::*;
 use stand::*;
 use starlingplank::net::handover::{folder, Handover};
-use starlingplank_knowledge::gate;
+use starlingplank_persistence::gate;
 use std::fs::File;
 use std::io::Write;
 use std::net::SocketAddr;
--- a/tests/stand/faults.rs
+++ b/tests/stand/faults.rs
@@ -1,4 +1,4 @@
-//! Gateways whose system calls fail: the library of `crates/faults` loaded before the C library.
+//! Gateways whose system calls fail: the library of `crates/fault-injection` loaded before the C library.
 
 use super::Gateway;
 use std::path::{Path, PathBuf};
@@ -7,7 +7,7 @@
 /// The library, built beside these tests.
 pub fn library() -> PathBuf {
     let own = std::env::current_exe().expect("a path");
-    let library = own.parent().expect("a folder").join("libstarlingplank_faults.so");
+    let library = own.parent().expect("a folder").join("libstarlingplank_fault_injection.so");
     assert!(library.is_file(), "{}: it is built as a dependency of these tests", library.display());
     library
 }
