--- a/crates/decision/src/decide.rs
+++ b/crates/decision/src/decide.rs
@@ -83,7 +83,7 @@
 const HEDGE_WITHIN: f64 = 0.7; // of the aim: a copy must be expected to end by then
 
 /// The decisions of one gateway.
-pub struct Gateway {
+pub struct Balancer {
     s: Settings,
     now: Ms,
     rng: fastrand::Rng,
@@ -108,7 +108,7 @@
     waits: Vec<[u64; Why::COUNT]>,
 }
 
-impl Gateway {
+impl Balancer {
     /// A gateway that knows nothing but its settings.
     pub fn new(settings: Settings, now: Ms) -> Result<Self, SettingsError> {
         settings.check()?;
--- a/crates/decision/src/learned.rs
+++ b/crates/decision/src/learned.rs
@@ -1,8 +1,8 @@
-//! What the module has learned, as plain records: handed out by [`Gateway::learned`], and taken back as
+//! What the module has learned, as plain records: handed out by [`Balancer::learned`], and taken back as
 //! [`Event::Recalled`](crate::interface::Event::Recalled). What an old record is still worth is settled by who hands
 //! it in; here nothing is judged, but what does not fit the settings, or is no figure at all, is left out.
 
-use super::{band, Gateway, FULL_REST, LEVELS};
+use super::{band, Balancer, FULL_REST, LEVELS};
 use crate::interface::{ClassId, EngineId, Ms, ZoneId};
 use crate::state::{Engine, Stat, Times, NEVER};
 
@@ -126,7 +126,7 @@
     (x.is_finite() && x >= least && x <= most).then_some(x)
 }
 
-impl Gateway {
+impl Balancer {
     /// Whether routing leaves that engine out for now, for what it did: it was ejected, or has just said that it is full.
     pub fn avoids(&self, engine: &EngineId) -> bool {
         let Some(e) = self.engines.get(engine) else { return false };
--- a/crates/experiments/src/turns.rs
+++ b/crates/experiments/src/turns.rs
@@ -3,7 +3,7 @@
 
 use crate::report::Figures;
 use serde_json::json;
-use starlingplank_decision::decide::Gateway;
+use starlingplank_decision::decide::Balancer;
 use starlingplank_decision::interface::*;
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -73,7 +73,7 @@
 /// Medians, in microseconds: a turn that takes a request, and a turn with a step of the control period. And how many of
 /// the requests were sent in their turn: one that is not costs less.
 fn measure(engines: usize, gateways: usize, seed: u64) -> Result<(f64, f64, usize), Failure> {
-    let mut gateway = Gateway::new(settings(gateways, seed), 0.0)?;
+    let mut balancer = Balancer::new(settings(gateways, seed), 0.0)?;
     let member = |n: usize| Member {
         engine: EngineId(format!("s-{n:05}").as_str().into()),
         zone: Some(ZoneId(n % 2)),
@@ -84,14 +84,14 @@
     };
     let mut actions = Vec::new();
     let list = Event::Members { whole: true, members: (0..engines).map(member).collect() };
-    gateway.turn(0.0, &[list], &mut actions);
+    balancer.turn(0.0, &[list], &mut actions);
     let (mut now, mut out) = (0.0, BTreeMap::<u64, EngineId>::new());
     let (mut decisions, mut steps, mut sent) = (Vec::new(), Vec::new(), 0);
     for id in 0..ROUNDS as u64 {
         // A step is due each 100 ms, and nothing else in its turn.
         now += 100.0;
         let timed = Instant::now();
-        gateway.turn(now, &[Event::Timer(0)], &mut actions);
+        balancer.turn(now, &[Event::Timer(0)], &mut actions);
         steps.push(timed.elapsed().as_secs_f64() * 1e6);
         actions.clear();
         let mut events = Vec::new();
@@ -109,7 +109,7 @@
                 report,
             });
         }
-        gateway.turn(now + 1.0, &events, &mut actions);
+        balancer.turn(now + 1.0, &events, &mut actions);
         actions.clear();
         let asked = Incoming {
             id: RequestId(id),
@@ -123,7 +123,7 @@
             repeat: false,
         };
         let timed = Instant::now();
-        gateway.turn(now + 2.0, &[Event::Request(asked)], &mut actions);
+        balancer.turn(now + 2.0, &[Event::Request(asked)], &mut actions);
         decisions.push(timed.elapsed().as_secs_f64() * 1e6);
         for action in actions.drain(..) {
             if let Action::Send { id, engine, .. } = action {
--- a/src/bin/starlingplank-wirehost.rs
+++ b/src/bin/starlingplank-wirehost.rs
@@ -1,7 +1,7 @@
 //! Hosts many independent gateways on the simulator's wire, on standard input and output.
 #![forbid(unsafe_code)]
 
-use starlingplank::decide::Gateway;
+use starlingplank::decide::Balancer;
 use starlingplank::interface::{Action, Event, Settings};
 use starlingplank::wire::{self, Entry, Front, Line, Registry};
 use std::collections::BTreeMap;
@@ -11,7 +11,7 @@
 
 struct Instance {
     settings: Settings,
-    gateway: Option<Gateway>,
+    gateway: Option<Balancer>,
     events: Vec<Event>,
     bail: Option<String>,
 }
@@ -60,7 +60,7 @@
                 self.instances.remove(&front);
             }
             Line::Provision(front, settings) => {
-                let (gateway, bail) = match Gateway::new((*settings).clone(), wall) {
+                let (gateway, bail) = match Balancer::new((*settings).clone(), wall) {
                     Ok(gateway) => (Some(gateway), None),
                     Err(e) => (None, Some(e.to_string())),
                 };
--- a/src/core/decisions.rs
+++ b/src/core/decisions.rs
@@ -8,7 +8,7 @@
 impl Core {
     /// The number of requests that could not be transmitted at once, by class and reason.
     pub fn waits(&self) -> &[[u64; Why::COUNT]] {
-        self.module.waits()
+        self.balancer.waits()
     }
 
     /// Deducts the processing time of decision cycles.
@@ -52,7 +52,7 @@
                 return;
             }
             let events = std::mem::take(&mut self.pending_events);
-            self.module.turn(now, &events, &mut actions);
+            self.balancer.turn(now, &events, &mut actions);
             for action in actions.drain(..) {
                 self.perform(now, action, effects);
             }
--- a/src/core/membership.rs
+++ b/src/core/membership.rs
@@ -39,7 +39,7 @@
     /// decision module.
     pub fn engines(&self) -> (usize, usize) {
         let live = |l: &&Listed| l.member.availability == Availability::Live;
-        let used = self.engines.values().filter(live).filter(|l| !self.module.avoids(&l.member.engine));
+        let used = self.engines.values().filter(live).filter(|l| !self.balancer.avoids(&l.member.engine));
         (self.engines.len(), self.engines.len() - used.count())
     }
 
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -23,7 +23,7 @@
 mod timers;
 mod types;
 
-use crate::decide::Gateway;
+use crate::decide::Balancer;
 use crate::interface::{EngineId, Event as DecisionEvent, Ms, RequestId, Settings, SettingsError};
 use crate::limits::Limits;
 use membership::FormerAddress;
@@ -48,7 +48,7 @@
 
 /// The state of one gateway.
 pub struct Core {
-    module: Gateway,
+    balancer: Balancer,
     settings: Settings,
     limits: Limits,
     /// The version of the membership.
@@ -125,7 +125,7 @@
     /// The settings are inconsistent.
     pub fn new(settings: Settings, limits: Limits, now: Ms) -> Result<Self, SettingsError> {
         Ok(Self {
-            module: Gateway::new(settings.clone(), now)?,
+            balancer: Balancer::new(settings.clone(), now)?,
             counts: vec![Counts::default(); settings.classes.len()],
             first_probes: FirstProbes::new(settings.gateways, settings.rank, settings.seed, now),
             settings,
@@ -176,7 +176,7 @@
 
     /// What the decision module has learned so far.
     pub fn learned(&self, now: Ms) -> Learned {
-        Learned { at: now, ..self.module.learned() }
+        Learned { at: now, ..self.balancer.learned() }
     }
 
     /// Sets what an earlier incarnation learned, unless that is set already.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 //! Workload-management decisions for gateways in front of analytic engines.
 //!
-//! [`Gateway`](decide::Gateway) is fed [`Event`](interface::Event)s and answers with
+//! [`Balancer`](decide::Balancer) is fed [`Event`](interface::Event)s and answers with
 //! [`Action`](interface::Action)s. It does no I/O and reads no clock. [`core`] wraps it
 //! in a reducer that owns requests and attempts, and [`net`] holds the sockets around that.
 #![forbid(unsafe_code)]
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -6,7 +6,7 @@
 
 use common::{incoming, member, outcome, sends, settings};
 use rstest::rstest;
-use starlingplank::decide::Gateway;
+use starlingplank::decide::Balancer;
 use starlingplank::interface::*;
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 const USUAL: [Ms; 2] = [250.0, 1_000.0];
 
 struct One {
-    gateway: Gateway,
+    gateway: Balancer,
     next: u64,
     due: Vec<(Ms, Event)>,
     classes: BTreeMap<u64, usize>,
@@ -39,7 +39,7 @@
     let mut fleet: Vec<One> = (0..gateways)
         .map(|g| {
             let s = Settings { seed: dice.u64(..), rank: Some(g as u64), ..s.clone() };
-            let mut gateway = Gateway::new(s, 0.0).expect("settings are good");
+            let mut gateway = Balancer::new(s, 0.0).expect("settings are good");
             let list = Event::Members { whole: true, members: vec![member(0)] };
             gateway.turn(0.0, &[list], &mut Vec::new());
             One { gateway, next: 1, due: Vec::new(), classes: BTreeMap::new() }
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -3,26 +3,26 @@
 mod common;
 
 use common::{class, engine, fleet, incoming, member, outcome, sends, settings};
-use starlingplank::decide::Gateway;
+use starlingplank::decide::Balancer;
 use starlingplank::interface::*;
 
 /// A gateway with a fleet, and a clock.
 struct Bed {
-    gateway: Gateway,
+    balancer: Balancer,
     now: Ms,
     next: u64,
 }
 
 impl Bed {
     fn new(s: Settings, engines: usize) -> Self {
-        let mut gateway = Gateway::new(s, 0.0).expect("settings are good");
-        gateway.turn(0.0, &[fleet(engines)], &mut Vec::new());
-        Self { gateway, now: 0.0, next: 0 }
+        let mut balancer = Balancer::new(s, 0.0).expect("settings are good");
+        balancer.turn(0.0, &[fleet(engines)], &mut Vec::new());
+        Self { balancer, now: 0.0, next: 0 }
     }
 
     fn turn(&mut self, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.gateway.turn(self.now, events, &mut actions);
+        self.balancer.turn(self.now, events, &mut actions);
         actions
     }
 
@@ -76,21 +76,21 @@
     s.classes[0].aim_stretch = 0.0;
     s.gateways = 1;
     let mut bed = Bed::new(s, 4);
-    assert_eq!(bed.gateway.bound(), 1.5);
+    assert_eq!(bed.balancer.bound(), 1.5);
     // 50 ms is far within the aim of 500 ms at every candidate, but only low bands were seen: no leap.
     bed.serve(100, 0, 50.0);
-    assert_eq!(bed.gateway.bound(), 1.5);
+    assert_eq!(bed.balancer.bound(), 1.5);
     // Once answers come from busier engines in the same time, the bound follows, a candidate past what was seen.
     bed.crowd(40, 60, 50.0);
-    assert!(bed.gateway.bound() > 1.5, "{}", bed.gateway.bound());
+    assert!(bed.balancer.bound() > 1.5, "{}", bed.balancer.bound());
     // Where latency passes the aim at all candidates nothing fits: down to one thread a core.
     for took in [200.0, 400.0, 800.0, 1_600.0, 2_500.0] {
         bed.crowd(30, 10, took);
     }
-    assert_eq!(bed.gateway.bound(), 1.0);
+    assert_eq!(bed.balancer.bound(), 1.0);
     // It recovers after the trouble, within a minute of ordinary answers, to a candidate of its start.
     bed.serve(1_000, 0, 50.0);
-    assert!(bed.gateway.bound() >= 1.25, "{}", bed.gateway.bound());
+    assert!(bed.balancer.bound() >= 1.25, "{}", bed.balancer.bound());
 }
 
 #[test]
@@ -125,7 +125,7 @@
         |a| matches!(a, Action::Refuse { id: r, retry_after, .. } if r.0 == id && *retry_after >= 100.0),
     );
     assert!(refused, "{actions:?}");
-    assert_eq!(bed.gateway.open_requests(), 0);
+    assert_eq!(bed.balancer.open_requests(), 0);
 }
 
 #[test]
@@ -245,7 +245,7 @@
     bed.now += 3_000.0;
     let actions = bed.turn(&[outcome(id, 0, &to, Outcome::Timeout, 3_000.0)]);
     assert!(actions.iter().any(|a| matches!(a, Action::Refuse { id: r, .. } if r.0 == id)));
-    assert_eq!(bed.gateway.open_requests(), 0);
+    assert_eq!(bed.balancer.open_requests(), 0);
 }
 
 #[test]
@@ -270,7 +270,7 @@
     bed.serve(50, 0, 0.0);
     bed.now += 200.0;
     bed.turn(&[Event::Timer(0)]);
-    assert_eq!(bed.gateway.open_requests(), 0);
+    assert_eq!(bed.balancer.open_requests(), 0);
     for n in 0..2 {
         let report = Report { util: Some(0.1), inflight: Some(0.0), ..Report::default() };
         (0..60).for_each(|_| {
@@ -285,19 +285,19 @@
 fn settings_that_cannot_work_are_named() {
     let mut s = settings();
     s.gateways = 0;
-    assert!(matches!(Gateway::new(s, 0.0).err(), Some(SettingsError::Bad { name: "balancers", .. })));
+    assert!(matches!(Balancer::new(s, 0.0).err(), Some(SettingsError::Bad { name: "balancers", .. })));
     let mut s = settings();
     s.classes[0].aim = f64::NAN;
-    assert!(Gateway::new(s, 0.0).is_err());
+    assert!(Balancer::new(s, 0.0).is_err());
     let mut s = settings();
     s.classes.clear();
-    assert!(Gateway::new(s, 0.0).is_err());
+    assert!(Balancer::new(s, 0.0).is_err());
     for (pause, good) in [(0.0, true), (-1.0, false), (f64::NAN, false), (f64::INFINITY, false)] {
         let mut s = settings();
         (s.classes[0].ordered, s.order_pause) = (true, pause);
         let named =
             Some(SettingsError::Bad { name: "rules.order_pause", why: "must be finite and not below 0" });
-        assert_eq!(Gateway::new(s, 0.0).err(), named.filter(|_| !good), "{pause}");
+        assert_eq!(Balancer::new(s, 0.0).err(), named.filter(|_| !good), "{pause}");
     }
 }
 
@@ -398,7 +398,7 @@
     s.reporting = Reporting::Never;
     let mut bed = Bed::new(s, 2);
     bed.serve(60, 0, 50.0);
-    let bound = bed.gateway.bound();
+    let bound = bed.balancer.bound();
     let sent: Vec<_> = (0..12).map(|_| bed.ask(0)).collect();
     bed.now += 1_900.0;
     let late = sent.iter().map(|(id, to)| outcome(*id, 0, to.as_ref().expect("sent"), Outcome::Ok, 1_900.0));
@@ -406,7 +406,7 @@
     bed.turn(&late[..6]);
     bed.now += 150.0;
     bed.turn(&late[6..]);
-    assert_eq!(bed.gateway.bound(), bound);
+    assert_eq!(bed.balancer.bound(), bound);
     let used: std::collections::BTreeSet<_> = (0..12).filter_map(|_| bed.ask(0).1).collect();
     assert_eq!(used.len(), 2, "both engines are still used");
 }
@@ -960,7 +960,7 @@
         bed.turn(&[outcome(id, 0, &to.expect("sent"), Outcome::Ok, 1_000.0)]);
     }
     bed.pass(30_000.0);
-    assert_eq!(bed.gateway.known_engines(), 1);
+    assert_eq!(bed.balancer.known_engines(), 1);
 }
 
 /// One spoilt answer ended all that was on its connection, and each of those counted as a failure of its own.
@@ -1082,7 +1082,7 @@
             let report = Some(Report { util: Some(0.15 * f64::from(second)), ..Report::default() });
             let heard = |n| Event::Probed { engine: engine(n), ok: true, took: 1.0, report };
             bed.turn(&(0..10).map(heard).collect::<Vec<_>>());
-            let fleet = bed.gateway.learned().fleet;
+            let fleet = bed.balancer.learned().fleet;
             sum += fleet.own_seen / fleet.all_seen;
         }
         assert!((0.3..2.0).contains(&sum), "after {second} s the shares of all add up to {sum:.2}");
@@ -1109,7 +1109,7 @@
         }
         bed.turn(&[end]);
     }
-    let speed = bed.gateway.learned().fleet.speed;
+    let speed = bed.balancer.learned().fleet.speed;
     assert!(speed > 0.9, "queries seem to take {:.1} times as long as alone", 1.0 / speed);
 }
 
@@ -1119,31 +1119,31 @@
 fn requests_that_came_in_a_stand_still_count_for_the_ration_from_when_they_may_have_come() {
     let mut s = settings();
     s.ration = Some(Ration { free: 0.0, per_request: 0.2, span: 10_000.0 });
-    let mut gateway = Gateway::new(s, 0.0).expect("settings are good");
+    let mut balancer = Balancer::new(s, 0.0).expect("settings are good");
     let mut actions = Vec::new();
-    gateway.turn(0.0, &[fleet(4)], &mut actions);
-    gateway.turn(100.0, &[Event::Timer(0)], &mut actions);
+    balancer.turn(0.0, &[fleet(4)], &mut actions);
+    balancer.turn(100.0, &[Event::Timer(0)], &mut actions);
     // Ten came in 6 s of standing still, perhaps all of them at once.
     let came: Vec<Event> = (0..10).map(|i| Event::Request(incoming(i, 0, 30_000.0))).collect();
-    gateway.turn(6_100.0, &came, &mut actions);
+    balancer.turn(6_100.0, &came, &mut actions);
     let ends: Vec<Event> =
         sends(&actions).iter().map(|(id, engine)| outcome(*id, 0, engine, Outcome::Ok, 50.0)).collect();
-    gateway.turn(6_150.0, &ends, &mut actions);
+    balancer.turn(6_150.0, &ends, &mut actions);
     // Ten seconds after the earliest that they may have come, nothing is earned any more: one that fails is given up.
     for (at, again) in [(9_900.0, true), (10_400.0, false)] {
         let id = at as u64;
         let mut actions = Vec::new();
-        gateway.turn(at, &[Event::Request(incoming(id, 0, at + 3_000.0))], &mut actions);
+        balancer.turn(at, &[Event::Request(incoming(id, 0, at + 3_000.0))], &mut actions);
         let first = sends(&actions);
         assert_eq!(first.len(), 1);
         let mut actions = Vec::new();
         let full = outcome(id, 0, &first[0].1, Outcome::Reset, 10.0);
-        gateway.turn(at + 10.0, &[full], &mut actions);
+        balancer.turn(at + 10.0, &[full], &mut actions);
         let sent = sends(&actions).len();
         assert_eq!(sent, usize::from(again), "at {at}");
         if again {
             let (id, engine) = sends(&actions)[0].clone();
-            gateway.turn(at + 20.0, &[outcome(id, 1, &engine, Outcome::Ok, 10.0)], &mut Vec::new());
+            balancer.turn(at + 20.0, &[outcome(id, 1, &engine, Outcome::Ok, 10.0)], &mut Vec::new());
         }
     }
 }
--- a/tests/gate.rs
+++ b/tests/gate.rs
@@ -3,18 +3,18 @@
 mod common;
 
 use common::{engine, fleet, incoming, member, outcome, sends, settings};
-use starlingplank::decide::Gateway;
+use starlingplank::decide::Balancer;
 use starlingplank::interface::*;
 
-fn start(s: Settings, engines: usize) -> Gateway {
-    let mut gateway = Gateway::new(s, 0.0).expect("settings are good");
-    gateway.turn(0.0, &[fleet(engines)], &mut Vec::new());
-    gateway
+fn start(s: Settings, engines: usize) -> Balancer {
+    let mut balancer = Balancer::new(s, 0.0).expect("settings are good");
+    balancer.turn(0.0, &[fleet(engines)], &mut Vec::new());
+    balancer
 }
 
-fn turn(gateway: &mut Gateway, now: Ms, events: &[Event]) -> Vec<Action> {
+fn turn(balancer: &mut Balancer, now: Ms, events: &[Event]) -> Vec<Action> {
     let mut actions = Vec::new();
-    gateway.turn(now, events, &mut actions);
+    balancer.turn(now, events, &mut actions);
     actions
 }
 
@@ -24,14 +24,14 @@
 
 #[test]
 fn rule_1_an_answer_comes_even_if_the_time_out_does_not() {
-    let mut gateway = start(settings(), 1);
-    turn(&mut gateway, 0.0, &[Event::Request(incoming(1, 0, 100.0))]);
-    let actions = turn(&mut gateway, 111.0, &[Event::Timer(0)]);
+    let mut balancer = start(settings(), 1);
+    turn(&mut balancer, 0.0, &[Event::Request(incoming(1, 0, 100.0))]);
+    let actions = turn(&mut balancer, 111.0, &[Event::Timer(0)]);
     assert!(actions.iter().any(|a| matches!(a, Action::Refuse { id: RequestId(1), .. })));
     // The late outcome ends the record and brings no second answer.
     let late = outcome(1, 0, &engine(0), Outcome::Timeout, 112.0);
-    assert!(turn(&mut gateway, 112.0, &[late]).iter().all(|a| matches!(a, Action::Timer { .. })));
-    assert_eq!(gateway.open_requests(), 0);
+    assert!(turn(&mut balancer, 112.0, &[late]).iter().all(|a| matches!(a, Action::Timer { .. })));
+    assert_eq!(balancer.open_requests(), 0);
 }
 
 #[test]
@@ -39,9 +39,9 @@
     for (how, again) in [(Outcome::Full, true), (Outcome::ConnectFailed, true), (Outcome::Reset, false)] {
         let mut s = settings();
         s.classes[0].repeat = Repeat::Unsafe;
-        let mut gateway = start(s, 3);
-        let first = sends(&turn(&mut gateway, 0.0, &[Event::Request(incoming(1, 0, 3_000.0))]));
-        let actions = turn(&mut gateway, 10.0, &[outcome(1, 0, &first[0].1, how, 10.0)]);
+        let mut balancer = start(s, 3);
+        let first = sends(&turn(&mut balancer, 0.0, &[Event::Request(incoming(1, 0, 3_000.0))]));
+        let actions = turn(&mut balancer, 10.0, &[outcome(1, 0, &first[0].1, how, 10.0)]);
         assert_eq!(sends(&actions).len(), usize::from(again), "{how:?}");
         assert_eq!(actions.contains(&Action::Fail { id: RequestId(1) }), !again, "{how:?}");
     }
@@ -52,9 +52,9 @@
     for (after, again) in [(100.0, true), (900.0, false)] {
         let mut s = settings();
         s.classes[0].repeat = Repeat::Keyed { scope: Scope::Cell, window: 800.0 };
-        let mut gateway = start(s, 6);
-        let first = sends(&turn(&mut gateway, 0.0, &[Event::Request(incoming(1, 0, 3_000.0))]))[0].1.clone();
-        let actions = turn(&mut gateway, after, &[outcome(1, 0, &first, Outcome::Error, after)]);
+        let mut balancer = start(s, 6);
+        let first = sends(&turn(&mut balancer, 0.0, &[Event::Request(incoming(1, 0, 3_000.0))]))[0].1.clone();
+        let actions = turn(&mut balancer, after, &[outcome(1, 0, &first, Outcome::Error, after)]);
         let second = sends(&actions);
         assert_eq!(second.len(), usize::from(again));
         let cell = |e: &EngineId| (0..6).find(|n| engine(*n) == *e).map(|n| n / 2);
@@ -65,10 +65,10 @@
 
 #[test]
 fn rule_3_nothing_goes_to_what_drains_or_is_gone() {
-    let mut gateway = start(settings(), 3);
-    turn(&mut gateway, 1.0, &[down(0, Availability::Draining), down(1, Availability::Gone)]);
+    let mut balancer = start(settings(), 3);
+    turn(&mut balancer, 1.0, &[down(0, Availability::Draining), down(1, Availability::Gone)]);
     for i in 0..5 {
-        let sent = sends(&turn(&mut gateway, 2.0, &[Event::Request(incoming(i, 0, 3_000.0))]));
+        let sent = sends(&turn(&mut balancer, 2.0, &[Event::Request(incoming(i, 0, 3_000.0))]));
         assert!(sent.iter().all(|(_, e)| *e == engine(2)));
         assert_eq!(sent.len(), 1);
     }
@@ -79,14 +79,14 @@
     let mut s = settings();
     s.classes[0].ordered = true;
     s.send_cap = 1;
-    let mut gateway = start(s, 3);
+    let mut balancer = start(s, 3);
     let ask = |id| Event::Request(Incoming { key: Some(OrderKey(4)), ..incoming(id, 0, 3_000.0) });
-    let first = sends(&turn(&mut gateway, 0.0, &[ask(1), ask(2)]));
+    let first = sends(&turn(&mut balancer, 0.0, &[ask(1), ask(2)]));
     assert_eq!(first.len(), 1);
     let reset = outcome(1, 0, &first[0].1, Outcome::Reset, 10.0);
-    assert!(sends(&turn(&mut gateway, 10.0, &[reset])).is_empty());
-    assert!(sends(&turn(&mut gateway, 500.0, &[Event::Timer(0)])).is_empty());
-    assert_eq!(sends(&turn(&mut gateway, 511.0, &[Event::Timer(0)]))[0].0, 2);
+    assert!(sends(&turn(&mut balancer, 10.0, &[reset])).is_empty());
+    assert!(sends(&turn(&mut balancer, 500.0, &[Event::Timer(0)])).is_empty());
+    assert_eq!(sends(&turn(&mut balancer, 511.0, &[Event::Timer(0)]))[0].0, 2);
 }
 
 #[test]
@@ -94,12 +94,12 @@
     let mut s = settings();
     s.classes[0].zones = Some(vec![ZoneId(1)]);
     s.classes[0].kinds = Some(vec![KindId(0)]);
-    let mut gateway = start(s, 4);
-    let sent = sends(&turn(&mut gateway, 0.0, &[Event::Request(incoming(1, 0, 3_000.0))]));
+    let mut balancer = start(s, 4);
+    let sent = sends(&turn(&mut balancer, 0.0, &[Event::Request(incoming(1, 0, 3_000.0))]));
     assert_eq!(sent[0].1, engine(1));
-    turn(&mut gateway, 1.0, &[down(1, Availability::Gone)]);
-    assert!(sends(&turn(&mut gateway, 2.0, &[Event::Request(incoming(2, 0, 3_000.0))])).is_empty());
-    let actions = turn(&mut gateway, 130.0, &[Event::Timer(0)]);
+    turn(&mut balancer, 1.0, &[down(1, Availability::Gone)]);
+    assert!(sends(&turn(&mut balancer, 2.0, &[Event::Request(incoming(2, 0, 3_000.0))])).is_empty());
+    let actions = turn(&mut balancer, 130.0, &[Event::Timer(0)]);
     assert!(actions.iter().any(|a| matches!(a, Action::Refuse { id: RequestId(2), .. })));
 }
 
@@ -107,16 +107,16 @@
 fn rule_7_further_attempts_stay_in_the_ration() {
     let mut s = settings();
     s.ration = Some(Ration { free: 2.0, per_request: 0.0, span: 10_000.0 });
-    let mut gateway = start(s, 6);
+    let mut balancer = start(s, 6);
     let mut again = 0;
     for i in 0..6 {
         let at = i as f64 * 50.0;
-        let first = sends(&turn(&mut gateway, at, &[Event::Request(incoming(i, 0, 3_000.0))]));
+        let first = sends(&turn(&mut balancer, at, &[Event::Request(incoming(i, 0, 3_000.0))]));
         let failed = outcome(i, 0, &first[0].1, Outcome::Full, 1.0);
-        let second = sends(&turn(&mut gateway, at + 1.0, &[failed]));
+        let second = sends(&turn(&mut balancer, at + 1.0, &[failed]));
         again += second.len();
         if let Some((_, e)) = second.first() {
-            turn(&mut gateway, at + 2.0, &[outcome(i, 1, e, Outcome::Ok, 1.0)]);
+            turn(&mut balancer, at + 2.0, &[outcome(i, 1, e, Outcome::Ok, 1.0)]);
         }
     }
     assert_eq!(again, 2);
--- a/tests/recall.rs
+++ b/tests/recall.rs
@@ -4,19 +4,19 @@
 
 use common::{engine, fleet, incoming, outcome, sends, settings};
 use starlingplank::decide::learned::{ClassLearned, EngineLearned, Learned};
-use starlingplank::decide::Gateway;
+use starlingplank::decide::Balancer;
 use starlingplank::interface::*;
 
-fn turn(gateway: &mut Gateway, now: Ms, events: &[Event]) -> Vec<Action> {
+fn turn(balancer: &mut Balancer, now: Ms, events: &[Event]) -> Vec<Action> {
     let mut actions = Vec::new();
-    gateway.turn(now, events, &mut actions);
+    balancer.turn(now, events, &mut actions);
     actions
 }
 
 /// One engine of eight cores, `short` queries known to take 400 ms on one thread; a life that begins at 0.
-fn recalled(from: EngineLearned) -> Gateway {
+fn recalled(from: EngineLearned) -> Balancer {
     let s = Settings { gateways: 1, ..settings() };
-    let mut gateway = Gateway::new(s, 0.0).expect("sound");
+    let mut balancer = Balancer::new(s, 0.0).expect("sound");
     let short =
         ClassLearned { name: "short".into(), threads: 1.0, best: 400.0, steps: 50.0, ..Default::default() };
     let learned = Learned {
@@ -25,17 +25,17 @@
         engines: vec![EngineLearned { id: engine(0).0.to_string(), slow: 1.0, ..from }],
         ..Learned::default()
     };
-    turn(&mut gateway, 0.0, &[fleet(1), Event::Recalled(Box::new(learned))]);
-    gateway
+    turn(&mut balancer, 0.0, &[fleet(1), Event::Recalled(Box::new(learned))]);
+    balancer
 }
 
 /// Queries sent within two seconds while 100 a second come and none is answered.
-fn sent(gateway: &mut Gateway) -> usize {
+fn sent(balancer: &mut Balancer) -> usize {
     let mut count = 0;
     for n in 0..200_u64 {
         let now = n as f64 * 10.0;
         let asked = Incoming { deadline: now + 2_900.0, ..incoming(n, 0, 0.0) };
-        count += sends(&turn(gateway, now, &[Event::Request(asked), Event::Timer(0)])).len();
+        count += sends(&turn(balancer, now, &[Event::Request(asked), Event::Timer(0)])).len();
     }
     count
 }
@@ -53,14 +53,14 @@
 
 #[test]
 fn engine_whose_budget_was_spent_gets_nothing_until_the_span_is_over() {
-    let mut gateway = recalled(EngineLearned { perhaps_cold: true, spent: true, ..Default::default() });
-    assert_eq!(sent(&mut gateway), 0);
+    let mut balancer = recalled(EngineLearned { perhaps_cold: true, spent: true, ..Default::default() });
+    assert_eq!(sent(&mut balancer), 0);
     let asked = Incoming { deadline: 5_000.0, ..incoming(900, 0, 0.0) };
     let later: usize = (0..20)
         .map(|n| {
             let now = 2_100.0 + f64::from(n) * 50.0;
             let events = if n == 0 { vec![Event::Request(asked.clone())] } else { vec![Event::Timer(0)] };
-            sends(&turn(&mut gateway, now, &events)).len()
+            sends(&turn(&mut balancer, now, &events)).len()
         })
         .sum();
     assert!(later >= 1, "and then it is an engine like others");
@@ -68,7 +68,7 @@
 
 /// Queries out at once under a steady crowd whose answers take `took`, after two seconds of such answers.
 fn crowd(took: Ms) -> usize {
-    let mut gateway = recalled(EngineLearned { perhaps_cold: true, ..Default::default() });
+    let mut balancer = recalled(EngineLearned { perhaps_cold: true, ..Default::default() });
     let mut out: Vec<(f64, u64)> = Vec::new();
     let mut most = 0;
     for n in 0..300_u64 {
@@ -91,7 +91,7 @@
                 report,
             });
         }
-        for (id, _) in sends(&turn(&mut gateway, now, &events)) {
+        for (id, _) in sends(&turn(&mut balancer, now, &events)) {
             out.push((now, id));
         }
         if now > 2_000.0 {
@@ -118,8 +118,8 @@
         ejections: u32::MAX,
         ..Default::default()
     };
-    let gateway = recalled(absurd);
-    let back = &gateway.learned().engines[0];
+    let balancer = recalled(absurd);
+    let back = &balancer.learned().engines[0];
     assert!((back.slow, back.errors, back.others) == (1.0, 0.0, 0.0), "{back:?}");
     assert!(back.ejected.is_none() && back.back.is_none() && back.ejections <= 6, "{back:?}");
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{engine, incoming, member, settings};
-use starlingplank::decide::Gateway;
+use starlingplank::decide::Balancer;
 use starlingplank::interface::*;
 use std::collections::BTreeMap;
 
@@ -194,7 +194,7 @@
 fn play(seed: u64) -> (usize, usize) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let s = varied(&mut rng);
-    let mut gateway = Gateway::new(s.clone(), 0.0).expect("settings are good");
+    let mut balancer = Balancer::new(s.clone(), 0.0).expect("settings are good");
     let mut check = Checker {
         s: s.clone(),
         requests: BTreeMap::new(),
@@ -237,7 +237,7 @@
         }
         // The gateway is killed and comes back with its last list; what it held is the clients' to retry.
         if turn == 1_200 && seed.is_multiple_of(3) {
-            gateway = Gateway::new(Settings { seed: rng.u64(..), ..s.clone() }, now).expect("good");
+            balancer = Balancer::new(Settings { seed: rng.u64(..), ..s.clone() }, now).expect("good");
             for r in check.requests.values_mut() {
                 r.answered.get_or_insert(now);
                 r.sent.iter_mut().for_each(|a| a.outcome = a.outcome.or(Some((now, Outcome::Moot))));
@@ -307,7 +307,7 @@
         }
         events.push(Event::Timer(0));
         let mut actions = Vec::new();
-        gateway.turn(now, &events, &mut actions);
+        balancer.turn(now, &events, &mut actions);
         for action in &actions {
             check.action(now, action);
         }
@@ -317,7 +317,7 @@
         }
     }
     let sent = check.requests.values().map(|r| r.sent.len()).sum();
-    assert_eq!(gateway.open_requests(), 0, "something is kept for what is over");
+    assert_eq!(balancer.open_requests(), 0, "something is kept for what is over");
     (check.requests.len(), sent)
 }
 
@@ -336,13 +336,13 @@
 #[test]
 fn same_events_same_actions() {
     let run = || {
-        let mut gateway = Gateway::new(settings(), 0.0).expect("settings are good");
+        let mut balancer = Balancer::new(settings(), 0.0).expect("settings are good");
         let mut all = Vec::new();
-        gateway.turn(0.0, &[common::fleet(5)], &mut all);
+        balancer.turn(0.0, &[common::fleet(5)], &mut all);
         for i in 0..200_u64 {
             let now = i as f64 * 7.0;
             let asked = incoming(i, (i % 7 == 0).into(), now + 900.0);
-            gateway.turn(now, &[Event::Request(asked), Event::Timer(0)], &mut all);
+            balancer.turn(now, &[Event::Request(asked), Event::Timer(0)], &mut all);
         }
         all
     };
