--- a/crates/admin/src/hand.rs
+++ b/crates/admin/src/hand.rs
@@ -7,7 +7,7 @@
 use thiserror::Error;
 
 /// Unix milliseconds.
-pub type Ms = f64;
+pub type UnixMilliseconds = f64;
 
 /// What the file begins with.
 pub const FORM: Form = Form { magic: *b"SPKHAND\n", version: 1 };
@@ -33,9 +33,9 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Hand {
     /// Since when.
-    out: BTreeMap<String, Ms>,
+    out: BTreeMap<String, UnixMilliseconds>,
     /// Since when they had been out, and when they were called back.
-    back: BTreeMap<String, (Ms, Ms)>,
+    back: BTreeMap<String, (UnixMilliseconds, UnixMilliseconds)>,
 }
 
 impl Hand {
@@ -43,7 +43,7 @@
     ///
     /// # Errors
     /// It is unknown, or too many are out.
-    pub fn exclude(&mut self, id: &str, listed: bool, now: Ms) -> Result<bool, No> {
+    pub fn exclude(&mut self, id: &str, listed: bool, now: UnixMilliseconds) -> Result<bool, No> {
         if self.is_out(id) {
             return Ok(false);
         }
@@ -61,7 +61,7 @@
     ///
     /// # Errors
     /// It is unknown.
-    pub fn include(&mut self, id: &str, listed: bool, now: Ms) -> Result<bool, No> {
+    pub fn include(&mut self, id: &str, listed: bool, now: UnixMilliseconds) -> Result<bool, No> {
         if let Some(since) = self.out.remove(id) {
             self.back.insert(id.to_owned(), (since, now));
             return Ok(true);
@@ -75,7 +75,7 @@
 
     /// The same by a clock that shows this time: nothing was called out or back later. Another process of the gateway may
     /// have written it, whose clock differs by a step of the wall clock.
-    pub fn not_after(mut self, now: Ms) -> Self {
+    pub fn not_after(mut self, now: UnixMilliseconds) -> Self {
         self.out.values_mut().for_each(|at| *at = at.min(now));
         self.back.values_mut().for_each(|(out, back)| (*out, *back) = (out.min(now), back.min(now)));
         self
@@ -93,7 +93,7 @@
 
     /// When an engine has started, as far as budgets go. One that the list saw start since it was taken out has started
     /// then; of any other nobody knows what was done to it meanwhile, and it starts as it is called back.
-    pub fn started(&self, id: &str, listed: Option<Ms>) -> Option<Ms> {
+    pub fn started(&self, id: &str, listed: Option<UnixMilliseconds>) -> Option<UnixMilliseconds> {
         match self.back.get(id) {
             Some((since, back)) => listed.filter(|at| at > since).or(Some(*back)),
             None => listed,
@@ -101,7 +101,7 @@
     }
 
     /// Forgets calls back that are older than an engine takes to warm up.
-    pub fn forget(&mut self, now: Ms, warm_within: Ms) {
+    pub fn forget(&mut self, now: UnixMilliseconds, warm_within: UnixMilliseconds) {
         self.back.retain(|_, (_, back)| now - *back < warm_within);
     }
 
--- a/crates/admin/src/heard.rs
+++ b/crates/admin/src/heard.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Unix milliseconds.
-pub type Ms = f64;
+pub type UnixMilliseconds = f64;
 
 /// What the file begins with.
 pub const FORM: Form = Form { magic: *b"SPKHEARD", version: 1 };
@@ -17,7 +17,7 @@
 pub const BYTES: u64 = 1 << 20;
 /// It binds so long after the service last spoke, in ms: services are silent for up to 23 s, and an id that comes back
 /// meanwhile gets nothing, which must end.
-pub const BINDS: Ms = 60_000.0;
+pub const BINDS: UnixMilliseconds = 60_000.0;
 /// Engines that have gone, remembered at most; the earliest are forgotten first.
 pub const GONE: usize = 5_000;
 
@@ -54,29 +54,29 @@
 /// What one process heard.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heard {
-    at: Ms,
+    at: UnixMilliseconds,
     out: BTreeSet<String>,
 }
 
 impl Heard {
     /// The engines that drain or have gone, by the service's word at that time.
-    pub fn new(at: Ms, out: impl IntoIterator<Item = String>) -> Self {
+    pub fn new(at: UnixMilliseconds, out: impl IntoIterator<Item = String>) -> Self {
         Self { at, out: out.into_iter().collect() }
     }
 
     /// As a process that starts now takes it over from one that still runs. Their clocks may differ by any step of the wall
     /// clock, so that it binds from now.
-    pub fn taken_over(self, now: Ms) -> Self {
+    pub fn taken_over(self, now: UnixMilliseconds) -> Self {
         Self { at: now, ..self }
     }
 
     /// Until when it binds, unless the service is heard before.
-    pub fn until(&self) -> Ms {
+    pub fn until(&self) -> UnixMilliseconds {
         self.at + BINDS
     }
 
     /// Whether that engine gets nothing new.
-    pub fn keeps_out(&self, id: &str, now: Ms) -> bool {
+    pub fn keeps_out(&self, id: &str, now: UnixMilliseconds) -> bool {
         now < self.until() && self.out.contains(id)
     }
 
--- a/crates/decision/src/decide.rs
+++ b/crates/decision/src/decide.rs
@@ -18,9 +18,9 @@
 const LEVELS: [f64; 12] = [0.25, 0.5, 0.75, 1.0, 1.25, 1.5, 1.75, 2.0, 2.25, 2.5, 2.75, 3.0];
 const START_LEVEL: usize = 5; // 1½ threads a core
 const LEAST_LEVEL: usize = 3; // where no candidate serves any class
-const STEP: Ms = 100.0; // the control period
+const STEP: Milliseconds = 100.0; // the control period
 const RATIO: f64 = 1.5; // runtime/arrival ratio over the other group's that puts a group behind
-const WAIT_LEAST: Ms = 100.0; // a held query waits this ...
+const WAIT_LEAST: Milliseconds = 100.0; // a held query waits this ...
 const WAIT_SHARE: f64 = 0.1; // ... or this share of its expected latency ...
 const WAIT_AIM: f64 = 0.25; // ... or of its aim: room comes up sooner than a refused client comes back
 
@@ -39,78 +39,78 @@
 const RECENT: f64 = 0.99; // decay a step of arrivals, runtimes and shares: about ten seconds
 
 // ---- Pressure and health ----
-const STOOD: Ms = 250.0; // between turns: this gateway stood still
-const STALL_FADES: Ms = 60_000.0;
+const STOOD: Milliseconds = 250.0; // between turns: this gateway stood still
+const STALL_FADES: Milliseconds = 60_000.0;
 const FAR_ABOVE_BEST: f64 = 2.5; // latency over best that is pressure
 const BUSY: f64 = 0.95; // reported share of cores, memory or disks that is pressure
 const CROWDED: f64 = 1.25; // threads a core that are pressure
 const PART_GAIN: i32 = 2; // how fast own part over the fleet falls as the fleet passes the bound
-const FULL_REST: Ms = 250.0; // nothing is sent so long after a `full`
+const FULL_REST: Milliseconds = 250.0; // nothing is sent so long after a `full`
 const PATIENCE: f64 = 2.0; // deviations past the mean at which an attempt is overdue
-const PATIENCE_LEAST: Ms = 200.0;
-const SLOW_SPAN: Ms = 5000.0; // over which slowness is learned ...
-const SLOW_PRIOR: Ms = 500.0; // ... with so much time of a thread taken to be as usual
+const PATIENCE_LEAST: Milliseconds = 200.0;
+const SLOW_SPAN: Milliseconds = 5000.0; // over which slowness is learned ...
+const SLOW_PRIOR: Milliseconds = 500.0; // ... with so much time of a thread taken to be as usual
 const UNLOADED: f64 = 0.05; // weight of a step's slowness in that without load ...
-const NEWS: Ms = 500.0; // mean age of reports up to which they tell how many threads run
+const NEWS: Milliseconds = 500.0; // mean age of reports up to which they tell how many threads run
 const UNLOADED_MOST: f64 = 1.5; // ... past which an engine is ill, whatever slows it
 const CRAWL: f64 = 4.0; // times slower, past which idle cores mean that all wait for disks
 const STUCK: f64 = 3.0; // times its time alone past which one attempt in three still ends in time
 const SLOW_MOST: f64 = 10.0;
 const ERROR_WEIGHT: f64 = 0.2; // of one outcome in it
 const ERRORS: f64 = 0.3; // recent share of failures that ejects an engine
-const EJECT: Ms = 1000.0; // first ejection; doubles each time
-const EJECT_MOST: Ms = 8000.0;
-const SLOW_START: Ms = 4000.0; // from the end of an ejection to full share
+const EJECT: Milliseconds = 1000.0; // first ejection; doubles each time
+const EJECT_MOST: Milliseconds = 8000.0;
+const SLOW_START: Milliseconds = 4000.0; // from the end of an ejection to full share
 const COLD_MARGIN: f64 = 0.8; // of a cold engine's budget
 const COLD_CHANCE: f64 = 3.0; // deviations that it leaves for what many gateways send by chance
 const NO_ROOM: f64 = 1e9; // under all that have some
 const ABSURD: f64 = 20.0; // threads a core past which no report is believed
-const SETTLE: Ms = 1000.0; // time over which reports are smoothed
+const SETTLE: Milliseconds = 1000.0; // time over which reports are smoothed
 const USUAL: f64 = 0.1; // weight of one report in the fleet's mean load
-const STALE: Ms = 2000.0; // a report older than this gives way to the fleet's mean
-const PROBE_EVERY: Ms = 400.0; // an engine heard of within this is not probed
+const STALE: Milliseconds = 2000.0; // a report older than this gives way to the fleet's mean
+const PROBE_EVERY: Milliseconds = 400.0; // an engine heard of within this is not probed
 const PROBES_SAVED: f64 = 16.0; // each request taken pays for one probe, at most; so many may be saved up
 const PROBE_COST: f64 = 0.01; // of a request's worth that may go into probes
 const NEAR: f64 = 0.1; // so much more of the draw for an engine in our zone
 const PROBE_WORK: f64 = 0.5; // share of the shortest probe that is work at the engine, not the way there
 const PROBE_NOISE: f64 = 0.35; // of the shortest to its zone, within which a probe shows no delay
-const FAINT: Ms = 0.2; // work that a delay of this gateway's own making would pass for
+const FAINT: Milliseconds = 0.2; // work that a delay of this gateway's own making would pass for
 const UNDELAYED: f64 = 0.5; // threads a core where a probe shows none: the middle of what that can be
-const REPORT_LAG: Ms = 200.0; // age of what a report tells when it comes
+const REPORT_LAG: Milliseconds = 200.0; // age of what a report tells when it comes
 const MANY: usize = 64; // past so many, going through all of them each turn costs too much CPU ...
-const TEND: Ms = 20.0; // ... and what is out is looked at so often
-const PLACE: Ms = 4.0; // ... and what is held so often
+const TEND: Milliseconds = 20.0; // ... and what is out is looked at so often
+const PLACE: Milliseconds = 4.0; // ... and what is held so often
 const HEDGE_WITHIN: f64 = 0.7; // of the aim: a copy must be expected to end by then
 
 /// The decisions of one gateway.
 pub struct Balancer {
     s: Settings,
-    now: Ms,
+    now: Milliseconds,
     rng: fastrand::Rng,
     engines: BTreeMap<EngineId, Engine>,
     requests: BTreeMap<RequestId, Request>,
     keys: BTreeMap<OrderKey, Key>,
     classes: Vec<ClassState>,
     quotas: Vec<f64>,
-    stood: Ms, // how long this gateway just stood still
-    stall: Ms, // longest stand-still of late
+    stood: Milliseconds, // how long this gateway just stood still
+    stall: Milliseconds, // longest stand-still of late
     probes_paid: f64,
     retry_budget: RetryBudget,
     bound: usize,
     fleet: Fleet,
     aperture: Aperture,
     behind: Option<bool>, // the group that waits: long or not
-    next_step: Ms,
-    next_timer: Ms,
-    next_tend: Ms,
-    next_place: Ms,
-    watch_at: Ms,
+    next_step: Milliseconds,
+    next_timer: Milliseconds,
+    next_tend: Milliseconds,
+    next_place: Milliseconds,
+    watch_at: Milliseconds,
     waits: Vec<[u64; Why::COUNT]>,
 }
 
 impl Balancer {
     /// A gateway that knows nothing but its settings.
-    pub fn new(settings: Settings, now: Ms) -> Result<Self, SettingsError> {
+    pub fn new(settings: Settings, now: Milliseconds) -> Result<Self, SettingsError> {
         settings.check()?;
         let classes = settings.classes.iter().map(|c| ClassState {
             bands: vec![Stat::default(); LEVELS.len()],
@@ -145,7 +145,7 @@
     }
 
     /// Learns from the events, then decides once.
-    pub fn turn(&mut self, now: Ms, events: &[Event], actions: &mut Vec<Action>) {
+    pub fn turn(&mut self, now: Milliseconds, events: &[Event], actions: &mut Vec<Action>) {
         self.stood_still(now);
         for event in events {
             self.learn(event);
@@ -155,7 +155,7 @@
 
     /// Time in which this gateway did not run says nothing of engines: silence and patience do not count it,
     /// and what comes in on waking is no latency. Guards against stalls, paused machines and jumping clocks.
-    fn stood_still(&mut self, now: Ms) {
+    fn stood_still(&mut self, now: Milliseconds) {
         let gap = now - self.now;
         self.now = now;
         self.stood = if gap > STOOD { gap } else { 0.0 };
@@ -266,7 +266,7 @@
     }
 
     /// What an engine says of its load, or shows by the time that a probe took.
-    fn learn_report(&mut self, engine: &EngineId, report: &Option<Report>, probe: Option<Ms>) {
+    fn learn_report(&mut self, engine: &EngineId, report: &Option<Report>, probe: Option<Milliseconds>) {
         let Some(e) = self.engines.get_mut(engine) else { return };
         let sane = |x: Option<f64>| x.filter(|v| v.is_finite() && *v >= 0.0);
         if let Some(report) = report {
@@ -315,7 +315,14 @@
         e.heard = Some(self.now);
     }
 
-    fn learn_outcome(&mut self, id: RequestId, no: u32, how: Outcome, took: Ms, work: Option<Ms>) {
+    fn learn_outcome(
+        &mut self,
+        id: RequestId,
+        no: u32,
+        how: Outcome,
+        took: Milliseconds,
+        work: Option<Milliseconds>,
+    ) {
         let now = self.now;
         let Some(r) = self.requests.get_mut(&id) else { return };
         let class = r.asked.class;
@@ -413,7 +420,7 @@
     }
 
     /// One latency, at the size of a usual query of its class, at that many threads a core.
-    fn add_sample(&mut self, class: ClassId, level: f64, latency: Ms) {
+    fn add_sample(&mut self, class: ClassId, level: f64, latency: Milliseconds) {
         self.classes[class.0].confirmed = Some(self.now);
         let stat = &mut self.classes[class.0].bands[band(level)];
         let cut = stat.mean + CLIP * stat.var.sqrt().max(stat.mean * 0.5);
@@ -423,7 +430,7 @@
 
     /// Mean and deviation of a class's latency at a level, from all bands, near ones most: an unseen leans
     /// on its neighbours. Between bands, engines are taken to slow down in proportion to threads.
-    fn latency_at(&self, class: ClassId, level: f64) -> (Ms, Ms) {
+    fn latency_at(&self, class: ClassId, level: f64) -> (Milliseconds, Milliseconds) {
         let c = &self.classes[class.0];
         let at = band(level);
         let prior = self.s.classes[class.0].aim * PRIOR * LEVELS[at].max(1.0);
@@ -439,13 +446,13 @@
         (mean / all, (var / all).sqrt())
     }
 
-    fn aim(&self, class: ClassId, size: f64) -> Ms {
+    fn aim(&self, class: ClassId, size: f64) -> Milliseconds {
         let c = &self.s.classes[class.0];
         (c.aim + c.aim_stretch * self.classes[class.0].best * size).min(c.give_up)
     }
 
     /// How long a request takes alone: by the work that answers tell, else the best latency.
-    fn alone(&self, r: &Request) -> Ms {
+    fn alone(&self, r: &Request) -> Milliseconds {
         let c = &self.classes[r.asked.class.0];
         r.size * if c.usual > 0.0 { c.usual } else { c.best }
     }
@@ -761,7 +768,8 @@
         for (id, e) in &self.engines {
             let again = r.attempts.iter().any(|a| a.engine == *id && (a.out || !a.unseen));
             // After an ejection one short query goes as a trial.
-            let trial = |t: Ms| self.now >= t && e.count == 0.0 && !self.classes[r.asked.class.0].long;
+            let trial =
+                |t: Milliseconds| self.now >= t && e.count == 0.0 && !self.classes[r.asked.class.0].long;
             let shut = e.ejected.is_some_and(|until| (!shared || e.lost.is_some()) && !trial(until));
             let shut = shut || self.now - e.full_at < FULL_REST || again && self.engines.len() > 1;
             let may = match () {
@@ -804,7 +812,7 @@
     fn free_room(&self, e: &Engine) -> f64 {
         let f = &self.fleet;
         let mean = f.load().max(LEVELS[0]);
-        let turnover = |age: Ms| (REPORT_LAG + age) / f.residence.max(1.0);
+        let turnover = |age: Milliseconds| (REPORT_LAG + age) / f.residence.max(1.0);
         let own = e.threads / self.cores(e).max(0.1);
         let others = e.others / self.cores(e).max(0.1);
         let age = e.heard.map_or(STALE, |t| (self.now - t).min(STALE));
@@ -1003,7 +1011,7 @@
     }
 
     /// The one place that gives final answers: a refusal where a retry is harmless, else a failure.
-    fn answer(&mut self, id: RequestId, come_back: Ms, why: Why, actions: &mut Vec<Action>) {
+    fn answer(&mut self, id: RequestId, come_back: Milliseconds, why: Why, actions: &mut Vec<Action>) {
         let Some(r) = self.requests.get_mut(&id).filter(|r| !r.over) else { return };
         let may_have_run = r.may_have_run().next().is_some();
         let harmless = permission::may_refuse(self.s.classes[r.asked.class.0].repeat, may_have_run);
--- a/crates/decision/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -5,7 +5,7 @@
 use thiserror::Error;
 
 /// A point in time or a duration, in milliseconds.
-pub type Ms = f64;
+pub type Milliseconds = f64;
 
 /// A client's request; never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -71,7 +71,7 @@
         /// Where repeats are dropped.
         scope: Scope,
         /// For how long.
-        window: Ms,
+        window: Milliseconds,
     },
     /// Harm: it must not run twice.
     Unsafe,
@@ -90,11 +90,11 @@
     /// Label.
     pub name: String,
     /// Full worth is earned by answering within this ...
-    pub aim: Ms,
+    pub aim: Milliseconds,
     /// ... plus this times the true work over the threads.
     pub aim_stretch: f64,
     /// Clients give up after this, over all their tries.
-    pub give_up: Ms,
+    pub give_up: Milliseconds,
     /// Worth of an answer in time.
     pub worth: f64,
     /// Share of the worth that a late answer keeps.
@@ -163,7 +163,7 @@
     /// Allowed for each request taken.
     pub per_request: f64,
     /// Length of the window.
-    pub span: Ms,
+    pub span: Milliseconds,
 }
 
 /// All that a gateway is told at its start.
@@ -196,29 +196,29 @@
     /// What a probe costs, as a share of a request's worth.
     pub probe_price: f64,
     /// Clients hear advice on when to come back, and heed it up to this.
-    pub max_retry_after: Ms,
+    pub max_retry_after: Milliseconds,
     /// Attempts for one request at most.
     pub send_cap: u32,
     /// How load reports come.
     pub reporting: Reporting,
     /// Grace after the client's deadline within which a final answer still counts.
-    pub answer_slack: Ms,
+    pub answer_slack: Milliseconds,
     /// Without a subscription the list must be asked for at least this often.
-    pub ask_within: Ms,
+    pub ask_within: Milliseconds,
     /// Grace after news of a drain.
-    pub drain_grace: Ms,
+    pub drain_grace: Milliseconds,
     /// An engine starts with this share of its capacity.
     pub cold_from: f64,
     /// And is warm after this.
-    pub warm_within: Ms,
+    pub warm_within: Milliseconds,
     /// A cold engine falls over beyond this multiple of its capacity ...
     pub fall_multiple: f64,
     /// ... kept up for this long.
-    pub tip_after: Ms,
+    pub tip_after: Milliseconds,
     /// The ration of further attempts, if any.
     pub ration: Option<Ration>,
     /// Rest of an ordered key after an attempt that may still run.
-    pub order_pause: Ms,
+    pub order_pause: Milliseconds,
     /// Memory grants are heeded.
     pub grants: bool,
     /// Share of an engine's memory that one query may get.
@@ -226,7 +226,7 @@
     /// Priorities 0 to 3 are heeded.
     pub priorities: bool,
     /// Shortest time between turns.
-    pub tick: Ms,
+    pub tick: Milliseconds,
 }
 
 impl Settings {
@@ -349,7 +349,7 @@
     /// Its state.
     pub availability: Availability,
     /// When it last started, if lately.
-    pub started: Option<Ms>,
+    pub started: Option<Milliseconds>,
 }
 
 /// A request as taken.
@@ -364,9 +364,9 @@
     /// Its key, in ordered classes.
     pub key: Option<OrderKey>,
     /// When the client gives up.
-    pub deadline: Ms,
+    pub deadline: Milliseconds,
     /// Guess of its work, if any.
-    pub work: Option<Ms>,
+    pub work: Option<Milliseconds>,
     /// Guess of its memory, if any.
     pub memory_mb: Option<f64>,
     /// What it reads.
@@ -415,11 +415,11 @@
         /// How it ended.
         outcome: Outcome,
         /// Time since the send.
-        took: Ms,
+        took: Milliseconds,
         /// The request is over.
         over: bool,
         /// Its true work, where told.
-        work: Option<Ms>,
+        work: Option<Milliseconds>,
         /// The engine's load report, if one came along.
         report: Option<Report>,
     },
@@ -444,7 +444,7 @@
         /// Whether it answered.
         ok: bool,
         /// Time since the probe.
-        took: Ms,
+        took: Milliseconds,
         /// Its load report.
         report: Option<Report>,
     },
@@ -533,14 +533,14 @@
         /// Where to.
         engine: EngineId,
         /// Time-out; 0: until the client gives up.
-        timeout: Ms,
+        timeout: Milliseconds,
     },
     /// Turns a request away; a retry is harmless.
     Refuse {
         /// Which.
         id: RequestId,
         /// When to come back; 0: no advice.
-        retry_after: Ms,
+        retry_after: Milliseconds,
         /// What kept it from being sent.
         why: Why,
     },
@@ -568,7 +568,7 @@
     /// Asks for [`Event::Timer`].
     Timer {
         /// From now.
-        after: Ms,
+        after: Milliseconds,
         /// Returned with it.
         token: u64,
     },
--- a/crates/decision/src/learned.rs
+++ b/crates/decision/src/learned.rs
@@ -3,7 +3,7 @@
 //! it in; here nothing is judged, but what does not fit the settings, or is no figure at all, is left out.
 
 use super::{band, Balancer, FULL_REST, LEVELS};
-use crate::interface::{ClassId, EngineId, Ms, ZoneId};
+use crate::interface::{ClassId, EngineId, Milliseconds, ZoneId};
 use crate::state::{Engine, Stat, Times, NEVER};
 
 /// Answers in a row that show how warm an engine is.
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Learned {
     /// When this was so.
-    pub at: Ms,
+    pub at: Milliseconds,
     /// The bound last chosen, in threads a core; 0: none.
     pub bound: f64,
     /// Of all engines together.
@@ -44,7 +44,7 @@
     /// What queries would take alone over what they take.
     pub speed: f64,
     /// The shortest probe by zone, in milliseconds; the empty name: engines of no known zone.
-    pub floors: Vec<(String, Ms)>,
+    pub floors: Vec<(String, Milliseconds)>,
 }
 
 /// Latencies in one band of running threads.
@@ -55,7 +55,7 @@
     /// Outcomes, faded.
     pub n: f64,
     /// Mean in milliseconds, of a query of usual size.
-    pub mean: Ms,
+    pub mean: Milliseconds,
     /// Variance, in square milliseconds.
     pub var: f64,
 }
@@ -68,17 +68,17 @@
     /// Threads of a query when this was learned: with others, latencies are others.
     pub threads: f64,
     /// When an outcome last told of it.
-    pub confirmed: Option<Ms>,
+    pub confirmed: Option<Milliseconds>,
     /// Bands with outcomes.
     pub bands: Vec<BandLearned>,
     /// Lowest mean latency of late.
-    pub best: Ms,
+    pub best: Milliseconds,
     /// Latency of a usual query that runs alone.
-    pub usual: Ms,
+    pub usual: Milliseconds,
     /// Steps over which the best was learned.
     pub steps: f64,
     /// Clients' usual time from asking to giving up.
-    pub time_left: Ms,
+    pub time_left: Milliseconds,
     /// Mean of the estimates that came with requests.
     pub size: f64,
     /// Recent first tries.
@@ -95,11 +95,11 @@
     /// Its id.
     pub id: String,
     /// When its process started, where the list told.
-    pub started: Option<Ms>,
+    pub started: Option<Milliseconds>,
     /// When an answer, probe or note last came from it.
-    pub confirmed: Option<Ms>,
+    pub confirmed: Option<Milliseconds>,
     /// When it last told of its load.
-    pub heard: Option<Ms>,
+    pub heard: Option<Milliseconds>,
     /// Latency here over the best.
     pub slow: f64,
     /// Recent share of failures.
@@ -107,13 +107,13 @@
     /// Threads of other gateways.
     pub others: f64,
     /// Until when it was ejected.
-    pub ejected: Option<Ms>,
+    pub ejected: Option<Milliseconds>,
     /// Ejections in a row.
     pub ejections: u32,
     /// End of the last ejection.
-    pub back: Option<Ms>,
+    pub back: Option<Milliseconds>,
     /// When it last refused connections.
-    pub lost: Option<Ms>,
+    pub lost: Option<Milliseconds>,
     /// It was cold when last seen, told or suspected.
     pub cold: bool,
     /// Taking this back: it may have started anew unseen, and is cold until time or answers show otherwise.
@@ -158,7 +158,7 @@
             runtime: c.runtime,
             grant: c.grant,
         });
-        let known = |t: Ms| (t > NEVER).then_some(t);
+        let known = |t: Milliseconds| (t > NEVER).then_some(t);
         let engines = self.engines.iter().map(|(id, e)| EngineLearned {
             id: id.0.to_string(),
             started: e.member.started,
@@ -257,7 +257,7 @@
         if e.confirmed.is_some() {
             return;
         }
-        let past = |t: Option<Ms>| t.filter(|t| t.is_finite() && *t <= now);
+        let past = |t: Option<Milliseconds>| t.filter(|t| t.is_finite() && *t <= now);
         // So slow, over twice the prior: what is out from now on soon says more.
         let slow = sane(from.slow, 0.1, super::SLOW_MOST).unwrap_or(1.0);
         let seen = 2.0 * super::SLOW_PRIOR;
@@ -284,7 +284,14 @@
     /// An engine that was only suspected of being cold is as warm as it shows: one that answers at its usual pace while
     /// so many threads run there has at least their share of its cores. Light loads show little, as a cold engine
     /// serves a few as fast as a warm one; and what a load shows holds for that load alone, not for a full one.
-    pub(super) fn show_warmth(&mut self, slow: f64, width: f64, now: Ms, cold_from: f64, warm_within: Ms) {
+    pub(super) fn show_warmth(
+        &mut self,
+        slow: f64,
+        width: f64,
+        now: Milliseconds,
+        cold_from: f64,
+        warm_within: Milliseconds,
+    ) {
         let Some(started) = self.started.filter(|_| self.suspect) else { return };
         let proven = ((self.threads + width) / self.cores.max(0.1)).min(1.0) / slow.max(1.0);
         let rises = (1.0 - cold_from).max(0.01) / warm_within.max(1.0);
--- a/crates/decision/src/permission/send.rs
+++ b/crates/decision/src/permission/send.rs
@@ -1,7 +1,7 @@
 //! Whether an attempt may be sent, and whether a request may be refused.
 
 use super::list_lease::ListLease;
-use crate::interface::{Ms, Outcome, Repeat, ZoneId};
+use crate::interface::{Milliseconds, Outcome, Repeat, ZoneId};
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -79,7 +79,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EarlierAttempt {
     /// When it was sent.
-    pub sent_at: Ms,
+    pub sent_at: Milliseconds,
     /// Where its engine stands.
     pub place: Place,
 }
@@ -90,7 +90,7 @@
     repeat: Repeat,
     mut earlier: impl Iterator<Item = EarlierAttempt>,
     place: Place,
-    now: Ms,
+    now: Milliseconds,
 ) -> bool {
     match repeat {
         Repeat::Safe => true,
@@ -116,11 +116,11 @@
     /// The engine is in the list, takes new work and has an address.
     pub engine_live: bool,
     /// Now.
-    pub now: Ms,
+    pub now: Milliseconds,
     /// The attempt's deadline.
-    pub deadline: Ms,
+    pub deadline: Milliseconds,
     /// The time by which a keyed request leaves.
-    pub send_by: Ms,
+    pub send_by: Milliseconds,
     /// Further attempts of the request in flight.
     pub in_flight: usize,
     /// The settings allow several at once.
@@ -174,7 +174,7 @@
     ///
     /// # Errors
     /// The reason against it.
-    pub fn check(&self, now: Ms) -> Result<(), SendRefusal> {
+    pub fn check(&self, now: Milliseconds) -> Result<(), SendRefusal> {
         if self.revoked.get() {
             return Err(SendRefusal::Revoked);
         }
--- a/crates/decision/src/retry_budget.rs
+++ b/crates/decision/src/retry_budget.rs
@@ -1,6 +1,6 @@
 //! The retry budget of a gateway: how many further attempts the requests of late allow.
 
-use crate::interface::{Ms, Ration};
+use crate::interface::{Milliseconds, Ration};
 use std::collections::VecDeque;
 
 /// Requests and further attempts that are remembered at most. Past it the oldest requests no longer count, which only makes
@@ -11,8 +11,8 @@
 #[derive(Debug, Default)]
 pub struct RetryBudget {
     ration: Option<Ration>,
-    received: VecDeque<Ms>,
-    retries: VecDeque<Ms>,
+    received: VecDeque<Milliseconds>,
+    retries: VecDeque<Milliseconds>,
 }
 
 impl RetryBudget {
@@ -22,7 +22,7 @@
     }
 
     /// A request was received at that time.
-    pub fn receive(&mut self, at: Ms) {
+    pub fn receive(&mut self, at: Milliseconds) {
         if self.ration.is_some() {
             self.received.push_back(at);
             if self.received.len() > REMEMBERED {
@@ -32,7 +32,7 @@
     }
 
     /// A further attempt was sent at that time.
-    pub fn retry(&mut self, at: Ms) {
+    pub fn retry(&mut self, at: Milliseconds) {
         if self.ration.is_some() {
             self.retries.push_back(at);
         }
@@ -40,7 +40,7 @@
 
     /// Whether one more further attempt fits. The span is taken longer by a margin for what was spent, and shorter for what
     /// was earned: times are not known better than that.
-    pub fn allows(&self, now: Ms, margin: Ms) -> bool {
+    pub fn allows(&self, now: Milliseconds, margin: Milliseconds) -> bool {
         let Some(ration) = self.ration else { return true };
         let spent = count_since(&self.retries, now - ration.span - margin);
         let earned = count_since(&self.received, now - ration.span + margin);
@@ -48,7 +48,7 @@
     }
 
     /// Forgets what no span with that margin reaches back to.
-    pub fn forget(&mut self, now: Ms, margin: Ms) {
+    pub fn forget(&mut self, now: Milliseconds, margin: Milliseconds) {
         let from = now - margin - self.ration.map_or(0.0, |ration| ration.span);
         for times in [&mut self.received, &mut self.retries] {
             while times.front().is_some_and(|at| *at < from) {
@@ -59,7 +59,7 @@
 }
 
 /// Both lie in order of time. Every attempt asks this, so counting them all would cost more with traffic.
-fn count_since(times: &VecDeque<Ms>, since: Ms) -> f64 {
+fn count_since(times: &VecDeque<Milliseconds>, since: Milliseconds) -> f64 {
     (times.len() - times.partition_point(|at| *at <= since)) as f64
 }
 
--- a/crates/decision/src/start_times/tests.rs
+++ b/crates/decision/src/start_times/tests.rs
@@ -4,7 +4,7 @@
     EngineId(id.into())
 }
 
-fn receive(starts: &mut StartTimes, told: Ms, now: Ms) -> Ms {
+fn receive(starts: &mut StartTimes, told: Milliseconds, now: Milliseconds) -> Milliseconds {
     starts.receive(&[(engine("s-1"), Some(told))], now);
     starts.local(&engine("s-1"), Some(told)).expect("it has one")
 }
--- a/crates/decision/src/state.rs
+++ b/crates/decision/src/state.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Before any clock.
-pub const NEVER: Ms = -1e15;
+pub const NEVER: Milliseconds = -1e15;
 
 /// Mean and deviation that forget: of one class in one band.
 #[derive(Clone, Copy, Default)]
@@ -29,13 +29,13 @@
 /// Time that threads were out, and that they would have been alone; both fade.
 #[derive(Clone, Copy, Default)]
 pub struct Times {
-    pub out: Ms,
-    pub alone: Ms,
+    pub out: Milliseconds,
+    pub alone: Milliseconds,
 }
 
 impl Times {
     /// Takes one figure of each.
-    pub fn add(&mut self, out: Ms, alone: Ms) {
+    pub fn add(&mut self, out: Milliseconds, alone: Milliseconds) {
         self.out += out;
         self.alone += alone;
     }
@@ -47,7 +47,7 @@
     }
 
     /// How many times longer than alone; the less was seen against the prior, the nearer to one.
-    pub fn ratio(&self, prior: Ms) -> f64 {
+    pub fn ratio(&self, prior: Milliseconds) -> f64 {
         (self.out + prior) / (self.alone + prior)
     }
 }
@@ -57,13 +57,13 @@
 pub struct ClassState {
     pub bands: Vec<Stat>,
     /// Lowest mean latency of late.
-    pub best: Ms,
+    pub best: Milliseconds,
     /// Latency of a usual query that runs alone.
-    pub usual: Ms,
+    pub usual: Milliseconds,
     /// Steps over which the best was learned.
     pub learned: f64,
     /// Clients' usual time from asking to giving up.
-    pub time_left: Ms,
+    pub time_left: Milliseconds,
     /// Mean of the estimates that came with requests.
     pub size: f64,
     /// Recent, first tries.
@@ -73,7 +73,7 @@
     /// Memory asked for over the estimate.
     pub grant: f64,
     /// When an outcome last told of it.
-    pub confirmed: Option<Ms>,
+    pub confirmed: Option<Milliseconds>,
     /// Of the two groups, the one with long runtimes.
     pub long: bool,
 }
@@ -105,11 +105,11 @@
     /// Share of our work that is on engines from which it does not come back.
     pub stuck: f64,
     /// Age of the latest news of an engine.
-    pub age: Ms,
+    pub age: Milliseconds,
     /// How long a thread of a usual query stays.
-    pub residence: Ms,
+    pub residence: Milliseconds,
     /// The shortest probe to each zone.
-    pub floors: BTreeMap<Option<ZoneId>, Ms>,
+    pub floors: BTreeMap<Option<ZoneId>, Milliseconds>,
 }
 
 /// What is known of an engine.
@@ -133,32 +133,32 @@
     pub usual_count: f64,
     /// Threads of other gateways, from reports.
     pub others: f64,
-    pub heard: Option<Ms>,
+    pub heard: Option<Milliseconds>,
     pub busy: bool,
     /// Time here over time alone, with what is out.
     pub slow: f64,
     /// Of attempts that ended of late.
     pub time: Times,
     pub errors: f64,
-    pub last_answer: Ms,
-    pub full_at: Ms,
+    pub last_answer: Milliseconds,
+    pub full_at: Milliseconds,
     /// When a connection last broke.
-    pub reset_at: Ms,
+    pub reset_at: Milliseconds,
     /// Until then; a trial follows.
-    pub ejected: Option<Ms>,
+    pub ejected: Option<Milliseconds>,
     pub ejections: u32,
     /// End of the last ejection.
-    pub back: Ms,
+    pub back: Milliseconds,
     /// When it last refused connections: it may come back cold.
-    pub lost: Option<Ms>,
-    pub cold_sent: VecDeque<(Ms, f64)>,
+    pub lost: Option<Milliseconds>,
+    pub cold_sent: VecDeque<(Milliseconds, f64)>,
     /// Sum of it, a step old at most.
     pub cold_sum: f64,
     /// From 0 to 1: rounds this gateway's part of the engine's cold budget.
     pub chance: f64,
     /// When that is drawn anew.
-    pub redraw: Ms,
-    pub started: Option<Ms>,
+    pub redraw: Milliseconds,
+    pub started: Option<Milliseconds>,
     /// Its start was not told but is suspected: nobody knows that it is still the process that was warm.
     pub suspect: bool,
     /// Answers in a row that show it to be warmer than it is taken for.
@@ -166,10 +166,10 @@
     /// The least that they show, as a share of its capacity.
     pub proven: f64,
     /// When it last answered anything, in this life of the gateway.
-    pub confirmed: Option<Ms>,
-    pub probed: Ms,
+    pub confirmed: Option<Milliseconds>,
+    pub probed: Milliseconds,
     /// Data sets that another gateway's load is thought to hold here, until then.
-    pub held_for: BTreeMap<DataSet, Ms>,
+    pub held_for: BTreeMap<DataSet, Milliseconds>,
     /// Our loads that are out here, by their data sets.
     pub loading: BTreeMap<DataSet, u32>,
 }
@@ -178,9 +178,9 @@
 pub struct Attempt {
     pub engine: EngineId,
     pub place: (Option<ZoneId>, u64),
-    pub sent: Ms,
+    pub sent: Milliseconds,
     pub level: f64,
-    pub patience: Ms,
+    pub patience: Milliseconds,
     pub out: bool,
     /// Taken as censored latency already.
     pub counted: bool,
@@ -192,10 +192,10 @@
 /// A request from its arrival until nothing can arrive for it.
 pub struct Request {
     pub asked: Incoming,
-    pub taken: Ms,
+    pub taken: Milliseconds,
     /// Drawn once, from 0 to 1: rounds this gateway's part of a bound.
     pub chance: f64,
-    pub held: Ms,
+    pub held: Milliseconds,
     pub size: f64,
     pub over_quota: bool,
     pub over: bool,
@@ -206,7 +206,7 @@
 
 impl Engine {
     /// An engine of which nothing is known yet.
-    pub fn new(member: Member, kind: &Kind, now: Ms, jitter: f64) -> Self {
+    pub fn new(member: Member, kind: &Kind, now: Milliseconds, jitter: f64) -> Self {
         Self {
             spread: spread(&member.engine),
             member,
@@ -247,7 +247,7 @@
     }
 
     /// Whether a load is known or thought to hold that data set here.
-    pub fn holds(&self, data: DataSet, now: Ms) -> bool {
+    pub fn holds(&self, data: DataSet, now: Milliseconds) -> bool {
         self.loading.contains_key(&data) || self.held_for.get(&data).is_some_and(|until| now < *until)
     }
 
@@ -257,7 +257,7 @@
     }
 
     /// A new process took its place: what was held against the old one is void.
-    pub fn restart(&mut self, started: Ms) {
+    pub fn restart(&mut self, started: Milliseconds) {
         let kind = Kind { name: String::new(), cores: self.cores, memory_mb: self.memory_mb };
         let fresh = Self::new(self.member.clone(), &kind, self.last_answer, self.jitter);
         let (threads, count) = (self.threads, self.count);
@@ -269,7 +269,7 @@
 
 impl Request {
     /// A request just taken.
-    pub fn new(asked: Incoming, now: Ms, size: f64, over_quota: bool) -> Self {
+    pub fn new(asked: Incoming, now: Milliseconds, size: f64, over_quota: bool) -> Self {
         Self {
             asked,
             taken: now,
@@ -299,7 +299,7 @@
 #[derive(Default)]
 pub struct Key {
     pub line: VecDeque<RequestId>,
-    pub rest_until: Ms,
+    pub rest_until: Milliseconds,
 }
 
 impl Fleet {
@@ -335,7 +335,13 @@
 
 impl Attempt {
     /// An attempt just sent.
-    pub fn new(engine: EngineId, place: (Option<ZoneId>, u64), sent: Ms, level: f64, patience: Ms) -> Self {
+    pub fn new(
+        engine: EngineId,
+        place: (Option<ZoneId>, u64),
+        sent: Milliseconds,
+        level: f64,
+        patience: Milliseconds,
+    ) -> Self {
         let (out, unseen, counted, cancelled) = (true, false, false, false);
         Self { engine, place, sent, level, patience, out, unseen, counted, cancelled }
     }
--- a/crates/experiments/src/turns.rs
+++ b/crates/experiments/src/turns.rs
@@ -18,7 +18,7 @@
 const OUT: usize = 2;
 const ROUNDS: usize = 4_000;
 
-fn class(name: &str, aim: Ms, threads: f64) -> Class {
+fn class(name: &str, aim: Milliseconds, threads: f64) -> Class {
     Class {
         name: name.into(),
         aim,
--- a/crates/pacing/src/come_back/tests.rs
+++ b/crates/pacing/src/come_back/tests.rs
@@ -2,7 +2,11 @@
 
 /// Thousands come within a second while nothing can be served for so long; all heed what they are told. Returns
 /// tries a client and the most that came within a tenth of a second later on.
-fn play(outage: Ms, most: Ms, spread: impl Fn(Ms) -> Ms) -> (f64, usize) {
+fn play(
+    outage: Milliseconds,
+    most: Milliseconds,
+    spread: impl Fn(Milliseconds) -> Milliseconds,
+) -> (f64, usize) {
     const CLIENTS: usize = 5_000;
     let (mut dice, mut back) = (fastrand::Rng::with_seed(1), ComeBack::new(7, 0.0));
     let (mut tries, mut late) = (0_usize, std::collections::BTreeMap::<u64, usize>::new());
@@ -12,8 +16,8 @@
     while let Some(((at, n), ())) = due.pop_first() {
         tries += 1;
         *late.entry(at / 100).or_default() += usize::from(at >= 2_000);
-        if (at as Ms) < outage {
-            due.insert((at + spread(back.wait(at as Ms, most)).ceil() as u64, n), ());
+        if (at as Milliseconds) < outage {
+            due.insert((at + spread(back.wait(at as Milliseconds, most)).ceil() as u64, n), ());
         }
     }
     (tries as f64 / CLIENTS as f64, late.values().copied().max().unwrap_or(0))
--- a/crates/pacing/src/list.rs
+++ b/crates/pacing/src/list.rs
@@ -20,7 +20,7 @@
 use crate::start;
 
 /// Milliseconds.
-pub type Ms = f64;
+pub type Milliseconds = f64;
 
 /// Questions a second that a fleet begins with at most, where its gateways start together.
 pub const FLEET: f64 = 1_000.0;
@@ -29,18 +29,18 @@
 /// The steady pace. What an unanswered question would have told counts as told 1.5 s after it, and 2 s later nothing may
 /// leave for an engine that drains; a service is silent for up to 3 s: no more than half a second may lie between
 /// questions. A pace of 300 ms for large fleets was tried, and showed no gain to set against later news.
-pub const STEADY: Ms = 200.0;
+pub const STEADY: Milliseconds = 200.0;
 /// The slowest pace that an operator's file stands for where it says nothing: a fleet that is given a sixth of the
 /// answers that it asks for at the steady pace still hears each change within its 2 s and one lost answer.
-pub const SLOWEST: Ms = 1_250.0;
+pub const SLOWEST: Milliseconds = 1_250.0;
 /// So long a silence is one of the service's own, as it passes, and is asked through. After it nobody can know what was
 /// told, and the service is spared.
-pub const PATIENT: Ms = 4_000.0;
+pub const PATIENT: Milliseconds = 4_000.0;
 /// The slowest of all paces: it is how late a service that is back is heard.
-pub const SILENT_MOST: Ms = 5_000.0;
+pub const SILENT_MOST: Milliseconds = 5_000.0;
 /// ... and where the fleet is small, and the service may be asked less than steadily. Else a small fleet goes on at the steady
 /// pace: twenty gateways ask no more than [`FLEET_SILENT`] so.
-pub const SILENT_LEAST: Ms = 1_000.0;
+pub const SILENT_LEAST: Milliseconds = 1_000.0;
 /// Questions a second that a fleet begins to climb from, where it may be slower than steady.
 const CLIMBS_FROM: f64 = 300.0;
 /// Questions a second more after each answer, once a question went unanswered ...
@@ -67,21 +67,21 @@
     pub rank: Option<u64>,
     /// The pace down to which one that answers some questions and not others may be asked. [`STEADY`]: it is always
     /// asked at the steady pace.
-    pub slowest: Ms,
+    pub slowest: Milliseconds,
 }
 
 /// The pace of one gateway.
 #[derive(Debug, Clone)]
 pub struct ListPace {
-    silent: Ms,
-    slowest: Ms,
-    due: Ms,
+    silent: Milliseconds,
+    slowest: Milliseconds,
+    due: Milliseconds,
     /// The present distance between questions.
-    pace: Ms,
+    pace: Milliseconds,
     /// Answers halve the pace.
     climbs: bool,
     /// The pace at which questions were last lost while others were answered: halves end there.
-    fair: Ms,
+    fair: Milliseconds,
     /// Questions answered in a row.
     row: u32,
     /// A question is out that may still be answered.
@@ -89,15 +89,15 @@
     /// An answer was heard.
     heard: bool,
     /// Until then unanswered questions are taken for lost ones, and not for a service that is silent for long.
-    patient_until: Ms,
+    patient_until: Milliseconds,
     /// The pace before the first answer, where that may be the steady one.
-    opening: Ms,
+    opening: Milliseconds,
     rng: fastrand::Rng,
 }
 
 impl ListPace {
     /// A gateway that starts now. Its number spreads the first questions evenly; without one chance does.
-    pub fn new(rules: Rules, seed: u64, now: Ms) -> Self {
+    pub fn new(rules: Rules, seed: u64, now: Milliseconds) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let all = rules.gateways.max(1) as f64;
         let place = start::place(rules.gateways, rules.rank, &mut rng);
@@ -124,12 +124,12 @@
     }
 
     /// When the next question is due.
-    pub fn due(&self) -> Ms {
+    pub fn due(&self) -> Milliseconds {
         self.due
     }
 
     /// A question leaves now. One before it that is still out counts as unanswered.
-    pub fn asked(&mut self, now: Ms) {
+    pub fn asked(&mut self, now: Milliseconds) {
         if self.out {
             self.unanswered(now);
         }
@@ -143,7 +143,7 @@
         self.due += (missed + spread) * self.pace;
     }
 
-    fn unanswered(&mut self, now: Ms) {
+    fn unanswered(&mut self, now: Milliseconds) {
         self.row = 0;
         if now < self.patient_until {
             if !self.heard && self.slowest <= STEADY {
@@ -166,7 +166,7 @@
 
     /// The last answer said something new. Changes come together: the next is asked for soon, unless the service was
     /// seen to be overloaded.
-    pub fn changed(&mut self, now: Ms) {
+    pub fn changed(&mut self, now: Milliseconds) {
         if self.pace <= self.slowest && self.fair <= STEADY {
             self.pace = STEADY;
             self.due = self.due.min(now + STEADY);
@@ -174,7 +174,7 @@
     }
 
     /// The service is at another address: whether that one is silent is not known.
-    pub fn relocated(&mut self, now: Ms) {
+    pub fn relocated(&mut self, now: Milliseconds) {
         self.patient_until = now + PATIENT;
         if self.pace > self.slowest {
             // A back-off ends. All gateways of a fleet may be told of the move at once.
@@ -185,7 +185,7 @@
 
     /// An answer came that could be used. One that could not, or said what was known to be older, is none: such a
     /// service is asked no harder than one that is silent.
-    pub fn answered(&mut self, now: Ms) {
+    pub fn answered(&mut self, now: Milliseconds) {
         self.row += 1;
         (self.out, self.heard) = (false, true);
         self.patient_until = self.patient_until.max(now + PATIENT);
--- a/crates/pacing/src/list/tests.rs
+++ b/crates/pacing/src/list/tests.rs
@@ -1,18 +1,18 @@
 use super::*;
 
-fn rules(gateways: usize, rank: Option<u64>, slowest: Ms) -> Rules {
+fn rules(gateways: usize, rank: Option<u64>, slowest: Milliseconds) -> Rules {
     Rules { gateways, rank, slowest }
 }
 
 /// Plays a fleet that starts within `spread` ms, before a service that answers up to `capacity` a second while
 /// `up` says so; returns the questions by 10 ms, and when each gateway first heard.
 fn play(
-    (gateways, ranked, slowest): (usize, bool, Ms),
-    spread: Ms,
+    (gateways, ranked, slowest): (usize, bool, Milliseconds),
+    spread: Milliseconds,
     capacity: f64,
-    up: impl Fn(Ms) -> bool,
-    until: Ms,
-) -> (Vec<u32>, Vec<Option<Ms>>) {
+    up: impl Fn(Milliseconds) -> bool,
+    until: Milliseconds,
+) -> (Vec<u32>, Vec<Option<Milliseconds>>) {
     let mut dice = fastrand::Rng::with_seed(gateways as u64 ^ 77);
     let mut fleet: Vec<ListPace> = (0..gateways)
         .map(|i| {
@@ -189,7 +189,7 @@
         }
         paces.push((now, pace.pace));
     }
-    let at = |t: Ms| paces.iter().find(|p| p.0 >= t).map_or(0.0, |p| p.1);
+    let at = |t: Milliseconds| paces.iter().find(|p| p.0 >= t).map_or(0.0, |p| p.1);
     let slow: Vec<f64> = paces.iter().filter(|p| (20_000.0..40_000.0).contains(&p.0)).map(|p| p.1).collect();
     let mean = slow.iter().sum::<f64>() / slow.len() as f64;
     assert!(mean > 600.0, "{mean}");
--- a/crates/pacing/src/start.rs
+++ b/crates/pacing/src/start.rs
@@ -4,7 +4,7 @@
 //! tenth of a second, before anybody has asked for anything. So what no client waits for leaves in turn, by rank or by
 //! chance, over a span that grows with the fleet; a request is never held up by it.
 
-use crate::list::{Ms, FLEET};
+use crate::list::{Milliseconds, FLEET};
 
 /// This gateway's place among the others, from 0 to 1.
 pub fn place(gateways: usize, rank: Option<u64>, rng: &mut fastrand::Rng) -> f64 {
@@ -13,7 +13,7 @@
 
 /// The span over which a fleet spreads what each does once at its start: a millisecond a gateway, and no longer than
 /// what is learned from it stays new.
-pub fn span(gateways: usize) -> Ms {
+pub fn span(gateways: usize) -> Milliseconds {
     (gateways.max(1) as f64 / FLEET * 1_000.0).min(2_000.0)
 }
 
@@ -21,19 +21,19 @@
 #[derive(Debug, Clone)]
 pub struct FirstProbes<E> {
     /// Until then.
-    pub until: Ms,
+    pub until: Milliseconds,
     held: Vec<E>,
 }
 
 impl<E: PartialEq> FirstProbes<E> {
     /// A gateway that starts now.
-    pub fn new(gateways: usize, rank: Option<u64>, seed: u64, now: Ms) -> Self {
+    pub fn new(gateways: usize, rank: Option<u64>, seed: u64, now: Milliseconds) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         Self { until: now + place(gateways, rank, &mut rng) * span(gateways), held: Vec::new() }
     }
 
     /// A probe of that engine is wanted. Returned: it may leave now; else it is held, once for each engine.
-    pub fn ask(&mut self, engine: E, now: Ms) -> Option<E> {
+    pub fn ask(&mut self, engine: E, now: Milliseconds) -> Option<E> {
         if now >= self.until {
             return Some(engine);
         }
@@ -44,7 +44,7 @@
     }
 
     /// What was held and may leave now.
-    pub fn due(&mut self, now: Ms) -> Vec<E> {
+    pub fn due(&mut self, now: Milliseconds) -> Vec<E> {
         if now >= self.until {
             std::mem::take(&mut self.held)
         } else {
--- a/crates/persistence/src/gate.rs
+++ b/crates/persistence/src/gate.rs
@@ -30,7 +30,7 @@
 //! trusted.
 
 use sha2::{Digest, Sha256};
-use starlingplank_decision::interface::Ms;
+use starlingplank_decision::interface::Milliseconds;
 use std::collections::{BTreeMap, HashMap};
 
 /// A key, as it is kept: 128 bits of its SHA-256, so that a record has one length whatever clients send.
@@ -47,20 +47,20 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Sent {
     /// When.
-    pub at: Ms,
+    pub at: Milliseconds,
     /// How long engines drop repeats once it has arrived.
-    pub window: Ms,
+    pub window: Milliseconds,
 }
 
 /// Sends of a key that belong together: any of them may be the first that an engine saw.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Sends {
     /// The first of them.
-    pub first: Ms,
+    pub first: Milliseconds,
     /// The last.
-    pub last: Ms,
+    pub last: Milliseconds,
     /// How long engines drop repeats.
-    pub window: Ms,
+    pub window: Milliseconds,
 }
 
 impl Sends {
@@ -70,7 +70,7 @@
     }
 
     /// Until then a repeat may run on an engine that saw the last of them first.
-    pub fn end(&self) -> Ms {
+    pub fn end(&self) -> Milliseconds {
         self.last + self.window + ARRIVES
     }
 
@@ -104,9 +104,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Admission {
     /// Yes, if it leaves by then.
-    Until(Ms),
+    Until(Milliseconds),
     /// Not now; best again after so many milliseconds.
-    Later(Ms),
+    Later(Milliseconds),
 }
 
 /// May a keyed attempt leave?
@@ -125,17 +125,17 @@
 pub struct Gate {
     log: Log,
     /// The longest window.
-    window: Ms,
+    window: Milliseconds,
     most: usize,
     /// By key, and whether all of them are durable.
     sends: HashMap<Key, (Sends, bool)>,
     /// When each expires, to drop the expired without a look at all.
     ends: BTreeMap<(u64, Key), ()>,
     /// Nothing keyed before this.
-    shut_until: Ms,
+    shut_until: Milliseconds,
     healthy: bool,
     /// The last mark that was tried.
-    marked: Ms,
+    marked: Milliseconds,
     /// The first file of this life was tried.
     begun: bool,
     /// Records in the log since it was last written anew.
@@ -150,15 +150,15 @@
     /// All keys that hold.
     pub keys: Vec<(Key, Sends)>,
     /// A mark, where one may be given: its time, and until when nothing keyed may leave.
-    pub mark: Option<(Ms, Ms)>,
+    pub mark: Option<(Milliseconds, Milliseconds)>,
 }
 
 /// From the record of a send until it has arrived at its engine, at most: half for the record, half for the way.
-pub const ARRIVES: Ms = 500.0;
+pub const ARRIVES: Milliseconds = 500.0;
 /// Records after which the log is written anew: about 1 MiB.
 const REWRITE_AFTER: usize = 26_000;
 /// How long a client is told to keep away while the log is not healthy and nobody knows until when.
-const UNHEALTHY_WAIT: Ms = 1_000.0;
+const UNHEALTHY_WAIT: Milliseconds = 1_000.0;
 
 impl Gate {
     /// Keys in memory alone.
@@ -167,7 +167,7 @@
     }
 
     /// A life that starts now. `window` is the longest of all classes, `most` bounds the keys held.
-    pub fn new(log: Log, window: Ms, most: usize, now: Ms) -> Self {
+    pub fn new(log: Log, window: Milliseconds, most: usize, now: Milliseconds) -> Self {
         let shut_until = match log {
             Log::Off => f64::NEG_INFINITY,
             Log::Missing | Log::Open { .. } => now + window + ARRIVES,
@@ -189,7 +189,12 @@
     }
 
     /// The log of the life before is known to be whole: its keys, and how long it still had to wait itself.
-    pub fn trust(&mut self, sends: impl IntoIterator<Item = (Key, Sends)>, shut_until: Ms, now: Ms) {
+    pub fn trust(
+        &mut self,
+        sends: impl IntoIterator<Item = (Key, Sends)>,
+        shut_until: Milliseconds,
+        now: Milliseconds,
+    ) {
         self.shut_until = shut_until;
         for (key, sends) in sends.into_iter().filter(|(_, s)| now < s.end()) {
             self.put(key, sends, true);
@@ -199,7 +204,12 @@
     /// The process that held the folder has ended, and its log is this one's from now on. What was sent meanwhile,
     /// unrecorded, is among the keys held, and so in the first file of this life, which may carry a mark; nothing keyed
     /// leaves before that is durable. `trusted`: what that log told, if it is whole.
-    pub fn take_log(&mut self, required: bool, trusted: Option<(Vec<(Key, Sends)>, Ms)>, now: Ms) {
+    pub fn take_log(
+        &mut self,
+        required: bool,
+        trusted: Option<(Vec<(Key, Sends)>, Milliseconds)>,
+        now: Milliseconds,
+    ) {
         self.log = Log::Open { required };
         (self.healthy, self.begun, self.marked) = (false, false, now);
         match trusted {
@@ -214,7 +224,7 @@
     }
 
     /// Another process of this gateway sent that key, and has recorded it: a repeat here keeps to the window of both.
-    pub fn hear(&mut self, key: Key, sends: Sends, now: Ms) {
+    pub fn hear(&mut self, key: Key, sends: Sends, now: Milliseconds) {
         if now >= sends.end() {
             return;
         }
@@ -230,7 +240,7 @@
         self.ends.insert((order(sends.end()), key), ());
     }
 
-    fn expire(&mut self, now: Ms) {
+    fn expire(&mut self, now: Milliseconds) {
         while let Some((&(end, key), ())) = self.ends.first_key_value() {
             if end > order(now) {
                 return;
@@ -241,7 +251,7 @@
     }
 
     /// Until when nothing that is keyed leaves, whatever its key.
-    fn shut(&self, now: Ms) -> Option<Ms> {
+    fn shut(&self, now: Milliseconds) -> Option<Milliseconds> {
         let logged = match self.log {
             Log::Open { .. } if self.healthy => f64::NEG_INFINITY,
             Log::Open { required: true } => now + UNHEALTHY_WAIT,
@@ -254,7 +264,13 @@
     /// May a request with that key be taken? One whose key was sent before must leave inside the window of that. One
     /// whose key is new must leave inside a window from now: another under the same key may be sent meanwhile, and
     /// after its window the two would both run.
-    pub fn admit(&mut self, key: &Key, window: Ms, now: Ms, margin: Ms) -> Admission {
+    pub fn admit(
+        &mut self,
+        key: &Key,
+        window: Milliseconds,
+        now: Milliseconds,
+        margin: Milliseconds,
+    ) -> Admission {
         self.expire(now);
         if let Some(until) = self.shut(now) {
             self.refused += 1;
@@ -278,7 +294,7 @@
     }
 
     /// May an attempt with that key leave? From here on it counts as sent.
-    pub fn leave(&mut self, key: &Key, window: Ms, now: Ms) -> Leave {
+    pub fn leave(&mut self, key: &Key, window: Milliseconds, now: Milliseconds) -> Leave {
         self.expire(now);
         if self.shut(now).is_some() {
             return Leave::No;
@@ -297,7 +313,7 @@
     }
 
     /// The record of a send is durable. May it leave? Not if that took so long that it could arrive too late.
-    pub fn recorded(&mut self, key: &Key, sent: Sent, now: Ms) -> bool {
+    pub fn recorded(&mut self, key: &Key, sent: Sent, now: Milliseconds) -> bool {
         self.logged += 1;
         if let Some((sends, durable)) = self.sends.get_mut(key) {
             *durable |= sends.last == sent.at;
@@ -307,11 +323,11 @@
 
     /// A mark to write now: its time, and until when nothing keyed may leave (0: no such time). None: there is no log
     /// that could be called whole.
-    pub fn mark(&mut self, now: Ms) -> Option<(Ms, Ms)> {
+    pub fn mark(&mut self, now: Milliseconds) -> Option<(Milliseconds, Milliseconds)> {
         self.healthy.then(|| self.marking(now))
     }
 
-    fn marking(&mut self, now: Ms) -> (Ms, Ms) {
+    fn marking(&mut self, now: Milliseconds) -> (Milliseconds, Milliseconds) {
         self.marked = self.marked.max(now);
         self.logged += 1;
         (now, if now < self.shut_until { self.shut_until } else { 0.0 })
@@ -323,7 +339,7 @@
     }
 
     /// What a log that is begun anew must hold. One that was not healthy must be, and one that is long.
-    pub fn rewrite(&mut self, now: Ms) -> Option<Rewrite> {
+    pub fn rewrite(&mut self, now: Milliseconds) -> Option<Rewrite> {
         self.expire(now);
         let due = matches!(self.log, Log::Open { .. }) && (!self.healthy || self.logged > REWRITE_AFTER);
         if !due {
@@ -371,6 +387,6 @@
 }
 
 /// Times in an order that a tree can keep. None are below zero.
-fn order(at: Ms) -> u64 {
+fn order(at: Milliseconds) -> u64 {
     at.max(0.0).to_bits()
 }
--- a/crates/persistence/src/keeper.rs
+++ b/crates/persistence/src/keeper.rs
@@ -7,7 +7,7 @@
 use crate::list::{self, KeptList};
 use crate::records::Snapshot;
 use crate::store::Store;
-use starlingplank_decision::interface::Ms;
+use starlingplank_decision::interface::Milliseconds;
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender, TrySendError};
 use std::thread::JoinHandle;
 
@@ -19,7 +19,7 @@
 enum KeyJob {
     /// A send of a key, under a ticket.
     Record(u64, Key, Sent),
-    Mark(Ms, Ms),
+    Mark(Milliseconds, Milliseconds),
     Rewrite(Rewrite),
 }
 
@@ -47,7 +47,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Offset {
     /// Added to a time of this life.
-    pub by: Ms,
+    pub by: Milliseconds,
     /// Which start of the machine.
     pub boot: [u8; 16],
 }
@@ -60,7 +60,7 @@
 
     /// As they are written down.
     pub fn sends(&self, sends: Sends) -> Sends {
-        let at = |at: Ms| (at + self.by).max(0.0);
+        let at = |at: Milliseconds| (at + self.by).max(0.0);
         Sends { first: at(sends.first), last: at(sends.last), ..sends }
     }
 
@@ -70,7 +70,7 @@
     }
 
     /// As it is written down.
-    pub fn mark(&self, (at, shut): (Ms, Ms)) -> Mark {
+    pub fn mark(&self, (at, shut): (Milliseconds, Milliseconds)) -> Mark {
         let shut_until = if shut > 0.0 { shut + self.by } else { 0.0 };
         Mark { at: (at + self.by).max(0.0), shut_until, boot: self.boot }
     }
@@ -105,7 +105,7 @@
     }
 
     /// A mark; one that does not fit is left out.
-    pub fn mark(&self, (at, shut): (Ms, Ms)) -> bool {
+    pub fn mark(&self, (at, shut): (Milliseconds, Milliseconds)) -> bool {
         self.jobs.try_send(KeyJob::Mark(at, shut)).is_ok()
     }
 
--- a/crates/persistence/src/keylog.rs
+++ b/crates/persistence/src/keylog.rs
@@ -22,7 +22,7 @@
 use crate::disk::{self, Disk};
 use crate::gate::{Key, Sends, Sent};
 use crate::store::Fault;
-use starlingplank_decision::interface::Ms;
+use starlingplank_decision::interface::Milliseconds;
 use std::collections::HashMap;
 use std::io;
 
@@ -41,9 +41,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Mark {
     /// When.
-    pub at: Ms,
+    pub at: Milliseconds,
     /// Until then nothing keyed may leave, in this life or the next; 0: no such time.
-    pub shut_until: Ms,
+    pub shut_until: Milliseconds,
     /// Which start of the machine the times count from.
     pub boot: [u8; 16],
 }
@@ -165,7 +165,7 @@
 #[derive(Debug, Default)]
 pub struct Recovered {
     /// The keys, and until when nothing keyed may leave, where the log can be trusted.
-    pub trusted: Option<(Vec<(Key, Sends)>, Ms)>,
+    pub trusted: Option<(Vec<(Key, Sends)>, Milliseconds)>,
     /// Why it can't be.
     pub why: Option<String>,
 }
@@ -184,7 +184,12 @@
 
 /// Reads the log of the life before, and settles whether it can be trusted: whole, of this start of the machine, marked
 /// less than `window` ago, and all that there is. [`gate`](crate::gate) shows why that is enough.
-pub fn recover(disk: &dyn Disk, now: Ms, boot: Option<[u8; 16]>, window: Ms) -> Recovered {
+pub fn recover(
+    disk: &dyn Disk,
+    now: Milliseconds,
+    boot: Option<[u8; 16]>,
+    window: Milliseconds,
+) -> Recovered {
     match sent_beside(disk) {
         Ok(false) => recover_beside(disk, now, boot, window),
         Ok(true) => {
@@ -197,7 +202,12 @@
 
 /// The same for one that knows all that was sent beside the log: a process that takes over from a living one, and hears
 /// what each of them sends.
-pub fn recover_beside(disk: &dyn Disk, now: Ms, boot: Option<[u8; 16]>, window: Ms) -> Recovered {
+pub fn recover_beside(
+    disk: &dyn Disk,
+    now: Milliseconds,
+    boot: Option<[u8; 16]>,
+    window: Milliseconds,
+) -> Recovered {
     let distrust = |why: String| Recovered { trusted: None, why: Some(why) };
     let (file, read) = match last(disk) {
         Ok(Some(found)) => found,
--- a/crates/persistence/src/list.rs
+++ b/crates/persistence/src/list.rs
@@ -6,7 +6,7 @@
 //! version 1, then the records in postcard's form.
 
 use serde::{Deserialize, Serialize};
-use starlingplank_decision::interface::Ms;
+use starlingplank_decision::interface::Milliseconds;
 use starlingplank_storage::disk::{self, Disk};
 use starlingplank_storage::framed::{decode, encode, Form, FrameError};
 use std::io;
@@ -35,14 +35,14 @@
     /// It took work.
     pub live: bool,
     /// Unix milliseconds of a late start, or 0.
-    pub started: Ms,
+    pub started: Milliseconds,
 }
 
 /// A list and when the service last stood by it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct KeptList {
     /// Unix milliseconds.
-    pub heard: Ms,
+    pub heard: Milliseconds,
     /// All engines.
     pub engines: Vec<Engine>,
     /// Ids of engines that were in it, and have gone.
@@ -84,7 +84,12 @@
 
     /// The list as it counts now: none once it is older than `keep_for` or from the future. Where engines may have
     /// started anew since it was heard, they are taken to start now, and are cold.
-    pub fn now(self, now: Ms, restart_within: Ms, keep_for: Ms) -> Option<Self> {
+    pub fn now(
+        self,
+        now: Milliseconds,
+        restart_within: Milliseconds,
+        keep_for: Milliseconds,
+    ) -> Option<Self> {
         let age = now - self.heard;
         // Clocks differ by little over a restart; one that was put back makes all ages unknown.
         if !(-1_000.0..=keep_for).contains(&age) {
--- a/crates/persistence/src/recall.rs
+++ b/crates/persistence/src/recall.rs
@@ -5,34 +5,34 @@
 //! for longer than a restart takes, that started anew, or that the snapshot does not know, is *perhaps cold*.
 
 use crate::records::{Engine, Snapshot};
-use starlingplank_decision::interface::Ms;
+use starlingplank_decision::interface::Milliseconds;
 use starlingplank_decision::learned::{EngineLearned, Learned};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Half of what was seen of a class's latencies is gone after this: ten minutes.
-pub const LATENCY_HALF: Ms = 600_000.0;
+pub const LATENCY_HALF: Milliseconds = 600_000.0;
 /// Of arrivals, shares of traffic and the fleet's load: ten seconds, as the module's own sums forget.
-pub const TRAFFIC_HALF: Ms = 10_000.0;
+pub const TRAFFIC_HALF: Milliseconds = 10_000.0;
 /// Of an engine's slowness and errors: a minute.
-pub const HEALTH_HALF: Ms = 60_000.0;
+pub const HEALTH_HALF: Milliseconds = 60_000.0;
 /// Of what others run on an engine: three seconds.
-pub const LOAD_HALF: Ms = 3_000.0;
+pub const LOAD_HALF: Milliseconds = 3_000.0;
 /// Of the shortest probe to a zone: an hour; ways change seldom.
-pub const WAY_HALF: Ms = 3_600_000.0;
+pub const WAY_HALF: Milliseconds = 3_600_000.0;
 /// A clock may be set back by so little without a word.
-pub const CLOCK_SLACK: Ms = 500.0;
+pub const CLOCK_SLACK: Milliseconds = 500.0;
 
 /// What an operator settles.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Rules {
     /// An engine cannot stop and be back within less.
-    pub restart_within: Ms,
+    pub restart_within: Milliseconds,
     /// A snapshot older than this counts as nothing.
-    pub keep_for: Ms,
+    pub keep_for: Milliseconds,
     /// Engines that the list does not name are kept so long for it to name them.
-    pub list_wait: Ms,
+    pub list_wait: Milliseconds,
     /// A cold engine's budget is counted over this.
-    pub tip_after: Ms,
+    pub tip_after: Milliseconds,
 }
 
 /// What holds where an operator says nothing.
@@ -47,7 +47,7 @@
     /// Where it listens.
     pub address: String,
     /// When its process started, where told.
-    pub started: Option<Ms>,
+    pub started: Option<Milliseconds>,
 }
 
 /// Why an engine is perhaps cold.
@@ -69,9 +69,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Useless {
     /// It was taken in what is the future now: the clock was set back.
-    FromTheFuture(Ms),
+    FromTheFuture(Milliseconds),
     /// It is this old.
-    TooOld(Ms),
+    TooOld(Milliseconds),
     /// Its time is none.
     NoTime,
 }
@@ -89,7 +89,7 @@
 }
 
 /// The share of its worth that knowledge keeps after so long.
-pub fn worth(age: Ms, half: Ms) -> f64 {
+pub fn worth(age: Milliseconds, half: Milliseconds) -> f64 {
     if age.is_finite() {
         0.5_f64.powf(age.max(0.0) / half)
     } else {
@@ -101,7 +101,7 @@
 ///
 /// # Errors
 /// It is from the future, too old, or has no time.
-pub fn age(snapshot: &Snapshot, now: Ms, rules: &Rules) -> Result<Ms, Useless> {
+pub fn age(snapshot: &Snapshot, now: Milliseconds, rules: &Rules) -> Result<Milliseconds, Useless> {
     let age = now - snapshot.taken;
     match age {
         _ if !age.is_finite() => Err(Useless::NoTime),
@@ -112,7 +112,7 @@
 }
 
 /// Whether an engine is the process that was known.
-pub fn doubt(known: Option<&Engine>, named: &Named, now: Ms, rules: &Rules) -> Doubt {
+pub fn doubt(known: Option<&Engine>, named: &Named, now: Milliseconds, rules: &Rules) -> Doubt {
     let Some(known) = known else { return Doubt::Unknown };
     if named.started.is_some() && named.started != known.started {
         return Doubt::StartedAnew;
@@ -127,7 +127,7 @@
 }
 
 /// What is kept of a class, aged.
-fn classes(snapshot: &Snapshot, now: Ms, out: &mut Learned) {
+fn classes(snapshot: &Snapshot, now: Milliseconds, out: &mut Learned) {
     for c in &mut out.classes {
         let age = now - c.confirmed.unwrap_or(snapshot.taken);
         let (latency, traffic) = (worth(age, LATENCY_HALF), worth(now - snapshot.taken, TRAFFIC_HALF));
@@ -140,7 +140,7 @@
     }
 }
 
-fn fleet(age: Ms, out: &mut Learned) {
+fn fleet(age: Milliseconds, out: &mut Learned) {
     let (traffic, load) = (worth(age, TRAFFIC_HALF), worth(age, LOAD_HALF));
     let f = &mut out.fleet;
     f.own_seen *= traffic;
@@ -155,7 +155,13 @@
 }
 
 /// What is kept of an engine.
-pub fn engine(known: Option<&Engine>, named: &Named, taken: Ms, now: Ms, rules: &Rules) -> EngineLearned {
+pub fn engine(
+    known: Option<&Engine>,
+    named: &Named,
+    taken: Milliseconds,
+    now: Milliseconds,
+    rules: &Rules,
+) -> EngineLearned {
     let doubt = doubt(known, named, now, rules);
     let cold = doubt != Doubt::None;
     let fresh =
@@ -187,12 +193,12 @@
 #[derive(Debug)]
 pub struct Recall {
     rules: Rules,
-    taken: Ms,
+    taken: Milliseconds,
     fleet: Option<Learned>,
     known: BTreeMap<String, Engine>,
     /// Engines that were given back already.
     given: BTreeSet<String>,
-    until: Option<Ms>,
+    until: Option<Milliseconds>,
 }
 
 impl Recall {
@@ -200,7 +206,7 @@
     ///
     /// # Errors
     /// It does not.
-    pub fn new(snapshot: &Snapshot, now: Ms, rules: Rules) -> Result<Self, Useless> {
+    pub fn new(snapshot: &Snapshot, now: Milliseconds, rules: Rules) -> Result<Self, Useless> {
         let age = age(snapshot, now, &rules)?;
         let mut learned = snapshot.learned();
         learned.engines.clear();
@@ -213,7 +219,7 @@
 
     /// The list names these engines: what there is to give back of them, if anything. An engine is given back once;
     /// one that is new to a list later than the wait is the module's own to know.
-    pub fn list(&mut self, named: &[Named], now: Ms) -> Option<Learned> {
+    pub fn list(&mut self, named: &[Named], now: Milliseconds) -> Option<Learned> {
         if named.is_empty() {
             return None;
         }
@@ -241,7 +247,7 @@
     }
 
     /// Whether nothing more can be given back.
-    pub fn over(&self, now: Ms) -> bool {
+    pub fn over(&self, now: Milliseconds) -> bool {
         self.until.is_some_and(|until| now > until)
     }
 }
--- a/crates/persistence/src/records.rs
+++ b/crates/persistence/src/records.rs
@@ -2,7 +2,7 @@
 //! a promise. Version 1 knew no addresses and no shortest probes; it is still read.
 
 use serde::{Deserialize, Serialize};
-use starlingplank_decision::interface::Ms;
+use starlingplank_decision::interface::Milliseconds;
 use starlingplank_decision::learned::{BandLearned, ClassLearned, EngineLearned, FleetLearned, Learned};
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// When it was taken.
-    pub taken: Ms,
+    pub taken: Milliseconds,
     /// The gateway's name.
     pub gateway: String,
     /// The bound, in threads a core.
@@ -41,7 +41,7 @@
     /// What queries would take alone over what they take.
     pub speed: f64,
     /// The shortest probe by zone.
-    pub floors: Vec<(String, Ms)>,
+    pub floors: Vec<(String, Milliseconds)>,
 }
 
 /// A class.
@@ -52,17 +52,17 @@
     /// Threads of a query.
     pub threads: f64,
     /// When an outcome last told of it.
-    pub confirmed: Option<Ms>,
+    pub confirmed: Option<Milliseconds>,
     /// Level in threads a core, outcomes, mean and variance.
     pub bands: Vec<(f64, f64, f64, f64)>,
     /// Lowest mean latency of late.
-    pub best: Ms,
+    pub best: Milliseconds,
     /// Latency of a query alone.
-    pub usual: Ms,
+    pub usual: Milliseconds,
     /// Steps over which the best was learned.
     pub steps: f64,
     /// Clients' time from asking to giving up.
-    pub time_left: Ms,
+    pub time_left: Milliseconds,
     /// Mean estimate of work.
     pub size: f64,
     /// Recent first tries.
@@ -81,11 +81,11 @@
     /// Where it listened; empty in records of version 1.
     pub address: String,
     /// When its process started, where told.
-    pub started: Option<Ms>,
+    pub started: Option<Milliseconds>,
     /// When it last answered anything.
-    pub confirmed: Option<Ms>,
+    pub confirmed: Option<Milliseconds>,
     /// When it last told of its load.
-    pub heard: Option<Ms>,
+    pub heard: Option<Milliseconds>,
     /// Latency over the best.
     pub slow: f64,
     /// Recent share of failures.
@@ -93,13 +93,13 @@
     /// Threads of others.
     pub others: f64,
     /// Until when it was ejected.
-    pub ejected: Option<Ms>,
+    pub ejected: Option<Milliseconds>,
     /// Ejections in a row.
     pub ejections: u32,
     /// End of the last ejection.
-    pub back: Option<Ms>,
+    pub back: Option<Milliseconds>,
     /// When it last refused connections.
-    pub lost: Option<Ms>,
+    pub lost: Option<Milliseconds>,
     /// It was cold when last seen.
     pub cold: bool,
 }
@@ -226,14 +226,14 @@
 
 /// Version 1, as it was.
 pub mod v1 {
-    use super::{Class, Ms};
+    use super::{Class, Milliseconds};
     use serde::{Deserialize, Serialize};
 
     /// A snapshot of version 1.
     #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
     pub struct Snapshot {
         /// When it was taken.
-        pub taken: Ms,
+        pub taken: Milliseconds,
         /// The bound.
         pub bound: f64,
         /// Threads of this gateway and of all of late, threads of a query, load of others, slowness, speed.
@@ -250,15 +250,15 @@
         /// Its id.
         pub id: String,
         /// When its process started.
-        pub started: Option<Ms>,
+        pub started: Option<Milliseconds>,
         /// When it last answered.
-        pub confirmed: Option<Ms>,
+        pub confirmed: Option<Milliseconds>,
         /// Latency over the best.
         pub slow: f64,
         /// Recent share of failures.
         pub errors: f64,
         /// Until when it was ejected.
-        pub ejected: Option<Ms>,
+        pub ejected: Option<Milliseconds>,
         /// It was cold.
         pub cold: bool,
     }
--- a/crates/persistence/src/show.rs
+++ b/crates/persistence/src/show.rs
@@ -8,7 +8,7 @@
 use crate::records::Snapshot;
 use crate::store::{self, Fault};
 use serde_json::{json, Value};
-use starlingplank_decision::interface::Ms;
+use starlingplank_decision::interface::Milliseconds;
 use starlingplank_storage::framed::FrameError;
 use std::fmt::Write;
 use std::io;
@@ -67,7 +67,7 @@
 ///
 /// # Errors
 /// The folder cannot be read.
-pub fn show(folder: &Path, now: Ms, rules: &Rules) -> io::Result<Option<Value>> {
+pub fn show(folder: &Path, now: Milliseconds, rules: &Rules) -> io::Result<Option<Value>> {
     let disk = Files::new(folder);
     let loaded = store::load(&disk, MOST)?;
     let log = keylog::last(&disk)?;
@@ -106,7 +106,7 @@
     })))
 }
 
-fn fleet(s: &Snapshot, now: Ms) -> Value {
+fn fleet(s: &Snapshot, now: Milliseconds) -> Value {
     let f = &s.fleet;
     json!({
         "worth": worth(now - s.taken, recall::TRAFFIC_HALF),
@@ -121,7 +121,7 @@
     })
 }
 
-fn class(c: &crate::records::Class, s: &Snapshot, now: Ms) -> Value {
+fn class(c: &crate::records::Class, s: &Snapshot, now: Milliseconds) -> Value {
     let age = now - c.confirmed.unwrap_or(s.taken);
     let band = |(level, n, mean, var): &(f64, f64, f64, f64)| json!({ "threads_per_core": level, "outcomes": n, "mean_ms": mean, "deviation_ms": var.max(0.0).sqrt() });
     json!({
@@ -139,7 +139,7 @@
     })
 }
 
-fn engine(e: &crate::records::Engine, s: &Snapshot, now: Ms, rules: &Rules) -> Value {
+fn engine(e: &crate::records::Engine, s: &Snapshot, now: Milliseconds, rules: &Rules) -> Value {
     let named = Named { id: e.id.clone(), address: e.address.clone(), started: e.started };
     let doubt = recall::doubt(Some(e), &named, now, rules);
     let back = recall::engine(Some(e), &named, s.taken, now, rules);
--- a/crates/service-discovery/src/age.rs
+++ b/crates/service-discovery/src/age.rs
@@ -16,20 +16,20 @@
 //! The list may be relied on until then and the grace. Where questions may be further apart than the steady pace,
 //! [`TOLD_WITHIN`] is as long as four of them.
 
-use crate::Ms;
+use crate::Milliseconds;
 use std::collections::VecDeque;
 use std::fmt;
 
 /// A list that was not confirmed for longer is late: several answers in a row are missing.
-pub const LATE_AFTER: Ms = 1_000.0;
+pub const LATE_AFTER: Milliseconds = 1_000.0;
 /// A list that was not confirmed for longer comes from a service that is silent.
-pub const SILENT_AFTER: Ms = 4_000.0;
+pub const SILENT_AFTER: Milliseconds = 4_000.0;
 /// A change counts as told so long after it happened, or after an answer that would have held it was lost.
-pub const TOLD_WITHIN: Ms = 1_500.0;
+pub const TOLD_WITHIN: Milliseconds = 1_500.0;
 /// A change counts as told so long after it happened, whether the service can be heard or not.
-pub const TOLD_BY_ALL_MEANS: Ms = 7_000.0;
+pub const TOLD_BY_ALL_MEANS: Milliseconds = 7_000.0;
 /// All changes count as told so long after the service has moved.
-pub const TOLD_AFTER_MOVE: Ms = 4_000.0;
+pub const TOLD_AFTER_MOVE: Milliseconds = 4_000.0;
 /// A change is asked for so often before it counts as told.
 const QUESTIONS_WITHIN: f64 = 4.0;
 /// Changes of the address that are remembered at most; further ones bind later than these.
@@ -65,29 +65,29 @@
 #[derive(Debug, Clone)]
 pub struct ListAge {
     /// The list is known to hold as of then.
-    as_of: Ms,
+    as_of: Milliseconds,
     /// [`TOLD_WITHIN`], or more where questions are far apart.
-    told_within: Ms,
+    told_within: Milliseconds,
     /// The first change of the service's address since.
-    moved_at: Option<Ms>,
+    moved_at: Option<Milliseconds>,
     /// Changes of the address after which not everything counted as told when the list was confirmed.
-    moves: VecDeque<Ms>,
+    moves: VecDeque<Milliseconds>,
     /// The first answer since that could not be used.
-    spoilt_at: Option<Ms>,
+    spoilt_at: Option<Milliseconds>,
     /// When the last question was sent.
-    asked_at: Ms,
+    asked_at: Milliseconds,
     /// Questions sent since the one that confirmed the list.
     unanswered: u64,
     /// The first question after a span in which nothing was asked of a service that may have been well: what happened in that
     /// span may have been told, also where the service is silent since.
-    unwatched_until: Option<Ms>,
+    unwatched_until: Option<Milliseconds>,
     /// What was last reported.
     reported: Freshness,
 }
 
 impl ListAge {
     /// A list that a process begins with holds as of its start. Questions are no further apart than that while answers come.
-    pub fn new(now: Ms, slowest_pace: Ms) -> Self {
+    pub fn new(now: Milliseconds, slowest_pace: Milliseconds) -> Self {
         Self {
             as_of: now,
             told_within: TOLD_WITHIN.max(QUESTIONS_WITHIN * slowest_pace),
@@ -102,7 +102,7 @@
     }
 
     /// A question is sent.
-    pub fn ask(&mut self, now: Ms) {
+    pub fn ask(&mut self, now: Milliseconds) {
         let seen_silent = self.unanswered > UNANSWERED;
         if now - self.asked_at > self.told_within && !seen_silent {
             self.unwatched_until.get_or_insert(now);
@@ -113,7 +113,7 @@
 
     /// An answer to a question sent at that time holds the newest list that is known, or a newer one. So many questions were
     /// sent after that one.
-    pub fn confirm(&mut self, asked_at: Ms, later_questions: u64) {
+    pub fn confirm(&mut self, asked_at: Milliseconds, later_questions: u64) {
         if asked_at < self.as_of {
             return;
         }
@@ -126,12 +126,12 @@
     }
 
     /// An answer came that cannot be used.
-    pub fn hear_spoilt(&mut self, now: Ms) {
+    pub fn hear_spoilt(&mut self, now: Milliseconds) {
         self.spoilt_at.get_or_insert(now);
     }
 
     /// The service's address changes.
-    pub fn relocate(&mut self, now: Ms) {
+    pub fn relocate(&mut self, now: Milliseconds) {
         self.moved_at.get_or_insert(now);
         if self.moves.len() < MOST_MOVES {
             self.moves.push_back(now);
@@ -139,17 +139,17 @@
     }
 
     /// Time since the list was last known to hold.
-    pub fn age(&self, now: Ms) -> Ms {
+    pub fn age(&self, now: Milliseconds) -> Milliseconds {
         now - self.as_of
     }
 
     /// Until when the list may be relied on, where new work may go to a draining engine for that long.
-    pub fn reliable_until(&self, drain_grace: Ms) -> Ms {
+    pub fn reliable_until(&self, drain_grace: Milliseconds) -> Milliseconds {
         self.told_at().max(self.as_of + self.told_within) + drain_grace
     }
 
     /// The earliest time at which a change since the last confirmation may count as told.
-    fn told_at(&self) -> Ms {
+    fn told_at(&self) -> Milliseconds {
         if self.unanswered <= UNANSWERED || self.unwatched_until.is_some() {
             return self.as_of + self.told_within;
         }
@@ -163,7 +163,7 @@
     }
 
     /// How far the list can be relied on.
-    pub fn freshness(&self, now: Ms) -> Freshness {
+    pub fn freshness(&self, now: Milliseconds) -> Freshness {
         match self.age(now) {
             age if age > SILENT_AFTER => Freshness::Silent,
             _ if self.moved_at.is_some() => Freshness::Moved,
@@ -173,7 +173,7 @@
     }
 
     /// The freshness, if it has changed since this was last asked.
-    pub fn change(&mut self, now: Ms) -> Option<Freshness> {
+    pub fn change(&mut self, now: Milliseconds) -> Option<Freshness> {
         let freshness = self.freshness(now);
         let before = std::mem::replace(&mut self.reported, freshness);
         (before != freshness).then_some(freshness)
--- a/crates/service-discovery/src/age/tests.rs
+++ b/crates/service-discovery/src/age/tests.rs
@@ -33,7 +33,7 @@
     assert_eq!(age.freshness(700.0), Freshness::Fresh);
 }
 
-const GRACE: Ms = 2_000.0;
+const GRACE: Milliseconds = 2_000.0;
 
 /// A list confirmed as of 0, and so many questions since, 200 ms apart.
 fn unanswered(questions: u32) -> ListAge {
--- a/crates/service-discovery/src/discovery.rs
+++ b/crates/service-discovery/src/discovery.rs
@@ -9,7 +9,7 @@
 use crate::flows::{FlowId, Flows};
 use crate::questions::{OpenQuestions, Question};
 use crate::versions::Versions;
-use crate::Ms;
+use crate::Milliseconds;
 use starlingplank_pacing::list::{self, ListPace};
 use std::net::SocketAddr;
 
@@ -23,7 +23,7 @@
     /// The version of the list that the process begins with.
     pub known: u64,
     /// How long new work may go to an engine after it was told that it drains.
-    pub drain_grace: Ms,
+    pub drain_grace: Milliseconds,
     /// Flows at once at most.
     pub most_flows: usize,
     /// Where the service is; none: there is no service.
@@ -55,7 +55,7 @@
     /// former address.
     pub supersedes: bool,
     /// How long ago its question was sent.
-    pub took: Option<Ms>,
+    pub took: Option<Milliseconds>,
 }
 
 impl Verdict {
@@ -74,7 +74,7 @@
     versions: Versions,
     age: ListAge,
     counts: AnswerCounts,
-    drain_grace: Ms,
+    drain_grace: Milliseconds,
     /// Lists with a lower version tell the pace nothing.
     least_version: u64,
     /// A list was heard.
@@ -84,7 +84,7 @@
 
 impl Discovery {
     /// A process that starts now.
-    pub fn new(start: &Start, now: Ms) -> Self {
+    pub fn new(start: &Start, now: Milliseconds) -> Self {
         // Where the pace is the rules', lists that come late are usual, and a process that has just started must not fall
         // silent over the first of them.
         let heeds_known = start.pace.slowest > list::STEADY;
@@ -104,12 +104,12 @@
     }
 
     /// When the next question is due; none: there is no service.
-    pub fn due(&self) -> Option<Ms> {
+    pub fn due(&self) -> Option<Milliseconds> {
         self.address.map(|_| self.pace.due())
     }
 
     /// The service is at another address, or at none. The present one is no news.
-    pub fn relocate(&mut self, address: Option<SocketAddr>, now: Ms) {
+    pub fn relocate(&mut self, address: Option<SocketAddr>, now: Milliseconds) {
         if address == self.address {
             return;
         }
@@ -120,12 +120,12 @@
     }
 
     /// Whether the next question should leave from a fresh flow.
-    pub fn wants_fresh_flow(&self, now: Ms) -> bool {
+    pub fn wants_fresh_flow(&self, now: Milliseconds) -> bool {
         self.flows.wants_fresh(now)
     }
 
     /// A fresh flow was opened: the next questions leave from it.
-    pub fn open_flow(&mut self, now: Ms) -> FlowId {
+    pub fn open_flow(&mut self, now: Milliseconds) -> FlowId {
         self.flows.open(now)
     }
 
@@ -135,12 +135,12 @@
     }
 
     /// The flows that end now.
-    pub fn close_flows(&mut self, now: Ms) -> Vec<FlowId> {
+    pub fn close_flows(&mut self, now: Milliseconds) -> Vec<FlowId> {
         self.flows.close(now)
     }
 
     /// The question that leaves now; none without a service or a flow.
-    pub fn ask(&mut self, now: Ms) -> Option<Question> {
+    pub fn ask(&mut self, now: Milliseconds) -> Option<Question> {
         let (to, flow) = (self.address?, self.flows.current()?);
         let rng = &mut self.rng;
         let question = self.questions.ask(flow, to, now, || rng.u16(..));
@@ -152,7 +152,13 @@
     }
 
     /// Something was received on a flow.
-    pub fn receive(&mut self, received: Received, from: SocketAddr, flow: FlowId, now: Ms) -> Verdict {
+    pub fn receive(
+        &mut self,
+        received: Received,
+        from: SocketAddr,
+        flow: FlowId,
+        now: Milliseconds,
+    ) -> Verdict {
         let verdict = match received {
             Received::List { id, version } => self.receive_list(id, version, from, flow, now),
             Received::Unreadable => Verdict::of(AnswerKind::Unreadable),
@@ -169,7 +175,14 @@
         self.address == Some(address) || self.questions.any_to(address)
     }
 
-    fn receive_list(&mut self, id: u16, version: u64, from: SocketAddr, flow: FlowId, now: Ms) -> Verdict {
+    fn receive_list(
+        &mut self,
+        id: u16,
+        version: u64,
+        from: SocketAddr,
+        flow: FlowId,
+        now: Milliseconds,
+    ) -> Verdict {
         let Some(question) = self.questions.answer(id, from, flow, now) else {
             return Verdict::of(AnswerKind::UnknownQuestion);
         };
@@ -189,7 +202,7 @@
         Verdict { kind, supersedes, took: Some(now - question.asked_at) }
     }
 
-    fn tell_pace(&mut self, version: u64, supersedes: bool, now: Ms) {
+    fn tell_pace(&mut self, version: u64, supersedes: bool, now: Milliseconds) {
         if version < self.least_version && !supersedes {
             return;
         }
@@ -202,7 +215,7 @@
     }
 
     /// Until when the list may be relied on; without a service, or a rule on drains, for ever.
-    pub fn reliable_until(&self) -> Ms {
+    pub fn reliable_until(&self) -> Milliseconds {
         if self.address.is_none() || self.drain_grace <= 0.0 {
             return f64::INFINITY;
         }
@@ -210,12 +223,12 @@
     }
 
     /// Time since the list was last known to hold.
-    pub fn age(&self, now: Ms) -> Ms {
+    pub fn age(&self, now: Milliseconds) -> Milliseconds {
         self.age.age(now)
     }
 
     /// The list's freshness, if it has changed since this was last asked.
-    pub fn freshness_change(&mut self, now: Ms) -> Option<Freshness> {
+    pub fn freshness_change(&mut self, now: Milliseconds) -> Option<Freshness> {
         self.address.and_then(|_| self.age.change(now))
     }
 
--- a/crates/service-discovery/src/discovery/tests.rs
+++ b/crates/service-discovery/src/discovery/tests.rs
@@ -4,10 +4,10 @@
 use rstest::rstest;
 use std::cell::Cell;
 
-const GRACE: Ms = 1_000.0;
-const STEP: Ms = 10.0;
+const GRACE: Milliseconds = 1_000.0;
+const STEP: Milliseconds = 10.0;
 /// When the list changes, in most plays.
-const CHANGE: Ms = 10_000.0;
+const CHANGE: Milliseconds = 10_000.0;
 
 fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
@@ -16,18 +16,18 @@
 /// A gateway and a service in virtual time.
 struct Bed {
     discovery: Discovery,
-    now: Ms,
+    now: Milliseconds,
     /// Flows can be opened.
     can_open: bool,
-    opened_at: Vec<Ms>,
+    opened_at: Vec<Milliseconds>,
     /// Answers on their way.
-    coming: Vec<(Ms, Received, SocketAddr, FlowId)>,
+    coming: Vec<(Milliseconds, Received, SocketAddr, FlowId)>,
     questions: Vec<Question>,
-    verdicts: Vec<(Ms, Verdict)>,
+    verdicts: Vec<(Milliseconds, Verdict)>,
     most_flows: usize,
     open_flows: usize,
     /// When the process stood still.
-    pause: (Ms, Ms),
+    pause: (Milliseconds, Milliseconds),
 }
 
 impl Bed {
@@ -56,7 +56,7 @@
     }
 
     /// Goes on until then; `answer` tells how long the answer to a question takes, and its version, if there is one.
-    fn play(&mut self, until: Ms, answer: impl Fn(&Bed, &Question) -> Option<(Ms, u64)>) {
+    fn play(&mut self, until: Milliseconds, answer: impl Fn(&Bed, &Question) -> Option<(Milliseconds, u64)>) {
         while self.now < until {
             if !(self.pause.0..self.pause.1).contains(&self.now) {
                 self.receive_due();
@@ -77,7 +77,7 @@
         }
     }
 
-    fn ask(&mut self, answer: &impl Fn(&Bed, &Question) -> Option<(Ms, u64)>) {
+    fn ask(&mut self, answer: &impl Fn(&Bed, &Question) -> Option<(Milliseconds, u64)>) {
         if self.discovery.wants_fresh_flow(self.now) && self.can_open {
             self.discovery.open_flow(self.now);
             self.opened_at.push(self.now);
@@ -94,27 +94,27 @@
     }
 
     /// When the flow of a question was opened.
-    fn opened_at(&self, question: &Question) -> Ms {
+    fn opened_at(&self, question: &Question) -> Milliseconds {
         self.opened_at[question.flow.0 as usize - 1]
     }
 
     /// When the first news was heard.
-    fn news_at(&self) -> Option<Ms> {
+    fn news_at(&self) -> Option<Milliseconds> {
         self.verdicts.iter().find(|(_, verdict)| verdict.kind == AnswerKind::News).map(|(at, _)| *at)
     }
 
     /// The version that the service has now, which becomes 2 at that time.
-    fn version(&self, change: Ms) -> u64 {
+    fn version(&self, change: Milliseconds) -> u64 {
         1 + u64::from(self.now >= change)
     }
 
-    fn longest_gap(&self) -> Ms {
+    fn longest_gap(&self) -> Milliseconds {
         self.questions.windows(2).map(|pair| pair[1].asked_at - pair[0].asked_at).fold(0.0, f64::max)
     }
 }
 
 #[track_caller]
-fn assert_heard_within(bed: &Bed, from: Ms, within: Ms) {
+fn assert_heard_within(bed: &Bed, from: Milliseconds, within: Milliseconds) {
     let heard = bed.news_at().map(|at| at - from);
     assert!(heard.is_some_and(|late| late <= within), "heard after {heard:?} ms of {within}");
 }
@@ -136,7 +136,7 @@
 
 #[rstest]
 fn answers_that_are_late_are_heard_and_flows_stay_bounded(
-    #[values(300.0, 1_300.0, 2_500.0, 3_000.0)] takes: Ms,
+    #[values(300.0, 1_300.0, 2_500.0, 3_000.0)] takes: Milliseconds,
 ) {
     let mut bed = Bed::new(3, 2);
     bed.play(CHANGE + 5_000.0, |bed, _| Some((takes, bed.version(CHANGE))));
@@ -337,7 +337,11 @@
 #[case::platform(list::STEADY, 1, 140)]
 #[case::slower(list::SLOWEST, 1, 60)]
 #[case::slower_and_newer(list::SLOWEST, 5, 140)]
-fn pace_follows_the_answers_that_count(#[case] slowest: Ms, #[case] version: u64, #[case] questions: usize) {
+fn pace_follows_the_answers_that_count(
+    #[case] slowest: Milliseconds,
+    #[case] version: u64,
+    #[case] questions: usize,
+) {
     let mut bed = Bed::new(3, 15);
     let pace = list::Rules { gateways: 3, rank: Some(0), slowest };
     let start = Start {
--- a/crates/service-discovery/src/flows.rs
+++ b/crates/service-discovery/src/flows.rs
@@ -3,11 +3,11 @@
 //! question can't be answered any more.
 
 use crate::questions::{OpenQuestions, Question, ANSWERABLE};
-use crate::Ms;
+use crate::Milliseconds;
 
 /// A flow on which nothing has confirmed the list for so long is left for a fresh one: three questions at the steady pace.
 /// Where questions are further apart, each unanswered one is followed by one from a fresh flow.
-pub const RENEW_AFTER: Ms = 600.0;
+pub const RENEW_AFTER: Milliseconds = 600.0;
 /// Flows at once at most, where there are descriptors for them. With a fresh one every [`RENEW_AFTER`] the oldest gives way as
 /// its last question expires.
 pub const MOST_FLOWS: usize = 8;
@@ -20,9 +20,9 @@
 struct Flow {
     id: FlowId,
     /// When the last question left from it.
-    last_asked_at: Ms,
+    last_asked_at: Milliseconds,
     /// When the first question left that no answer has confirmed since.
-    unconfirmed_since: Option<Ms>,
+    unconfirmed_since: Option<Milliseconds>,
 }
 
 /// The flows of a process; questions leave from the last one.
@@ -45,13 +45,13 @@
     }
 
     /// Whether the next question should leave from a fresh flow.
-    pub fn wants_fresh(&self, now: Ms) -> bool {
-        let is_silent = |since: Ms| now - since >= RENEW_AFTER;
+    pub fn wants_fresh(&self, now: Milliseconds) -> bool {
+        let is_silent = |since: Milliseconds| now - since >= RENEW_AFTER;
         self.flows.last().is_none_or(|flow| flow.unconfirmed_since.is_some_and(is_silent))
     }
 
     /// A fresh flow was opened.
-    pub fn open(&mut self, now: Ms) -> FlowId {
+    pub fn open(&mut self, now: Milliseconds) -> FlowId {
         self.opened += 1;
         let id = FlowId(self.opened);
         self.flows.push(Flow { id, last_asked_at: now, unconfirmed_since: None });
@@ -81,7 +81,7 @@
     }
 
     /// The flows that end now: no answer can come on them any more, or they are too many.
-    pub fn close(&mut self, now: Ms) -> Vec<FlowId> {
+    pub fn close(&mut self, now: Milliseconds) -> Vec<FlowId> {
         let current = self.current();
         let most_former = self.flows.len().saturating_sub(self.most);
         let mut place = 0;
--- a/crates/service-discovery/src/flows/tests.rs
+++ b/crates/service-discovery/src/flows/tests.rs
@@ -11,7 +11,7 @@
         Self { flows: Flows::new(MOST_FLOWS), open: OpenQuestions::default() }
     }
 
-    fn ask(&mut self, now: Ms) -> Question {
+    fn ask(&mut self, now: Milliseconds) -> Question {
         let flow = self.flows.current().expect("a flow");
         let question = self.open.ask(flow, SocketAddr::from(([127, 0, 0, 1], 53)), now, || now as u16);
         self.flows.ask(&question);
--- a/crates/service-discovery/src/lib.rs
+++ b/crates/service-discovery/src/lib.rs
@@ -18,4 +18,4 @@
 pub mod versions;
 
 /// Milliseconds.
-pub type Ms = f64;
+pub type Milliseconds = f64;
--- a/crates/service-discovery/src/questions.rs
+++ b/crates/service-discovery/src/questions.rs
@@ -1,13 +1,13 @@
 //! The questions that are out: which they are, when and to whom they were sent, and from which flow.
 
 use crate::flows::FlowId;
-use crate::Ms;
+use crate::Milliseconds;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
 /// An answer that takes longer is not waited for. Services answer within 3 s; what a question could have told counts as told
 /// 1.5 s after it in any case.
-pub const ANSWERABLE: Ms = 5_000.0;
+pub const ANSWERABLE: Milliseconds = 5_000.0;
 /// Questions that are out at most: at the steady pace there are 25. The oldest gives way.
 const MOST: usize = 64;
 
@@ -23,7 +23,7 @@
     /// Whom it was sent to.
     pub to: SocketAddr,
     /// When.
-    pub asked_at: Ms,
+    pub asked_at: Milliseconds,
 }
 
 /// The questions that may still be answered.
@@ -35,7 +35,13 @@
 
 impl OpenQuestions {
     /// Adds a question that is sent now, with an id of which `draw` proposes; no two open questions have the same.
-    pub fn ask(&mut self, flow: FlowId, to: SocketAddr, now: Ms, mut draw: impl FnMut() -> u16) -> Question {
+    pub fn ask(
+        &mut self,
+        flow: FlowId,
+        to: SocketAddr,
+        now: Milliseconds,
+        mut draw: impl FnMut() -> u16,
+    ) -> Question {
         self.expire(now);
         if self.open.len() >= MOST {
             self.open.pop_front();
@@ -53,7 +59,7 @@
     }
 
     /// Takes the question out that this is an answer to.
-    pub fn answer(&mut self, id: u16, from: SocketAddr, flow: FlowId, now: Ms) -> Option<Question> {
+    pub fn answer(&mut self, id: u16, from: SocketAddr, flow: FlowId, now: Milliseconds) -> Option<Question> {
         self.expire(now);
         let is_asked = |question: &Question| (question.id, question.to, question.flow) == (id, from, flow);
         let place = self.open.iter().position(is_asked)?;
@@ -66,7 +72,7 @@
     }
 
     /// When the first open question of a flow was sent that was sent after that one.
-    pub fn first_after(&self, number: u64, flow: FlowId) -> Option<Ms> {
+    pub fn first_after(&self, number: u64, flow: FlowId) -> Option<Milliseconds> {
         let later = |question: &&Question| question.flow == flow && question.number > number;
         self.open.iter().find(later).map(|question| question.asked_at)
     }
@@ -76,7 +82,7 @@
         self.last_number
     }
 
-    fn expire(&mut self, now: Ms) {
+    fn expire(&mut self, now: Milliseconds) {
         self.open.retain(|question| now - question.asked_at <= ANSWERABLE);
     }
 }
--- a/crates/service-discovery/src/questions/tests.rs
+++ b/crates/service-discovery/src/questions/tests.rs
@@ -2,7 +2,7 @@
 
 const TO: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 53);
 
-fn ask(open: &mut OpenQuestions, id: u16, flow: u64, now: Ms) -> Question {
+fn ask(open: &mut OpenQuestions, id: u16, flow: u64, now: Milliseconds) -> Question {
     open.ask(FlowId(flow), TO, now, || id)
 }
 
--- a/crates/storage/src/folder.rs
+++ b/crates/storage/src/folder.rs
@@ -10,7 +10,7 @@
 use thiserror::Error;
 
 /// Milliseconds.
-type Ms = f64;
+type Milliseconds = f64;
 
 /// Why a folder cannot be used.
 #[derive(Debug, Error)]
@@ -150,7 +150,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Boot {
     /// Milliseconds since then.
-    pub now: Ms,
+    pub now: Milliseconds,
     /// Which start; none: the system does not tell, and times of another life cannot be compared.
     pub id: Option<[u8; 16]>,
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -7,7 +7,7 @@
 pub mod schema;
 
 use crate::core::Listed;
-use crate::interface::{Availability, EngineId, KindId, Member, Ms, Settings, SettingsError};
+use crate::interface::{Availability, EngineId, KindId, Member, Milliseconds, Settings, SettingsError};
 use crate::limits::Limits;
 use crate::net::front::rules::ClassRules;
 use crate::wire::{self, Fields, WireError};
@@ -62,7 +62,7 @@
     /// Without a folder that can be used, the program does not start.
     pub required: bool,
     /// Time between two snapshots.
-    pub every: Ms,
+    pub every: Milliseconds,
     /// A snapshot takes no more bytes than this.
     pub most_bytes: usize,
     /// Whether idempotency keys are logged.
@@ -70,11 +70,11 @@
     /// Keys held at most.
     pub most_keys: usize,
     /// An engine cannot stop and be back within less: one unheard of for longer is treated as perhaps cold.
-    pub restart_within: Ms,
+    pub restart_within: Milliseconds,
     /// A snapshot older than this counts as nothing.
-    pub keep_for: Ms,
+    pub keep_for: Milliseconds,
     /// Knowledge of engines that the list does not name is kept so long for it to name them.
-    pub list_wait: Ms,
+    pub list_wait: Milliseconds,
 }
 
 /// An engine as a file names it.
@@ -93,7 +93,7 @@
     /// `ready`, `draining` or `gone`.
     pub phase: String,
     /// Unix milliseconds of a late start, or 0.
-    pub started: Ms,
+    pub started: Milliseconds,
 }
 
 /// What the files say, not yet read: the form that they share.
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -4,7 +4,7 @@
 use super::requests::{Request, RequestKey, Terms};
 use super::timers::Due;
 use super::{Answer, AttemptId, Core, Effect, End, EngineError, Rows, Send};
-use crate::interface::{EngineId, Event as DecisionEvent, Ms, Note, Outcome, RequestId};
+use crate::interface::{EngineId, Event as DecisionEvent, Milliseconds, Note, Outcome, RequestId};
 use starlingplank_decision::permission::send::{
     may_repeat, may_send, never_ran, EarlierAttempt, Place, SendFacts, SendPermit,
 };
@@ -13,7 +13,7 @@
 /// One attempt to execute a request on an engine.
 pub(super) struct Attempt {
     pub(super) engine: EngineId,
-    pub(super) sent_at: Ms,
+    pub(super) sent_at: Milliseconds,
     pub(super) in_flight: bool,
     /// The record that must be durable before it is transmitted.
     pub(super) record: Option<PendingRecord>,
@@ -26,7 +26,7 @@
 }
 
 impl Attempt {
-    fn new(engine: EngineId, place: Place, now: Ms, permit: SendPermit) -> Self {
+    fn new(engine: EngineId, place: Place, now: Milliseconds, permit: SendPermit) -> Self {
         Self { engine, sent_at: now, in_flight: true, record: None, place, outcome: None, permit }
     }
 
@@ -43,7 +43,12 @@
 
 impl Request {
     /// The deadline of an attempt that starts now. A timeout of 0 stands for no timeout of its own.
-    fn attempt_deadline(&self, now: Ms, timeout: Ms, margin: Ms) -> Ms {
+    fn attempt_deadline(
+        &self,
+        now: Milliseconds,
+        timeout: Milliseconds,
+        margin: Milliseconds,
+    ) -> Milliseconds {
         let last = self.deadline - margin;
         if timeout > 0.0 {
             last.min(now + timeout)
@@ -86,10 +91,10 @@
     /// Starts an attempt. It ends at once as not executed if it may not be transmitted.
     pub(super) fn start_attempt(
         &mut self,
-        now: Ms,
+        now: Milliseconds,
         id: RequestId,
         engine: EngineId,
-        timeout: Ms,
+        timeout: Milliseconds,
         effects: &mut Vec<Effect>,
     ) {
         let place = self.place(&engine);
@@ -114,7 +119,13 @@
     }
 
     /// Whether an attempt may be sent now. What is refused is counted; what should not have been asked for is logged.
-    fn may_send(&self, now: Ms, id: AttemptId, deadline: Ms, effects: &mut Vec<Effect>) -> bool {
+    fn may_send(
+        &self,
+        now: Milliseconds,
+        id: AttemptId,
+        deadline: Milliseconds,
+        effects: &mut Vec<Effect>,
+    ) -> bool {
         let Some(facts) = self.send_facts(now, id, deadline) else { return false };
         let Err(refusal) = may_send(&facts) else { return true };
         self.rules.count(refusal);
@@ -124,7 +135,7 @@
         false
     }
 
-    fn send_facts(&self, now: Ms, id: AttemptId, deadline: Ms) -> Option<SendFacts> {
+    fn send_facts(&self, now: Milliseconds, id: AttemptId, deadline: Milliseconds) -> Option<SendFacts> {
         let r = self.requests.get(&id.0)?;
         let own = r.attempts.get(id.1 as usize)?;
         let others = || r.numbered().filter(|(n, _)| *n != id.1).map(|(_, a)| a);
@@ -152,7 +163,13 @@
     }
 
     /// Transmits an attempt, if it may still be sent.
-    pub(super) fn transmit(&mut self, now: Ms, id: AttemptId, deadline: Ms, effects: &mut Vec<Effect>) {
+    pub(super) fn transmit(
+        &mut self,
+        now: Milliseconds,
+        id: AttemptId,
+        deadline: Milliseconds,
+        effects: &mut Vec<Effect>,
+    ) {
         if !self.may_send(now, id, deadline, effects) {
             return self.end_attempt(now, id, End::plain(Outcome::Moot), effects);
         }
@@ -178,7 +195,13 @@
     }
 
     /// Starts to stream a result to the client.
-    pub(super) fn start_streaming(&mut self, now: Ms, id: AttemptId, rows: Rows, effects: &mut Vec<Effect>) {
+    pub(super) fn start_streaming(
+        &mut self,
+        now: Milliseconds,
+        id: AttemptId,
+        rows: Rows,
+        effects: &mut Vec<Effect>,
+    ) {
         let Some(r) = self.requests.get_mut(&id.0).filter(|r| !r.closed && !r.streaming) else { return };
         if !r.attempts.get(id.1 as usize).is_some_and(|a| a.in_flight) || now >= r.deadline {
             return;
@@ -196,7 +219,13 @@
     }
 
     /// Ends an attempt. The late end of an attempt that was aborted changes nothing.
-    pub(super) fn end_attempt(&mut self, now: Ms, id: AttemptId, end: End, effects: &mut Vec<Effect>) {
+    pub(super) fn end_attempt(
+        &mut self,
+        now: Milliseconds,
+        id: AttemptId,
+        end: End,
+        effects: &mut Vec<Effect>,
+    ) {
         let Some(r) = self.requests.get_mut(&id.0) else { return };
         let Some(a) = r.attempts.get_mut(id.1 as usize).filter(|a| a.in_flight) else { return };
         a.in_flight = false;
@@ -236,7 +265,7 @@
     /// Aborts an attempt in flight.
     pub(super) fn abort_attempt(
         &mut self,
-        now: Ms,
+        now: Milliseconds,
         id: AttemptId,
         outcome: Outcome,
         effects: &mut Vec<Effect>,
@@ -251,7 +280,7 @@
     /// Aborts all attempts of a request.
     pub(super) fn abort_attempts(
         &mut self,
-        now: Ms,
+        now: Milliseconds,
         id: RequestId,
         outcome: Outcome,
         effects: &mut Vec<Effect>,
@@ -261,14 +290,14 @@
     }
 
     /// Aborts an attempt at its deadline. A streamed result has no deadline.
-    pub(super) fn attempt_timed_out(&mut self, now: Ms, id: AttemptId, effects: &mut Vec<Effect>) {
+    pub(super) fn attempt_timed_out(&mut self, now: Milliseconds, id: AttemptId, effects: &mut Vec<Effect>) {
         if self.requests.get(&id.0).is_some_and(|r| !r.streaming) {
             self.abort_attempt(now, id, Outcome::Timeout, effects);
         }
     }
 
     /// Aborts the attempts on an engine that is still removed after the grace period.
-    pub(super) fn engine_removed(&mut self, now: Ms, engine: &EngineId, effects: &mut Vec<Effect>) {
+    pub(super) fn engine_removed(&mut self, now: Milliseconds, engine: &EngineId, effects: &mut Vec<Effect>) {
         if self.engines.contains_key(engine) {
             return;
         }
--- a/src/core/decisions.rs
+++ b/src/core/decisions.rs
@@ -3,7 +3,7 @@
 use super::requests::Terms;
 use super::timers::Due;
 use super::{Core, Effect};
-use crate::interface::{Action, Ms, Outcome, Why};
+use crate::interface::{Action, Milliseconds, Outcome, Why};
 
 impl Core {
     /// The number of requests that could not be transmitted at once, by class and reason.
@@ -12,13 +12,13 @@
     }
 
     /// Deducts the processing time of decision cycles.
-    pub fn spent(&mut self, time: Ms) {
+    pub fn spent(&mut self, time: Milliseconds) {
         self.decision_credit -= time;
     }
 
     /// Runs a decision cycle if one is due. It is due at once where a request waits for it and recent cycles have taken
     /// little time; otherwise cycles are paced, and each handles all events since the last.
-    pub(super) fn decision_cycle(&mut self, now: Ms, effects: &mut Vec<Effect>) {
+    pub(super) fn decision_cycle(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
         if self.pending_events.is_empty() {
             return;
         }
@@ -32,7 +32,7 @@
         self.decide(now, effects);
     }
 
-    fn accrue_credit(&mut self, now: Ms) {
+    fn accrue_credit(&mut self, now: Milliseconds) {
         self.decision_credit += (now - self.credit_updated_at).max(0.0) * self.limits.turn_share;
         self.decision_credit = self.decision_credit.min(self.limits.turn_credit);
         self.credit_updated_at = now;
@@ -45,7 +45,7 @@
     }
 
     /// Runs the decision module, and again while its own actions cause events for it.
-    fn decide(&mut self, now: Ms, effects: &mut Vec<Effect>) {
+    fn decide(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
         let mut actions = Vec::new();
         for _ in 0..=self.settings.send_cap {
             if self.pending_events.is_empty() {
@@ -59,7 +59,7 @@
         }
     }
 
-    fn perform(&mut self, now: Ms, action: Action, effects: &mut Vec<Effect>) {
+    fn perform(&mut self, now: Milliseconds, action: Action, effects: &mut Vec<Effect>) {
         match action {
             Action::Send { id, engine, timeout } => self.start_attempt(now, id, engine, timeout, effects),
             Action::Refuse { id, retry_after, why } => self.shed(now, id, retry_after, why.name(), effects),
--- a/src/core/membership.rs
+++ b/src/core/membership.rs
@@ -3,7 +3,7 @@
 
 use super::timers::Due;
 use super::{Core, Effect, Listed};
-use crate::interface::{Availability, EngineId, Event as DecisionEvent, Member, Ms};
+use crate::interface::{Availability, EngineId, Event as DecisionEvent, Member, Milliseconds};
 use starlingplank_admin::hand::Hand;
 use starlingplank_admin::heard::{Gone, Heard};
 use starlingplank_pacing::come_back::ComeBack;
@@ -50,7 +50,7 @@
     }
 
     /// Rejects requests until the name service answers, unless a membership is known. For gateways with a name service.
-    pub fn await_list(&mut self, now: Ms) {
+    pub fn await_list(&mut self, now: Milliseconds) {
         if self.service_members.is_empty() && self.service_heard_at.is_none() {
             self.membership_wait = Some(ComeBack::new(self.settings.seed, now));
         }
@@ -72,7 +72,7 @@
     }
 
     /// When the name service last answered, its members, and the engines that it removed; none before its first answer.
-    pub fn service_list(&self) -> Option<(Ms, &[Listed], &Gone)> {
+    pub fn service_list(&self) -> Option<(Milliseconds, &[Listed], &Gone)> {
         self.service_heard_at.map(|at| (at, &*self.service_members, &self.removed_engines))
     }
 
@@ -87,7 +87,7 @@
     /// Replaces the membership by the name service's list.
     pub(super) fn update_membership(
         &mut self,
-        now: Ms,
+        now: Milliseconds,
         serial: u64,
         list: Vec<Listed>,
         effects: &mut Vec<Effect>,
@@ -107,7 +107,7 @@
 
     /// Learns when the members started. An empty list tells nothing: a process that begins without members has not been
     /// told that none has started.
-    fn learn_starts(&mut self, now: Ms, list: &[Listed]) {
+    fn learn_starts(&mut self, now: Milliseconds, list: &[Listed]) {
         let starts: Vec<_> = list.iter().map(|l| (l.member.engine.clone(), l.member.started)).collect();
         if !starts.is_empty() {
             self.start_times.receive(&starts, now);
@@ -116,7 +116,7 @@
 
     /// Whether a list of this version changes anything. An older version is a late answer. The known version confirms
     /// the membership, which matters only while an inherited one holds or none is known.
-    fn is_news(&mut self, now: Ms, serial: u64) -> bool {
+    fn is_news(&mut self, now: Milliseconds, serial: u64) -> bool {
         let Some(known) = self.serial else { return true };
         if serial < known {
             return false;
@@ -131,13 +131,13 @@
     }
 
     /// Replaces the operator override.
-    pub(super) fn override_membership(&mut self, now: Ms, hand: Hand, effects: &mut Vec<Effect>) {
+    pub(super) fn override_membership(&mut self, now: Milliseconds, hand: Hand, effects: &mut Vec<Effect>) {
         self.operator_override = hand.not_after(now);
         self.rebuild_engines(now, effects);
     }
 
     /// Takes over what an earlier process heard, unless the name service has answered this one.
-    pub(super) fn inherit_membership(&mut self, now: Ms, heard: Heard, effects: &mut Vec<Effect>) {
+    pub(super) fn inherit_membership(&mut self, now: Milliseconds, heard: Heard, effects: &mut Vec<Effect>) {
         if self.service_heard_at.is_some() {
             return;
         }
@@ -147,7 +147,7 @@
     }
 
     /// Drops the inherited membership once its time is over.
-    pub(super) fn inherited_membership_expired(&mut self, now: Ms, effects: &mut Vec<Effect>) {
+    pub(super) fn inherited_membership_expired(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
         if self.inherited_membership.take_if(|e| now >= e.until()).is_some() {
             self.rebuild_engines(now, effects);
         }
@@ -156,7 +156,7 @@
     /// Merges the list, the operator override and the inherited membership. An engine that operators excluded, or that
     /// drained or was removed in the earlier process, is treated as draining, so one guard covers all three. An engine
     /// that operators included again counts as just started.
-    fn rebuild_engines(&mut self, now: Ms, effects: &mut Vec<Effect>) {
+    fn rebuild_engines(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
         self.operator_override.forget(now, self.settings.warm_within);
         let list: Vec<Listed> = self.service_members.iter().map(|l| self.merge(l, now)).collect();
         self.replace_engines(now, &list, effects);
@@ -164,7 +164,7 @@
     }
 
     /// A member after everything that may keep it out is applied.
-    fn merge(&self, listed: &Listed, now: Ms) -> Listed {
+    fn merge(&self, listed: &Listed, now: Milliseconds) -> Listed {
         let mut listed = listed.clone();
         let m = &mut listed.member;
         let id = m.engine.clone();
@@ -177,7 +177,7 @@
     }
 
     /// Whether operators, an earlier process or a former address of the name service keep an engine out.
-    fn is_kept_out(&self, engine: &EngineId, now: Ms) -> bool {
+    fn is_kept_out(&self, engine: &EngineId, now: Milliseconds) -> bool {
         let former = self.former_address.as_ref().map(|former| &former.heard);
         let mut heard = self.inherited_membership.iter().chain(former);
         self.operator_override.is_out(&engine.0) || heard.any(|heard| heard.keeps_out(&engine.0, now))
@@ -185,7 +185,7 @@
 
     /// The name service's present address takes over from a former one, whose word on drains and removals holds until the
     /// present one says as much.
-    pub(super) fn supersede_former_address(&mut self, now: Ms) {
+    pub(super) fn supersede_former_address(&mut self, now: Milliseconds) {
         let (Some(version), Some(heard)) = (self.serial.take(), self.heard()) else { return };
         let heard = heard.taken_over(now);
         self.set_timer(heard.until(), Due::FormerAddress);
@@ -193,21 +193,26 @@
     }
 
     /// Drops what former addresses have said once its time is over.
-    pub(super) fn former_address_expired(&mut self, now: Ms, effects: &mut Vec<Effect>) {
+    pub(super) fn former_address_expired(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
         if self.former_address.take_if(|former| now >= former.heard.until()).is_some() {
             self.rebuild_engines(now, effects);
         }
     }
 
     /// The list may be relied on until then. While it may not, all engines are treated as draining.
-    pub(super) fn renew_list_lease(&mut self, now: Ms, until: Ms, effects: &mut Vec<Effect>) {
+    pub(super) fn renew_list_lease(
+        &mut self,
+        now: Milliseconds,
+        until: Milliseconds,
+        effects: &mut Vec<Effect>,
+    ) {
         self.list_lease.set(until);
         self.apply_list_lease(now, effects);
         self.set_list_timer();
     }
 
     /// The timer of the lease: it may have been renewed since the timer was set.
-    pub(super) fn list_lease_due(&mut self, now: Ms, effects: &mut Vec<Effect>) {
+    pub(super) fn list_lease_due(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
         self.list_timer_set = false;
         self.apply_list_lease(now, effects);
         self.set_list_timer();
@@ -222,7 +227,7 @@
         }
     }
 
-    fn apply_list_lease(&mut self, now: Ms, effects: &mut Vec<Effect>) {
+    fn apply_list_lease(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
         let expired = !self.list_lease.holds(now);
         if std::mem::replace(&mut self.list_expired, expired) != expired {
             effects.push(Effect::ListReliable(!expired));
@@ -232,7 +237,7 @@
 
     /// Replaces the engines in use. Queued work for draining and removed engines is dropped; attempts on removed ones
     /// end after a grace period.
-    fn replace_engines(&mut self, now: Ms, list: &[Listed], effects: &mut Vec<Effect>) {
+    fn replace_engines(&mut self, now: Milliseconds, list: &[Listed], effects: &mut Vec<Effect>) {
         let mut before = std::mem::take(&mut self.engines);
         for listed in list {
             let engine = &listed.member.engine;
@@ -250,7 +255,7 @@
     }
 
     /// Tells the decision module its engines, and what an earlier incarnation learned of them.
-    fn report_members(&mut self, now: Ms, list: Vec<Listed>) {
+    fn report_members(&mut self, now: Milliseconds, list: Vec<Listed>) {
         let named: Vec<Named> = list.iter().map(named).collect();
         let recalled = self.recall.as_mut().and_then(|recall| recall.list(&named, now));
         // Merging keeps the order of the service's members, which hold the starts as they were told.
@@ -263,7 +268,7 @@
     }
 
     /// A member as the decision module is told of it: its start is a time of this gateway's clock, and not in the future.
-    fn with_local_start(&self, now: Ms, member: Member, told: Option<Ms>) -> Member {
+    fn with_local_start(&self, now: Milliseconds, member: Member, told: Option<Milliseconds>) -> Member {
         let local = self.start_times.local(&member.engine, told);
         let started = self.operator_override.started(&member.engine.0, local);
         Member { started: started.map(|at| at.min(now)), ..member }
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -1,7 +1,7 @@
 //! The reducer's input, [`Event`], and its output, [`Effect`].
 
 use super::types::{Answer, Ask, AttemptId, End, Listed, Rows, Statement};
-use crate::interface::{ClassId, EngineId, Ms, Note, Outcome, Report, RequestId};
+use crate::interface::{ClassId, EngineId, Milliseconds, Note, Outcome, Report, RequestId};
 use starlingplank_admin::hand::Hand;
 use starlingplank_admin::heard::Heard;
 use starlingplank_decision::permission::send::{SendPermit, SendRefusal};
@@ -18,7 +18,7 @@
     /// the move, though its version may be lower.
     FormerAddressSuperseded,
     /// Until when the list may be relied on.
-    ListReliableUntil(Ms),
+    ListReliableUntil(Milliseconds),
     /// A front received a request.
     Taken(Ask),
     /// The client disconnected or withdrew the request.
@@ -73,9 +73,9 @@
     /// What is transmitted.
     pub statement: Rc<Statement>,
     /// The time until its deadline.
-    pub budget: Ms,
+    pub budget: Milliseconds,
     /// The time within which it must be transmitted or dropped, as engines forget keys.
-    pub leave_within: Option<Ms>,
+    pub leave_within: Option<Milliseconds>,
     /// Memory grant in MB; 0 leaves it to the engine.
     pub memory_mb: f64,
     /// Priority, 0 to 3.
@@ -85,7 +85,7 @@
     /// Ends with the attempt.
     pub permit: SendPermit,
     /// When it was handed over.
-    pub at: Ms,
+    pub at: Milliseconds,
 }
 
 /// Output of the reducer, performed by the runtime.
@@ -108,13 +108,13 @@
     /// Send the final answer.
     Answer(RequestId, Answer),
     /// Log why a request was rejected, and how long it had waited.
-    Refused(RequestId, ClassId, &'static str, Ms),
+    Refused(RequestId, ClassId, &'static str, Milliseconds),
     /// Log that an attempt was asked for which the rules do not allow. It was not sent.
     Violation(AttemptId, SendRefusal),
     /// Write a record of a keyed send; [`Event::Recorded`] reports its number.
     Record(u64, Key, Sent),
     /// Write a mark that the log is complete: the time, and until when no keyed request may be transmitted.
-    Mark(Ms, Ms),
+    Mark(Milliseconds, Milliseconds),
     /// Rewrite the log.
     Rewrite(Rewrite),
     /// Log whether the list of engines may be relied on from now on.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -24,7 +24,7 @@
 mod types;
 
 use crate::decide::Balancer;
-use crate::interface::{EngineId, Event as DecisionEvent, Ms, RequestId, Settings, SettingsError};
+use crate::interface::{EngineId, Event as DecisionEvent, Milliseconds, RequestId, Settings, SettingsError};
 use crate::limits::Limits;
 use membership::FormerAddress;
 use probes::Probe;
@@ -60,7 +60,7 @@
     /// Engines that were members before and are not any more.
     removed_engines: Gone,
     /// When the name service last answered this process.
-    service_heard_at: Option<Ms>,
+    service_heard_at: Option<Milliseconds>,
     /// Set while no membership is known: requests are rejected, each with another time to retry.
     membership_wait: Option<ComeBack>,
     /// Until when the list of engines may be relied on.
@@ -104,18 +104,18 @@
     pending_events: Vec<DecisionEvent>,
     /// When the next decision cycle is due if events are pending. Cycles are paced, as one costs much the same for one
     /// event as for many.
-    next_decision_at: Ms,
+    next_decision_at: Milliseconds,
     /// Whether a timer is set for that.
     decision_timer_set: bool,
     /// Whether a request waits for the next decision cycle.
     decision_urgent: bool,
     /// Processing time for urgent cycles before the next one is due, in ms: it accrues with time, and cycles spend it.
-    decision_credit: Ms,
-    credit_updated_at: Ms,
+    decision_credit: Milliseconds,
+    credit_updated_at: Milliseconds,
     /// When the shutdown was requested.
-    terminating_since: Option<Ms>,
+    terminating_since: Option<Milliseconds>,
     /// When every open request is answered for the shutdown.
-    answer_by: Ms,
+    answer_by: Milliseconds,
 }
 
 impl Core {
@@ -123,7 +123,7 @@
     ///
     /// # Errors
     /// The settings are inconsistent.
-    pub fn new(settings: Settings, limits: Limits, now: Ms) -> Result<Self, SettingsError> {
+    pub fn new(settings: Settings, limits: Limits, now: Milliseconds) -> Result<Self, SettingsError> {
         Ok(Self {
             balancer: Balancer::new(settings.clone(), now)?,
             counts: vec![Counts::default(); settings.classes.len()],
@@ -175,7 +175,7 @@
     }
 
     /// What the decision module has learned so far.
-    pub fn learned(&self, now: Ms) -> Learned {
+    pub fn learned(&self, now: Milliseconds) -> Learned {
         Learned { at: now, ..self.balancer.learned() }
     }
 
@@ -190,7 +190,7 @@
     }
 
     /// Handles one event.
-    pub fn handle(&mut self, now: Ms, event: Event, effects: &mut Vec<Effect>) {
+    pub fn handle(&mut self, now: Milliseconds, event: Event, effects: &mut Vec<Effect>) {
         match event {
             Event::List(serial, list) => self.update_membership(now, serial, list, effects),
             Event::FormerAddressSuperseded => self.supersede_former_address(now),
--- a/src/core/probes.rs
+++ b/src/core/probes.rs
@@ -2,17 +2,17 @@
 
 use super::timers::Due;
 use super::{Core, Effect};
-use crate::interface::{EngineId, Event as DecisionEvent, Ms, Report};
+use crate::interface::{EngineId, Event as DecisionEvent, Milliseconds, Report};
 
 /// A probe without an answer.
 pub(super) struct Probe {
     engine: EngineId,
-    sent_at: Ms,
+    sent_at: Milliseconds,
 }
 
 impl Core {
     /// Probes an engine. First probes are held back, so that a fleet that starts at once spreads them.
-    pub(super) fn ask_for_probe(&mut self, now: Ms, engine: EngineId, effects: &mut Vec<Effect>) {
+    pub(super) fn ask_for_probe(&mut self, now: Milliseconds, engine: EngineId, effects: &mut Vec<Effect>) {
         match self.first_probes.ask(engine, now) {
             Some(engine) => self.probe(now, engine, effects),
             None => self.set_timer(self.first_probes.until, Due::FirstProbes),
@@ -20,13 +20,13 @@
     }
 
     /// Sends the probes that were held back at the start.
-    pub(super) fn send_first_probes(&mut self, now: Ms, effects: &mut Vec<Effect>) {
+    pub(super) fn send_first_probes(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
         for engine in self.first_probes.due(now) {
             self.probe(now, engine, effects);
         }
     }
 
-    fn probe(&mut self, now: Ms, engine: EngineId, effects: &mut Vec<Effect>) {
+    fn probe(&mut self, now: Milliseconds, engine: EngineId, effects: &mut Vec<Effect>) {
         let Some(address) = self.live_address(&engine) else { return };
         self.last_number += 1;
         let tag = self.last_number;
@@ -36,7 +36,7 @@
     }
 
     /// Ends a probe. The late answer of one that timed out changes nothing.
-    pub(super) fn probed(&mut self, now: Ms, tag: u64, ok: bool, report: Option<Report>) {
+    pub(super) fn probed(&mut self, now: Milliseconds, tag: u64, ok: bool, report: Option<Report>) {
         if let Some(Probe { engine, sent_at }) = self.probes.remove(&tag) {
             self.pending_events.push(DecisionEvent::Probed { engine, ok, took: now - sent_at, report });
         }
--- a/src/core/records.rs
+++ b/src/core/records.rs
@@ -3,14 +3,14 @@
 use super::requests::RequestKey;
 use super::timers::Due;
 use super::{AttemptId, Core, Effect, End};
-use crate::interface::{Ms, Outcome};
+use crate::interface::{Milliseconds, Outcome};
 use starlingplank_persistence::gate::{Gate, Key, Sends, Sent};
 
 /// A record that is being written.
 pub(super) struct PendingRecord {
     pub(super) sent: Sent,
     /// The deadline of the attempt that waits for it.
-    pub(super) deadline: Ms,
+    pub(super) deadline: Milliseconds,
 }
 
 impl Core {
@@ -20,14 +20,19 @@
     }
 
     /// Takes over the log of a process that has ended.
-    pub fn take_log(&mut self, required: bool, trusted: Option<(Vec<(Key, Sends)>, Ms)>, now: Ms) {
+    pub fn take_log(
+        &mut self,
+        required: bool,
+        trusted: Option<(Vec<(Key, Sends)>, Milliseconds)>,
+        now: Milliseconds,
+    ) {
         self.gate.take_log(required, trusted, now);
     }
 
     /// Requests a record of a send. The attempt is transmitted once the record is durable.
     pub(super) fn request_record(
         &mut self,
-        now: Ms,
+        now: Milliseconds,
         id: AttemptId,
         record: PendingRecord,
         effects: &mut Vec<Effect>,
@@ -46,14 +51,19 @@
     }
 
     /// Transmits the attempts whose records are durable.
-    pub(super) fn records_durable(&mut self, now: Ms, numbers: Vec<u64>, effects: &mut Vec<Effect>) {
+    pub(super) fn records_durable(
+        &mut self,
+        now: Milliseconds,
+        numbers: Vec<u64>,
+        effects: &mut Vec<Effect>,
+    ) {
         for number in numbers {
             self.recorded(now, number, true, effects);
         }
     }
 
     /// Ends the attempts whose records may not be durable. The log is not relied on until it is rewritten.
-    pub(super) fn records_failed(&mut self, now: Ms, numbers: Vec<u64>, effects: &mut Vec<Effect>) {
+    pub(super) fn records_failed(&mut self, now: Milliseconds, numbers: Vec<u64>, effects: &mut Vec<Effect>) {
         self.gate.failed();
         for number in numbers {
             self.recorded(now, number, false, effects);
@@ -61,14 +71,14 @@
     }
 
     /// Treats a record that is not durable in time as failed, as with a disk that hangs.
-    pub(super) fn record_timed_out(&mut self, now: Ms, number: u64, effects: &mut Vec<Effect>) {
+    pub(super) fn record_timed_out(&mut self, now: Milliseconds, number: u64, effects: &mut Vec<Effect>) {
         if self.pending_records.contains_key(&number) {
             self.records_failed(now, vec![number], effects);
         }
     }
 
     /// Ends the wait for a record. It changes nothing for an attempt that was aborted meanwhile.
-    fn recorded(&mut self, now: Ms, number: u64, durable: bool, effects: &mut Vec<Effect>) {
+    fn recorded(&mut self, now: Milliseconds, number: u64, durable: bool, effects: &mut Vec<Effect>) {
         let Some(id) = self.pending_records.remove(&number) else { return };
         let Some(r) = self.requests.get_mut(&id.0) else { return };
         let Some(RequestKey { key, .. }) = r.key else { return };
@@ -86,28 +96,28 @@
     }
 
     /// The log was rewritten with these keys.
-    pub(super) fn log_begun(&mut self, now: Ms, keys: &[(Key, Sends)], effects: &mut Vec<Effect>) {
+    pub(super) fn log_begun(&mut self, now: Milliseconds, keys: &[(Key, Sends)], effects: &mut Vec<Effect>) {
         if self.gate.rewritten(keys) {
             self.mark_log(now, effects);
         }
     }
 
     /// Another process of this gateway sent requests with these keys.
-    pub(super) fn hear_keys(&mut self, now: Ms, keys: Vec<(Key, Sends)>) {
+    pub(super) fn hear_keys(&mut self, now: Milliseconds, keys: Vec<(Key, Sends)>) {
         for (key, sends) in keys {
             self.gate.hear(key, sends, now);
         }
     }
 
     /// The maintenance tick: marks the log, or rewrites it where it failed or has grown long.
-    pub(super) fn maintain_log(&mut self, now: Ms, effects: &mut Vec<Effect>) {
+    pub(super) fn maintain_log(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
         match self.gate.rewrite(now) {
             Some(rewrite) => effects.push(Effect::Rewrite(rewrite)),
             None => self.mark_log(now, effects),
         }
     }
 
-    fn mark_log(&mut self, now: Ms, effects: &mut Vec<Effect>) {
+    fn mark_log(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
         effects.extend(self.gate.mark(now).map(|(at, shut_until)| Effect::Mark(at, shut_until)));
     }
 }
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -3,7 +3,7 @@
 use super::attempts::Attempt;
 use super::timers::Due;
 use super::{Answer, Ask, Core, Effect, EngineError, Statement};
-use crate::interface::{ClassId, Event as DecisionEvent, Incoming, Ms, Outcome, Repeat, RequestId};
+use crate::interface::{ClassId, Event as DecisionEvent, Incoming, Milliseconds, Outcome, Repeat, RequestId};
 use starlingplank_persistence::gate::{self, Admission, Key};
 use std::rc::Rc;
 
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct RequestKey {
     pub(super) key: Key,
-    pub(super) window: Ms,
+    pub(super) window: Milliseconds,
 }
 
 /// What an engine grants the attempts of a request.
@@ -36,24 +36,24 @@
 struct Admitted {
     key: Option<RequestKey>,
     /// No attempt may be transmitted later.
-    send_by: Ms,
+    send_by: Milliseconds,
 }
 
 /// Why a request is rejected, and when its client should retry.
 struct Rejection {
     reason: &'static str,
-    retry_after: Ms,
+    retry_after: Milliseconds,
 }
 
 /// A request that is open, or that is closed and has attempts in flight.
 pub(super) struct Request {
     pub(super) statement: Rc<Statement>,
     pub(super) class: ClassId,
-    pub(super) received_at: Ms,
+    pub(super) received_at: Milliseconds,
     pub(super) key: Option<RequestKey>,
-    pub(super) deadline: Ms,
+    pub(super) deadline: Milliseconds,
     /// A keyed statement is not transmitted later than this, as an engine that saw its key before forgets it then.
-    pub(super) send_by: Ms,
+    pub(super) send_by: Milliseconds,
     pub(super) attempts: Vec<Attempt>,
     /// The first part of its answer was sent to the client.
     pub(super) streaming: bool,
@@ -71,7 +71,7 @@
     }
 
     /// Accepts or rejects a request.
-    pub(super) fn receive(&mut self, now: Ms, ask: Ask, effects: &mut Vec<Effect>) {
+    pub(super) fn receive(&mut self, now: Milliseconds, ask: Ask, effects: &mut Vec<Effect>) {
         let (id, class) = (ask.asked.id, ask.asked.class);
         self.counts[class.0].taken += 1;
         match self.admit(now, &ask) {
@@ -80,7 +80,7 @@
         }
     }
 
-    fn admit(&mut self, now: Ms, ask: &Ask) -> Result<Admitted, Rejection> {
+    fn admit(&mut self, now: Milliseconds, ask: &Ask) -> Result<Admitted, Rejection> {
         self.check_capacity(ask)?;
         self.check_membership(now)?;
         self.check_shutdown(now)?;
@@ -98,14 +98,14 @@
 
     /// Requests queued until a membership is known would all be released at once. Each is rejected with another time to
     /// retry.
-    fn check_membership(&mut self, now: Ms) -> Result<(), Rejection> {
+    fn check_membership(&mut self, now: Milliseconds) -> Result<(), Rejection> {
         let Some(come_back) = &mut self.membership_wait else { return Ok(()) };
         let retry_after = come_back.wait(now, self.settings.max_retry_after);
         Err(Rejection { reason: "no list", retry_after })
     }
 
     /// No request is accepted once the open ones were answered for the shutdown.
-    fn check_shutdown(&self, now: Ms) -> Result<(), Rejection> {
+    fn check_shutdown(&self, now: Milliseconds) -> Result<(), Rejection> {
         if now >= self.answer_by {
             return Err(self.rejection("ending"));
         }
@@ -114,7 +114,7 @@
 
     /// A repeat that arrives while engines remember its key must not be transmitted after they forget it: it would be
     /// executed twice.
-    fn check_deduplication(&mut self, now: Ms, ask: &Ask) -> Result<Admitted, Rejection> {
+    fn check_deduplication(&mut self, now: Milliseconds, ask: &Ask) -> Result<Admitted, Rejection> {
         let text = ask.statement.key.as_ref().zip(self.window(ask.asked.class));
         let Some((text, window)) = text else { return Ok(Admitted { key: None, send_by: f64::INFINITY }) };
         let key = RequestKey { key: gate::key(text), window };
@@ -130,7 +130,7 @@
         Rejection { reason, retry_after: self.settings.max_retry_after }
     }
 
-    fn accept(&mut self, now: Ms, ask: Ask, admitted: Admitted) {
+    fn accept(&mut self, now: Milliseconds, ask: Ask, admitted: Admitted) {
         let Incoming { id, class, deadline, .. } = ask.asked;
         self.open_requests += 1;
         self.held_bytes += ask.statement.bytes();
@@ -167,9 +167,9 @@
     /// Rejects a request that was accepted.
     pub(super) fn shed(
         &mut self,
-        now: Ms,
+        now: Milliseconds,
         id: RequestId,
-        wait: Ms,
+        wait: Milliseconds,
         why: &'static str,
         effects: &mut Vec<Effect>,
     ) {
@@ -184,14 +184,14 @@
     }
 
     /// Fails a request with the engine's last error.
-    pub(super) fn fail(&mut self, now: Ms, id: RequestId, effects: &mut Vec<Effect>) {
+    pub(super) fn fail(&mut self, now: Milliseconds, id: RequestId, effects: &mut Vec<Effect>) {
         let error = self.requests.get_mut(&id).and_then(|r| r.last_error.take());
         self.abort_attempts(now, id, Outcome::Cancelled, effects);
         self.answer(id, Answer::Failed(error), effects);
     }
 
     /// How long engines remember the keys of a class; none for classes without keys.
-    fn window(&self, class: ClassId) -> Option<Ms> {
+    fn window(&self, class: ClassId) -> Option<Milliseconds> {
         match self.settings.classes[class.0].repeat {
             Repeat::Keyed { window, .. } => Some(window),
             _ => None,
@@ -199,7 +199,7 @@
     }
 
     /// Answers a request whose deadline is close. The decision module answers earlier; this holds whatever it does.
-    pub(super) fn deadline_passed(&mut self, now: Ms, id: RequestId, effects: &mut Vec<Effect>) {
+    pub(super) fn deadline_passed(&mut self, now: Milliseconds, id: RequestId, effects: &mut Vec<Effect>) {
         if self.requests.get(&id).is_some_and(|r| !r.closed && !r.streaming) {
             self.abort_attempts(now, id, Outcome::Timeout, effects);
             self.answer(id, Answer::Expired, effects);
@@ -208,7 +208,12 @@
     }
 
     /// Closes a request whose client disconnected. Its attempts end at once, so that none is transmitted afterwards.
-    pub(super) fn client_disconnected(&mut self, now: Ms, id: RequestId, effects: &mut Vec<Effect>) {
+    pub(super) fn client_disconnected(
+        &mut self,
+        now: Milliseconds,
+        id: RequestId,
+        effects: &mut Vec<Effect>,
+    ) {
         let Some(r) = self.requests.get_mut(&id).filter(|r| !r.closed) else { return };
         r.closed = true;
         self.open_requests -= 1;
--- a/src/core/shutdown.rs
+++ b/src/core/shutdown.rs
@@ -3,7 +3,7 @@
 use super::requests::Request;
 use super::timers::Due;
 use super::{Answer, Core, Effect};
-use crate::interface::{Event as DecisionEvent, Ms, Outcome};
+use crate::interface::{Event as DecisionEvent, Milliseconds, Outcome};
 use starlingplank_decision::permission::send::may_refuse;
 
 impl Core {
@@ -13,7 +13,7 @@
     }
 
     /// Begins the shutdown. Requests are accepted until the time for answers is over.
-    pub(super) fn terminate(&mut self, now: Ms) {
+    pub(super) fn terminate(&mut self, now: Milliseconds) {
         if self.terminating_since.is_some() {
             return;
         }
@@ -29,20 +29,20 @@
         }
     }
 
-    fn set_answer_by(&mut self, at: Ms) {
+    fn set_answer_by(&mut self, at: Milliseconds) {
         self.answer_by = at;
         self.set_timer(at, Due::AnswerDeadline);
     }
 
     /// Answers all requests, unless the time for answers was extended since the timer was set.
-    pub(super) fn answer_deadline_passed(&mut self, now: Ms, effects: &mut Vec<Effect>) {
+    pub(super) fn answer_deadline_passed(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
         if now >= self.answer_by {
             self.answer_all(now, effects);
         }
     }
 
     /// Answers all open requests before the process is killed.
-    fn answer_all(&mut self, now: Ms, effects: &mut Vec<Effect>) {
+    fn answer_all(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
         let open: Vec<_> = self.requests.iter().filter(|(_, r)| !r.closed).map(|(id, _)| *id).collect();
         for id in open {
             let Some(r) = self.requests.get(&id) else { continue };
@@ -63,8 +63,8 @@
     }
 
     /// Exits once the termination window is over and no request is open.
-    pub(super) fn exit_when_done(&mut self, now: Ms, effects: &mut Vec<Effect>) {
-        let window = |from: Ms| now >= from + self.limits.term_window;
+    pub(super) fn exit_when_done(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
+        let window = |from: Milliseconds| now >= from + self.limits.term_window;
         if self.open_requests == 0 && self.terminating_since.is_some_and(window) {
             effects.push(Effect::Exit);
         }
--- a/src/core/timers.rs
+++ b/src/core/timers.rs
@@ -1,7 +1,7 @@
 //! The timer queue, and the handler of each timer.
 
 use super::{AttemptId, Core, Effect};
-use crate::interface::{EngineId, Event as DecisionEvent, Ms, RequestId};
+use crate::interface::{EngineId, Event as DecisionEvent, Milliseconds, RequestId};
 
 /// What a timer is set for.
 #[derive(Debug, Clone, PartialEq)]
@@ -36,7 +36,7 @@
 
 /// A timer. The earliest is the greatest, as the queue is a max-heap; among equals the one that was set first.
 pub(super) struct Timer {
-    at: Ms,
+    at: Milliseconds,
     number: u64,
     due: Due,
 }
@@ -63,29 +63,29 @@
 
 impl Core {
     /// When [`Event::Clock`](super::Event::Clock) is due next.
-    pub fn next_due(&self) -> Option<Ms> {
+    pub fn next_due(&self) -> Option<Milliseconds> {
         self.timers.peek().map(|timer| timer.at)
     }
 
     /// Sets a timer. Timers are never cancelled: their handlers check whether they still apply.
-    pub(super) fn set_timer(&mut self, at: Ms, due: Due) {
+    pub(super) fn set_timer(&mut self, at: Milliseconds, due: Due) {
         self.last_number += 1;
         self.timers.push(Timer { at, number: self.last_number, due });
     }
 
     /// Handles every timer that is due by now.
-    pub(super) fn fire_due_timers(&mut self, now: Ms, effects: &mut Vec<Effect>) {
+    pub(super) fn fire_due_timers(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
         while let Some(due) = self.pop_due(now) {
             self.fire(now, due, effects);
         }
     }
 
-    fn pop_due(&mut self, now: Ms) -> Option<Due> {
+    fn pop_due(&mut self, now: Milliseconds) -> Option<Due> {
         self.timers.peek().filter(|timer| timer.at <= now)?;
         self.timers.pop().map(|timer| timer.due)
     }
 
-    fn fire(&mut self, now: Ms, due: Due, effects: &mut Vec<Effect>) {
+    fn fire(&mut self, now: Milliseconds, due: Due, effects: &mut Vec<Effect>) {
         match due {
             Due::DecisionTimer(token) => self.pending_events.push(DecisionEvent::Timer(token)),
             Due::AttemptTimeout(id) => self.attempt_timed_out(now, id, effects),
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -88,7 +88,7 @@
     /// The streamed result cannot be completed.
     Cut,
     /// Rejected before execution; the client may retry, best after this many milliseconds.
-    Refused(Ms),
+    Refused(Milliseconds),
     /// Failed, with the engine's error if there is one.
     Failed(Option<EngineError>),
     /// Failed as its deadline passed.
@@ -104,7 +104,7 @@
     /// Its outcome.
     pub outcome: Outcome,
     /// The work it took, where the engine reports that.
-    pub work: Option<Ms>,
+    pub work: Option<Milliseconds>,
     /// The engine's load, where the engine reports that.
     pub report: Option<Report>,
     /// The result, if it was not streamed.
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -1,6 +1,6 @@
 //! Every size, count and time that the program keeps to, filled once at start and handed down.
 
-use crate::interface::Ms;
+use crate::interface::Milliseconds;
 use crate::wire::{Fields, WireError};
 use rustix::process::{getrlimit, Resource};
 use starlingplank_pacing::list;
@@ -66,33 +66,33 @@
     /// Time between looks for what has gone idle.
     pub sweep: Duration,
     /// Being later than this for what is due is worth a line in the log.
-    pub stall: Ms,
+    pub stall: Milliseconds,
     /// A probe unanswered by then has failed ...
-    pub probe: Ms,
+    pub probe: Milliseconds,
     /// ... and its connection is looked after.
     pub probe_over: Duration,
     /// Time between two turns of the module where nobody waits for the second, or turns take much time.
-    pub turn_gap: Ms,
+    pub turn_gap: Milliseconds,
     /// Share of the time that turns in between may take ...
     pub turn_share: f64,
     /// ... and how much of it may be saved up.
-    pub turn_credit: Ms,
+    pub turn_credit: Milliseconds,
     /// Time kept before a deadline for the answer to leave.
-    pub answer_margin: Ms,
+    pub answer_margin: Milliseconds,
     /// Time after which attempts on an engine that the name service dropped are given up.
-    pub gone_grace: Ms,
+    pub gone_grace: Milliseconds,
     /// The pace down to which a name service that answers some questions and not others may be asked, in ms.
-    pub names_slowest: Ms,
+    pub names_slowest: Milliseconds,
     /// Flows to the name service at most.
     pub names_flows: usize,
     /// Bytes of a datagram of the name service at most.
     pub names_bytes: usize,
     /// After SIGTERM, new requests are taken at least this long.
-    pub term_window: Ms,
+    pub term_window: Milliseconds,
     /// After SIGTERM, whatever is open is answered by then.
-    pub term_answer: Ms,
+    pub term_answer: Milliseconds,
     /// A record of a keyed send that is not durable by then has failed.
-    pub record: Ms,
+    pub record: Milliseconds,
     /// Time between two looks after the log of keys.
     pub tend: Duration,
     /// Time for the last snapshot to be written.
@@ -102,7 +102,7 @@
     /// Time for connections to be closed after the last answer.
     pub leave_close: Duration,
     /// After SIGTERM, whatever is open is answered by then where another process takes over.
-    pub leave_answer: Ms,
+    pub leave_answer: Milliseconds,
     /// Callers of the second address at once; the one that has been unfinished longest gives way to the next.
     pub callers: usize,
     /// A call that is not whole by then is answered so.
@@ -118,7 +118,7 @@
 }
 
 /// Of the time between SIGTERM and SIGKILL past the longest deadline, what is left to the last answers.
-const TERM_SPARE: Ms = 400.0;
+const TERM_SPARE: Milliseconds = 400.0;
 
 /// Descriptors that no crowd of clients or engines can take: standard streams, the event queue, signals, listeners, two sockets
 /// of the name service, files of keys and of other processes.
@@ -134,8 +134,8 @@
 impl Limits {
     /// SIGKILL follows SIGTERM by the longest deadline, but no more than 3 s (5 s where another process takes over), and
     /// 0.7 s: what is still open is answered before that.
-    pub fn ending(self, longest: Ms) -> Self {
-        let by = |most: Ms| longest.min(most) + 700.0 - TERM_SPARE;
+    pub fn ending(self, longest: Milliseconds) -> Self {
+        let by = |most: Milliseconds| longest.min(most) + 700.0 - TERM_SPARE;
         Self { term_answer: by(3_000.0), leave_answer: by(5_000.0), ..self }
     }
 
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -8,7 +8,7 @@
 pub mod sockets;
 
 use crate::core::{Event, Listed};
-use crate::interface::{Ms, Settings};
+use crate::interface::{Milliseconds, Settings};
 use crate::limits::Limits;
 use crate::net::clock::Clock;
 use crate::net::log;
@@ -33,7 +33,13 @@
 const MOST_BEFORE_QUESTION: usize = 64;
 
 /// What a gateway begins with.
-pub fn begin(settings: &Settings, limits: &Limits, known: u64, at: Option<SocketAddr>, now: Ms) -> Discovery {
+pub fn begin(
+    settings: &Settings,
+    limits: &Limits,
+    known: u64,
+    at: Option<SocketAddr>,
+    now: Milliseconds,
+) -> Discovery {
     let pace = Rules { gateways: settings.gateways, rank: settings.rank, slowest: limits.names_slowest };
     let start = Start {
         pace,
@@ -61,7 +67,7 @@
     /// The engines' addresses by the newest list.
     pub addresses: KnownAddresses,
     /// Until when the list may be relied on, as the reducer was last told.
-    pub told_until: Ms,
+    pub told_until: Milliseconds,
     /// Bytes of the last datagram.
     pub buffer: Vec<u8>,
 }
--- a/src/net/engine/clickhouse.rs
+++ b/src/net/engine/clickhouse.rs
@@ -2,7 +2,7 @@
 //! An attempt given up ends its connection, as that is how such an engine hears of it.
 
 use crate::core::{AttemptId, End, EngineError, Event, Flow, Rows, Send};
-use crate::interface::{EngineId, Ms, Outcome};
+use crate::interface::{EngineId, Milliseconds, Outcome};
 use crate::limits::Limits;
 use crate::net::conn::{Close, Common, Inbox, Outbox};
 use crate::net::engine::connect::{connect, ConnectError};
@@ -219,7 +219,7 @@
 
 /// The time that is left, in seconds: whole ones where the next is close, else with milliseconds, as more than what the
 /// client has left may not be told. 0 would stand for no limit.
-fn execution_time(budget: Ms) -> String {
+fn execution_time(budget: Milliseconds) -> String {
     let seconds = (budget / 1000.0).max(LEAST_EXECUTION_TIME);
     if seconds.ceil() - seconds <= ROUNDED_UP_AT_MOST {
         return format!("{:.0}", seconds.ceil());
--- a/src/net/frame.rs
+++ b/src/net/frame.rs
@@ -1,7 +1,7 @@
 //! Messages that wait to be written, and what is asked of one as its first byte leaves.
 
 use crate::core::{AttemptId, Send, Statement};
-use crate::interface::Ms;
+use crate::interface::Milliseconds;
 use starlingplank_admin::figures::{Count, Tally};
 use starlingplank_decision::permission::send::SendRefusal;
 use std::rc::Rc;
@@ -11,7 +11,7 @@
 /// An attempt that has waited for longer is worded anew before it leaves.
 const REFRESH_AFTER: Duration = Duration::from_millis(5);
 /// No deadline is further away: a day.
-const LONGEST_MS: Ms = 86_400_000.0;
+const LONGEST_MS: Milliseconds = 86_400_000.0;
 
 /// A part of a frame: a head written for it, or a body shared with its owner.
 #[derive(Debug, Clone)]
@@ -64,7 +64,7 @@
 
 impl Delivery {
     /// Now, by the clock of the reducer.
-    fn now(&self) -> Ms {
+    fn now(&self) -> Milliseconds {
         self.send.at + self.queued_at.elapsed().as_secs_f64() * 1000.0
     }
 }
@@ -89,7 +89,7 @@
     /// The message that sends an attempt. It leaves before the attempt's deadline, and before its key may be forgotten.
     pub fn sending(send: Send, encode: fn(&Send) -> Vec<Part>) -> Self {
         let now = Instant::now();
-        let after = |ms: Ms| now + Duration::from_secs_f64(ms.clamp(0.0, LONGEST_MS) / 1000.0);
+        let after = |ms: Milliseconds| now + Duration::from_secs_f64(ms.clamp(0.0, LONGEST_MS) / 1000.0);
         let deadline = after(send.budget);
         Self {
             attempt: Some(send.id),
--- a/src/net/front/mod.rs
+++ b/src/net/front/mod.rs
@@ -8,7 +8,7 @@
 pub use seat::Seat;
 
 use crate::core::{Answer, Ask, Event, Rows, Statement};
-use crate::interface::{ClassId, DataSet, Incoming, Ms, RequestId, Settings, TenantId};
+use crate::interface::{ClassId, DataSet, Incoming, Milliseconds, RequestId, Settings, TenantId};
 use crate::limits::Limits;
 use crate::net::clock::Clock;
 use crate::net::conn::{Common, Outbox};
@@ -185,7 +185,7 @@
     }
 
     /// When what is read now from a connection arrived, at the earliest.
-    pub fn arrival_time(&self, seat: &Seat) -> Ms {
+    pub fn arrival_time(&self, seat: &Seat) -> Milliseconds {
         let now = Instant::now();
         let arrived = self.pauses.arrived(now).min(seat.earliest_arrival().unwrap_or(now));
         let age = now.saturating_duration_since(arrived);
@@ -277,11 +277,11 @@
     /// Whose it is, where the settings name tenants.
     pub tenant: Option<TenantId>,
     /// When its last byte was read.
-    pub arrived: Ms,
+    pub arrived: Milliseconds,
     /// How long the client waits.
-    pub limit: Ms,
+    pub limit: Milliseconds,
     /// Guess of its work.
-    pub work: Option<Ms>,
+    pub work: Option<Milliseconds>,
     /// Guess of its memory.
     pub memory_mb: Option<f64>,
     /// The client marks it as its own retry.
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -3,7 +3,7 @@
 //! be read costs its knowledge and a line in the log, never the start.
 
 use crate::core::Core;
-use crate::interface::Ms;
+use crate::interface::Milliseconds;
 use crate::limits::Limits;
 use crate::net::log;
 use starlingplank_admin::hand::{self, Hand, No};
@@ -112,7 +112,7 @@
     ///
     /// # Errors
     /// The folder cannot be made, locked or written, or others may use it.
-    pub fn open(path: &Path, now: Ms) -> io::Result<Self> {
+    pub fn open(path: &Path, now: Milliseconds) -> io::Result<Self> {
         DirBuilder::new().mode(0o700).recursive(true).create(path)?;
         let meta = std::fs::metadata(path)?;
         if !meta.is_dir() || meta.permissions().mode() & 0o077 != 0 {
@@ -187,7 +187,7 @@
     }
 
     /// Looks at what the others do now.
-    pub fn look(&mut self, now: Ms) -> Seen {
+    pub fn look(&mut self, now: Milliseconds) -> Seen {
         let mut seen = Seen::default();
         match lives(&self.path) {
             Ok(lives) => lives.into_iter().rev().take(LIVES).for_each(|life| self.meet(life)),
@@ -216,7 +216,7 @@
     }
 
     /// One that has ended leaves its keys to this process, and nothing else.
-    fn inherit(&mut self, life: u64, now: Ms) {
+    fn inherit(&mut self, life: u64, now: Milliseconds) {
         self.peers.remove(&life);
         // Its keys are in this one's file before its own goes.
         if let Err(e) = self.begin_keys(now) {
@@ -232,7 +232,7 @@
     }
 
     /// What others have sent since this was last asked.
-    pub fn peer_keys(&mut self, now: Ms) -> Vec<(Key, Sends)> {
+    pub fn peer_keys(&mut self, now: Milliseconds) -> Vec<(Key, Sends)> {
         let mut heard = Vec::new();
         for (life, peer) in &mut self.peers {
             let path = self.path.join(named("keys", *life));
@@ -314,7 +314,7 @@
     }
 
     /// Begins the file of keys anew, with those that still matter.
-    fn begin_keys(&mut self, now: Ms) -> io::Result<()> {
+    fn begin_keys(&mut self, now: Milliseconds) -> io::Result<()> {
         self.held.retain(|_, sends| now < sends.end());
         let mark = keylog::Mark { at: self.offset.by + now, shut_until: 0.0, boot: self.offset.boot };
         let mut bytes = keylog::head().to_vec();
@@ -385,7 +385,7 @@
     }
 
     /// Writes what was learned for a later process.
-    pub fn pass_on(&self, to: u64, name: &str, core: &Core, now: Ms, limits: &Limits) {
+    pub fn pass_on(&self, to: u64, name: &str, core: &Core, now: Milliseconds, limits: &Limits) {
         // Before what was learned, which is what the other waits for.
         if let Some(heard) = core.heard() {
             let file = format!("{}-for-{to:016x}", named("heard", self.own));
@@ -408,7 +408,7 @@
     }
 
     /// Waits for what the last of the earlier processes learned, if any lives. None: nothing came in time.
-    pub async fn learned(&mut self, now: Ms, rules: Rules, limits: &Limits) -> Option<Recall> {
+    pub async fn learned(&mut self, now: Milliseconds, rules: Rules, limits: &Limits) -> Option<Recall> {
         let (from, _) = self.peers.range(..self.own).next_back()?;
         let file = format!("{}-for-{:016x}", named("learned", *from), self.own);
         let mut waited = Duration::ZERO;
--- a/src/net/keep.rs
+++ b/src/net/keep.rs
@@ -3,7 +3,7 @@
 
 use crate::config::{describe, Config, KnowledgeSettings};
 use crate::core::{Core, Event, Listed};
-use crate::interface::{Availability, Ms, Repeat, Settings};
+use crate::interface::{Availability, Milliseconds, Repeat, Settings};
 use starlingplank_persistence::disk::Disk;
 use starlingplank_persistence::folder::{Boot, Files, Folder, FolderError};
 use starlingplank_persistence::gate::{self as knowledge, Gate, Key, Rewrite, Sends, Sent};
@@ -61,7 +61,7 @@
 }
 
 /// The rules by which old knowledge is judged.
-pub fn rules(settings: &KnowledgeSettings, tip_after: Ms) -> Rules {
+pub fn rules(settings: &KnowledgeSettings, tip_after: Milliseconds) -> Rules {
     Rules {
         restart_within: settings.restart_within,
         keep_for: settings.keep_for,
@@ -71,7 +71,7 @@
 }
 
 /// The longest window of the classes; 0: none is keyed.
-fn window(config: &Config) -> Ms {
+fn window(config: &Config) -> Milliseconds {
     let window = |c: &crate::interface::Class| match c.repeat {
         Repeat::Keyed { window, .. } => Some(window),
         _ => None,
@@ -106,34 +106,34 @@
 
 /// What a log of keys tells in this life's time.
 struct Log {
-    trusted: Option<(Vec<(Key, Sends)>, Ms)>,
+    trusted: Option<(Vec<(Key, Sends)>, Milliseconds)>,
     why: String,
     offset: Offset,
 }
 
 impl Log {
     /// Of the life before.
-    fn read(disk: &dyn Disk, window: Ms, now: Ms) -> Self {
+    fn read(disk: &dyn Disk, window: Milliseconds, now: Milliseconds) -> Self {
         let boot = Boot::read();
         Self::of(keylog::recover(disk, boot.now, boot.id, window), &boot, now)
     }
 
     /// Of a process that is taken over from, by one that knows what was sent beside it.
-    fn beside(disk: &dyn Disk, window: Ms, now: Ms) -> Self {
+    fn beside(disk: &dyn Disk, window: Milliseconds, now: Milliseconds) -> Self {
         let boot = Boot::read();
         Self::of(keylog::recover_beside(disk, boot.now, boot.id, window), &boot, now)
     }
 
-    fn of(found: keylog::Recovered, boot: &Boot, now: Ms) -> Self {
+    fn of(found: keylog::Recovered, boot: &Boot, now: Milliseconds) -> Self {
         let offset = Offset { by: boot.now - now, boot: boot.id.unwrap_or_default() };
-        let back = |(sends, shut): (Vec<(Key, Sends)>, Ms)| {
+        let back = |(sends, shut): (Vec<(Key, Sends)>, Milliseconds)| {
             let shut = if shut > 0.0 { shut - offset.by } else { 0.0 };
             (sends.into_iter().map(|(k, s)| (k, offset.back(s))).collect(), shut)
         };
         Self { trusted: found.trusted.map(back), why: found.why.unwrap_or_default(), offset }
     }
 
-    fn say(&self, window: Ms) {
+    fn say(&self, window: Milliseconds) {
         match &self.trusted {
             Some((sends, _)) => info!("the log of keys is whole: {} keys", sends.len()),
             None => {
@@ -166,7 +166,12 @@
     ///
     /// # Errors
     /// It can't be used, and is required.
-    pub fn open(config: &Config, core: &mut Core, now: Ms, events: &Sender<Event>) -> io::Result<Self> {
+    pub fn open(
+        config: &Config,
+        core: &mut Core,
+        now: Milliseconds,
+        events: &Sender<Event>,
+    ) -> io::Result<Self> {
         let Some(settings) = &config.knowledge else { return Ok(Self::off()) };
         let window = window(config);
         let keyed = settings.keys && window > 0.0;
@@ -254,7 +259,7 @@
 
     /// While another version of this gateway has the folder: keyed requests leave as that one's keys allow, and each is
     /// recorded where both look. Where the folder is required they wait for it.
-    pub fn follow(&mut self, config: &Config, core: &mut Core, now: Ms) {
+    pub fn follow(&mut self, config: &Config, core: &mut Core, now: Milliseconds) {
         let Some(settings) = config.knowledge.as_ref().filter(|k| self.waits && k.keys && !k.required) else {
             return;
         };
@@ -315,7 +320,13 @@
 
     /// Takes the folder once the process that had it has ended. True: it is this one's now. What fails is said once,
     /// and tried again at the next look.
-    pub fn take_over(&mut self, config: &Config, core: &mut Core, now: Ms, events: &Sender<Event>) -> bool {
+    pub fn take_over(
+        &mut self,
+        config: &Config,
+        core: &mut Core,
+        now: Milliseconds,
+        events: &Sender<Event>,
+    ) -> bool {
         let Some(settings) = &config.knowledge else { return false };
         let folder = match Folder::open(&settings.folder) {
             Err(FolderError::Held(_)) => return false,
@@ -399,7 +410,7 @@
     }
 
     /// Has a snapshot written, unless two wait already.
-    pub fn snapshot(&self, core: &Core, now: Ms) {
+    pub fn snapshot(&self, core: &Core, now: Milliseconds) {
         let Some(keeper) = &self.snapshots else { return };
         let snapshot = Snapshot::new(&self.gateway, &core.learned(now), &core.addresses());
         if keeper.save(snapshot) {
@@ -446,7 +457,7 @@
     }
 
     /// Has a mark written.
-    pub fn mark(&self, mark: (Ms, Ms)) -> bool {
+    pub fn mark(&self, mark: (Milliseconds, Milliseconds)) -> bool {
         self.keys.as_ref().is_some_and(|keys| keys.mark(mark))
     }
 
--- a/src/net/runtime/cycle.rs
+++ b/src/net/runtime/cycle.rs
@@ -2,7 +2,7 @@
 //! next cycle.
 
 use crate::core::{Effect, Event};
-use crate::interface::Ms;
+use crate::interface::Milliseconds;
 use crate::net::runtime::Runtime;
 
 /// Engines that a line of the log names at most.
@@ -51,7 +51,7 @@
     }
 
     /// Does what has to be done before the reducer takes an event.
-    fn prepare(&mut self, now: Ms, event: &Event, effects: &mut Vec<Effect>) {
+    fn prepare(&mut self, now: Milliseconds, event: &Event, effects: &mut Vec<Effect>) {
         match event {
             Event::List(..) => self.list_received = true,
             Event::Taken(ask) if ask.statement.key.is_some() => self.read_peer_keys(now, effects),
@@ -60,7 +60,7 @@
     }
 
     /// Tells the reducer of the keys that other processes have just sent: a request with one of them is a repeat.
-    fn read_peer_keys(&mut self, now: Ms, effects: &mut Vec<Effect>) {
+    fn read_peer_keys(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
         let Some(handover) = &mut self.handover else { return };
         let keys = handover.peer_keys(now);
         if !keys.is_empty() {
--- a/src/net/runtime/mod.rs
+++ b/src/net/runtime/mod.rs
@@ -23,7 +23,7 @@
 
 use crate::config::Config;
 use crate::core::{Core, Event};
-use crate::interface::Ms;
+use crate::interface::Milliseconds;
 use crate::net::engine::Engines;
 use crate::net::front::{Desk, Leaving};
 use crate::net::handover::Handover;
@@ -111,7 +111,7 @@
     /// The longest that it was busy without a break.
     longest_cycle: Duration,
     /// The most by which a timer of the reducer was late, in milliseconds.
-    most_late: Ms,
+    most_late: Milliseconds,
 }
 
 impl LoopStatistics {
@@ -119,7 +119,7 @@
         self.longest_cycle = self.longest_cycle.max(begun.elapsed());
     }
 
-    fn count_delay(&mut self, late: Ms) {
+    fn count_delay(&mut self, late: Milliseconds) {
         self.most_late = self.most_late.max(late);
     }
 }
@@ -168,7 +168,7 @@
     }
 
     /// When the loop goes on at the latest.
-    fn wake_by(&self, due_at: Option<Ms>) -> Instant {
+    fn wake_by(&self, due_at: Option<Milliseconds>) -> Instant {
         let due: Instant = match due_at {
             Some(at) => self.desk.clock.instant(at).into(),
             None => Instant::now() + self.desk.limits.sweep,
@@ -248,7 +248,7 @@
 
     /// By how much a timer of the reducer is late. Answers that were due in a pause of the process are late through no
     /// decision, so the log tells of it.
-    fn check_delay(&self, due_at: Option<Ms>) -> Ms {
+    fn check_delay(&self, due_at: Option<Milliseconds>) -> Milliseconds {
         let late = due_at.map_or(0.0, |at| self.desk.clock.now() - at);
         if late > self.desk.limits.stall {
             tracing::warn!("stood still for {late:.0} ms");
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -53,7 +53,7 @@
     /// A batch begins.
     Turn {
         /// The clock.
-        wall: Ms,
+        wall: Milliseconds,
         /// The batch's number.
         turn: u64,
     },
@@ -100,7 +100,7 @@
     shape: String,
     block: u64,
     availability: Availability,
-    came_up: Option<Ms>,
+    came_up: Option<Milliseconds>,
 }
 
 /// A message and its fields.
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -10,14 +10,14 @@
 use starlingplank::interface::*;
 use std::collections::BTreeMap;
 
-const COLD: Ms = 30_000.0;
-const STEP: Ms = 10.0;
-const USUAL: [Ms; 2] = [250.0, 1_000.0];
+const COLD: Milliseconds = 30_000.0;
+const STEP: Milliseconds = 10.0;
+const USUAL: [Milliseconds; 2] = [250.0, 1_000.0];
 
 struct One {
     gateway: Balancer,
     next: u64,
-    due: Vec<(Ms, Event)>,
+    due: Vec<(Milliseconds, Event)>,
     classes: BTreeMap<u64, usize>,
 }
 
@@ -28,8 +28,8 @@
     cores: f64,
     seed: u64,
     long_share: f64,
-    (from, until): (Ms, Ms),
-) -> Vec<(Ms, Ms)> {
+    (from, until): (Milliseconds, Milliseconds),
+) -> Vec<(Milliseconds, Milliseconds)> {
     let mut s = settings();
     s.gateways = told;
     s.kinds.iter_mut().for_each(|k| k.cores = cores);
@@ -96,14 +96,19 @@
 }
 
 /// The budget that the settings allow in a span that ends then, in usual requests of that much work.
-fn budget(cores: f64, at: Ms, usual: Ms) -> f64 {
+fn budget(cores: f64, at: Milliseconds, usual: Milliseconds) -> f64 {
     let s = settings();
     let warmth = s.cold_from + (1.0 - s.cold_from) * ((at - COLD) / s.warm_within).min(1.0);
     s.fall_multiple * warmth * cores * s.tip_after / usual
 }
 
 /// Most over any span, in shares of N + 2 x root of N + 2, and the mean over all, in shares of N.
-fn worst_and_mean(sent: &[(Ms, Ms)], cores: f64, from: Ms, until: Ms) -> (f64, f64) {
+fn worst_and_mean(
+    sent: &[(Milliseconds, Milliseconds)],
+    cores: f64,
+    from: Milliseconds,
+    until: Milliseconds,
+) -> (f64, f64) {
     let span = settings().tip_after;
     let usual = sent.iter().map(|x| x.1).sum::<f64>() / sent.len().max(1) as f64;
     let mut worst: f64 = 0.0;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use starlingplank::interface::*;
 
-pub fn class(name: &str, aim: Ms, give_up: Ms, threads: f64) -> Class {
+pub fn class(name: &str, aim: Milliseconds, give_up: Milliseconds, threads: f64) -> Class {
     Class {
         name: name.into(),
         aim,
@@ -77,7 +77,7 @@
     Event::Members { whole: true, members: (0..n).map(member).collect() }
 }
 
-pub fn incoming(id: u64, class: usize, deadline: Ms) -> Incoming {
+pub fn incoming(id: u64, class: usize, deadline: Milliseconds) -> Incoming {
     Incoming {
         id: RequestId(id),
         class: ClassId(class),
@@ -91,7 +91,7 @@
     }
 }
 
-pub fn outcome(id: u64, attempt: u32, engine: &EngineId, outcome: Outcome, took: Ms) -> Event {
+pub fn outcome(id: u64, attempt: u32, engine: &EngineId, outcome: Outcome, took: Milliseconds) -> Event {
     Event::Outcome {
         id: RequestId(id),
         attempt,
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -19,7 +19,7 @@
 
 struct Bed {
     core: Core,
-    now: Ms,
+    now: Milliseconds,
 }
 
 impl Bed {
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -9,7 +9,7 @@
 /// A gateway with a fleet, and a clock.
 struct Bed {
     balancer: Balancer,
-    now: Ms,
+    now: Milliseconds,
     next: u64,
 }
 
@@ -36,7 +36,7 @@
     }
 
     /// Time passes, with turns in between as in service; returns what was sent in them.
-    fn pass(&mut self, mut by: Ms) -> Vec<(u64, EngineId)> {
+    fn pass(&mut self, mut by: Milliseconds) -> Vec<(u64, EngineId)> {
         let mut sent = Vec::new();
         while by > 100.0 {
             (self.now, by) = (self.now + 100.0, by - 100.0);
@@ -47,7 +47,7 @@
     }
 
     /// Serves so many rounds of requests, each round at once, each request taking so long.
-    fn crowd(&mut self, rounds: usize, count: usize, took: Ms) {
+    fn crowd(&mut self, rounds: usize, count: usize, took: Milliseconds) {
         for _ in 0..rounds {
             let asked: Vec<_> = (0..count).map(|_| self.ask(0)).collect();
             let mut sent: Vec<_> = asked.into_iter().filter_map(|(id, to)| Some((id, to?))).collect();
@@ -59,7 +59,7 @@
     }
 
     /// Serves requests one after another, each taking so long.
-    fn serve(&mut self, count: usize, class: usize, took: Ms) {
+    fn serve(&mut self, count: usize, class: usize, took: Milliseconds) {
         for _ in 0..count {
             let (id, to) = self.ask(class);
             self.pass(took);
@@ -363,7 +363,7 @@
 }
 
 /// Turns at the times that the gateway asks for, until then.
-fn run_on(bed: &mut Bed, until: Ms, actions: &mut Vec<(Ms, Action)>) {
+fn run_on(bed: &mut Bed, until: Milliseconds, actions: &mut Vec<(Milliseconds, Action)>) {
     while bed.now < until {
         let asked = actions.iter().rev().find_map(|(at, a)| match a {
             Action::Timer { after, .. } => Some(at + after),
@@ -484,17 +484,17 @@
 /// What 300 gateways together send to one cold engine stays under the budget in any span of the stated length:
 /// however load is reported, for light and heavy classes, in a steady crowd, a burst, after all stood still, and
 /// with two thirds of them restarted in the middle, who have forgotten what they sent.
-fn cold_engine_before_hundreds(class: usize, usual: Ms, reported: Option<Report>) {
+fn cold_engine_before_hundreds(class: usize, usual: Milliseconds, reported: Option<Report>) {
     let s = settings();
     let start = |seed| Bed::new(Settings { gateways: 300, seed, ..s.clone() }, 0);
     let mut beds: Vec<Bed> = (0..300).map(start).collect();
     let mut cold = member(0);
     cold.started = Some(0.0);
     let members: Vec<Member> = std::iter::once(cold).chain((1..12).map(member)).collect();
-    let mut sent: Vec<(Ms, f64)> = Vec::new();
+    let mut sent: Vec<(Milliseconds, f64)> = Vec::new();
     // Each is answered by the next turn.
     let mut out: Vec<Vec<(u64, EngineId)>> = vec![Vec::new(); beds.len()];
-    let mut times: Vec<Ms> = (0..60).map(|k| f64::from(k) * 100.0).collect();
+    let mut times: Vec<Milliseconds> = (0..60).map(|k| f64::from(k) * 100.0).collect();
     times.extend((0..40).map(|k| 8_000.0 + f64::from(k) * 100.0));
     for (k, now) in times.iter().enumerate() {
         for (g, bed) in beds.iter_mut().enumerate() {
@@ -735,7 +735,7 @@
 /// Cores idle while all wait for disks: a low util with queries that crawl is a jam, one with quick answers not.
 #[test]
 fn a_low_util_with_crawling_queries_is_a_jam() {
-    let sent = |took: Ms| {
+    let sent = |took: Milliseconds| {
         let mut s = settings();
         s.gateways = 200;
         let mut bed = Bed::new(s, 6);
@@ -857,7 +857,7 @@
 
 /// A gateway before 24 idle cores, whose queries spill: one after another takes so long for 100 ms of work. Engines say that
 /// so much of their cores is in use, or nothing, and heed grants of memory or not.
-fn spilling(took: Ms, in_use: Option<f64>, grants: bool) -> Bed {
+fn spilling(took: Milliseconds, in_use: Option<f64>, grants: bool) -> Bed {
     let mut s = settings();
     s.grants = grants;
     s.gateways = 1;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -14,14 +14,14 @@
 const GATEWAYS: usize = 200;
 const ENGINES: usize = 24;
 const CORES: f64 = 8.0;
-const STEP: Ms = 20.0;
-const BEGIN: Ms = 100_000.0;
-const DRAIN: Ms = BEGIN + 4_000.0;
-const COLD: Ms = BEGIN + 5_000.0;
-const KILL: Ms = BEGIN + 8_000.0;
-const SILENT: (Ms, Ms) = (BEGIN + 10_000.0, BEGIN + 12_000.0);
-const LAST: Ms = BEGIN + 14_000.0;
-const END: Ms = BEGIN + 35_000.0;
+const STEP: Milliseconds = 20.0;
+const BEGIN: Milliseconds = 100_000.0;
+const DRAIN: Milliseconds = BEGIN + 4_000.0;
+const COLD: Milliseconds = BEGIN + 5_000.0;
+const KILL: Milliseconds = BEGIN + 8_000.0;
+const SILENT: (Milliseconds, Milliseconds) = (BEGIN + 10_000.0, BEGIN + 12_000.0);
+const LAST: Milliseconds = BEGIN + 14_000.0;
+const END: Milliseconds = BEGIN + 35_000.0;
 
 /// An engine that shares its cores among all that it was sent; past two threads a core the total falls.
 #[derive(Default)]
@@ -53,7 +53,7 @@
 struct Taken {
     work: f64,
     threads: f64,
-    deadline: Ms,
+    deadline: Milliseconds,
     out: u32,
     answered: u32,
 }
@@ -64,14 +64,14 @@
     events: Vec<Event>,
     requests: BTreeMap<RequestId, Taken>,
     /// When it hears of each list, and which it has.
-    told: [Ms; 2],
+    told: [Milliseconds; 2],
     heard: usize,
-    taken: Vec<Ms>,
-    extras: Vec<Ms>,
+    taken: Vec<Milliseconds>,
+    extras: Vec<Milliseconds>,
 }
 
 impl Gateway {
-    fn start(rank: usize, seed: u64, now: Ms, told: [Ms; 2]) -> Self {
+    fn start(rank: usize, seed: u64, now: Milliseconds, told: [Milliseconds; 2]) -> Self {
         let ration = Some(Ration { free: 2.0, per_request: 0.2, span: 10_000.0 });
         let s = Settings {
             seed,
@@ -112,8 +112,8 @@
 }
 
 /// Most in any span of that length, of what came at those times.
-fn most(sent: &[(Ms, f64)], span: Ms) -> f64 {
-    let from = |t: Ms| sent.iter().filter(|x| x.0 >= t && x.0 < t + span).map(|x| x.1).sum();
+fn most(sent: &[(Milliseconds, f64)], span: Milliseconds) -> f64 {
+    let from = |t: Milliseconds| sent.iter().filter(|x| x.0 >= t && x.0 < t + span).map(|x| x.1).sum();
     sent.iter().map(|x| from(x.0)).fold(0.0, f64::max)
 }
 
--- a/tests/gate.rs
+++ b/tests/gate.rs
@@ -12,7 +12,7 @@
     balancer
 }
 
-fn turn(balancer: &mut Balancer, now: Ms, events: &[Event]) -> Vec<Action> {
+fn turn(balancer: &mut Balancer, now: Milliseconds, events: &[Event]) -> Vec<Action> {
     let mut actions = Vec::new();
     balancer.turn(now, events, &mut actions);
     actions
--- a/tests/recall.rs
+++ b/tests/recall.rs
@@ -7,7 +7,7 @@
 use starlingplank::decide::Balancer;
 use starlingplank::interface::*;
 
-fn turn(balancer: &mut Balancer, now: Ms, events: &[Event]) -> Vec<Action> {
+fn turn(balancer: &mut Balancer, now: Milliseconds, events: &[Event]) -> Vec<Action> {
     let mut actions = Vec::new();
     balancer.turn(now, events, &mut actions);
     actions
@@ -67,7 +67,7 @@
 }
 
 /// Queries out at once under a steady crowd whose answers take `took`, after two seconds of such answers.
-fn crowd(took: Ms) -> usize {
+fn crowd(took: Milliseconds) -> usize {
     let mut balancer = recalled(EngineLearned { perhaps_cold: true, ..Default::default() });
     let mut out: Vec<(f64, u64)> = Vec::new();
     let mut most = 0;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -9,16 +9,16 @@
 
 #[derive(Clone)]
 struct Sent {
-    at: Ms,
+    at: Milliseconds,
     engine: usize,
-    timeout: Ms,
-    outcome: Option<(Ms, Outcome)>,
+    timeout: Milliseconds,
+    outcome: Option<(Milliseconds, Outcome)>,
 }
 
 struct Seen {
     asked: Incoming,
-    taken: Ms,
-    answered: Option<Ms>,
+    taken: Milliseconds,
+    answered: Option<Milliseconds>,
     sent: Vec<Sent>,
 }
 
@@ -27,14 +27,14 @@
     s: Settings,
     requests: BTreeMap<u64, Seen>,
     order: BTreeMap<u64, Vec<u64>>,
-    told_down: BTreeMap<usize, Ms>,
-    started: BTreeMap<usize, Ms>,
-    taken: Vec<Ms>,
-    extra: Vec<Ms>,
-    cold: BTreeMap<usize, Vec<(Ms, u64)>>,
+    told_down: BTreeMap<usize, Milliseconds>,
+    started: BTreeMap<usize, Milliseconds>,
+    taken: Vec<Milliseconds>,
+    extra: Vec<Milliseconds>,
+    cold: BTreeMap<usize, Vec<(Milliseconds, u64)>>,
 }
 
-fn ran(o: &Option<(Ms, Outcome)>) -> bool {
+fn ran(o: &Option<(Milliseconds, Outcome)>) -> bool {
     !matches!(o, Some((_, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)))
 }
 
@@ -43,7 +43,7 @@
         (0..32).find(|n| engine(*n) == *id).expect("an engine of the list")
     }
 
-    fn action(&mut self, now: Ms, action: &Action) {
+    fn action(&mut self, now: Milliseconds, action: &Action) {
         match action {
             Action::Send { id, engine, timeout } => self.send(now, id.0, Self::index(engine), *timeout),
             Action::Refuse { id, retry_after, .. } => {
@@ -74,7 +74,7 @@
         }
     }
 
-    fn send(&mut self, now: Ms, id: u64, to: usize, timeout: Ms) {
+    fn send(&mut self, now: Milliseconds, id: u64, to: usize, timeout: Milliseconds) {
         let m = member(to);
         if let Some(told) = self.told_down.get(&to) {
             assert!(now <= told + self.s.drain_grace, "rule 3: sent to one that drains");
@@ -122,7 +122,8 @@
         if !r.sent.is_empty() {
             self.extra.push(now);
             if let Some(ration) = self.s.ration {
-                let recent = |list: &[Ms]| list.iter().filter(|t| **t > now - ration.span).count() as f64;
+                let recent =
+                    |list: &[Milliseconds]| list.iter().filter(|t| **t > now - ration.span).count() as f64;
                 let most = ration.free + ration.per_request * recent(&self.taken);
                 assert!(recent(&self.extra) <= most, "rule 7: ration");
             }
