--- a/crates/admin/src/hand.rs
+++ b/crates/admin/src/hand.rs
@@ -101,8 +101,8 @@
     }
 
     /// Forgets calls back that are older than an engine takes to warm up.
-    pub fn forget(&mut self, now: UnixMilliseconds, warm_within: UnixMilliseconds) {
-        self.back.retain(|_, (_, back)| now - *back < warm_within);
+    pub fn forget(&mut self, now: UnixMilliseconds, slow_start_duration: UnixMilliseconds) {
+        self.back.retain(|_, (_, back)| now - *back < slow_start_duration);
     }
 
     /// The bytes of the file.
--- a/crates/decision/src/aperture.rs
+++ b/crates/decision/src/aperture.rs
@@ -34,11 +34,11 @@
 
 impl Aperture {
     /// By its number, or by chance where it has none.
-    pub fn new(rank: Option<u64>, gateways: usize, seed: u64) -> Self {
+    pub fn new(gateway_index: Option<u64>, gateways: usize, seed: u64) -> Self {
         let all = gateways.max(1) as f64;
         let chance = || fastrand::Rng::with_seed(seed).f64();
         Self {
-            at: rank.map_or_else(chance, |r| (r as f64 / all).fract()),
+            at: gateway_index.map_or_else(chance, |r| (r as f64 / all).fract()),
             gateways: all,
             widened: 1.0,
             processes: 1.0,
--- a/crates/decision/src/aperture/tests.rs
+++ b/crates/decision/src/aperture/tests.rs
@@ -8,8 +8,8 @@
     let ids = ids(engines);
     let ids: Vec<&EngineId> = ids.iter().collect();
     let (mut by_engine, mut by_gateway) = (vec![0.0; engines], Vec::new());
-    for rank in 0..gateways {
-        let a = Aperture::new(Some(rank as u64), gateways, 0);
+    for gateway_index in 0..gateways {
+        let a = Aperture::new(Some(gateway_index as u64), gateways, 0);
         let shares = a.shares(&ids, a.width(engines));
         by_gateway.push(shares.iter().sum());
         by_engine.iter_mut().zip(&shares).for_each(|(sum, s)| *sum += s);
@@ -45,8 +45,8 @@
     let all: Vec<&EngineId> = ids.iter().collect();
     let less: Vec<&EngineId> = ids.iter().skip(1).collect();
     let mut lost = 0;
-    for rank in 0..100 {
-        let a = Aperture::new(Some(rank), 100, 0);
+    for gateway_index in 0..100 {
+        let a = Aperture::new(Some(gateway_index), 100, 0);
         let before = a.shares(&all, a.width(60));
         let after = a.shares(&less, a.width(59));
         lost += before[1..].iter().zip(&after).filter(|(b, a)| **b > 0.0 && **a == 0.0).count();
--- a/crates/decision/src/decide.rs
+++ b/crates/decision/src/decide.rs
@@ -105,7 +105,7 @@
     next_tend: Milliseconds,
     next_place: Milliseconds,
     watch_at: Milliseconds,
-    waits: Vec<[u64; Why::COUNT]>,
+    waits: Vec<[u64; BlockReason::COUNT]>,
 }
 
 impl Balancer {
@@ -114,18 +114,18 @@
         settings.check()?;
         let classes = settings.classes.iter().map(|c| ClassState {
             bands: vec![Stat::default(); LEVELS.len()],
-            best: c.aim * PRIOR,
+            best: c.latency_objective * PRIOR,
             grant: GRANT,
             ..ClassState::default()
         });
         Ok(Self {
             classes: classes.collect(),
-            waits: vec![[0; Why::COUNT]; settings.classes.len()],
+            waits: vec![[0; BlockReason::COUNT]; settings.classes.len()],
             quotas: vec![0.0; settings.tenants.len()],
             rng: fastrand::Rng::with_seed(settings.seed),
-            aperture: Aperture::new(settings.rank, settings.gateways, settings.seed),
+            aperture: Aperture::new(settings.gateway_index, settings.gateways, settings.seed),
             fleet: Fleet::new(1.0 / settings.gateways as f64),
-            watch_at: if settings.ask_for_list { now } else { f64::INFINITY },
+            watch_at: if settings.subscribes_to_endpoints { now } else { f64::INFINITY },
             now,
             engines: BTreeMap::new(),
             requests: BTreeMap::new(),
@@ -133,7 +133,7 @@
             stood: 0.0,
             stall: 0.0,
             probes_paid: PROBES_SAVED * probe_part(&settings),
-            retry_budget: RetryBudget::new(settings.ration),
+            retry_budget: RetryBudget::new(settings.retry_budget),
             s: settings,
             bound: START_LEVEL,
             behind: None,
@@ -176,7 +176,7 @@
     }
 
     /// Requests by class that could not be sent in the turn that took them or their last end, and why.
-    pub fn waits(&self) -> &[[u64; Why::COUNT]] {
+    pub fn waits(&self) -> &[[u64; BlockReason::COUNT]] {
         &self.waits
     }
 
@@ -189,34 +189,36 @@
 
     fn learn(&mut self, event: &Event) {
         match event {
-            Event::Members { whole, members } => self.learn_members(*whole, members),
+            Event::Members { complete, members } => self.learn_members(*complete, members),
             // Resubscribe soon, but not all gateways at once, and well before the list counts as unasked.
-            Event::ListFailed => self.watch_at = self.now + (0.5 + self.rng.f64()) * self.s.ask_within / 8.0,
+            Event::ListFailed => {
+                self.watch_at = self.now + (0.5 + self.rng.f64()) * self.s.max_poll_interval / 8.0
+            }
             Event::Request(asked) => self.learn_request(asked),
             Event::Outcome { id, attempt, engine, outcome, took, over, work, report } => {
                 self.learn_report(engine, report, None);
                 self.requests.get_mut(id).into_iter().for_each(|r| r.over |= over);
                 self.learn_outcome(*id, *attempt, *outcome, *took, *work);
             }
-            Event::Note { id, attempt, note } => self.learn_note(*id, *attempt, *note),
-            Event::Probed { engine, ok, took, report } => {
+            Event::ProgressUpdate { id, attempt, update } => self.learn_note(*id, *attempt, *update),
+            Event::HealthChecked { engine, ok, took, report } => {
                 self.learn_report(engine, report, ok.then_some(*took));
                 let heard = self.engines.get_mut(engine).filter(|_| *ok);
                 heard.into_iter().for_each(|e| e.confirmed = Some(self.now));
             }
-            Event::Gone(id) => {
+            Event::ClientDisconnected(id) => {
                 self.requests.get_mut(id).into_iter().for_each(|r| r.over = true);
                 self.forget(*id);
             }
-            Event::Recalled(learned) => self.recall(learned),
-            Event::Processes(n) => self.aperture.share(*n, &mut self.engines, self.fleet.share),
+            Event::Restored(learned) => self.recall(learned),
+            Event::ProcessCount(n) => self.aperture.share(*n, &mut self.engines, self.fleet.share),
             Event::Timer(_) | Event::Peer(_) | Event::Streaming { .. } => {}
         }
     }
 
-    fn learn_members(&mut self, whole: bool, members: &[Member]) {
-        let unnamed = self.engines.values_mut().filter(|_| whole);
-        unnamed.for_each(|e| e.member.availability = Availability::Gone);
+    fn learn_members(&mut self, complete: bool, members: &[Member]) {
+        let unnamed = self.engines.values_mut().filter(|_| complete);
+        unnamed.for_each(|e| e.member.availability = Availability::Removed);
         for m in members {
             let kind = m.kind.and_then(|k| self.s.kinds.get(k.0)).unwrap_or(&self.s.kinds[0]);
             let fresh = || Engine::new(m.clone(), kind, self.now, self.rng.f64());
@@ -232,7 +234,7 @@
         self.aperture.focus(&mut self.engines, self.fleet.share, true);
     }
 
-    fn learn_request(&mut self, asked: &Incoming) {
+    fn learn_request(&mut self, asked: &RequestDetails) {
         if asked.class.0 >= self.classes.len() || self.requests.contains_key(&asked.id) {
             return;
         }
@@ -242,7 +244,7 @@
             c.size = if c.size > 0.0 { c.size + MEMORY * (w - c.size) } else { w };
         }
         // A retry storm must not make its group look starved: repeats that say so do not count.
-        c.arrivals += f64::from(!asked.repeat);
+        c.arrivals += f64::from(!asked.is_retry);
         let size = work.map_or(1.0, |w| (w / c.size).clamp(0.1, 10.0));
         let mut over_quota = false;
         if let Some(t) = asked.tenant.filter(|t| t.0 < self.quotas.len()) {
@@ -266,7 +268,7 @@
     }
 
     /// What an engine says of its load, or shows by the time that a probe took.
-    fn learn_report(&mut self, engine: &EngineId, report: &Option<Report>, probe: Option<Milliseconds>) {
+    fn learn_report(&mut self, engine: &EngineId, report: &Option<LoadReport>, probe: Option<Milliseconds>) {
         let Some(e) = self.engines.get_mut(engine) else { return };
         let sane = |x: Option<f64>| x.filter(|v| v.is_finite() && *v >= 0.0);
         if let Some(report) = report {
@@ -336,12 +338,12 @@
         if let Some(key) = r.asked.key.filter(|_| self.s.classes[class.0].ordered) {
             if matches!(how, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
                 let k = self.keys.entry(key).or_default();
-                k.rest_until = k.rest_until.max(now + self.s.order_pause);
+                k.rest_until = k.rest_until.max(now + self.s.ordered_key_pause);
             }
         }
         let width = self.s.classes[class.0].threads;
         let c = &mut self.classes[class.0];
-        c.runtime += took.clamp(0.0, self.s.classes[class.0].give_up);
+        c.runtime += took.clamp(0.0, self.s.classes[class.0].client_timeout);
         let best = c.best * size;
         // What a usual query takes alone, by the work that answers tell.
         let told = work.filter(|w| how == Outcome::Ok && *w > 0.0).map(|w| w / width / size);
@@ -367,7 +369,7 @@
                     e.back = now; // the trial went well: slow start from here
                 }
                 let slow = (took / work.map_or(best, |w| w / width).max(1.0)).clamp(0.1, SLOW_MOST);
-                e.show_warmth(slow, width, now, self.s.cold_from, self.s.warm_within);
+                e.show_warmth(slow, width, now, self.s.slow_start_from, self.s.slow_start_duration);
                 Some(false)
             }
             // One connection that breaks is one failure, however many attempts it carried.
@@ -403,18 +405,18 @@
         self.forget(id);
     }
 
-    fn learn_note(&mut self, id: RequestId, no: u32, note: Note) {
+    fn learn_note(&mut self, id: RequestId, no: u32, note: ProgressUpdate) {
         let now = self.now;
         let Some(r) = self.requests.get_mut(&id) else { return };
         let c = &mut self.classes[r.asked.class.0];
         let Some(a) = r.attempts.get_mut(no as usize).filter(|a| a.out) else { return };
-        if matches!(note, Note::Spill(missing) if missing > 0.0) {
+        if matches!(note, ProgressUpdate::Spill(missing) if missing > 0.0) {
             c.grant = (c.grant * 1.03).min(2.0 * GRANT);
         }
         // An engine that sends notes is not silent.
         let Some(e) = self.engines.get_mut(&a.engine) else { return };
         (e.last_answer, e.confirmed) = (now, Some(now));
-        if note == Note::WaitsForLoad {
+        if note == ProgressUpdate::WaitsForLoad {
             e.held_for.extend(r.asked.data.map(|d| (d, now + c.best * r.size)));
         }
     }
@@ -424,7 +426,7 @@
         self.classes[class.0].confirmed = Some(self.now);
         let stat = &mut self.classes[class.0].bands[band(level)];
         let cut = stat.mean + CLIP * stat.var.sqrt().max(stat.mean * 0.5);
-        let most = if stat.n >= ENOUGH { cut } else { self.s.classes[class.0].give_up };
+        let most = if stat.n >= ENOUGH { cut } else { self.s.classes[class.0].client_timeout };
         stat.add(latency.min(most), MEMORY);
     }
 
@@ -433,7 +435,7 @@
     fn latency_at(&self, class: ClassId, level: f64) -> (Milliseconds, Milliseconds) {
         let c = &self.classes[class.0];
         let at = band(level);
-        let prior = self.s.classes[class.0].aim * PRIOR * LEVELS[at].max(1.0);
+        let prior = self.s.classes[class.0].latency_objective * PRIOR * LEVELS[at].max(1.0);
         let (mut all, mut mean, mut var) = (PRIOR_WEIGHT, PRIOR_WEIGHT * prior, 0.0);
         for (i, b) in c.bands.iter().enumerate().filter(|(_, b)| b.n > 0.0) {
             let off = i.abs_diff(at) as f64;
@@ -446,9 +448,10 @@
         (mean / all, (var / all).sqrt())
     }
 
-    fn aim(&self, class: ClassId, size: f64) -> Milliseconds {
+    fn latency_objective(&self, class: ClassId, size: f64) -> Milliseconds {
         let c = &self.s.classes[class.0];
-        (c.aim + c.aim_stretch * self.classes[class.0].best * size).min(c.give_up)
+        (c.latency_objective + c.latency_objective_stretch * self.classes[class.0].best * size)
+            .min(c.client_timeout)
     }
 
     /// How long a request takes alone: by the work that answers tell, else the best latency.
@@ -458,7 +461,7 @@
     }
 
     fn late(&self, r: &Request) -> bool {
-        self.now - r.taken > self.aim(r.asked.class, r.size)
+        self.now - r.taken > self.latency_objective(r.asked.class, r.size)
     }
 
     fn step(&mut self) {
@@ -483,12 +486,13 @@
         }
         for e in self.engines.values_mut() {
             if now >= e.redraw {
-                (e.chance, e.redraw) = (self.rng.f64(), now + self.s.tip_after * (0.5 + self.rng.f64()));
+                (e.chance, e.redraw) =
+                    (self.rng.f64(), now + self.s.overload_collapse_after * (0.5 + self.rng.f64()));
             }
             e.usual_count += 0.3 * (e.count - e.usual_count);
             e.time.fade((-STEP / SLOW_SPAN).exp());
             e.errors *= FADE;
-            e.cold_sent.retain(|(t, _)| *t >= now - self.s.tip_after);
+            e.cold_sent.retain(|(t, _)| *t >= now - self.s.overload_collapse_after);
             e.held_for.retain(|_, t| now < *t);
             e.cold_sum = e.cold_sent.iter().map(|(_, w)| w).sum();
             if e.heard.is_none_or(|t| now - t > STALE) {
@@ -534,8 +538,8 @@
             }
         }
         // What has gone and says nothing more has no more to teach.
-        let still = now - self.s.warm_within - SLOW_START;
-        let gone = |e: &Engine| e.member.availability == Availability::Gone && e.count <= 0.0;
+        let still = now - self.s.slow_start_duration - SLOW_START;
+        let gone = |e: &Engine| e.member.availability == Availability::Removed && e.count <= 0.0;
         self.engines.retain(|_, e| !gone(e) || e.last_answer.max(e.probed) > still);
         self.take_overdue();
         self.choose_bound();
@@ -608,12 +612,12 @@
         let last = (0..LEVELS.len()).rev().find(seen).map_or(0, |j| j + 1).max(START_LEVEL);
         let fits = |i: &usize, level: f64| {
             let (mean, deviation) = self.latency_at(ClassId(*i), level);
-            mean + deviation <= self.aim(ClassId(*i), 1.0)
+            mean + deviation <= self.latency_objective(ClassId(*i), 1.0)
         };
-        let worth = |i: usize| self.classes[i].arrivals * self.s.classes[i].worth;
+        let priority_weight = |i: usize| self.classes[i].arrivals * self.s.classes[i].priority_weight;
         let mut top = (0.0, self.bound);
         for (j, level) in LEVELS.iter().enumerate().take(last + 1) {
-            let sum: f64 = (0..self.classes.len()).filter(|i| fits(i, *level)).map(worth).sum();
+            let sum: f64 = (0..self.classes.len()).filter(|i| fits(i, *level)).map(priority_weight).sum();
             if level * sum > top.0 {
                 top = (level * sum, j);
             }
@@ -648,8 +652,8 @@
     fn warmth(&self, e: &Engine) -> f64 {
         let lost = e.lost.map_or(NEVER, |at| if e.back > at { e.back } else { self.now });
         let since = lost.max(e.started.unwrap_or(NEVER));
-        let age = (self.now - since) / self.s.warm_within.max(1.0);
-        self.s.cold_from + (1.0 - self.s.cold_from) * age.clamp(0.0, 1.0)
+        let age = (self.now - since) / self.s.slow_start_duration.max(1.0);
+        self.s.slow_start_from + (1.0 - self.s.slow_start_from) * age.clamp(0.0, 1.0)
     }
 
     /// Cores that count: less while cold, slow, failing or just back from an ejection.
@@ -661,15 +665,15 @@
 
     /// The bound binds only under pressure: own part of it on this engine, where one query always fits, and
     /// all gateways' threads as reported.
-    fn room(&self, e: &Engine, r: &Request) -> Result<(), Why> {
+    fn room(&self, e: &Engine, r: &Request) -> Result<(), BlockReason> {
         let width = self.s.classes[r.asked.class.0].threads;
         let cores = self.cores(e);
         let all = LEVELS[self.bound] * cores;
         let crowded = (e.threads + e.others) / cores.max(0.1) > CROWDED;
         let why = match (e.busy, crowded, e.slow > FAR_ABOVE_BEST) {
-            (true, ..) => Why::Busy,
-            (_, true, _) => Why::Crowded,
-            (.., true) => Why::Slow,
+            (true, ..) => BlockReason::Busy,
+            (_, true, _) => BlockReason::Crowded,
+            (.., true) => BlockReason::Slow,
             _ => return Ok(()),
         };
         let fits = e.threads + width <= (all * self.fleet.share).max(width)
@@ -699,13 +703,13 @@
         let c = &self.s.classes[r.asked.class.0];
         let m = &e.member;
         let earlier = r.may_have_run().map(|a| EarlierAttempt { sent_at: a.sent, place: a.place });
-        let repeat = permission::may_repeat(c.repeat, earlier, (m.zone, m.cell), self.now + self.s.tick);
+        let repeat = permission::may_repeat(c.idempotency, earlier, (m.zone, m.cell), self.now + self.s.tick);
         !r.over
             && m.availability == Availability::Live
             && c.may_run_on(m)
             && repeat
-            && (self.s.may_copy || r.out() == 0)
-            && r.attempts.len() < self.s.send_cap as usize
+            && (self.s.may_hedge || r.out() == 0)
+            && r.attempts.len() < self.s.max_attempts as usize
             && self.now + 2.0 * self.s.tick < r.asked.deadline
             && (r.attempts.is_empty() || self.retry_budget_left())
             && self.in_turn(r)
@@ -733,7 +737,11 @@
         if warmth >= 1.0 {
             return true;
         }
-        let all = COLD_MARGIN * self.s.fall_multiple * warmth * e.cores * self.s.tip_after;
+        let all = COLD_MARGIN
+            * self.s.overload_collapse_multiple
+            * warmth
+            * e.cores
+            * self.s.overload_collapse_after;
         let work = self.work(r.asked.class);
         let part = if all * e.cold_part >= work {
             all * e.cold_part
@@ -748,7 +756,7 @@
     /// Usual work of a class; its whole aim before anything was learned.
     fn work(&self, class: ClassId) -> f64 {
         let (c, of) = (&self.classes[class.0], &self.s.classes[class.0]);
-        of.threads * if c.learned > 0.0 { c.best } else { of.aim }
+        of.threads * if c.learned > 0.0 { c.best } else { of.latency_objective }
     }
 
     /// More than half ejected means a shared cause: using them beats having none.
@@ -758,12 +766,12 @@
     }
 
     /// Routing: of the engines that the gate, health and the bound allow, the one with most free room.
-    fn route(&self, r: &Request) -> Result<EngineId, Why> {
+    fn route(&self, r: &Request) -> Result<EngineId, BlockReason> {
         if !self.fleet_room(r) {
-            return Err(Why::Part);
+            return Err(BlockReason::Part);
         }
         let shared = self.shared();
-        let mut why = Why::NoEngine;
+        let mut why = BlockReason::NoEngine;
         let mut top: Option<(f64, &EngineId)> = None;
         for (id, e) in &self.engines {
             let again = r.attempts.iter().any(|a| a.engine == *id && (a.out || !a.unseen));
@@ -773,8 +781,10 @@
             let shut = e.ejected.is_some_and(|until| (!shared || e.lost.is_some()) && !trial(until));
             let shut = shut || self.now - e.full_at < FULL_REST || again && self.engines.len() > 1;
             let may = match () {
-                () if shut => Err(Why::Away),
-                () if !self.gate(r, e) => Err(if self.cold_budget(r, e) { Why::Rules } else { Why::Cold }),
+                () if shut => Err(BlockReason::Away),
+                () if !self.gate(r, e) => {
+                    Err(if self.cold_budget(r, e) { BlockReason::Rules } else { BlockReason::Cold })
+                }
                 () => self.room(e, r),
             };
             if let Err(not) = may {
@@ -867,8 +877,8 @@
             };
             self.waits[r.asked.class.0][why as usize] += u64::from(r.held == self.now);
             let expected = self.latency_at(r.asked.class, LEVELS[self.bound]).0 * r.size;
-            let aim = self.s.classes[r.asked.class.0].aim;
-            let cap = WAIT_LEAST.max(WAIT_SHARE * expected).max(WAIT_AIM * aim);
+            let latency_objective = self.s.classes[r.asked.class.0].latency_objective;
+            let cap = WAIT_LEAST.max(WAIT_SHARE * expected).max(WAIT_AIM * latency_objective);
             let hopeless = !r.attempts.is_empty() && !self.engines.values().any(|e| self.gate(r, e));
             // A stand-still may pass the deadline. The turn of a key is no queue: its wait begins there, and
             // what stands too far back to end in time is answered now.
@@ -893,11 +903,11 @@
         self.next_tend = self.now + if ids.len() > MANY { TEND } else { 0.0 };
         for id in ids {
             // The time-out at the deadline normally ends a request; this is for clocks that jump.
-            let past = |r: &Request| self.now >= r.asked.deadline + self.s.answer_slack / 2.0;
+            let past = |r: &Request| self.now >= r.asked.deadline + self.s.answer_grace / 2.0;
             match self.requests.get(&id) {
                 Some(r) if r.over => self.stop_abandoned(id, actions),
-                Some(r) if past(r) => self.answer(id, 0.0, Why::Deadline, actions),
-                Some(r) if self.in_vain(r) => self.answer(id, WAIT_LEAST, Why::Late, actions),
+                Some(r) if past(r) => self.answer(id, 0.0, BlockReason::Deadline, actions),
+                Some(r) if self.in_vain(r) => self.answer(id, WAIT_LEAST, BlockReason::Late, actions),
                 Some(r) => {
                     let priority = self.priority(r);
                     self.set_terms(id, r.grant, priority, actions);
@@ -912,7 +922,7 @@
     /// what nobody wants any more, and so never come to what is wanted.
     fn in_vain(&self, r: &Request) -> bool {
         let crawls = |a: &Attempt| a.out && self.now - a.sent > CRAWL * self.alone(r).max(WAIT_LEAST);
-        let nothing = self.s.classes[r.asked.class.0].late_worth <= 0.0;
+        let nothing = self.s.classes[r.asked.class.0].late_weight_share <= 0.0;
         self.s.may_cancel && self.late(r) && (nothing || r.attempts.iter().any(crawls))
     }
 
@@ -943,18 +953,19 @@
         let Some(r) = self.requests.get(&id) else { return };
         let Some((no, a)) = r.attempts.iter().enumerate().find(|(_, a)| a.out) else { return };
         let class = r.asked.class;
-        let again = self.s.classes[class.0].repeat == Repeat::Safe || self.s.may_copy;
-        if r.out() > 1 || a.cancelled || !again || r.attempts.len() >= self.s.send_cap as usize {
+        let again = self.s.classes[class.0].idempotency == Idempotency::Idempotent || self.s.may_hedge;
+        if r.out() > 1 || a.cancelled || !again || r.attempts.len() >= self.s.max_attempts as usize {
             return;
         }
-        let in_time = self.now - r.taken + self.alone(r) < self.aim(class, r.size) * HEDGE_WITHIN;
+        let in_time =
+            self.now - r.taken + self.alone(r) < self.latency_objective(class, r.size) * HEDGE_WITHIN;
         let ill = self.engines.get(&a.engine).is_none_or(ill);
         let overdue = self.now - a.sent > a.patience;
         let stuck = self.stood == 0.0 && self.now - a.sent > (STUCK * self.alone(r)).max(PATIENCE_LEAST);
         // Where all take long a move is more work for a full fleet, and moves add up to a storm.
         let stuck = stuck && self.fleet.slow < LEVELS[START_LEVEL];
         if !(in_time && self.retry_budget_left()) {
-        } else if self.s.may_copy && (ill || overdue && !self.classes[class.0].long) {
+        } else if self.s.may_hedge && (ill || overdue && !self.classes[class.0].long) {
             self.route(r).into_iter().for_each(|engine| self.send(id, &engine, actions));
         } else if self.s.may_cancel && (ill && overdue || stuck) {
             actions.push(Action::Cancel { id, attempt: no as u32 });
@@ -985,7 +996,7 @@
         let (first, timeout) = (r.attempts.is_empty(), r.asked.deadline - now);
         let attempt = Attempt::new(engine.clone(), (e.member.zone, e.member.cell), now, level, patience);
         let priority = self.priority(r);
-        let most = self.s.most_grant * e.memory_mb;
+        let most = self.s.max_grant_share * e.memory_mb;
         let estimate = r.asked.memory_mb.filter(|m| self.s.grants && m.is_finite());
         let grant = estimate.map_or(0.0, |m| (m * self.classes[class.0].grant).min(most));
         let (work, asked_data) = (self.work(class), r.asked.data);
@@ -1011,14 +1022,20 @@
     }
 
     /// The one place that gives final answers: a refusal where a retry is harmless, else a failure.
-    fn answer(&mut self, id: RequestId, come_back: Milliseconds, why: Why, actions: &mut Vec<Action>) {
+    fn answer(
+        &mut self,
+        id: RequestId,
+        come_back: Milliseconds,
+        why: BlockReason,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(r) = self.requests.get_mut(&id).filter(|r| !r.over) else { return };
         let may_have_run = r.may_have_run().next().is_some();
-        let harmless = permission::may_refuse(self.s.classes[r.asked.class.0].repeat, may_have_run);
+        let harmless = permission::may_refuse(self.s.classes[r.asked.class.0].idempotency, may_have_run);
         r.over = true;
         if harmless {
             let retry_after = come_back.max(WAIT_LEAST).min(self.s.max_retry_after.max(0.0));
-            actions.push(Action::Refuse { id, retry_after, why });
+            actions.push(Action::Reject { id, retry_after, reason: why });
         } else {
             actions.push(Action::Fail { id });
         }
@@ -1036,7 +1053,7 @@
 
     /// Probes follow this gateway's own traffic, so that hundreds of idle ones cost the engines nothing.
     fn probe(&mut self, actions: &mut Vec<Action>) {
-        if !self.s.may_probe || self.probes_paid < 1.0 {
+        if !self.s.may_check_health || self.probes_paid < 1.0 {
             return;
         }
         let asked = |e: &Engine| e.probed.max(e.heard.unwrap_or(NEVER));
@@ -1046,7 +1063,7 @@
         for (id, e) in line.into_iter().take(self.probes_paid as usize) {
             e.probed = self.now;
             self.probes_paid -= 1.0;
-            actions.push(Action::Probe { engine: id.clone() });
+            actions.push(Action::CheckHealth { engine: id.clone() });
         }
     }
 }
@@ -1058,7 +1075,7 @@
 
 /// Probes that a request pays for.
 fn probe_part(s: &Settings) -> f64 {
-    (PROBE_COST / s.probe_price.max(0.0)).min(1.0)
+    (PROBE_COST / s.health_check_price.max(0.0)).min(1.0)
 }
 
 fn band(level: f64) -> usize {
--- a/crates/decision/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -63,9 +63,9 @@
 
 /// What a second execution of a request would do.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// No harm.
-    Safe,
+    Idempotent,
     /// Repeats are dropped by the engines in scope, for so long after the first send.
     Keyed {
         /// Where repeats are dropped.
@@ -74,13 +74,13 @@
         window: Milliseconds,
     },
     /// Harm: it must not run twice.
-    Unsafe,
+    NotIdempotent,
 }
 
-impl Repeat {
+impl Idempotency {
     /// Whether a client may repeat a request that may have run, whichever engine takes the repeat.
-    pub fn anywhere(self) -> bool {
-        matches!(self, Repeat::Safe | Repeat::Keyed { scope: Scope::All, .. })
+    pub fn allows_retry_anywhere(self) -> bool {
+        matches!(self, Idempotency::Idempotent | Idempotency::Keyed { scope: Scope::All, .. })
     }
 }
 
@@ -90,17 +90,17 @@
     /// Label.
     pub name: String,
     /// Full worth is earned by answering within this ...
-    pub aim: Milliseconds,
+    pub latency_objective: Milliseconds,
     /// ... plus this times the true work over the threads.
-    pub aim_stretch: f64,
+    pub latency_objective_stretch: f64,
     /// Clients give up after this, over all their tries.
-    pub give_up: Milliseconds,
+    pub client_timeout: Milliseconds,
     /// Worth of an answer in time.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth that a late answer keeps.
-    pub late_worth: f64,
+    pub late_weight_share: f64,
     /// Whether it may run again.
-    pub repeat: Repeat,
+    pub idempotency: Idempotency,
     /// Requests with one key run in turn.
     pub ordered: bool,
     /// The only kinds it may go to; none given: any.
@@ -157,7 +157,7 @@
 
 /// The limit on attempts past each request's first.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Ration {
+pub struct RetryBudgetSettings {
     /// Allowed whatever the traffic.
     pub free: f64,
     /// Allowed for each request taken.
@@ -174,7 +174,7 @@
     /// Number of gateways before these engines.
     pub gateways: usize,
     /// This gateway's own number among them, from 0; none: not told.
-    pub rank: Option<u64>,
+    pub gateway_index: Option<u64>,
     /// The zone this gateway is in.
     pub zone: Option<ZoneId>,
     /// Request classes.
@@ -186,43 +186,43 @@
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// The engine list must be subscribed to.
-    pub ask_for_list: bool,
+    pub subscribes_to_endpoints: bool,
     /// An attempt may be cancelled.
     pub may_cancel: bool,
     /// Two attempts of a request may be out at once.
-    pub may_copy: bool,
+    pub may_hedge: bool,
     /// Engines may be probed.
-    pub may_probe: bool,
+    pub may_check_health: bool,
     /// What a probe costs, as a share of a request's worth.
-    pub probe_price: f64,
+    pub health_check_price: f64,
     /// Clients hear advice on when to come back, and heed it up to this.
     pub max_retry_after: Milliseconds,
     /// Attempts for one request at most.
-    pub send_cap: u32,
+    pub max_attempts: u32,
     /// How load reports come.
     pub reporting: Reporting,
     /// Grace after the client's deadline within which a final answer still counts.
-    pub answer_slack: Milliseconds,
+    pub answer_grace: Milliseconds,
     /// Without a subscription the list must be asked for at least this often.
-    pub ask_within: Milliseconds,
+    pub max_poll_interval: Milliseconds,
     /// Grace after news of a drain.
     pub drain_grace: Milliseconds,
     /// An engine starts with this share of its capacity.
-    pub cold_from: f64,
+    pub slow_start_from: f64,
     /// And is warm after this.
-    pub warm_within: Milliseconds,
+    pub slow_start_duration: Milliseconds,
     /// A cold engine falls over beyond this multiple of its capacity ...
-    pub fall_multiple: f64,
+    pub overload_collapse_multiple: f64,
     /// ... kept up for this long.
-    pub tip_after: Milliseconds,
+    pub overload_collapse_after: Milliseconds,
     /// The ration of further attempts, if any.
-    pub ration: Option<Ration>,
+    pub retry_budget: Option<RetryBudgetSettings>,
     /// Rest of an ordered key after an attempt that may still run.
-    pub order_pause: Milliseconds,
+    pub ordered_key_pause: Milliseconds,
     /// Memory grants are heeded.
     pub grants: bool,
     /// Share of an engine's memory that one query may get.
-    pub most_grant: f64,
+    pub max_grant_share: f64,
     /// Priorities 0 to 3 are heeded.
     pub priorities: bool,
     /// Shortest time between turns.
@@ -243,7 +243,11 @@
             return bad("classes", "at least one class is needed");
         }
         let positive = |x: f64| x > 0.0 && x.is_finite();
-        if self.classes.iter().any(|c| !positive(c.aim) || !positive(c.give_up) || c.aim > c.give_up) {
+        if self.classes.iter().any(|c| {
+            !positive(c.latency_objective)
+                || !positive(c.client_timeout)
+                || c.latency_objective > c.client_timeout
+        }) {
             return bad("classes.on_time", "must lie above 0 and not past give_up");
         }
         if self.classes.iter().any(|c| !positive(c.threads)) {
@@ -252,23 +256,23 @@
         if self.kinds.is_empty() || self.kinds.iter().any(|k| !positive(k.cores)) {
             return bad("specifics.cpu_of_kind", "every kind needs cores");
         }
-        if !(positive(self.cold_from) && self.cold_from <= 1.0) {
+        if !(positive(self.slow_start_from) && self.slow_start_from <= 1.0) {
             return bad("rules.cold_from", "must lie above 0 and not past 1");
         }
         let figures = [
             ("rules.drain_grace", self.drain_grace),
-            ("rules.warm_within", self.warm_within),
-            ("rules.fall_multiple", self.fall_multiple),
-            ("rules.tip_after", self.tip_after),
-            ("rules.order_pause", self.order_pause),
-            ("rules.extra_free", self.ration.map_or(0.0, |r| r.free)),
-            ("rules.extra_per_request", self.ration.map_or(0.0, |r| r.per_request)),
-            ("rules.ratio_span", self.ration.map_or(0.0, |r| r.span)),
+            ("rules.warm_within", self.slow_start_duration),
+            ("rules.fall_multiple", self.overload_collapse_multiple),
+            ("rules.tip_after", self.overload_collapse_after),
+            ("rules.order_pause", self.ordered_key_pause),
+            ("rules.extra_free", self.retry_budget.map_or(0.0, |r| r.free)),
+            ("rules.extra_per_request", self.retry_budget.map_or(0.0, |r| r.per_request)),
+            ("rules.ratio_span", self.retry_budget.map_or(0.0, |r| r.span)),
         ];
         if let Some((name, _)) = figures.iter().find(|(_, x)| *x < 0.0 || !x.is_finite()) {
             return bad(name, "must be finite and not below 0");
         }
-        if self.send_cap == 0 {
+        if self.max_attempts == 0 {
             return bad("limits.send_cap", "must allow one attempt");
         }
         Ok(())
@@ -290,7 +294,7 @@
 
 /// What an engine says of its load. Figures may be late, noisy or absurd.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Queries it holds.
     pub inflight: Option<f64>,
     /// Queries waiting for memory.
@@ -321,7 +325,7 @@
     /// Withdrawn; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotExecuted,
 }
 
 /// State of an engine in the list.
@@ -331,8 +335,8 @@
     Live,
     /// Finishing; takes nothing new.
     Draining,
-    /// Gone.
-    Gone,
+    /// Removed from the list.
+    Removed,
 }
 
 /// An entry of the engine list.
@@ -354,7 +358,7 @@
 
 /// A request as taken.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Incoming {
+pub struct RequestDetails {
     /// Its id.
     pub id: RequestId,
     /// Its class.
@@ -372,12 +376,12 @@
     /// What it reads.
     pub data: Option<DataSet>,
     /// The client says that it is a repeat.
-    pub repeat: bool,
+    pub is_retry: bool,
 }
 
 /// News of a running attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Note {
+pub enum ProgressUpdate {
     /// Share done.
     Progress(f64),
     /// It spills; so many MB are missing.
@@ -393,15 +397,15 @@
 pub enum Event {
     /// The engine list, whole or the changes.
     Members {
-        /// Engines not named have left the list.
-        whole: bool,
+        /// Whether the list is complete: engines that it does not name were removed.
+        complete: bool,
         /// The entries.
         members: Vec<Member>,
     },
     /// Asking for the list failed, or the subscription broke.
     ListFailed,
     /// A request was taken.
-    Request(Incoming),
+    Request(RequestDetails),
     /// A timer came due.
     Timer(u64),
     /// An attempt ended.
@@ -421,24 +425,24 @@
         /// Its true work, where told.
         work: Option<Milliseconds>,
         /// The engine's load report, if one came along.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
-    /// News of a running attempt.
-    Note {
+    /// An engine sent a progress update of a running attempt.
+    ProgressUpdate {
         /// Its request.
         id: RequestId,
         /// Its number.
         attempt: u32,
-        /// The news.
-        note: Note,
+        /// The update.
+        update: ProgressUpdate,
     },
     /// A streamed answer began: time-outs no longer count.
     Streaming {
         /// Its request.
         id: RequestId,
     },
-    /// A probe returned.
-    Probed {
+    /// A health check ended.
+    HealthChecked {
         /// The engine.
         engine: EngineId,
         /// Whether it answered.
@@ -446,21 +450,21 @@
         /// Time since the probe.
         took: Milliseconds,
         /// Its load report.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
-    /// The client has left; nothing is owed.
-    Gone(RequestId),
+    /// The client disconnected or cancelled the request: no answer is pending any more.
+    ClientDisconnected(RequestId),
     /// Bytes from another gateway.
     Peer(Vec<u8>),
     /// So many processes of this gateway run now.
-    Processes(u32),
+    ProcessCount(u32),
     /// What an earlier life learned, as far as it still holds; engines in it are on the list already.
-    Recalled(Box<crate::learned::Learned>),
+    Restored(Box<crate::learned::Learned>),
 }
 
 /// What keeps a request from being sent now: of all engines, the guard that the furthest of them came to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Why {
+pub enum BlockReason {
     /// No engine is in the list.
     NoEngine,
     /// All are ejected, or have just said that they are full.
@@ -486,39 +490,39 @@
     Late,
 }
 
-impl Why {
+impl BlockReason {
     /// How many there are.
-    pub const COUNT: usize = Why::Late as usize + 1;
+    pub const COUNT: usize = BlockReason::Late as usize + 1;
 
     /// All, in their order.
-    pub const ALL: [Why; Why::COUNT] = [
-        Why::NoEngine,
-        Why::Away,
-        Why::Rules,
-        Why::Cold,
-        Why::Busy,
-        Why::Crowded,
-        Why::Slow,
-        Why::Part,
-        Why::News,
-        Why::Deadline,
-        Why::Late,
+    pub const ALL: [BlockReason; BlockReason::COUNT] = [
+        BlockReason::NoEngine,
+        BlockReason::Away,
+        BlockReason::Rules,
+        BlockReason::Cold,
+        BlockReason::Busy,
+        BlockReason::Crowded,
+        BlockReason::Slow,
+        BlockReason::Part,
+        BlockReason::News,
+        BlockReason::Deadline,
+        BlockReason::Late,
     ];
 
     /// Its name in counts and logs.
     pub fn name(self) -> &'static str {
         match self {
-            Why::NoEngine => "no engine",
-            Why::Away => "away",
-            Why::Rules => "rules",
-            Why::Cold => "cold",
-            Why::Busy => "busy",
-            Why::Crowded => "crowded",
-            Why::Slow => "slow",
-            Why::Part => "part",
-            Why::News => "news",
-            Why::Deadline => "deadline",
-            Why::Late => "late",
+            BlockReason::NoEngine => "no engine",
+            BlockReason::Away => "away",
+            BlockReason::Rules => "rules",
+            BlockReason::Cold => "cold",
+            BlockReason::Busy => "busy",
+            BlockReason::Crowded => "crowded",
+            BlockReason::Slow => "slow",
+            BlockReason::Part => "part",
+            BlockReason::News => "news",
+            BlockReason::Deadline => "deadline",
+            BlockReason::Late => "late",
         }
     }
 }
@@ -535,14 +539,14 @@
         /// Time-out; 0: until the client gives up.
         timeout: Milliseconds,
     },
-    /// Turns a request away; a retry is harmless.
-    Refuse {
+    /// Rejects a request; a retry is harmless.
+    Reject {
         /// Which.
         id: RequestId,
-        /// When to come back; 0: no advice.
+        /// After how long the client should retry; 0: no advice.
         retry_after: Milliseconds,
         /// What kept it from being sent.
-        why: Why,
+        reason: BlockReason,
     },
     /// Fails a request, with no promise.
     Fail {
@@ -574,8 +578,8 @@
     },
     /// Subscribes to changes of the list.
     Watch,
-    /// Probes an engine.
-    Probe {
+    /// Checks the health of an engine.
+    CheckHealth {
         /// Which.
         engine: EngineId,
     },
--- a/crates/decision/src/learned.rs
+++ b/crates/decision/src/learned.rs
@@ -1,5 +1,5 @@
 //! What the module has learned, as plain records: handed out by [`Balancer::learned`], and taken back as
-//! [`Event::Recalled`](crate::interface::Event::Recalled). What an old record is still worth is settled by who hands
+//! [`Event::Restored`](crate::interface::Event::Restored). What an old record is still worth is settled by who hands
 //! it in; here nothing is judged, but what does not fit the settings, or is no figure at all, is left out.
 
 use super::{band, Balancer, FULL_REST, LEVELS};
@@ -211,7 +211,7 @@
     }
 
     fn recall_class(&mut self, class: ClassId, from: &ClassLearned) {
-        let most = self.s.classes[class.0].give_up.max(1.0);
+        let most = self.s.classes[class.0].client_timeout.max(1.0);
         let c = &mut self.classes[class.0];
         for b in &from.bands {
             let figures =
@@ -289,19 +289,19 @@
         slow: f64,
         width: f64,
         now: Milliseconds,
-        cold_from: f64,
-        warm_within: Milliseconds,
+        slow_start_from: f64,
+        slow_start_duration: Milliseconds,
     ) {
         let Some(started) = self.started.filter(|_| self.suspect) else { return };
         let proven = ((self.threads + width) / self.cores.max(0.1)).min(1.0) / slow.max(1.0);
-        let rises = (1.0 - cold_from).max(0.01) / warm_within.max(1.0);
-        if proven <= cold_from + rises * (now - started) {
+        let rises = (1.0 - slow_start_from).max(0.01) / slow_start_duration.max(1.0);
+        if proven <= slow_start_from + rises * (now - started) {
             (self.proofs, self.proven) = (0, 1.0);
             return;
         }
         (self.proofs, self.proven) = (self.proofs + 1, self.proven.min(proven));
         if self.proofs >= PROOFS {
-            self.started = Some(started.min(now - (self.proven - cold_from) / rises));
+            self.started = Some(started.min(now - (self.proven - slow_start_from) / rises));
             (self.proofs, self.proven) = (0, 1.0);
         }
     }
--- a/crates/decision/src/permission/send.rs
+++ b/crates/decision/src/permission/send.rs
@@ -1,7 +1,7 @@
 //! Whether an attempt may be sent, and whether a request may be refused.
 
 use super::list_lease::ListLease;
-use crate::interface::{Milliseconds, Outcome, Repeat, ZoneId};
+use crate::interface::{Idempotency, Milliseconds, Outcome, ZoneId};
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -72,7 +72,7 @@
 
 /// Whether an outcome proves that an attempt never ran.
 pub fn never_ran(outcome: Outcome) -> bool {
-    matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+    matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::NotExecuted)
 }
 
 /// An earlier attempt of the request that may have run, or may run still.
@@ -87,23 +87,23 @@
 /// Whether a request may be sent to an engine after these attempts, which may have run. A keyed request is sent again only
 /// where engines recognise it, and only until shortly before the window's end.
 pub fn may_repeat(
-    repeat: Repeat,
+    idempotency: Idempotency,
     mut earlier: impl Iterator<Item = EarlierAttempt>,
     place: Place,
     now: Milliseconds,
 ) -> bool {
-    match repeat {
-        Repeat::Safe => true,
-        Repeat::Unsafe => earlier.next().is_none(),
-        Repeat::Keyed { scope, window } => {
+    match idempotency {
+        Idempotency::Idempotent => true,
+        Idempotency::NotIdempotent => earlier.next().is_none(),
+        Idempotency::Keyed { scope, window } => {
             earlier.all(|attempt| scope.covers(attempt.place, place) && now < attempt.sent_at + window)
         }
     }
 }
 
 /// Whether a refusal, which tells the client that a retry is harmless, is true of a request.
-pub fn may_refuse(repeat: Repeat, may_have_run: bool) -> bool {
-    repeat.anywhere() || !may_have_run
+pub fn may_refuse(idempotency: Idempotency, may_have_run: bool) -> bool {
+    idempotency.allows_retry_anywhere() || !may_have_run
 }
 
 /// What is so of an attempt as it is about to be sent.
@@ -124,13 +124,13 @@
     /// Further attempts of the request in flight.
     pub in_flight: usize,
     /// The settings allow several at once.
-    pub may_copy: bool,
+    pub may_hedge: bool,
     /// The class allows it after the earlier attempts, see [`may_repeat`].
     pub may_repeat: bool,
     /// Attempts of the request before this one.
     pub attempts: usize,
     /// Attempts that a request may have.
-    pub send_cap: usize,
+    pub max_attempts: usize,
 }
 
 /// Whether an attempt may be sent now.
@@ -144,9 +144,9 @@
         (!facts.engine_live, SendRefusal::EngineNotLive),
         (facts.now >= facts.deadline, SendRefusal::DeadlineOver),
         (facts.now >= facts.send_by, SendRefusal::WindowOver),
-        (facts.in_flight > 0 && !facts.may_copy, SendRefusal::AnotherInFlight),
+        (facts.in_flight > 0 && !facts.may_hedge, SendRefusal::AnotherInFlight),
         (!facts.may_repeat, SendRefusal::MayNotRepeat),
-        (facts.attempts >= facts.send_cap, SendRefusal::AttemptsSpent),
+        (facts.attempts >= facts.max_attempts, SendRefusal::AttemptsSpent),
     ];
     against.iter().find(|(holds, _)| *holds).map_or(Ok(()), |(_, refusal)| Err(*refusal))
 }
--- a/crates/decision/src/permission/tests.rs
+++ b/crates/decision/src/permission/tests.rs
@@ -3,7 +3,7 @@
 use super::list_lease::ListLease;
 use super::process::*;
 use super::send::*;
-use crate::interface::{Outcome, Repeat, Scope};
+use crate::interface::{Idempotency, Outcome, Scope};
 use rstest::rstest;
 
 const FACTS: SendFacts = SendFacts {
@@ -14,10 +14,10 @@
     deadline: 2_000.0,
     send_by: f64::INFINITY,
     in_flight: 0,
-    may_copy: false,
+    may_hedge: false,
     may_repeat: true,
     attempts: 0,
-    send_cap: 3,
+    max_attempts: 3,
 };
 
 #[test]
@@ -39,35 +39,35 @@
 }
 
 #[rstest]
-#[case::safe(Repeat::Safe, (None, 2), 9_999.0, true)]
-#[case::must_not_run_twice(Repeat::Unsafe, (None, 1), 1_001.0, false)]
-#[case::same_cell(Repeat::Keyed { scope: Scope::Cell, window: 500.0 }, (None, 1), 1_499.0, true)]
-#[case::other_cell(Repeat::Keyed { scope: Scope::Cell, window: 500.0 }, (None, 2), 1_001.0, false)]
-#[case::past_the_window(Repeat::Keyed { scope: Scope::All, window: 500.0 }, (None, 1), 1_500.0, false)]
+#[case::safe(Idempotency::Idempotent, (None, 2), 9_999.0, true)]
+#[case::must_not_run_twice(Idempotency::NotIdempotent, (None, 1), 1_001.0, false)]
+#[case::same_cell(Idempotency::Keyed { scope: Scope::Cell, window: 500.0 }, (None, 1), 1_499.0, true)]
+#[case::other_cell(Idempotency::Keyed { scope: Scope::Cell, window: 500.0 }, (None, 2), 1_001.0, false)]
+#[case::past_the_window(Idempotency::Keyed { scope: Scope::All, window: 500.0 }, (None, 1), 1_500.0, false)]
 fn what_may_have_run_is_sent_again_where_the_class_allows_it(
-    #[case] repeat: Repeat,
+    #[case] idempotency: Idempotency,
     #[case] place: Place,
     #[case] now: f64,
     #[case] allowed: bool,
 ) {
     let earlier = EarlierAttempt { sent_at: 1_000.0, place: (None, 1) };
-    assert_eq!(may_repeat(repeat, [earlier].into_iter(), place, now), allowed);
-    assert!(may_repeat(repeat, std::iter::empty(), place, now), "nothing has run");
+    assert_eq!(may_repeat(idempotency, [earlier].into_iter(), place, now), allowed);
+    assert!(may_repeat(idempotency, std::iter::empty(), place, now), "nothing has run");
 }
 
 #[test]
 fn only_what_proves_it_counts_as_never_run() {
     use Outcome::*;
-    let proofs = [Ok, Error, Full, Timeout, ConnectFailed, Reset, Cancelled, Moot].map(never_ran);
+    let proofs = [Ok, Error, Full, Timeout, ConnectFailed, Reset, Cancelled, NotExecuted].map(never_ran);
     assert_eq!(proofs, [false, false, true, false, true, false, false, true]);
 }
 
 #[test]
 fn refusal_of_what_may_have_run_is_for_classes_that_any_engine_recognises() {
-    assert!(may_refuse(Repeat::Unsafe, false) && !may_refuse(Repeat::Unsafe, true));
-    assert!(may_refuse(Repeat::Safe, true));
-    assert!(may_refuse(Repeat::Keyed { scope: Scope::All, window: 1.0 }, true));
-    assert!(!may_refuse(Repeat::Keyed { scope: Scope::Zone, window: 1.0 }, true));
+    assert!(may_refuse(Idempotency::NotIdempotent, false) && !may_refuse(Idempotency::NotIdempotent, true));
+    assert!(may_refuse(Idempotency::Idempotent, true));
+    assert!(may_refuse(Idempotency::Keyed { scope: Scope::All, window: 1.0 }, true));
+    assert!(!may_refuse(Idempotency::Keyed { scope: Scope::Zone, window: 1.0 }, true));
 }
 
 #[rstest]
--- a/crates/decision/src/retry_budget.rs
+++ b/crates/decision/src/retry_budget.rs
@@ -1,6 +1,6 @@
 //! The retry budget of a gateway: how many further attempts the requests of late allow.
 
-use crate::interface::{Milliseconds, Ration};
+use crate::interface::{Milliseconds, RetryBudgetSettings};
 use std::collections::VecDeque;
 
 /// Requests and further attempts that are remembered at most. Past it the oldest requests no longer count, which only makes
@@ -10,20 +10,20 @@
 /// Requests received and further attempts sent, by time.
 #[derive(Debug, Default)]
 pub struct RetryBudget {
-    ration: Option<Ration>,
+    retry_budget: Option<RetryBudgetSettings>,
     received: VecDeque<Milliseconds>,
     retries: VecDeque<Milliseconds>,
 }
 
 impl RetryBudget {
     /// The budget that the settings give; none: further attempts are not bounded.
-    pub fn new(ration: Option<Ration>) -> Self {
-        Self { ration, ..Self::default() }
+    pub fn new(retry_budget: Option<RetryBudgetSettings>) -> Self {
+        Self { retry_budget, ..Self::default() }
     }
 
     /// A request was received at that time.
     pub fn receive(&mut self, at: Milliseconds) {
-        if self.ration.is_some() {
+        if self.retry_budget.is_some() {
             self.received.push_back(at);
             if self.received.len() > REMEMBERED {
                 self.received.pop_front();
@@ -33,7 +33,7 @@
 
     /// A further attempt was sent at that time.
     pub fn retry(&mut self, at: Milliseconds) {
-        if self.ration.is_some() {
+        if self.retry_budget.is_some() {
             self.retries.push_back(at);
         }
     }
@@ -41,15 +41,15 @@
     /// Whether one more further attempt fits. The span is taken longer by a margin for what was spent, and shorter for what
     /// was earned: times are not known better than that.
     pub fn allows(&self, now: Milliseconds, margin: Milliseconds) -> bool {
-        let Some(ration) = self.ration else { return true };
-        let spent = count_since(&self.retries, now - ration.span - margin);
-        let earned = count_since(&self.received, now - ration.span + margin);
-        spent + 1.0 <= ration.free + ration.per_request * earned
+        let Some(retry_budget) = self.retry_budget else { return true };
+        let spent = count_since(&self.retries, now - retry_budget.span - margin);
+        let earned = count_since(&self.received, now - retry_budget.span + margin);
+        spent + 1.0 <= retry_budget.free + retry_budget.per_request * earned
     }
 
     /// Forgets what no span with that margin reaches back to.
     pub fn forget(&mut self, now: Milliseconds, margin: Milliseconds) {
-        let from = now - margin - self.ration.map_or(0.0, |ration| ration.span);
+        let from = now - margin - self.retry_budget.map_or(0.0, |retry_budget| retry_budget.span);
         for times in [&mut self.received, &mut self.retries] {
             while times.front().is_some_and(|at| *at < from) {
                 times.pop_front();
--- a/crates/decision/src/retry_budget/tests.rs
+++ b/crates/decision/src/retry_budget/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn budget() -> RetryBudget {
-    RetryBudget::new(Some(Ration { free: 1.0, per_request: 0.5, span: 1_000.0 }))
+    RetryBudget::new(Some(RetryBudgetSettings { free: 1.0, per_request: 0.5, span: 1_000.0 }))
 }
 
 #[test]
--- a/crates/decision/src/state.rs
+++ b/crates/decision/src/state.rs
@@ -191,7 +191,7 @@
 
 /// A request from its arrival until nothing can arrive for it.
 pub struct Request {
-    pub asked: Incoming,
+    pub asked: RequestDetails,
     pub taken: Milliseconds,
     /// Drawn once, from 0 to 1: rounds this gateway's part of a bound.
     pub chance: f64,
@@ -269,7 +269,7 @@
 
 impl Request {
     /// A request just taken.
-    pub fn new(asked: Incoming, now: Milliseconds, size: f64, over_quota: bool) -> Self {
+    pub fn new(asked: RequestDetails, now: Milliseconds, size: f64, over_quota: bool) -> Self {
         Self {
             asked,
             taken: now,
--- a/crates/experiments/src/fleet.rs
+++ b/crates/experiments/src/fleet.rs
@@ -427,7 +427,7 @@
         broken.push(format!("clients tried {TRIES} times, and the play was cut short"));
     }
     broken.extend(ledger::overlaps(engines.fleet.overlapping()));
-    broken.extend(ledger::ration(&tries, &engine_ledgers, stage.gateways));
+    broken.extend(ledger::retry_budget(&tries, &engine_ledgers, stage.gateways));
     let mut told = BTreeMap::new();
     if let Some((serial, _)) = &drained {
         for (g, gateway) in all.iter().enumerate() {
--- a/crates/experiments/src/ledger.rs
+++ b/crates/experiments/src/ledger.rs
@@ -108,7 +108,7 @@
 }
 
 /// Further attempts of a gateway beyond its ration in any ten seconds.
-pub fn ration(tries: &[Try], ledgers: &[Vec<Arrival>], gateways: usize) -> Option<String> {
+pub fn retry_budget(tries: &[Try], ledgers: &[Vec<Arrival>], gateways: usize) -> Option<String> {
     let of = gateways_of(tries);
     let mut sent: Vec<_> = ledgers.iter().flat_map(|l| attempts(l)).collect();
     sent.sort_by(|a, b| a.0.total_cmp(&b.0));
--- a/crates/experiments/src/ledger/tests.rs
+++ b/crates/experiments/src/ledger/tests.rs
@@ -30,8 +30,8 @@
         (0..10).chain(0..n).map(|t| attempt(1.0 + t as f64 / 100.0, &format!("t{t}"))).collect()
     };
     // Of ten requests: 2 and 20%, and the slack of sockets, 5.6 in all.
-    assert!(ration(&tries, &[again(5)], 1).is_none());
-    assert!(ration(&tries, &[again(6)], 1).is_some());
+    assert!(retry_budget(&tries, &[again(5)], 1).is_none());
+    assert!(retry_budget(&tries, &[again(6)], 1).is_some());
 }
 
 #[test]
--- a/crates/experiments/src/soak/mod.rs
+++ b/crates/experiments/src/soak/mod.rs
@@ -44,7 +44,7 @@
 pub fn terms() -> Terms {
     Terms {
         // The settings' 20 ms, 50 ms more on sockets, and what a machine that is full adds here.
-        answer_slack: 0.15,
+        answer_grace: 0.15,
         gone_slack: 0.1,
         budget_slack: 0.15,
         key_window: f64::from(KEY_WINDOW_MS) / 1000.0 + 0.05,
@@ -52,7 +52,7 @@
         told_within: 1.5,
         told_after_move: 4.0,
         told_by_all_means: 7.0,
-        ration: (2.0, 0.2, 10.0),
+        retry_budget: (2.0, 0.2, 10.0),
         cold_budget: (
             FALL_MULTIPLE * CORES * TIP_AFTER_MS / 1000.0 / engine::MEAN_SERVICE,
             TIP_AFTER_MS / 1000.0,
--- a/crates/experiments/src/soak/oracle.rs
+++ b/crates/experiments/src/soak/oracle.rs
@@ -6,13 +6,13 @@
 mod drains;
 mod retry_budgets;
 pub use drains::drains;
-pub use retry_budgets::rations;
+pub use retry_budgets::retry_budgets;
 
 /// The settings that the rules are counted with, as the play writes them.
 #[derive(Debug, Clone)]
 pub struct Terms {
     /// An answer may be so much later than its client's limit, in seconds.
-    pub answer_slack: f64,
+    pub answer_grace: f64,
     /// An attempt may arrive so long after its client has gone.
     pub gone_slack: f64,
     /// What a deadline told may lie over what is left.
@@ -28,7 +28,7 @@
     /// ... and so long after it happened in any case.
     pub told_by_all_means: f64,
     /// Free further attempts, those for each request, and the span.
-    pub ration: (f64, f64, f64),
+    pub retry_budget: (f64, f64, f64),
     /// Requests that a cold engine may be sent within a span, and the span.
     pub cold_budget: (f64, f64),
     /// The cold budget at the start as a share of the warm one, and the time to be warm.
@@ -62,7 +62,7 @@
         deadlines,
         drains,
         slow_starts,
-        rations,
+        retry_budgets,
         processes,
         recoveries,
     ];
@@ -80,14 +80,14 @@
         // Where one process takes over from another it is not known which of them took a connection.
         let killed = || lives.iter().filter_map(|life| life.first(ProcessEvent::Killed));
         let excused =
-            |at: f64| killed().any(|k| k >= request.sent - CONNECTED && k <= at + terms.answer_slack);
+            |at: f64| killed().any(|k| k >= request.sent - CONNECTED && k <= at + terms.answer_grace);
         // A process that stands still answers later by that time.
         let stopped =
             |at: f64| lives.iter().map(|life| life.stopped_within(request.sent, at)).fold(0.0, f64::max);
         match request.end {
             RequestEnd::Answered(at, _) => {
                 let late = at - request.sent - request.limit - stopped(at);
-                (late > terms.answer_slack).then(|| format!("{txn}: answered {late:.3} s too late"))
+                (late > terms.answer_grace).then(|| format!("{txn}: answered {late:.3} s too late"))
             }
             RequestEnd::ConnectionLost(at) => {
                 let crossed = request.on_used_connection && at - request.sent <= CROSSING;
@@ -97,7 +97,7 @@
             }
             RequestEnd::Nothing(at) => {
                 let late = at - request.sent - request.limit - stopped(at);
-                (!excused(at) && late > terms.answer_slack).then(|| format!("{txn}: no answer: {request:?}"))
+                (!excused(at) && late > terms.answer_grace).then(|| format!("{txn}: no answer: {request:?}"))
             }
             RequestEnd::Gone(_) => None,
         }
@@ -172,15 +172,15 @@
         arrivals.entry(attempt.engine).or_default().push(attempt.arrived);
     }
     let (warm_budget, span) = terms.cold_budget;
-    let (cold_from, warm_within) = terms.cold_ramp;
+    let (slow_start_from, slow_start_duration) = terms.cold_ramp;
     let mut broken = Vec::new();
     for (engine, times) in &mut arrivals {
         let Some(since) = ledger.engines.get(*engine).and_then(|e| e.cold_since) else { continue };
         times.sort_by(f64::total_cmp);
         for (i, from) in times.iter().enumerate() {
             let count = times[i..].iter().take_while(|t| **t <= from + span).count() as f64;
-            let age = ((from + span - since) / warm_within).clamp(0.0, 1.0);
-            let n = warm_budget * (cold_from + (1.0 - cold_from) * age);
+            let age = ((from + span - since) / slow_start_duration).clamp(0.0, 1.0);
+            let n = warm_budget * (slow_start_from + (1.0 - slow_start_from) * age);
             let factor = if n < 30.0 { 3.0 } else { 2.0 };
             if age < 1.0 && count > n + factor * n.sqrt() + factor {
                 broken.push(format!("engine {engine}: {count} attempts within {span} s, N is {n:.1}"));
--- a/crates/experiments/src/soak/oracle/retry_budgets.rs
+++ b/crates/experiments/src/soak/oracle/retry_budgets.rs
@@ -19,7 +19,7 @@
 }
 
 /// Further attempts keep to the retry budgets.
-pub fn rations(ledger: &Ledger, terms: &Terms) -> Vec<String> {
+pub fn retry_budgets(ledger: &Ledger, terms: &Terms) -> Vec<String> {
     let over = times(ledger).into_iter().filter_map(|(counted, times)| {
         let at = first_over(ledger, terms, counted, &times)?;
         Some(format!("gateway {}: retry budget exceeded at {at:.3} s", counted.0))
@@ -52,7 +52,7 @@
 
 /// The first further attempt past the budget.
 fn first_over(ledger: &Ledger, terms: &Terms, counted: Counted, times: &Times) -> Option<f64> {
-    let (free, share, span) = terms.ration;
+    let (free, share, span) = terms.retry_budget;
     let within =
         |all: &[f64], at: f64, span: f64| all.iter().filter(|t| **t <= at && **t > at - span).count() as f64;
     let (budgets, earned_span): (Box<dyn Fn(f64) -> f64>, f64) = match counted.1 {
--- a/crates/experiments/src/soak/oracle/tests.rs
+++ b/crates/experiments/src/soak/oracle/tests.rs
@@ -237,9 +237,9 @@
 #[test]
 fn further_attempts_past_the_budget_are_found() {
     let few = with_attempts((0..3).map(|_| attempt(10.0, 10.1)).collect());
-    assert_eq!(rations(&few, &terms()).len(), 0);
+    assert_eq!(retry_budgets(&few, &terms()).len(), 0);
     let many = with_attempts((0..8).map(|_| attempt(10.0, 10.1)).collect());
-    assert_eq!(rations(&many, &terms()).len(), 1);
+    assert_eq!(retry_budgets(&many, &terms()).len(), 1);
 }
 
 /// Each process has a budget of its own: what the former one spent counts no more.
@@ -256,9 +256,9 @@
     ledger.processes[0]
         .push(ProcessRecord { events: vec![(9.6, ProcessEvent::Started)], ..ProcessRecord::default() });
     of(1, "b", &mut ledger);
-    assert_eq!(rations(&ledger, &terms()).len(), 0);
+    assert_eq!(retry_budgets(&ledger, &terms()).len(), 0);
     of(1, "c", &mut ledger);
-    assert_eq!(rations(&ledger, &terms()).len(), 1);
+    assert_eq!(retry_budgets(&ledger, &terms()).len(), 1);
 }
 
 #[test]
--- a/crates/experiments/src/turns.rs
+++ b/crates/experiments/src/turns.rs
@@ -18,15 +18,15 @@
 const OUT: usize = 2;
 const ROUNDS: usize = 4_000;
 
-fn class(name: &str, aim: Milliseconds, threads: f64) -> Class {
+fn class(name: &str, latency_objective: Milliseconds, threads: f64) -> Class {
     Class {
         name: name.into(),
-        aim,
-        aim_stretch: 2.0,
-        give_up: 10.0 * aim,
-        worth: threads,
-        late_worth: 0.0,
-        repeat: Repeat::Safe,
+        latency_objective,
+        latency_objective_stretch: 2.0,
+        client_timeout: 10.0 * latency_objective,
+        priority_weight: threads,
+        late_weight_share: 0.0,
+        idempotency: Idempotency::Idempotent,
         ordered: false,
         kinds: None,
         zones: None,
@@ -40,31 +40,31 @@
     Settings {
         seed,
         gateways,
-        rank: Some(seed % gateways as u64),
+        gateway_index: Some(seed % gateways as u64),
         zone: Some(ZoneId(0)),
         classes: vec![class("lookup", 1_200.0, 1.0), class("report", 1_500.0, 3.0)],
         kinds: vec![Kind { name: "std-12".into(), cores: 12.0, memory_mb: 24_576.0 }],
         zones: vec!["a".into(), "b".into()],
         tenants: vec![],
-        ask_for_list: false,
+        subscribes_to_endpoints: false,
         may_cancel: true,
-        may_copy: false,
-        may_probe: true,
-        probe_price: 0.01,
+        may_hedge: false,
+        may_check_health: true,
+        health_check_price: 0.01,
         max_retry_after: 1_000.0,
-        send_cap: 3,
+        max_attempts: 3,
         reporting: Reporting::Answers,
-        answer_slack: 20.0,
-        ask_within: 10_000.0,
+        answer_grace: 20.0,
+        max_poll_interval: 10_000.0,
         drain_grace: 2_000.0,
-        cold_from: 0.31,
-        warm_within: 15_000.0,
-        fall_multiple: 3.0,
-        tip_after: 2_000.0,
-        ration: Some(Ration { free: 2.0, per_request: 0.2, span: 10_000.0 }),
-        order_pause: 500.0,
+        slow_start_from: 0.31,
+        slow_start_duration: 15_000.0,
+        overload_collapse_multiple: 3.0,
+        overload_collapse_after: 2_000.0,
+        retry_budget: Some(RetryBudgetSettings { free: 2.0, per_request: 0.2, span: 10_000.0 }),
+        ordered_key_pause: 500.0,
         grants: true,
-        most_grant: 0.4,
+        max_grant_share: 0.4,
         priorities: true,
         tick: 5.0,
     }
@@ -83,7 +83,7 @@
         started: None,
     };
     let mut actions = Vec::new();
-    let list = Event::Members { whole: true, members: (0..engines).map(member).collect() };
+    let list = Event::Members { complete: true, members: (0..engines).map(member).collect() };
     balancer.turn(0.0, &[list], &mut actions);
     let (mut now, mut out) = (0.0, BTreeMap::<u64, EngineId>::new());
     let (mut decisions, mut steps, mut sent) = (Vec::new(), Vec::new(), 0);
@@ -97,7 +97,7 @@
         let mut events = Vec::new();
         if out.len() >= OUT {
             let (id, engine) = out.pop_first().ok_or("none is out")?;
-            let report = Some(Report { util: Some(0.2), ..Report::default() });
+            let report = Some(LoadReport { util: Some(0.2), ..LoadReport::default() });
             events.push(Event::Outcome {
                 id: RequestId(id),
                 attempt: 0,
@@ -111,7 +111,7 @@
         }
         balancer.turn(now + 1.0, &events, &mut actions);
         actions.clear();
-        let asked = Incoming {
+        let asked = RequestDetails {
             id: RequestId(id),
             class: ClassId(usize::from(id % 8 == 0)),
             tenant: None,
@@ -120,7 +120,7 @@
             work: Some(180.0),
             memory_mb: Some(200.0),
             data: None,
-            repeat: false,
+            is_retry: false,
         };
         let timed = Instant::now();
         balancer.turn(now + 2.0, &[Event::Request(asked)], &mut actions);
--- a/crates/experiments/tests/soak.rs
+++ b/crates/experiments/tests/soak.rs
@@ -23,7 +23,7 @@
     const WIDER_GRACE: f64 = 2.0;
     let terms = soak::terms();
     Terms {
-        answer_slack: LONG,
+        answer_grace: LONG,
         gone_slack: LONG,
         budget_slack: LONG,
         key_window: LONG,
--- a/crates/pacing/src/list.rs
+++ b/crates/pacing/src/list.rs
@@ -64,7 +64,7 @@
     /// Gateways that ask the same service.
     pub gateways: usize,
     /// This one's number among them, from 0.
-    pub rank: Option<u64>,
+    pub gateway_index: Option<u64>,
     /// The pace down to which one that answers some questions and not others may be asked. [`STEADY`]: it is always
     /// asked at the steady pace.
     pub slowest: Milliseconds,
@@ -100,7 +100,7 @@
     pub fn new(rules: Rules, seed: u64, now: Milliseconds) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let all = rules.gateways.max(1) as f64;
-        let place = start::place(rules.gateways, rules.rank, &mut rng);
+        let place = start::place(rules.gateways, rules.gateway_index, &mut rng);
         let slowest = rules.slowest.max(STEADY);
         let least_silent = if slowest > STEADY { SILENT_LEAST } else { STEADY };
         let silent = (all / FLEET_SILENT * 1_000.0).clamp(least_silent, SILENT_MOST);
--- a/crates/pacing/src/list/tests.rs
+++ b/crates/pacing/src/list/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn rules(gateways: usize, rank: Option<u64>, slowest: Milliseconds) -> Rules {
-    Rules { gateways, rank, slowest }
+fn rules(gateways: usize, gateway_index: Option<u64>, slowest: Milliseconds) -> Rules {
+    Rules { gateways, gateway_index, slowest }
 }
 
 /// Plays a fleet that starts within `spread` ms, before a service that answers up to `capacity` a second while
@@ -62,8 +62,8 @@
 #[test]
 fn gateway_alone_and_a_fleet_of_three_ask_as_soon_and_as_often_as_ever() {
     for gateways in [1, 3] {
-        for rank in 0..gateways as u64 {
-            let mut pace = ListPace::new(rules(gateways, Some(rank), SLOWEST), 1, 0.0);
+        for gateway_index in 0..gateways as u64 {
+            let mut pace = ListPace::new(rules(gateways, Some(gateway_index), SLOWEST), 1, 0.0);
             assert!(pace.due() <= 3.0, "{}", pace.due());
             for _ in 0..50 {
                 let due = pace.due();
--- a/crates/pacing/src/start.rs
+++ b/crates/pacing/src/start.rs
@@ -7,8 +7,8 @@
 use crate::list::{Milliseconds, FLEET};
 
 /// This gateway's place among the others, from 0 to 1.
-pub fn place(gateways: usize, rank: Option<u64>, rng: &mut fastrand::Rng) -> f64 {
-    rank.map_or_else(|| rng.f64(), |r| (r as f64 / gateways.max(1) as f64).fract())
+pub fn place(gateways: usize, gateway_index: Option<u64>, rng: &mut fastrand::Rng) -> f64 {
+    gateway_index.map_or_else(|| rng.f64(), |r| (r as f64 / gateways.max(1) as f64).fract())
 }
 
 /// The span over which a fleet spreads what each does once at its start: a millisecond a gateway, and no longer than
@@ -27,9 +27,9 @@
 
 impl<E: PartialEq> FirstProbes<E> {
     /// A gateway that starts now.
-    pub fn new(gateways: usize, rank: Option<u64>, seed: u64, now: Milliseconds) -> Self {
+    pub fn new(gateways: usize, gateway_index: Option<u64>, seed: u64, now: Milliseconds) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        Self { until: now + place(gateways, rank, &mut rng) * span(gateways), held: Vec::new() }
+        Self { until: now + place(gateways, gateway_index, &mut rng) * span(gateways), held: Vec::new() }
     }
 
     /// A probe of that engine is wanted. Returned: it may leave now; else it is held, once for each engine.
--- a/crates/pacing/src/start/tests.rs
+++ b/crates/pacing/src/start/tests.rs
@@ -32,8 +32,8 @@
 fn gateway_alone_waits_for_nothing_and_a_fleet_of_three_hardly() {
     let mut alone = FirstProbes::new(1, Some(0), 1, 5.0);
     assert_eq!(alone.ask("a", 5.0), Some("a"));
-    for rank in 0..3 {
-        assert!(FirstProbes::<u8>::new(3, Some(rank), 1, 0.0).until <= 3.0);
+    for gateway_index in 0..3 {
+        assert!(FirstProbes::<u8>::new(3, Some(gateway_index), 1, 0.0).until <= 3.0);
     }
     assert!(FirstProbes::<u8>::new(100_000, None, 1, 0.0).until <= 2_000.0);
 }
--- a/crates/persistence/src/recall.rs
+++ b/crates/persistence/src/recall.rs
@@ -32,12 +32,16 @@
     /// Engines that the list does not name are kept so long for it to name them.
     pub list_wait: Milliseconds,
     /// A cold engine's budget is counted over this.
-    pub tip_after: Milliseconds,
+    pub overload_collapse_after: Milliseconds,
 }
 
 /// What holds where an operator says nothing.
-pub const DEFAULT: Rules =
-    Rules { restart_within: 3_000.0, keep_for: 3_600_000.0, list_wait: 60_000.0, tip_after: 2_000.0 };
+pub const DEFAULT: Rules = Rules {
+    restart_within: 3_000.0,
+    keep_for: 3_600_000.0,
+    list_wait: 60_000.0,
+    overload_collapse_after: 2_000.0,
+};
 
 /// An engine as the list names it now.
 #[derive(Debug, Clone, Default, PartialEq)]
@@ -172,7 +176,8 @@
     let seen = known.confirmed.unwrap_or(taken);
     let health = worth(now - seen, HEALTH_HALF);
     // What was left of a cold engine's budget is not known to the last moment.
-    let spent = known.cold && now - seen.max(taken) <= rules.tip_after.max(rules.restart_within);
+    let spent =
+        known.cold && now - seen.max(taken) <= rules.overload_collapse_after.max(rules.restart_within);
     EngineLearned {
         slow: 1.0 + (known.slow - 1.0) * health,
         errors: known.errors * health,
--- a/crates/service-discovery/src/discovery/tests.rs
+++ b/crates/service-discovery/src/discovery/tests.rs
@@ -32,7 +32,7 @@
 
 impl Bed {
     fn new(gateways: usize, seed: u64) -> Self {
-        let pace = list::Rules { gateways, rank: Some(0), slowest: list::STEADY };
+        let pace = list::Rules { gateways, gateway_index: Some(0), slowest: list::STEADY };
         let start = Start {
             pace,
             seed,
@@ -343,7 +343,7 @@
     #[case] questions: usize,
 ) {
     let mut bed = Bed::new(3, 15);
-    let pace = list::Rules { gateways: 3, rank: Some(0), slowest };
+    let pace = list::Rules { gateways: 3, gateway_index: Some(0), slowest };
     let start = Start {
         pace,
         seed: 15,
@@ -364,7 +364,7 @@
 fn news_quickens_the_next_question() {
     let gap = |version: u64| {
         let mut bed = Bed::new(300, 16);
-        let pace = list::Rules { gateways: 300, rank: Some(0), slowest: list::SLOWEST };
+        let pace = list::Rules { gateways: 300, gateway_index: Some(0), slowest: list::SLOWEST };
         let start = Start {
             pace,
             seed: 16,
--- a/crates/test-doubles/src/model.rs
+++ b/crates/test-doubles/src/model.rs
@@ -13,13 +13,13 @@
     /// Cores.
     pub cores: f64,
     /// Share of its capacity at its start.
-    pub cold_from: f64,
+    pub slow_start_from: f64,
     /// Time from its start until it is warm.
-    pub warm_within: f64,
+    pub slow_start_duration: f64,
     /// Falls over beyond this multiple of what it can do ...
-    pub fall_multiple: f64,
+    pub overload_collapse_multiple: f64,
     /// ... sent over this span.
-    pub tip_after: f64,
+    pub overload_collapse_after: f64,
     /// Mean work of a query, where so many send to it by chance that it bears N + 2 times the root of N + 2 of them, N
     /// being those of its budget: the users' rule for the sum of all gateways. 0: it bears its budget alone.
     pub chance_of: f64,
@@ -39,10 +39,10 @@
     fn default() -> Self {
         Self {
             cores: 12.0,
-            cold_from: 0.31,
-            warm_within: 15_000.0,
-            fall_multiple: 3.0,
-            tip_after: 2_000.0,
+            slow_start_from: 0.31,
+            slow_start_duration: 15_000.0,
+            overload_collapse_multiple: 3.0,
+            overload_collapse_after: 2_000.0,
             chance_of: 0.0,
             slow: 1.0,
             errors: 0.0,
@@ -91,14 +91,14 @@
 
     /// Cores' worth of work that it does at that time.
     pub fn capacity(&self, at: f64) -> f64 {
-        let age = ((at - self.started) / self.spec.warm_within.max(1.0)).clamp(0.0, 1.0);
-        self.spec.cores * (self.spec.cold_from + (1.0 - self.spec.cold_from) * age)
+        let age = ((at - self.started) / self.spec.slow_start_duration.max(1.0)).clamp(0.0, 1.0);
+        self.spec.cores * (self.spec.slow_start_from + (1.0 - self.spec.slow_start_from) * age)
     }
 
     /// What it may be sent over a span from then without falling over, in core-milliseconds.
     pub fn budget(&self, from: f64, span: f64) -> f64 {
         // Capacity grows in a straight line while it is cold: the middle of the span is its mean.
-        self.spec.fall_multiple * self.capacity(from + span / 2.0) * span
+        self.spec.overload_collapse_multiple * self.capacity(from + span / 2.0) * span
     }
 
     /// Work that arrived from then on, over a span.
@@ -113,15 +113,16 @@
         while self.arrived.front().is_some_and(|(at, _)| *at < now - 60_000.0) {
             self.arrived.pop_front();
         }
-        let cold = now - self.started < self.spec.warm_within;
-        let from = now - self.spec.tip_after;
+        let cold = now - self.started < self.spec.slow_start_duration;
+        let from = now - self.spec.overload_collapse_after;
         // What it stood through before its start does not count.
         let ratio = |m: &Self| {
-            m.arrived(from.max(m.started), m.spec.tip_after + 1.0) / m.budget(from, m.spec.tip_after)
+            m.arrived(from.max(m.started), m.spec.overload_collapse_after + 1.0)
+                / m.budget(from, m.spec.overload_collapse_after)
         };
         let ratio = if cold { ratio(self) } else { 0.0 };
         self.worst = self.worst.max(ratio);
-        let most = self.budget(from, self.spec.tip_after).max(1.0);
+        let most = self.budget(from, self.spec.overload_collapse_after).max(1.0);
         let bears = 1.0 + 2.0 * (self.spec.chance_of / most).sqrt() + 2.0 * self.spec.chance_of / most;
         if ratio > bears {
             self.fallen = self.fallen.or(Some(now));
--- a/src/bin/starlingplank-wirehost.rs
+++ b/src/bin/starlingplank-wirehost.rs
@@ -73,12 +73,12 @@
                 let instance = known(&mut self.instances, &front)?;
                 let event = match news {
                     Registry::Failed => Event::ListFailed,
-                    Registry::List { bank, whole } => {
+                    Registry::List { bank, whole: complete } => {
                         let page = self.pages.get(&bank);
                         let page = page.ok_or(format!("REGISTRY: bank={bank} was never defined"))?;
                         let to_member = |e| wire::member(e, &instance.settings);
                         let members = page.iter().map(to_member).collect();
-                        Event::Members { whole, members }
+                        Event::Members { complete, members }
                     }
                 };
                 instance.events.push(event);
--- a/src/config/consistency.rs
+++ b/src/config/consistency.rs
@@ -94,8 +94,8 @@
         }
     }
     let heeded = matches!(f.opt("specifics.grants_count"), Some("1" | "true"));
-    let most_grant = f.number_or("specifics.most_grant", 1.0)?;
-    if !(0.0..=1.0).contains(&most_grant) || heeded && most_grant == 0.0 {
+    let max_grant_share = f.number_or("specifics.most_grant", 1.0)?;
+    if !(0.0..=1.0).contains(&max_grant_share) || heeded && max_grant_share == 0.0 {
         return Err(f.bad("specifics.most_grant", "must lie above 0 and not past 1"));
     }
     Ok(())
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -189,7 +189,7 @@
         let settings = wire::settings(&fields)?;
         consistency::check(&fields)?;
         settings.check()?;
-        let longest = settings.classes.iter().map(|c| c.give_up).fold(0.0, f64::max);
+        let longest = settings.classes.iter().map(|c| c.client_timeout).fold(0.0, f64::max);
         let limits = Limits::read(&fields)?.ending(longest);
         let address = |text: &str, key| {
             text.parse::<SocketAddr>().map_err(|_| ConfigError::Key(key, "must be an address with a port"))
@@ -256,7 +256,7 @@
         let availability = match self.phase.as_str() {
             "ready" => Availability::Live,
             "draining" => Availability::Draining,
-            "gone" => Availability::Gone,
+            "gone" => Availability::Removed,
             _ => return None,
         };
         let member =
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -4,7 +4,7 @@
 use super::requests::{Request, RequestKey, Terms};
 use super::timers::Due;
 use super::{Answer, AttemptId, Core, Effect, End, EngineError, Rows, Send};
-use crate::interface::{EngineId, Event as DecisionEvent, Milliseconds, Note, Outcome, RequestId};
+use crate::interface::{EngineId, Event as DecisionEvent, Milliseconds, Outcome, ProgressUpdate, RequestId};
 use starlingplank_decision::permission::send::{
     may_repeat, may_send, never_ran, EarlierAttempt, Place, SendFacts, SendPermit,
 };
@@ -37,7 +37,7 @@
 
     /// Whether it was sent as far as anybody knows.
     fn was_sent(&self) -> bool {
-        self.outcome != Some(Outcome::Moot)
+        self.outcome != Some(Outcome::NotExecuted)
     }
 }
 
@@ -110,7 +110,7 @@
             None => Leave::No,
         };
         match leave {
-            Leave::No => self.end_attempt(now, attempt, End::plain(Outcome::Moot), effects),
+            Leave::No => self.end_attempt(now, attempt, End::plain(Outcome::NotExecuted), effects),
             Leave::Now => self.transmit(now, attempt, deadline, effects),
             Leave::AfterRecord(sent) => {
                 self.request_record(now, attempt, PendingRecord { sent, deadline }, effects)
@@ -141,7 +141,7 @@
         let others = || r.numbered().filter(|(n, _)| *n != id.1).map(|(_, a)| a);
         let may_have_run = others().filter(|a| a.may_have_run());
         let earlier = may_have_run.map(|a| EarlierAttempt { sent_at: a.sent_at, place: a.place });
-        let repeat = self.settings.classes[r.class.0].repeat;
+        let idempotency = self.settings.classes[r.class.0].idempotency;
         Some(SendFacts {
             request_open: !r.closed,
             list_reliable: self.list_lease.holds(now),
@@ -150,10 +150,10 @@
             deadline,
             send_by: r.send_by,
             in_flight: others().filter(|a| a.in_flight).count(),
-            may_copy: self.settings.may_copy,
-            may_repeat: may_repeat(repeat, earlier, own.place, now),
+            may_hedge: self.settings.may_hedge,
+            may_repeat: may_repeat(idempotency, earlier, own.place, now),
             attempts: id.1 as usize,
-            send_cap: self.settings.send_cap as usize,
+            max_attempts: self.settings.max_attempts as usize,
         })
     }
 
@@ -171,7 +171,7 @@
         effects: &mut Vec<Effect>,
     ) {
         if !self.may_send(now, id, deadline, effects) {
-            return self.end_attempt(now, id, End::plain(Outcome::Moot), effects);
+            return self.end_attempt(now, id, End::plain(Outcome::NotExecuted), effects);
         }
         let Some(r) = self.requests.get(&id.0) else { return };
         let Some(attempt) = r.attempts.get(id.1 as usize) else { return };
@@ -255,10 +255,10 @@
     }
 
     /// Takes a progress update. It is ignored for attempts that ended and for results that are streamed.
-    pub(super) fn progress_update(&mut self, id: AttemptId, note: Note) {
+    pub(super) fn progress_update(&mut self, id: AttemptId, note: ProgressUpdate) {
         let running = self.requests.get(&id.0).is_some_and(|r| !r.closed && !r.streaming);
         if running && self.find_attempt(id).is_some_and(|a| a.in_flight) {
-            self.pending_events.push(DecisionEvent::Note { id: id.0, attempt: id.1, note });
+            self.pending_events.push(DecisionEvent::ProgressUpdate { id: id.0, attempt: id.1, update: note });
         }
     }
 
--- a/src/core/decisions.rs
+++ b/src/core/decisions.rs
@@ -3,11 +3,11 @@
 use super::requests::Terms;
 use super::timers::Due;
 use super::{Core, Effect};
-use crate::interface::{Action, Milliseconds, Outcome, Why};
+use crate::interface::{Action, BlockReason, Milliseconds, Outcome};
 
 impl Core {
     /// The number of requests that could not be transmitted at once, by class and reason.
-    pub fn waits(&self) -> &[[u64; Why::COUNT]] {
+    pub fn waits(&self) -> &[[u64; BlockReason::COUNT]] {
         self.balancer.waits()
     }
 
@@ -47,7 +47,7 @@
     /// Runs the decision module, and again while its own actions cause events for it.
     fn decide(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
         let mut actions = Vec::new();
-        for _ in 0..=self.settings.send_cap {
+        for _ in 0..=self.settings.max_attempts {
             if self.pending_events.is_empty() {
                 return;
             }
@@ -62,7 +62,9 @@
     fn perform(&mut self, now: Milliseconds, action: Action, effects: &mut Vec<Effect>) {
         match action {
             Action::Send { id, engine, timeout } => self.start_attempt(now, id, engine, timeout, effects),
-            Action::Refuse { id, retry_after, why } => self.shed(now, id, retry_after, why.name(), effects),
+            Action::Reject { id, retry_after, reason } => {
+                self.shed(now, id, retry_after, reason.name(), effects)
+            }
             Action::Fail { id } => self.fail(now, id, effects),
             Action::Cancel { id, attempt } => {
                 self.abort_attempt(now, (id, attempt), Outcome::Cancelled, effects)
@@ -73,7 +75,7 @@
             Action::Timer { after, token } => self.set_timer(now + after, Due::DecisionTimer(token)),
             // The name service is polled continuously; there is nothing to subscribe to.
             Action::Watch => {}
-            Action::Probe { engine } => self.ask_for_probe(now, engine, effects),
+            Action::CheckHealth { engine } => self.ask_for_probe(now, engine, effects),
         }
     }
 }
--- a/src/core/membership.rs
+++ b/src/core/membership.rs
@@ -157,7 +157,7 @@
     /// drained or was removed in the earlier process, is treated as draining, so one guard covers all three. An engine
     /// that operators included again counts as just started.
     fn rebuild_engines(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
-        self.operator_override.forget(now, self.settings.warm_within);
+        self.operator_override.forget(now, self.settings.slow_start_duration);
         let list: Vec<Listed> = self.service_members.iter().map(|l| self.merge(l, now)).collect();
         self.replace_engines(now, &list, effects);
         self.report_members(now, list);
@@ -262,8 +262,8 @@
         let told = self.service_members.iter().map(|l| l.member.started);
         let members = list.into_iter().zip(told).map(|(l, told)| self.with_local_start(now, l.member, told));
         let members = members.collect();
-        self.pending_events.push(DecisionEvent::Members { whole: true, members });
-        self.pending_events.extend(recalled.map(|learned| DecisionEvent::Recalled(Box::new(learned))));
+        self.pending_events.push(DecisionEvent::Members { complete: true, members });
+        self.pending_events.extend(recalled.map(|learned| DecisionEvent::Restored(Box::new(learned))));
         self.recall.take_if(|recall| recall.over(now));
     }
 
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -1,7 +1,7 @@
 //! The reducer's input, [`Event`], and its output, [`Effect`].
 
 use super::types::{Answer, Ask, AttemptId, End, Listed, Rows, Statement};
-use crate::interface::{ClassId, EngineId, Milliseconds, Note, Outcome, Report, RequestId};
+use crate::interface::{ClassId, EngineId, LoadReport, Milliseconds, Outcome, ProgressUpdate, RequestId};
 use starlingplank_admin::hand::Hand;
 use starlingplank_admin::heard::Heard;
 use starlingplank_decision::permission::send::{SendPermit, SendRefusal};
@@ -30,9 +30,9 @@
     /// An attempt ended.
     Ended(AttemptId, End),
     /// An engine sent a progress update of an attempt.
-    Noted(AttemptId, Note),
+    Noted(AttemptId, ProgressUpdate),
     /// A probe ended: its number, whether it succeeded, the engine's load.
-    Probed(u64, bool, Option<Report>),
+    HealthChecked(u64, bool, Option<LoadReport>),
     /// The time of a timer has come.
     Clock,
     /// All events of a batch were handled: run a decision cycle if one is due.
@@ -56,7 +56,7 @@
     /// Another process of this gateway sent requests with these keys.
     Heard(Vec<(Key, Sends)>),
     /// How many processes of this gateway run now.
-    Processes(usize),
+    ProcessCount(usize),
 }
 
 /// An attempt to transmit.
--- a/src/core/probes.rs
+++ b/src/core/probes.rs
@@ -2,7 +2,7 @@
 
 use super::timers::Due;
 use super::{Core, Effect};
-use crate::interface::{EngineId, Event as DecisionEvent, Milliseconds, Report};
+use crate::interface::{EngineId, Event as DecisionEvent, LoadReport, Milliseconds};
 
 /// A probe without an answer.
 pub(super) struct Probe {
@@ -36,9 +36,14 @@
     }
 
     /// Ends a probe. The late answer of one that timed out changes nothing.
-    pub(super) fn probed(&mut self, now: Milliseconds, tag: u64, ok: bool, report: Option<Report>) {
+    pub(super) fn probed(&mut self, now: Milliseconds, tag: u64, ok: bool, report: Option<LoadReport>) {
         if let Some(Probe { engine, sent_at }) = self.probes.remove(&tag) {
-            self.pending_events.push(DecisionEvent::Probed { engine, ok, took: now - sent_at, report });
+            self.pending_events.push(DecisionEvent::HealthChecked {
+                engine,
+                ok,
+                took: now - sent_at,
+                report,
+            });
         }
     }
 }
--- a/src/core/records.rs
+++ b/src/core/records.rs
@@ -91,7 +91,7 @@
         if in_time {
             self.transmit(now, id, deadline, effects);
         } else {
-            self.end_attempt(now, id, End::plain(Outcome::Moot), effects);
+            self.end_attempt(now, id, End::plain(Outcome::NotExecuted), effects);
         }
     }
 
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -3,7 +3,9 @@
 use super::attempts::Attempt;
 use super::timers::Due;
 use super::{Answer, Ask, Core, Effect, EngineError, Statement};
-use crate::interface::{ClassId, Event as DecisionEvent, Incoming, Milliseconds, Outcome, Repeat, RequestId};
+use crate::interface::{
+    ClassId, Event as DecisionEvent, Idempotency, Milliseconds, Outcome, RequestDetails, RequestId,
+};
 use starlingplank_persistence::gate::{self, Admission, Key};
 use std::rc::Rc;
 
@@ -131,7 +133,7 @@
     }
 
     fn accept(&mut self, now: Milliseconds, ask: Ask, admitted: Admitted) {
-        let Incoming { id, class, deadline, .. } = ask.asked;
+        let RequestDetails { id, class, deadline, .. } = ask.asked;
         self.open_requests += 1;
         self.held_bytes += ask.statement.bytes();
         let request = Request {
@@ -153,7 +155,7 @@
         // with that earlier deadline: with the client's it would spend its retry budget on retries in between.
         let deadline = deadline - self.limits.answer_margin;
         self.decision_urgent = true;
-        self.pending_events.push(DecisionEvent::Request(Incoming { deadline, ..ask.asked }));
+        self.pending_events.push(DecisionEvent::Request(RequestDetails { deadline, ..ask.asked }));
     }
 
     /// Rejects a request that was not accepted.
@@ -192,8 +194,8 @@
 
     /// How long engines remember the keys of a class; none for classes without keys.
     fn window(&self, class: ClassId) -> Option<Milliseconds> {
-        match self.settings.classes[class.0].repeat {
-            Repeat::Keyed { window, .. } => Some(window),
+        match self.settings.classes[class.0].idempotency {
+            Idempotency::Keyed { window, .. } => Some(window),
             _ => None,
         }
     }
@@ -203,7 +205,7 @@
         if self.requests.get(&id).is_some_and(|r| !r.closed && !r.streaming) {
             self.abort_attempts(now, id, Outcome::Timeout, effects);
             self.answer(id, Answer::Expired, effects);
-            self.pending_events.push(DecisionEvent::Gone(id));
+            self.pending_events.push(DecisionEvent::ClientDisconnected(id));
         }
     }
 
@@ -218,7 +220,7 @@
         r.closed = true;
         self.open_requests -= 1;
         self.counts[r.class.0].left += 1;
-        self.pending_events.push(DecisionEvent::Gone(id));
+        self.pending_events.push(DecisionEvent::ClientDisconnected(id));
         self.abort_attempts(now, id, Outcome::Cancelled, effects);
         self.remove_if_done(id);
     }
--- a/src/core/shutdown.rs
+++ b/src/core/shutdown.rs
@@ -52,14 +52,14 @@
                 self.abort_attempts(now, id, Outcome::Cancelled, effects);
                 self.answer(id, Answer::Failed(None), effects);
             }
-            self.pending_events.push(DecisionEvent::Gone(id));
+            self.pending_events.push(DecisionEvent::ClientDisconnected(id));
         }
     }
 
     /// Whether the client can send the request again without harm.
     fn may_be_repeated(&self, request: &Request) -> bool {
         let may_have_run = request.attempts.iter().any(|a| a.may_have_run());
-        may_refuse(self.settings.classes[request.class.0].repeat, may_have_run)
+        may_refuse(self.settings.classes[request.class.0].idempotency, may_have_run)
     }
 
     /// Exits once the termination window is over and no request is open.
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -62,7 +62,7 @@
 #[derive(Debug)]
 pub struct Ask {
     /// The decision module's view of it.
-    pub asked: Incoming,
+    pub asked: RequestDetails,
     /// What is sent to the engine.
     pub statement: Rc<Statement>,
 }
@@ -106,7 +106,7 @@
     /// The work it took, where the engine reports that.
     pub work: Option<Milliseconds>,
     /// The engine's load, where the engine reports that.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
     /// The result, if it was not streamed.
     pub rows: Rows,
     /// The engine's error, if it failed.
--- a/src/main.rs
+++ b/src/main.rs
@@ -106,7 +106,7 @@
             let rules = match operator {
                 Some(_) => {
                     let config = read(&Files { config: None, operator })?;
-                    config.knowledge.map(|k| keep::rules(&k, config.settings.tip_after))
+                    config.knowledge.map(|k| keep::rules(&k, config.settings.overload_collapse_after))
                 }
                 None => None,
             };
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -5,7 +5,7 @@
 use crate::net::frame::Frame;
 use crate::net::log;
 use starlingplank_admin::figures::Figures;
-use starlingplank_decision::interface::Ration;
+use starlingplank_decision::interface::RetryBudgetSettings;
 use starlingplank_decision::permission::counters::RuleCounters;
 use starlingplank_decision::permission::send::SendRefusal;
 use starlingplank_decision::retry_budget::RetryBudget;
@@ -43,13 +43,13 @@
     }
 
     /// The same, and further attempts are bounded.
-    pub fn with_retry_budget(classes: usize, ration: Option<Ration>) -> Rc<Self> {
+    pub fn with_retry_budget(classes: usize, retry_budget: Option<RetryBudgetSettings>) -> Rc<Self> {
         Rc::new(Self {
             held: Cell::new(0),
             figures: Figures::new(classes),
             processes: Cell::new(1),
             rules: Rc::default(),
-            retry_budget: RefCell::new(RetryBudget::new(ration)),
+            retry_budget: RefCell::new(RetryBudget::new(retry_budget)),
             started: Instant::now(),
         })
     }
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -40,7 +40,11 @@
     at: Option<SocketAddr>,
     now: Milliseconds,
 ) -> Discovery {
-    let pace = Rules { gateways: settings.gateways, rank: settings.rank, slowest: limits.names_slowest };
+    let pace = Rules {
+        gateways: settings.gateways,
+        gateway_index: settings.gateway_index,
+        slowest: limits.names_slowest,
+    };
     let start = Start {
         pace,
         seed: settings.seed,
--- a/src/net/engine/clickhouse.rs
+++ b/src/net/engine/clickhouse.rs
@@ -110,11 +110,11 @@
         let (id, engine, address) = (send.id, send.engine.clone(), send.address);
         if !self.start(&engine, address, job, Frame::sending(send, encode_request)) {
             log::seldom_error("no connection is left for an attempt on an engine", &engine.0);
-            events.push(Event::Ended(id, End::plain(Outcome::Moot)));
+            events.push(Event::Ended(id, End::plain(Outcome::NotExecuted)));
         }
     }
 
-    fn give_up(&mut self, id: AttemptId, _: bool) {
+    fn abort_attempt(&mut self, id: AttemptId, _: bool) {
         let Some(conn) = self.holder(id) else { return };
         *conn.job.borrow_mut() = None;
         if !conn.out.withdraw(id) {
@@ -128,7 +128,7 @@
     fn probe(&mut self, tag: u64, engine: &EngineId, address: SocketAddr, events: &mut Vec<Event>) {
         let frame = Frame::plain(format!("GET /ping HTTP/1.1\r\nHost: {address}\r\n\r\n").into_bytes());
         if !self.start(engine, address, Job::Probe(tag), frame) {
-            events.push(Event::Probed(tag, false, None));
+            events.push(Event::HealthChecked(tag, false, None));
         }
     }
 
@@ -138,7 +138,7 @@
             for id in conn.out.unsent() {
                 if conn.out.withdraw(id) {
                     *conn.job.borrow_mut() = None;
-                    events.push(Event::Ended(id, End::plain(Outcome::Moot)));
+                    events.push(Event::Ended(id, End::plain(Outcome::NotExecuted)));
                 }
             }
         }
@@ -246,11 +246,11 @@
     let job = conn.job.borrow_mut().take();
     let event = match job {
         None => return,
-        Some(Job::Probe(tag)) => Event::Probed(tag, false, None),
+        Some(Job::Probe(tag)) => Event::HealthChecked(tag, false, None),
         Some(Job::Attempt(id, _)) => {
             let outcome = match &stream {
                 Err(e) => e.outcome(),
-                Ok(_) if unsent.contains(&id) => Outcome::Moot,
+                Ok(_) if unsent.contains(&id) => Outcome::NotExecuted,
                 Ok(_) => Outcome::Reset,
             };
             Event::Ended(id, End::plain(outcome))
@@ -264,7 +264,7 @@
     loop {
         let id = conn.out.overdue().await;
         if conn.holds(id) {
-            let _ = events.send(Event::Ended(id, End::plain(Outcome::Moot))).await;
+            let _ = events.send(Event::Ended(id, End::plain(Outcome::NotExecuted))).await;
             *conn.job.borrow_mut() = None;
         }
     }
@@ -390,7 +390,7 @@
     let place = events.reserve().await.ok()?;
     let job = conn.job.borrow_mut().take()?;
     place.send(match job {
-        Job::Probe(tag) => Event::Probed(tag, status == 200, None),
+        Job::Probe(tag) => Event::HealthChecked(tag, status == 200, None),
         Job::Attempt(id, _) => Event::Ended(id, end(status, rows)),
     });
     Some(keep)
--- a/src/net/engine/connect.rs
+++ b/src/net/engine/connect.rs
@@ -31,7 +31,7 @@
     pub fn outcome(&self) -> Outcome {
         match self {
             Self::Refused(_) | Self::TooLate | Self::GivenUp => Outcome::ConnectFailed,
-            Self::Local(_) => Outcome::Moot,
+            Self::Local(_) => Outcome::NotExecuted,
         }
     }
 }
--- a/src/net/engine/driver.rs
+++ b/src/net/engine/driver.rs
@@ -50,7 +50,7 @@
     loop {
         let id = connection.outbox.overdue().await;
         // It stays in flight until it is reported: if the connection ends meanwhile, its end is reported with it.
-        let _ = events.send(Event::Ended(id, End::plain(Outcome::Moot))).await;
+        let _ = events.send(Event::Ended(id, End::plain(Outcome::NotExecuted))).await;
         connection.remove_attempt(id);
     }
 }
@@ -139,7 +139,7 @@
     for (_, attempt) in in_flight {
         let outcome = match never_up {
             Some(outcome) => outcome,
-            None if unsent.contains(&attempt.id) => Outcome::Moot,
+            None if unsent.contains(&attempt.id) => Outcome::NotExecuted,
             None => Outcome::Reset,
         };
         let _ = events.send(Event::Ended(attempt.id, End::plain(outcome))).await;
@@ -150,6 +150,6 @@
 async fn report_failed_probes(connection: &Connection, events: &Sender<Event>) {
     let probes = std::mem::take(&mut *connection.probes.borrow_mut());
     for (tag, _) in probes {
-        let _ = events.send(Event::Probed(tag, false, None)).await;
+        let _ = events.send(Event::HealthChecked(tag, false, None)).await;
     }
 }
--- a/src/net/engine/mod.rs
+++ b/src/net/engine/mod.rs
@@ -30,7 +30,7 @@
     /// Sends an attempt.
     fn send(&mut self, send: Send, events: &mut Vec<Event>);
     /// Cancels an attempt, because its time is over or because its result is no longer needed.
-    fn give_up(&mut self, id: AttemptId, out_of_time: bool);
+    fn abort_attempt(&mut self, id: AttemptId, out_of_time: bool);
     /// Changes the priority of an attempt.
     fn hurry(&mut self, id: AttemptId, priority: u8);
     /// Probes an engine.
--- a/src/net/engine/pool.rs
+++ b/src/net/engine/pool.rs
@@ -130,7 +130,7 @@
         let name = send.statement.name.clone();
         let Some(connection) = self.choose_connection(&send.engine, send.address, &name) else {
             log::seldom_error("no connection is left for an attempt on an engine", &send.engine.0);
-            return events.push(Event::Ended(send.id, End::plain(Outcome::Moot)));
+            return events.push(Event::Ended(send.id, End::plain(Outcome::NotExecuted)));
         };
         connection.last_used.set(Instant::now());
         connection.in_flight.borrow_mut().insert(name.clone(), InFlight::new(send.id));
@@ -139,7 +139,7 @@
         self.placements.insert(id, Placement { connection, name });
     }
 
-    fn give_up(&mut self, id: AttemptId, out_of_time: bool) {
+    fn abort_attempt(&mut self, id: AttemptId, out_of_time: bool) {
         let Some(Placement { connection, name }) = self.placements.remove(&id) else { return };
         if !connection.holds(id, &name) {
             return;
@@ -171,7 +171,7 @@
 
     fn probe(&mut self, tag: u64, engine: &EngineId, address: SocketAddr, events: &mut Vec<Event>) {
         let Some(connection) = self.choose_connection(engine, address, "") else {
-            return events.push(Event::Probed(tag, false, None));
+            return events.push(Event::HealthChecked(tag, false, None));
         };
         connection.probes.borrow_mut().insert(tag, Instant::now());
         connection.outbox.push(resp::command(&["busy", &format!("p{tag}")]), &self.limits);
@@ -182,7 +182,7 @@
             connection.retired.set(true);
             for id in connection.withdraw_unsent() {
                 self.placements.remove(&id);
-                events.push(Event::Ended(id, End::plain(Outcome::Moot)));
+                events.push(Event::Ended(id, End::plain(Outcome::NotExecuted)));
             }
         }
     }
--- a/src/net/engine/progress.rs
+++ b/src/net/engine/progress.rs
@@ -1,7 +1,7 @@
 //! Progress updates: news of an attempt in flight. They end neither the attempt nor its connection.
 
 use crate::core::Event;
-use crate::interface::Note;
+use crate::interface::ProgressUpdate;
 use crate::net::engine::connection::Connection;
 use crate::net::engine::replies::ReplyEffect;
 use crate::net::engine::resp::Reply;
@@ -17,25 +17,25 @@
 
 /// A progress update that cannot be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BadNote;
+pub struct InvalidProgressUpdate;
 
 impl Reply<'_> {
     /// The progress update in `detail` and `v`.
     ///
     /// # Errors
     /// There is one, and it cannot be used: its kind is unknown, or its figure is missing, unreadable or out of range.
-    pub fn note(&self) -> Result<Option<Note>, BadNote> {
+    pub fn note(&self) -> Result<Option<ProgressUpdate>, InvalidProgressUpdate> {
         let Some(kind) = self.field("detail").filter(|kind| !kind.is_empty()) else {
             let has_value = self.field("v").is_some_and(|value| !value.is_empty());
-            return if has_value { Err(BadNote) } else { Ok(None) };
+            return if has_value { Err(InvalidProgressUpdate) } else { Ok(None) };
         };
-        let value = self.number("v").ok_or(BadNote)?;
+        let value = self.number("v").ok_or(InvalidProgressUpdate)?;
         match kind {
-            "p" if (0.0..=1.0).contains(&value) => Ok(Some(Note::Progress(value))),
-            "s" if (0.0..=MOST_MISSING_MB).contains(&value) => Ok(Some(Note::Spill(value))),
-            "w" if value == WAITS_FOR_MEMORY => Ok(Some(Note::WaitsForMemory)),
-            "w" if value == WAITS_FOR_LOAD => Ok(Some(Note::WaitsForLoad)),
-            _ => Err(BadNote),
+            "p" if (0.0..=1.0).contains(&value) => Ok(Some(ProgressUpdate::Progress(value))),
+            "s" if (0.0..=MOST_MISSING_MB).contains(&value) => Ok(Some(ProgressUpdate::Spill(value))),
+            "w" if value == WAITS_FOR_MEMORY => Ok(Some(ProgressUpdate::WaitsForMemory)),
+            "w" if value == WAITS_FOR_LOAD => Ok(Some(ProgressUpdate::WaitsForLoad)),
+            _ => Err(InvalidProgressUpdate),
         }
     }
 }
@@ -52,7 +52,7 @@
     match reply.note() {
         Ok(Some(note)) => ReplyEffect::Event(Event::Noted(attempt.id, note)),
         Ok(None) => ReplyEffect::Ignored,
-        Err(BadNote) => {
+        Err(InvalidProgressUpdate) => {
             log::seldom("an engine's progress update cannot be used; it was dropped");
             ReplyEffect::Ignored
         }
--- a/src/net/engine/replies.rs
+++ b/src/net/engine/replies.rs
@@ -29,7 +29,7 @@
         b"served" | b"rows" => handle_page(connection, reply, limits),
         b"update" => handle_progress_update(connection, reply),
         b"overload" => handle_failure(connection, reply, Outcome::Full, limits),
-        b"nobody" => handle_failure(connection, reply, Outcome::Moot, limits),
+        b"nobody" => handle_failure(connection, reply, Outcome::NotExecuted, limits),
         b"crashed" => handle_failure(connection, reply, Outcome::Error, limits),
         _ => ReplyEffect::ProtocolError,
     }
@@ -45,7 +45,7 @@
         return ReplyEffect::Ignored;
     }
     connection.last_used.set(Instant::now());
-    ReplyEffect::Event(Event::Probed(tag, reply.word == b"green", reply.report()))
+    ReplyEffect::Event(Event::HealthChecked(tag, reply.word == b"green", reply.report()))
 }
 
 /// Ends an attempt that has no result.
--- a/src/net/engine/resp.rs
+++ b/src/net/engine/resp.rs
@@ -1,8 +1,8 @@
 //! The platform's engines: RESP arrays of bulk strings. Answers are read in place.
 
 use crate::core::Send;
-use crate::interface::Report;
-pub use crate::net::engine::progress::BadNote;
+use crate::interface::LoadReport;
+pub use crate::net::engine::progress::InvalidProgressUpdate;
 use crate::net::frame::{Frame, Part};
 use std::io::Write;
 use winnow::ascii::{crlf, dec_uint};
@@ -88,14 +88,14 @@
     }
 
     /// The load report in `use`, if there is one.
-    pub fn report(&self) -> Option<Report> {
+    pub fn report(&self) -> Option<LoadReport> {
         self.field("use").map(report)
     }
 }
 
 /// Reads `inflight:7;util:0.61`, by the platform's names or the simulator's.
-pub fn report(text: &str) -> Report {
-    let mut report = Report::default();
+pub fn report(text: &str) -> LoadReport {
+    let mut report = LoadReport::default();
     for (name, value) in text.split(';').filter_map(|pair| pair.split_once(':')) {
         let value = value.parse().ok();
         match name {
--- a/src/net/front/clickhouse.rs
+++ b/src/net/front/clickhouse.rs
@@ -2,7 +2,7 @@
 //! platform's protocol, in that interface's words.
 
 use crate::core::{Answer, EngineError, Flow, Rows, Statement};
-use crate::interface::{ClassId, Repeat, RequestId};
+use crate::interface::{ClassId, Idempotency, RequestId};
 use crate::limits::Limits;
 use crate::net::conn::{finish, Close, Inbox};
 use crate::net::frame::Frame;
@@ -394,10 +394,10 @@
     let class = rules.class(&text, request.param("user"));
     let of = &desk.settings.classes[class.0];
     let limit = request.param("max_execution_time").parse::<f64>().ok().filter(|s| *s > 0.0);
-    let limit = limit.map_or(of.give_up, |s| (s * 1000.0).min(of.give_up));
+    let limit = limit.map_or(of.client_timeout, |s| (s * 1000.0).min(of.client_timeout));
     request.take("max_execution_time");
     let token = request.take("insert_deduplication_token");
-    let key = matches!(of.repeat, Repeat::Keyed { .. })
+    let key = matches!(of.idempotency, Idempotency::Keyed { .. })
         .then(|| token.clone().unwrap_or_else(|| stable_key(request.param("database"), &text, &data)));
     let id = desk.number();
     let name = request.take("query_id").unwrap_or_else(|| format!("{:016x}", fastrand::u64(..)));
@@ -425,8 +425,9 @@
         flow: request.parts.then(|| -> Rc<dyn Flow> { session.seat.out.clone() }),
     };
     // The interface has no word for a client's retry.
-    let repeat = false;
-    let asked = Asked { class, tenant: None, arrived, limit, work: None, memory_mb: None, repeat, statement };
+    let is_retry = false;
+    let asked =
+        Asked { class, tenant: None, arrived, limit, work: None, memory_mb: None, is_retry, statement };
     session.seat.asked();
     desk.take(id, Box::new(Caller { session: session.clone(), name, class }), asked).await;
     Some(id)
--- a/src/net/front/mod.rs
+++ b/src/net/front/mod.rs
@@ -8,7 +8,7 @@
 pub use seat::Seat;
 
 use crate::core::{Answer, Ask, Event, Rows, Statement};
-use crate::interface::{ClassId, DataSet, Incoming, Milliseconds, RequestId, Settings, TenantId};
+use crate::interface::{ClassId, DataSet, Milliseconds, RequestDetails, RequestId, Settings, TenantId};
 use crate::limits::Limits;
 use crate::net::clock::Clock;
 use crate::net::conn::{Common, Outbox};
@@ -90,7 +90,7 @@
     /// Nobody waits yet.
     pub fn new(settings: Rc<Settings>, limits: Rc<Limits>, events: Sender<Event>) -> Rc<Self> {
         Rc::new(Self {
-            common: Common::with_retry_budget(settings.classes.len(), settings.ration),
+            common: Common::with_retry_budget(settings.classes.len(), settings.retry_budget),
             settings,
             waiting_places: Arc::new(Semaphore::new(limits.front_waiting)),
             limits,
@@ -202,7 +202,7 @@
     /// Hands in a request whose client waits up to `limit`.
     pub async fn take(&self, id: RequestId, client: Box<dyn Client>, asked: Asked) {
         let data = sql::table_group(&asked.statement.text).map(DataSet);
-        let asked_of_module = Incoming {
+        let asked_of_module = RequestDetails {
             id,
             class: asked.class,
             tenant: asked.tenant,
@@ -211,7 +211,7 @@
             work: asked.work.filter(|w| *w > 0.0),
             memory_mb: asked.memory_mb.filter(|m| *m > 0.0),
             data,
-            repeat: asked.repeat,
+            is_retry: asked.is_retry,
         };
         let statement = Rc::new(asked.statement);
         // From here on nothing is waited for: a connection that ends meanwhile leaves no half-taken request behind.
@@ -285,7 +285,7 @@
     /// Guess of its memory.
     pub memory_mb: Option<f64>,
     /// The client marks it as its own retry.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// What is to be run.
     pub statement: Statement,
 }
--- a/src/net/front/thrift.rs
+++ b/src/net/front/thrift.rs
@@ -1,7 +1,7 @@
 //! The platform's protocol: framed Thrift, strict binary. Heads are read in place, answers are gathered.
 
 use crate::core::{Answer, Rows, Statement};
-use crate::interface::{ClassId, Repeat, RequestId, TenantId};
+use crate::interface::{ClassId, Idempotency, RequestId, TenantId};
 use crate::limits::Limits;
 use crate::net::conn::{finish, Close, Inbox};
 use crate::net::frame::Frame;
@@ -422,14 +422,14 @@
     // What goes on into an engine's field must not end that field.
     let plain =
         |text: &str| (1..=256).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_alphanumeric());
-    let keyed = matches!(desk.settings.classes[class].repeat, Repeat::Keyed { .. });
+    let keyed = matches!(desk.settings.classes[class].idempotency, Idempotency::Keyed { .. });
     let key = fields.get("unique").copied().filter(|_| keyed);
     if !plain(txn) || keyed && !key.is_some_and(plain) {
         return Err("txn or unique is missing or cannot be used");
     }
-    let give_up = desk.settings.classes[class].give_up;
+    let client_timeout = desk.settings.classes[class].client_timeout;
     let limit = number("limit")?.ok_or("limit is missing")?;
-    if limit > 10.0 * give_up {
+    if limit > 10.0 * client_timeout {
         return Err("limit is longer than any request of its class may take");
     }
     // One that the settings do not name has no share that it could be held to.
@@ -443,7 +443,7 @@
         work: number("cpu")?,
         memory_mb: number("mem")?,
         // Any other value marks nothing: a mark is a hint, and the request is as good without it.
-        repeat: fields.get("second").is_some_and(|mark| *mark == MARKED),
+        is_retry: fields.get("second").is_some_and(|mark| *mark == MARKED),
         statement: Statement {
             name: txn.to_owned(),
             class: verb.to_owned(),
--- a/src/net/keep.rs
+++ b/src/net/keep.rs
@@ -3,7 +3,7 @@
 
 use crate::config::{describe, Config, KnowledgeSettings};
 use crate::core::{Core, Event, Listed};
-use crate::interface::{Availability, Milliseconds, Repeat, Settings};
+use crate::interface::{Availability, Idempotency, Milliseconds, Settings};
 use starlingplank_persistence::disk::Disk;
 use starlingplank_persistence::folder::{Boot, Files, Folder, FolderError};
 use starlingplank_persistence::gate::{self as knowledge, Gate, Key, Rewrite, Sends, Sent};
@@ -61,19 +61,19 @@
 }
 
 /// The rules by which old knowledge is judged.
-pub fn rules(settings: &KnowledgeSettings, tip_after: Milliseconds) -> Rules {
+pub fn rules(settings: &KnowledgeSettings, overload_collapse_after: Milliseconds) -> Rules {
     Rules {
         restart_within: settings.restart_within,
         keep_for: settings.keep_for,
         list_wait: settings.list_wait,
-        tip_after,
+        overload_collapse_after,
     }
 }
 
 /// The longest window of the classes; 0: none is keyed.
 fn window(config: &Config) -> Milliseconds {
-    let window = |c: &crate::interface::Class| match c.repeat {
-        Repeat::Keyed { window, .. } => Some(window),
+    let window = |c: &crate::interface::Class| match c.idempotency {
+        Idempotency::Keyed { window, .. } => Some(window),
         _ => None,
     };
     config.settings.classes.iter().filter_map(window).fold(0.0, f64::max)
@@ -216,7 +216,8 @@
             warn!("{}/{fault}", settings.folder.display());
         }
         let recall = loaded.snapshot.and_then(|(generation, snapshot)| {
-            let recall = Recall::new(&snapshot, now, rules(settings, config.settings.tip_after));
+            let recall =
+                Recall::new(&snapshot, now, rules(settings, config.settings.overload_collapse_after));
             match &recall {
                 Ok(_) => info!(
                     "knowledge of generation {generation} is whole: {} engines, {:.1} s old",
--- a/src/net/runtime/cycle.rs
+++ b/src/net/runtime/cycle.rs
@@ -75,7 +75,7 @@
         Event::Ended((id, n), end) => {
             tracing::trace!("end {}.{n} {:?} work {:?} {:?}", id.0, end.outcome, end.work, end.report);
         }
-        Event::Probed(tag, ok, report) => tracing::trace!("probed {tag} {ok} {report:?}"),
+        Event::HealthChecked(tag, ok, report) => tracing::trace!("probed {tag} {ok} {report:?}"),
         Event::List(serial, list) => tracing::trace!("list {serial} of {}", list.len()),
         Event::Taken(ask) => {
             tracing::trace!("taken {} class {} work {:?}", ask.asked.id.0, ask.asked.class.0, ask.asked.work);
--- a/src/net/runtime/effects.rs
+++ b/src/net/runtime/effects.rs
@@ -1,7 +1,7 @@
 //! Performs the effects that the reducer asks for.
 
 use crate::core::{Answer, Effect, End, Event, Send};
-use crate::interface::{Outcome, Repeat};
+use crate::interface::{Idempotency, Outcome};
 use crate::net::log;
 use crate::net::runtime::Runtime;
 use starlingplank_persistence::gate::{self, Sent};
@@ -12,8 +12,8 @@
         trace_effect(&effect);
         match effect {
             Effect::Send(send) if self.record_for_peers(&send) => self.engines.send(send, new_events),
-            Effect::Send(send) => new_events.push(Event::Ended(send.id, End::plain(Outcome::Moot))),
-            Effect::GiveUp(id, _, outcome) => self.engines.give_up(id, outcome == Outcome::Timeout),
+            Effect::Send(send) => new_events.push(Event::Ended(send.id, End::plain(Outcome::NotExecuted))),
+            Effect::GiveUp(id, _, outcome) => self.engines.abort_attempt(id, outcome == Outcome::Timeout),
             Effect::Hurry(id, _, priority) => self.engines.hurry(id, priority),
             Effect::Probe(tag, engine, address) => self.engines.probe(tag, &engine, address, new_events),
             Effect::Shut(engine) => self.engines.shut(&engine, new_events),
@@ -52,7 +52,7 @@
     /// Records a keyed send for other processes of this gateway. False: it is not recorded, and must not leave.
     fn record_for_peers(&mut self, send: &Send) -> bool {
         let (Some(handover), Some(key)) = (&mut self.handover, &send.statement.key) else { return true };
-        let Repeat::Keyed { window, .. } = self.desk.settings.classes[send.class.0].repeat else {
+        let Idempotency::Keyed { window, .. } = self.desk.settings.classes[send.class.0].idempotency else {
             return true;
         };
         let recorded = handover.record(gate::key(key), Sent { at: self.desk.clock.now(), window });
--- a/src/net/runtime/peers.rs
+++ b/src/net/runtime/peers.rs
@@ -58,7 +58,7 @@
     /// Divides what one process may use among all processes of this gateway.
     fn share_limits(&self, processes: usize, events: &mut Vec<Event>) {
         if self.desk.common.processes.replace(processes) != processes {
-            events.push(Event::Processes(processes));
+            events.push(Event::ProcessCount(processes));
         }
     }
 
--- a/src/net/runtime/shutdown.rs
+++ b/src/net/runtime/shutdown.rs
@@ -1,6 +1,6 @@
 //! The end of the process: when it may end, and its last report.
 
-use crate::interface::Why;
+use crate::interface::BlockReason;
 use crate::net::front::Leaving;
 use crate::net::runtime::inputs::Inputs;
 use crate::net::runtime::Runtime;
@@ -123,7 +123,8 @@
                 counts.outcomes,
                 [figure(Count::Answered), figure(Count::Deferred), figure(Count::Errored), counts.left]
             );
-            let waits = Why::ALL.iter().map(|why| (why.name(), waits[*why as usize])).filter(|(_, n)| *n > 0);
+            let waits =
+                BlockReason::ALL.iter().map(|why| (why.name(), waits[*why as usize])).filter(|(_, n)| *n > 0);
             let waits: BTreeMap<_, _> = waits.collect();
             tracing::info!("{}: refused for {:?}, waited for {waits:?}", class.name, counts.refusals);
         }
--- a/src/net/runtime/startup.rs
+++ b/src/net/runtime/startup.rs
@@ -154,7 +154,10 @@
             self.keep.follow(config, &mut self.core, clock.now());
         }
         inherited.push(Event::Hand(handover.hand().clone()));
-        let rules = recall::Rules { tip_after: config.settings.tip_after, ..recall::DEFAULT };
+        let rules = recall::Rules {
+            overload_collapse_after: config.settings.overload_collapse_after,
+            ..recall::DEFAULT
+        };
         if let Some(recall) = handover.learned(clock.now(), rules, limits).await {
             self.core.remember(recall);
         }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -203,11 +203,11 @@
         self.opt(field).map(|v| v.split(',').filter(|s| !s.is_empty()).collect()).unwrap_or_default()
     }
 
-    fn report(&self) -> Result<Option<Report>, WireError> {
+    fn report(&self) -> Result<Option<LoadReport>, WireError> {
         let Some(text) = self.opt("health_info").filter(|t| !t.is_empty()) else {
             return Ok(None);
         };
-        let mut report = Report::default();
+        let mut report = LoadReport::default();
         for pair in text.split(',') {
             let (name, value) =
                 pair.split_once(':').ok_or_else(|| self.bad("health_info", "is not name:value pairs"))?;
@@ -256,7 +256,7 @@
             availability: match f.text("availability")? {
                 "live" => Availability::Live,
                 "quiescing" => Availability::Draining,
-                "dead" => Availability::Gone,
+                "dead" => Availability::Removed,
                 _ => return Err(f.bad("availability", "is no availability")),
             },
             came_up: Some(f.number_or("came_up", 0.0)?).filter(|t| *t > 0.0),
@@ -305,7 +305,7 @@
         "connect_failed" => Outcome::ConnectFailed,
         "reset" => Outcome::Reset,
         "cancelled" => Outcome::Cancelled,
-        "moot" => Outcome::Moot,
+        "moot" => Outcome::NotExecuted,
         _ => return Err(f.bad("disposition", "is no completion code")),
     })
 }
@@ -321,7 +321,7 @@
                 None | Some("" | "0") => None,
                 Some(name) => settings.tenants.iter().position(|t| t.name == name),
             };
-            Event::Request(Incoming {
+            Event::Request(RequestDetails {
                 id: id()?,
                 class: ClassId(class.ok_or_else(|| f.bad("class", "is not in the settings"))?),
                 tenant: tenant.map(TenantId),
@@ -330,7 +330,7 @@
                 work: Some(f.number_or("expected", 0.0)?).filter(|w| *w > 0.0),
                 memory_mb: Some(f.number_or("footprint_mb", 0.0)?).filter(|m| *m > 0.0),
                 data: f.maybe("source_set")?.map(DataSet),
-                repeat: f.flag("again_by_client")?,
+                is_retry: f.flag("again_by_client")?,
             })
         }
         "TICK_DUE" => Event::Timer(f.get("cookie")?),
@@ -357,21 +357,21 @@
         },
         "HEARTBEAT" => {
             let amount = f.number_or("amount", 0.0)?;
-            Event::Note {
+            Event::ProgressUpdate {
                 id: id()?,
                 attempt: f.get("send_no")?,
-                note: match f.get::<u64>("topic")? {
-                    1 => Note::Progress(amount),
-                    2 => Note::Spill(amount),
-                    3 if amount == 2.0 => Note::WaitsForLoad,
-                    3 => Note::WaitsForMemory,
+                update: match f.get::<u64>("topic")? {
+                    1 => ProgressUpdate::Progress(amount),
+                    2 => ProgressUpdate::Spill(amount),
+                    3 if amount == 2.0 => ProgressUpdate::WaitsForLoad,
+                    3 => ProgressUpdate::WaitsForMemory,
                     _ => return Err(f.bad("topic", "is not 1, 2 or 3")),
                 },
             }
         }
-        "LAPSED" => Event::Gone(id()?),
+        "LAPSED" => Event::ClientDisconnected(id()?),
         "HEADERS" => Event::Streaming { id: id()? },
-        "HEALTH_RESULT" => Event::Probed {
+        "HEALTH_RESULT" => Event::HealthChecked {
             engine: f.engine()?,
             ok: outcome(f)? == Outcome::Ok,
             took: f.number_or("duration", 0.0)?,
@@ -418,15 +418,15 @@
         let allowed = |name: &str| f.opt(&p(name)).map(|_| f.list(&p(name)).to_vec());
         classes.push(Class {
             name: f.text(&p("name"))?.to_owned(),
-            aim: f.number_or(&p("on_time"), 0.0)?,
-            aim_stretch: f.number_or(&p("aim_stretch"), 0.0)?,
-            give_up: f.number_or(&p("give_up"), 0.0)?,
-            worth: f.number_or(&p("worth"), 1.0)?,
-            late_worth: f.number_or(&p("late_worth"), 0.0)?,
-            repeat: match f.text(&p("idempotency"))? {
-                "idempotent" => Repeat::Safe,
-                "deduplicated" => Repeat::Keyed { scope, window: f.number_or(&p("window"), 0.0)? },
-                "at_most_once" => Repeat::Unsafe,
+            latency_objective: f.number_or(&p("on_time"), 0.0)?,
+            latency_objective_stretch: f.number_or(&p("aim_stretch"), 0.0)?,
+            client_timeout: f.number_or(&p("give_up"), 0.0)?,
+            priority_weight: f.number_or(&p("worth"), 1.0)?,
+            late_weight_share: f.number_or(&p("late_worth"), 0.0)?,
+            idempotency: match f.text(&p("idempotency"))? {
+                "idempotent" => Idempotency::Idempotent,
+                "deduplicated" => Idempotency::Keyed { scope, window: f.number_or(&p("window"), 0.0)? },
+                "at_most_once" => Idempotency::NotIdempotent,
                 _ => return Err(f.bad(&p("idempotency"), "is no idempotency")),
             },
             ordered: f.flag(&p("serial_by_key"))?,
@@ -447,9 +447,9 @@
             quota_per_s: f.number_or(&format!("tenants.{i}.quota_per_s"), 0.0)?,
         });
     }
-    let ration = match f.opt("rules.ratio_span") {
+    let retry_budget = match f.opt("rules.ratio_span") {
         None => None,
-        Some(_) => Some(Ration {
+        Some(_) => Some(RetryBudgetSettings {
             free: f.number_or("rules.extra_free", 0.0)?,
             per_request: f.number_or("rules.extra_per_request", 0.0)?,
             span: f.number("rules.ratio_span")?,
@@ -460,40 +460,40 @@
     Ok(Settings {
         seed: f.get("entropy")?,
         gateways: f.maybe("balancers")?.unwrap_or(0),
-        rank: f.maybe("rank")?,
+        gateway_index: f.maybe("rank")?,
         zone: f.opt("locality").and_then(|z| zone_of(&zones, z)),
         classes,
         kinds,
         zones,
         tenants,
-        ask_for_list: match f.opt("discovery") {
+        subscribes_to_endpoints: match f.opt("discovery") {
             None | Some("push") => false,
             Some("ask") => true,
             Some(_) => return Err(f.bad("discovery", "is neither push nor ask")),
         },
         may_cancel: f.flag("limits.cancelling")?,
-        may_copy: f.flag("limits.may_duplicate")?,
-        may_probe: f.flag("limits.probes")?,
-        probe_price: f.number_or("charges.probe", 0.0)?,
+        may_hedge: f.flag("limits.may_duplicate")?,
+        may_check_health: f.flag("limits.probes")?,
+        health_check_price: f.number_or("charges.probe", 0.0)?,
         max_retry_after: if advice { f.number_or("limits.max_retry_after", 0.0)? } else { 0.0 },
-        send_cap: f.maybe("limits.send_cap")?.unwrap_or(1),
+        max_attempts: f.maybe("limits.send_cap")?.unwrap_or(1),
         reporting: match f.opt("reporting.how") {
             Some("answers") => Reporting::Answers,
             Some("probe") => Reporting::Probes,
             None | Some("none") => Reporting::Never,
             Some(_) => return Err(f.bad("reporting.how", "is no way of reporting")),
         },
-        answer_slack: f.number_or("rules.answer_slack", 0.0)?,
-        ask_within: f.number_or("rules.ask_within", 0.0)?,
+        answer_grace: f.number_or("rules.answer_slack", 0.0)?,
+        max_poll_interval: f.number_or("rules.ask_within", 0.0)?,
         drain_grace: f.number_or("rules.drain_grace", 0.0)?,
-        cold_from: f.number_or("rules.cold_from", 1.0)?,
-        warm_within: f.number_or("rules.warm_within", 0.0)?,
-        fall_multiple: f.number_or("rules.fall_multiple", 1.0)?,
-        tip_after: f.number_or("rules.tip_after", 0.0)?,
-        ration,
-        order_pause: f.number_or("rules.order_pause", 0.0)?,
+        slow_start_from: f.number_or("rules.cold_from", 1.0)?,
+        slow_start_duration: f.number_or("rules.warm_within", 0.0)?,
+        overload_collapse_multiple: f.number_or("rules.fall_multiple", 1.0)?,
+        overload_collapse_after: f.number_or("rules.tip_after", 0.0)?,
+        retry_budget,
+        ordered_key_pause: f.number_or("rules.order_pause", 0.0)?,
         grants: f.flag("specifics.grants_count")?,
-        most_grant: f.number_or("specifics.most_grant", 1.0)?,
+        max_grant_share: f.number_or("specifics.most_grant", 1.0)?,
         priorities: f.flag("specifics.takes_priority")?,
         tick: f.number_or("tick", 1.0)?,
     })
@@ -507,7 +507,7 @@
             "ASSIGN\tfront_id={front}\tticket={}\ttry_for={timeout:.3}\tengine={}",
             id.0, engine.0
         ),
-        Action::Refuse { id, retry_after, .. } => {
+        Action::Reject { id, retry_after, .. } => {
             writeln!(out, "OVERLOAD_REPLY\tfront_id={front}\tticket={}\tretry_in={retry_after:.3}", id.0)
         }
         Action::Fail { id } => writeln!(out, "ABORT\tfront_id={front}\tticket={}", id.0),
@@ -523,7 +523,7 @@
             writeln!(out, "TIMER\tfront_id={front}\tdelay={after:.3}\tcookie={token}")
         }
         Action::Watch => writeln!(out, "SUBSCRIBE\tfront_id={front}\ton=1"),
-        Action::Probe { engine } => {
+        Action::CheckHealth { engine } => {
             writeln!(out, "INSPECT\tfront_id={front}\tengine={}", engine.0)
         }
     };
--- a/tests/client_retries.rs
+++ b/tests/client_retries.rs
@@ -19,14 +19,18 @@
 
 /// One class of each effect.
 fn effects() -> Settings {
-    let with = |name: &str, repeat| Class { repeat, ..class(name, 500.0, 3_000.0, 1.0) };
-    let keyed = Repeat::Keyed { scope: Scope::All, window: 5_000.0 };
-    let classes = vec![with("read", Repeat::Safe), with("merge", keyed), with("append", Repeat::Unsafe)];
+    let with = |name: &str, idempotency| Class { idempotency, ..class(name, 500.0, 3_000.0, 1.0) };
+    let keyed = Idempotency::Keyed { scope: Scope::All, window: 5_000.0 };
+    let classes = vec![
+        with("read", Idempotency::Idempotent),
+        with("merge", keyed),
+        with("append", Idempotency::NotIdempotent),
+    ];
     Settings { classes, ..settings() }
 }
 
 /// What the reducer is handed for one request, written to that front as it stands.
-fn handed_in(bytes: &[u8], speaks_thrift: bool) -> Incoming {
+fn handed_in(bytes: &[u8], speaks_thrift: bool) -> RequestDetails {
     let settings = effects();
     let limits = Limits::read(&Fields::new("settings", BTreeMap::new())).expect("defaults");
     let pairs = [("clickhouse.rules.count", "1"), ("clickhouse.rules.0.class", "read")];
@@ -70,7 +74,7 @@
     let mut fields = vec![("verb", class), ("txn", "00000000000000a1"), ("limit", "1000"), ("unique", "k1")];
     fields.extend(second.map(|mark| ("second", mark)));
     let asked = handed_in(&call(1, &fields, "select 1"), true);
-    assert_eq!(asked.repeat, repeat);
+    assert_eq!(asked.is_retry, repeat);
 }
 
 /// ClickHouse's interface has no such mark: a parameter or header of that name is the client's own.
@@ -80,7 +84,7 @@
 #[case::header("/", "second: 1\r\n")]
 fn request_over_the_clickhouse_interface_is_never_marked(#[case] target: &str, #[case] header: &str) {
     let bytes = format!("POST {target} HTTP/1.1\r\n{header}Content-Length: 8\r\n\r\nselect 1");
-    assert!(!handed_in(bytes.as_bytes(), false).repeat);
+    assert!(!handed_in(bytes.as_bytes(), false).is_retry);
 }
 
 /// The simulator says the same by a flag.
@@ -94,5 +98,5 @@
     let Ok(starlingplank::interface::Event::Request(asked)) = wire::event(&fields, &effects()) else {
         panic!("no request")
     };
-    assert_eq!(asked.repeat, repeat);
+    assert_eq!(asked.is_retry, repeat);
 }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -34,13 +34,13 @@
     s.gateways = told;
     s.kinds.iter_mut().for_each(|k| k.cores = cores);
     s.classes[1].threads = 1.0;
-    s.classes[1].aim = 3_000.0;
+    s.classes[1].latency_objective = 3_000.0;
     let mut dice = fastrand::Rng::with_seed(seed);
     let mut fleet: Vec<One> = (0..gateways)
         .map(|g| {
-            let s = Settings { seed: dice.u64(..), rank: Some(g as u64), ..s.clone() };
+            let s = Settings { seed: dice.u64(..), gateway_index: Some(g as u64), ..s.clone() };
             let mut gateway = Balancer::new(s, 0.0).expect("settings are good");
-            let list = Event::Members { whole: true, members: vec![member(0)] };
+            let list = Event::Members { complete: true, members: vec![member(0)] };
             gateway.turn(0.0, &[list], &mut Vec::new());
             One { gateway, next: 1, due: Vec::new(), classes: BTreeMap::new() }
         })
@@ -60,7 +60,7 @@
     }
     let cold = Member { started: Some(COLD), ..member(0) };
     for one in &mut fleet {
-        one.due.push((COLD, Event::Members { whole: true, members: vec![cold.clone()] }));
+        one.due.push((COLD, Event::Members { complete: true, members: vec![cold.clone()] }));
     }
     let (mut sent, mut now) = (Vec::new(), COLD);
     while now < until {
@@ -98,8 +98,9 @@
 /// The budget that the settings allow in a span that ends then, in usual requests of that much work.
 fn budget(cores: f64, at: Milliseconds, usual: Milliseconds) -> f64 {
     let s = settings();
-    let warmth = s.cold_from + (1.0 - s.cold_from) * ((at - COLD) / s.warm_within).min(1.0);
-    s.fall_multiple * warmth * cores * s.tip_after / usual
+    let warmth =
+        s.slow_start_from + (1.0 - s.slow_start_from) * ((at - COLD) / s.slow_start_duration).min(1.0);
+    s.overload_collapse_multiple * warmth * cores * s.overload_collapse_after / usual
 }
 
 /// Most over any span, in shares of N + 2 x root of N + 2, and the mean over all, in shares of N.
@@ -109,7 +110,7 @@
     from: Milliseconds,
     until: Milliseconds,
 ) -> (f64, f64) {
-    let span = settings().tip_after;
+    let span = settings().overload_collapse_after;
     let usual = sent.iter().map(|x| x.1).sum::<f64>() / sent.len().max(1) as f64;
     let mut worst: f64 = 0.0;
     for (i, (start, _)) in sent.iter().enumerate() {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,15 +3,20 @@
 
 use starlingplank::interface::*;
 
-pub fn class(name: &str, aim: Milliseconds, give_up: Milliseconds, threads: f64) -> Class {
+pub fn class(
+    name: &str,
+    latency_objective: Milliseconds,
+    client_timeout: Milliseconds,
+    threads: f64,
+) -> Class {
     Class {
         name: name.into(),
-        aim,
-        aim_stretch: 2.0,
-        give_up,
-        worth: 1.0,
-        late_worth: 0.1,
-        repeat: Repeat::Safe,
+        latency_objective,
+        latency_objective_stretch: 2.0,
+        client_timeout,
+        priority_weight: 1.0,
+        late_weight_share: 0.1,
+        idempotency: Idempotency::Idempotent,
         ordered: false,
         kinds: None,
         zones: None,
@@ -25,7 +30,7 @@
     Settings {
         seed: 11,
         gateways: 2,
-        rank: None,
+        gateway_index: None,
         zone: Some(ZoneId(0)),
         classes: vec![class("short", 500.0, 3_000.0, 1.0), class("long", 3_000.0, 20_000.0, 4.0)],
         kinds: vec![
@@ -34,25 +39,25 @@
         ],
         zones: vec!["z0".into(), "z1".into()],
         tenants: vec![],
-        ask_for_list: false,
+        subscribes_to_endpoints: false,
         may_cancel: false,
-        may_copy: false,
-        may_probe: false,
-        probe_price: 0.0,
+        may_hedge: false,
+        may_check_health: false,
+        health_check_price: 0.0,
         max_retry_after: 1_000.0,
-        send_cap: 3,
+        max_attempts: 3,
         reporting: Reporting::Answers,
-        answer_slack: 20.0,
-        ask_within: 10_000.0,
+        answer_grace: 20.0,
+        max_poll_interval: 10_000.0,
         drain_grace: 1_000.0,
-        cold_from: 0.3,
-        warm_within: 15_000.0,
-        fall_multiple: 3.0,
-        tip_after: 2_000.0,
-        ration: None,
-        order_pause: 500.0,
+        slow_start_from: 0.3,
+        slow_start_duration: 15_000.0,
+        overload_collapse_multiple: 3.0,
+        overload_collapse_after: 2_000.0,
+        retry_budget: None,
+        ordered_key_pause: 500.0,
         grants: false,
-        most_grant: 1.0,
+        max_grant_share: 1.0,
         priorities: false,
         tick: 5.0,
     }
@@ -74,11 +79,11 @@
 }
 
 pub fn fleet(n: usize) -> Event {
-    Event::Members { whole: true, members: (0..n).map(member).collect() }
+    Event::Members { complete: true, members: (0..n).map(member).collect() }
 }
 
-pub fn incoming(id: u64, class: usize, deadline: Milliseconds) -> Incoming {
-    Incoming {
+pub fn incoming(id: u64, class: usize, deadline: Milliseconds) -> RequestDetails {
+    RequestDetails {
         id: RequestId(id),
         class: ClassId(class),
         tenant: None,
@@ -87,7 +92,7 @@
         work: None,
         memory_mb: None,
         data: None,
-        repeat: false,
+        is_retry: false,
     }
 }
 
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -43,7 +43,7 @@
     }
 
     fn take(&mut self, id: u64, key: Option<&str>) -> Vec<Effect> {
-        let asked = Incoming {
+        let asked = RequestDetails {
             id: RequestId(id),
             class: ClassId(0),
             tenant: None,
@@ -52,7 +52,7 @@
             work: None,
             memory_mb: None,
             data: None,
-            repeat: false,
+            is_retry: false,
         };
         let statement = Rc::new(Statement { key: key.map(str::to_owned), ..Statement::default() });
         self.step(Event::Taken(Ask { asked, statement }))
@@ -140,13 +140,13 @@
         effects.extend(bed.step(Event::Clock));
     }
     assert_eq!((answers(&effects).len(), sent(&effects)), (1, None));
-    assert_eq!(bed.core.counts()[0].outcomes[Outcome::Moot as usize], 0);
+    assert_eq!(bed.core.counts()[0].outcomes[Outcome::NotExecuted as usize], 0);
 }
 
 #[test]
 fn a_repeat_of_a_key_does_not_leave_once_the_engines_may_have_forgotten_it() {
     let mut s = settings();
-    s.classes[0].repeat = Repeat::Keyed { scope: Scope::All, window: 1_000.0 };
+    s.classes[0].idempotency = Idempotency::Keyed { scope: Scope::All, window: 1_000.0 };
     let mut bed = Bed::new(s);
     bed.list(1, &["a"]);
     let first = sent(&bed.take(1, Some("k"))).expect("sent");
@@ -164,7 +164,7 @@
 /// A bed whose keys go through a log, which was begun.
 fn logged() -> Bed {
     let mut s = settings();
-    s.classes[0].repeat = Repeat::Keyed { scope: Scope::All, window: 12_000.0 };
+    s.classes[0].idempotency = Idempotency::Keyed { scope: Scope::All, window: 12_000.0 };
     let mut bed = Bed::new(s);
     let mut gate = Gate::new(Log::Open { required: false }, 12_000.0, 100, bed.now);
     gate.trust([], 0.0, bed.now);
@@ -197,14 +197,14 @@
     bed.list(2, &[]);
     let effects = bed.step(Event::Recorded(vec![number]));
     assert_eq!(sent(&effects), None);
-    assert_eq!(bed.core.counts()[0].outcomes[Outcome::Moot as usize], 1, "it never ran");
+    assert_eq!(bed.core.counts()[0].outcomes[Outcome::NotExecuted as usize], 1, "it never ran");
 }
 
 /// The window counts from when the request was taken, and what is left of it goes along with the attempt.
 #[test]
 fn keyed_send_says_until_when_it_may_leave() {
     let mut s = settings();
-    s.classes[0].repeat = Repeat::Keyed { scope: Scope::All, window: 800.0 };
+    s.classes[0].idempotency = Idempotency::Keyed { scope: Scope::All, window: 800.0 };
     let mut bed = Bed::new(s);
     bed.list(1, &["a"]);
     let within = |effects: &[Effect]| {
@@ -351,7 +351,7 @@
 #[test]
 fn key_that_another_process_sent_is_not_sent_after_its_window() {
     let mut s = settings();
-    s.classes[0].repeat = Repeat::Keyed { scope: Scope::All, window: 12_000.0 };
+    s.classes[0].idempotency = Idempotency::Keyed { scope: Scope::All, window: 12_000.0 };
     let mut bed = Bed::new(s);
     bed.now = 100_000.0;
     bed.list(1, &["a"]);
@@ -413,7 +413,8 @@
 /// Of 300 that start together this one's probes leave at its place, 150 ms on; requests wait for none of it.
 #[test]
 fn first_probes_leave_in_turn_and_hold_no_request_up() {
-    let mut bed = Bed::new(Settings { gateways: 300, rank: Some(150), may_probe: true, ..settings() });
+    let mut bed =
+        Bed::new(Settings { gateways: 300, gateway_index: Some(150), may_check_health: true, ..settings() });
     let begun = bed.now;
     let probed = |effects: &[Effect]| effects.iter().filter(|e| matches!(e, Effect::Probe(..))).count();
     let mut early = probed(&bed.list(1, &["a", "b", "c"]));
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -30,8 +30,8 @@
     fn ask(&mut self, class: usize) -> (u64, Option<EngineId>) {
         let id = self.next;
         self.next += 1;
-        let give_up = if class == 0 { 3_000.0 } else { 20_000.0 };
-        let actions = self.turn(&[Event::Request(incoming(id, class, self.now + give_up))]);
+        let client_timeout = if class == 0 { 3_000.0 } else { 20_000.0 };
+        let actions = self.turn(&[Event::Request(incoming(id, class, self.now + client_timeout))]);
         (id, sends(&actions).into_iter().find(|(i, _)| *i == id).map(|(_, e)| e))
     }
 
@@ -73,7 +73,7 @@
 #[test]
 fn the_bound_starts_at_one_and_a_half_and_follows_utility() {
     let mut s = settings();
-    s.classes[0].aim_stretch = 0.0;
+    s.classes[0].latency_objective_stretch = 0.0;
     s.gateways = 1;
     let mut bed = Bed::new(s, 4);
     assert_eq!(bed.balancer.bound(), 1.5);
@@ -104,8 +104,8 @@
 
 /// An engine that reports itself busy, with so many queries in hand.
 fn busy(bed: &mut Bed, n: usize, inflight: f64) {
-    let report = Report { util: Some(1.0), inflight: Some(inflight), ..Report::default() };
-    bed.turn(&[Event::Probed { engine: engine(n), ok: true, took: 1.0, report: Some(report) }]);
+    let report = LoadReport { util: Some(1.0), inflight: Some(inflight), ..LoadReport::default() };
+    bed.turn(&[Event::HealthChecked { engine: engine(n), ok: true, took: 1.0, report: Some(report) }]);
 }
 
 #[test]
@@ -118,11 +118,11 @@
     assert!(to.is_none());
     // 10% of the expected latency stays under a quarter of the aim here, so the cap is 125 ms.
     bed.now += 120.0;
-    assert!(bed.turn(&[Event::Timer(0)]).iter().all(|a| !matches!(a, Action::Refuse { .. })));
+    assert!(bed.turn(&[Event::Timer(0)]).iter().all(|a| !matches!(a, Action::Reject { .. })));
     bed.now += 10.0;
     let actions = bed.turn(&[Event::Timer(0)]);
     let refused = actions.iter().any(
-        |a| matches!(a, Action::Refuse { id: r, retry_after, .. } if r.0 == id && *retry_after >= 100.0),
+        |a| matches!(a, Action::Reject { id: r, retry_after, .. } if r.0 == id && *retry_after >= 100.0),
     );
     assert!(refused, "{actions:?}");
     assert_eq!(bed.balancer.open_requests(), 0);
@@ -189,7 +189,7 @@
 #[test]
 fn when_all_fail_the_cause_is_shared_and_engines_stay_in_use() {
     let mut s = settings();
-    s.send_cap = 1;
+    s.max_attempts = 1;
     let mut bed = Bed::new(s, 3);
     let mut sent = 0;
     for _ in 0..60 {
@@ -209,7 +209,7 @@
     let mut bed = Bed::new(s, 0);
     let mut m = member(0);
     m.started = Some(0.0);
-    bed.turn(&[Event::Members { whole: true, members: vec![m] }]);
+    bed.turn(&[Event::Members { complete: true, members: vec![m] }]);
     let long = (0..10).filter(|_| bed.ask(1).1.is_some()).count();
     // 3 x 0.3 x 8 cores x 2 s x 0.8 / 4 gateways is 2.9 s of work; a long query counts 4.8 s before any is known.
     assert_eq!(long, 0);
@@ -231,8 +231,8 @@
     assert!(to.is_none());
     let (short, to) = bed.ask(0);
     assert!(to.is_none());
-    let report = Report { util: Some(0.2), inflight: Some(0.0), ..Report::default() };
-    let idle = Event::Probed { engine: engine(0), ok: true, took: 1.0, report: Some(report) };
+    let report = LoadReport { util: Some(0.2), inflight: Some(0.0), ..LoadReport::default() };
+    let idle = Event::HealthChecked { engine: engine(0), ok: true, took: 1.0, report: Some(report) };
     let order: Vec<u64> = sends(&bed.turn(&vec![idle; 120])).into_iter().map(|(id, _)| id).collect();
     assert_eq!(order.first(), Some(&short), "long was {long}, order {order:?}");
 }
@@ -244,7 +244,7 @@
     let to = to.expect("sent");
     bed.now += 3_000.0;
     let actions = bed.turn(&[outcome(id, 0, &to, Outcome::Timeout, 3_000.0)]);
-    assert!(actions.iter().any(|a| matches!(a, Action::Refuse { id: r, .. } if r.0 == id)));
+    assert!(actions.iter().any(|a| matches!(a, Action::Reject { id: r, .. } if r.0 == id)));
     assert_eq!(bed.balancer.open_requests(), 0);
 }
 
@@ -253,7 +253,7 @@
     let mut bed = Bed::new(settings(), 0);
     bed.ask(0);
     bed.now += 130.0;
-    assert!(bed.turn(&[Event::Timer(0)]).iter().any(|a| matches!(a, Action::Refuse { .. })));
+    assert!(bed.turn(&[Event::Timer(0)]).iter().any(|a| matches!(a, Action::Reject { .. })));
 }
 
 #[test]
@@ -261,9 +261,14 @@
     let mut bed = Bed::new(settings(), 2);
     for x in [f64::NAN, f64::INFINITY, -1.0, 1e300] {
         let report =
-            Report { inflight: Some(x), util: Some(x), queue: Some(x), memory: Some(x), disks: Some(x) };
+            LoadReport { inflight: Some(x), util: Some(x), queue: Some(x), memory: Some(x), disks: Some(x) };
         for n in 0..3 {
-            bed.turn(&[Event::Probed { engine: engine(n), ok: true, took: 1.0, report: Some(report) }]);
+            bed.turn(&[Event::HealthChecked {
+                engine: engine(n),
+                ok: true,
+                took: 1.0,
+                report: Some(report),
+            }]);
         }
     }
     bed.now += 60_000.0;
@@ -272,9 +277,14 @@
     bed.turn(&[Event::Timer(0)]);
     assert_eq!(bed.balancer.open_requests(), 0);
     for n in 0..2 {
-        let report = Report { util: Some(0.1), inflight: Some(0.0), ..Report::default() };
+        let report = LoadReport { util: Some(0.1), inflight: Some(0.0), ..LoadReport::default() };
         (0..60).for_each(|_| {
-            drop(bed.turn(&[Event::Probed { engine: engine(n), ok: true, took: 1.0, report: Some(report) }]))
+            drop(bed.turn(&[Event::HealthChecked {
+                engine: engine(n),
+                ok: true,
+                took: 1.0,
+                report: Some(report),
+            }]))
         });
     }
     bed.now += 200.0;
@@ -287,14 +297,14 @@
     s.gateways = 0;
     assert!(matches!(Balancer::new(s, 0.0).err(), Some(SettingsError::Bad { name: "balancers", .. })));
     let mut s = settings();
-    s.classes[0].aim = f64::NAN;
+    s.classes[0].latency_objective = f64::NAN;
     assert!(Balancer::new(s, 0.0).is_err());
     let mut s = settings();
     s.classes.clear();
     assert!(Balancer::new(s, 0.0).is_err());
     for (pause, good) in [(0.0, true), (-1.0, false), (f64::NAN, false), (f64::INFINITY, false)] {
         let mut s = settings();
-        (s.classes[0].ordered, s.order_pause) = (true, pause);
+        (s.classes[0].ordered, s.ordered_key_pause) = (true, pause);
         let named =
             Some(SettingsError::Bad { name: "rules.order_pause", why: "must be finite and not below 0" });
         assert_eq!(Balancer::new(s, 0.0).err(), named.filter(|_| !good), "{pause}");
@@ -304,7 +314,7 @@
 #[test]
 fn an_asked_list_is_subscribed_to_and_asked_again_in_time() {
     let mut s = settings();
-    s.ask_for_list = true;
+    s.subscribes_to_endpoints = true;
     let mut bed = Bed::new(s, 0);
     bed.now = 10.0;
     bed.turn(&[Event::ListFailed]);
@@ -319,7 +329,7 @@
 #[test]
 fn a_gateway_shut_out_by_an_old_load_hears_again() {
     let mut s = settings();
-    s.may_probe = true;
+    s.may_check_health = true;
     let mut bed = Bed::new(s, 2);
     for n in 0..2 {
         (0..10).for_each(|_| busy(&mut bed, n, 60.0));
@@ -334,10 +344,10 @@
         let actions = bed.turn(&[Event::Request(asked)]);
         placed = !sends(&actions).is_empty();
         for action in actions {
-            let Action::Probe { engine } = action else { continue };
+            let Action::CheckHealth { engine } = action else { continue };
             probed += 1;
-            let report = Some(Report { util: Some(0.1), inflight: Some(0.0), ..Report::default() });
-            let actions = bed.turn(&[Event::Probed { engine, ok: true, took: 1.0, report }]);
+            let report = Some(LoadReport { util: Some(0.1), inflight: Some(0.0), ..LoadReport::default() });
+            let actions = bed.turn(&[Event::HealthChecked { engine, ok: true, took: 1.0, report }]);
             placed |= !sends(&actions).is_empty();
         }
     }
@@ -349,7 +359,7 @@
 fn a_copy_goes_out_for_an_overdue_query_only_where_copies_are_granted() {
     for granted in [true, false] {
         let mut s = settings();
-        s.may_copy = granted;
+        s.may_hedge = granted;
         let mut bed = Bed::new(s, 3);
         bed.serve(60, 0, 20.0);
         let (id, first) = bed.ask(0);
@@ -388,7 +398,7 @@
     let taken = bed.turn(&[Event::Request(incoming(900, 0, deadline))]);
     actions.extend(taken.into_iter().map(|a| (now, a)));
     run_on(&mut bed, deadline + 200.0, &mut actions);
-    let answer = actions.iter().find(|(_, a)| matches!(a, Action::Refuse { id: RequestId(900), .. }));
+    let answer = actions.iter().find(|(_, a)| matches!(a, Action::Reject { id: RequestId(900), .. }));
     assert!(answer.is_some_and(|(at, _)| *at < deadline), "{answer:?}");
 }
 
@@ -423,8 +433,8 @@
     let old = Event::Request(incoming(800, 0, bed.now + 1_100.0));
     let new = Event::Request(incoming(801, 0, bed.now + 2_950.0));
     assert!(sends(&bed.turn(&[old, new])).is_empty());
-    let report = Report { util: Some(0.2), inflight: Some(0.0), ..Report::default() };
-    let idle = Event::Probed { engine: engine(0), ok: true, took: 1.0, report: Some(report) };
+    let report = LoadReport { util: Some(0.2), inflight: Some(0.0), ..LoadReport::default() };
+    let idle = Event::HealthChecked { engine: engine(0), ok: true, took: 1.0, report: Some(report) };
     let order: Vec<u64> = sends(&bed.turn(&vec![idle; 120])).into_iter().map(|(id, _)| id).collect();
     assert_eq!(order.first(), Some(&801));
 }
@@ -432,9 +442,10 @@
 #[test]
 fn probes_follow_own_traffic_in_a_fleet_of_hundreds() {
     let mut s = settings();
-    (s.gateways, s.may_probe, s.reporting) = (300, true, Reporting::Probes);
+    (s.gateways, s.may_check_health, s.reporting) = (300, true, Reporting::Probes);
     let mut bed = Bed::new(s, 60);
-    let probes = |actions: &[Action]| actions.iter().filter(|a| matches!(a, Action::Probe { .. })).count();
+    let probes =
+        |actions: &[Action]| actions.iter().filter(|a| matches!(a, Action::CheckHealth { .. })).count();
     let mut count = 0;
     for _ in 0..100 {
         bed.now += 100.0;
@@ -475,7 +486,7 @@
         let mut bed = Bed::new(s, 2);
         let (id, to) = bed.ask(0);
         assert!(to.is_some());
-        let actions = bed.turn(&[Event::Gone(RequestId(id))]);
+        let actions = bed.turn(&[Event::ClientDisconnected(RequestId(id))]);
         let cancels = actions.iter().filter(|a| matches!(a, Action::Cancel { attempt: 0, .. })).count();
         assert_eq!(cancels, usize::from(granted));
     }
@@ -484,7 +495,7 @@
 /// What 300 gateways together send to one cold engine stays under the budget in any span of the stated length:
 /// however load is reported, for light and heavy classes, in a steady crowd, a burst, after all stood still, and
 /// with two thirds of them restarted in the middle, who have forgotten what they sent.
-fn cold_engine_before_hundreds(class: usize, usual: Milliseconds, reported: Option<Report>) {
+fn cold_engine_before_hundreds(class: usize, usual: Milliseconds, reported: Option<LoadReport>) {
     let s = settings();
     let start = |seed| Bed::new(Settings { gateways: 300, seed, ..s.clone() }, 0);
     let mut beds: Vec<Bed> = (0..300).map(start).collect();
@@ -505,17 +516,17 @@
             bed.now = *now;
             let mut events = vec![Event::Timer(0)];
             if k == 0 || restarts {
-                events.push(Event::Members { whole: true, members: members.clone() });
+                events.push(Event::Members { complete: true, members: members.clone() });
             }
             if let Some(r) = reported {
-                let probed = |n, report| Event::Probed {
+                let probed = |n, report| Event::HealthChecked {
                     engine: engine(n),
                     ok: true,
                     took: 1.0,
                     report: Some(report),
                 };
                 events.extend((1..12).map(|n| probed(n, r)));
-                let idle = Report { inflight: r.inflight.map(|_| 0.0), util: Some(0.0), ..r };
+                let idle = LoadReport { inflight: r.inflight.map(|_| 0.0), util: Some(0.0), ..r };
                 events.push(probed(0, idle));
             }
             // Three queries a second each; more at once on waking.
@@ -535,10 +546,10 @@
         }
     }
     for (start, _) in &sent {
-        let span = sent.iter().filter(|(t, _)| t >= start && *t < start + s.tip_after);
+        let span = sent.iter().filter(|(t, _)| t >= start && *t < start + s.overload_collapse_after);
         let work: f64 = span.map(|(_, w)| w).sum();
-        let warmth = s.cold_from + (1.0 - s.cold_from) * start / s.warm_within;
-        let budget = s.fall_multiple * warmth * 8.0 * s.tip_after;
+        let warmth = s.slow_start_from + (1.0 - s.slow_start_from) * start / s.slow_start_duration;
+        let budget = s.overload_collapse_multiple * warmth * 8.0 * s.overload_collapse_after;
         assert!(work <= budget, "{work} of {budget} from {start}: class {class}, {reported:?}");
     }
     // Few heavy queries fill that budget: chance may leave them none.
@@ -547,8 +558,8 @@
 
 #[test]
 fn hundreds_of_gateways_together_keep_a_cold_engines_budget() {
-    let util = Report { util: Some(1.0), ..Report::default() };
-    for reported in [None, Some(util), Some(Report { inflight: Some(10.0), ..util })] {
+    let util = LoadReport { util: Some(1.0), ..LoadReport::default() };
+    for reported in [None, Some(util), Some(LoadReport { inflight: Some(10.0), ..util })] {
         cold_engine_before_hundreds(0, 200.0, reported);
         cold_engine_before_hundreds(1, 4_800.0, reported);
     }
@@ -571,11 +582,11 @@
 /// What does not come back from an engine that fails is withdrawn in time to go elsewhere, if it may go again.
 #[test]
 fn what_is_out_on_an_ill_engine_goes_elsewhere_only_where_it_may_go_again() {
-    let runs = |repeat: Repeat, send_cap: u32, free: f64| {
+    let runs = |idempotency: Idempotency, max_attempts: u32, free: f64| {
         let mut s = settings();
-        (s.may_cancel, s.send_cap) = (true, send_cap);
-        s.classes[0].repeat = repeat;
-        s.ration = Some(Ration { free, per_request: 0.0, span: 5_000.0 });
+        (s.may_cancel, s.max_attempts) = (true, max_attempts);
+        s.classes[0].idempotency = idempotency;
+        s.retry_budget = Some(RetryBudgetSettings { free, per_request: 0.0, span: 5_000.0 });
         let mut bed = Bed::new(s, 4);
         bed.serve(30, 0, 50.0);
         let (id, stuck_on) = bed.ask(0);
@@ -593,16 +604,16 @@
         }
         false
     };
-    assert!(runs(Repeat::Safe, 3, 50.0), "a safe one is tried afresh");
-    assert!(!runs(Repeat::Unsafe, 3, 50.0), "unsafe: it would only be failed");
-    assert!(!runs(Repeat::Safe, 1, 50.0), "at the cap on sends");
-    assert!(!runs(Repeat::Safe, 3, 0.0), "no ration left");
+    assert!(runs(Idempotency::Idempotent, 3, 50.0), "a safe one is tried afresh");
+    assert!(!runs(Idempotency::NotIdempotent, 3, 50.0), "unsafe: it would only be failed");
+    assert!(!runs(Idempotency::Idempotent, 1, 50.0), "at the cap on sends");
+    assert!(!runs(Idempotency::Idempotent, 3, 0.0), "no ration left");
 }
 
 /// Ten engines of sixty are met; when all of them are away, the others are there.
 #[test]
 fn a_gateway_meets_a_part_of_a_large_fleet_and_goes_beyond_it_where_that_part_is_away() {
-    let mut bed = Bed::new(Settings { gateways: 300, rank: Some(7), ..settings() }, 60);
+    let mut bed = Bed::new(Settings { gateways: 300, gateway_index: Some(7), ..settings() }, 60);
     let mut met = std::collections::BTreeSet::new();
     for _ in 0..300 {
         let (id, to) = bed.ask(0);
@@ -616,7 +627,7 @@
         let away = met.contains(&m.engine);
         Member { availability: if away { Availability::Draining } else { Availability::Live }, ..m }
     });
-    bed.turn(&[Event::Members { whole: true, members: left.collect() }]);
+    bed.turn(&[Event::Members { complete: true, members: left.collect() }]);
     let (_, to) = bed.ask(0);
     assert!(to.is_some_and(|to| !met.contains(&to)), "the list has changed, and so has the part");
     // Connections to all that are met now fail, as those to a lost zone do.
@@ -625,7 +636,10 @@
         let (id, to) = bed.ask(0);
         let Some(to) = to else { continue };
         beyond += usize::from(met.insert(to.clone()));
-        bed.turn(&[outcome(id, 0, &to, Outcome::ConnectFailed, 1.0), Event::Gone(RequestId(id))]);
+        bed.turn(&[
+            outcome(id, 0, &to, Outcome::ConnectFailed, 1.0),
+            Event::ClientDisconnected(RequestId(id)),
+        ]);
     }
     assert!(beyond >= 20, "only {beyond} engines were tried");
 }
@@ -636,14 +650,14 @@
 fn moves_of_what_is_stuck(others: usize) -> Vec<Option<EngineId>> {
     let mut s = settings();
     s.may_cancel = true;
-    s.ration = Some(Ration { free: 2.0, per_request: 0.0, span: 10_000.0 });
+    s.retry_budget = Some(RetryBudgetSettings { free: 2.0, per_request: 0.0, span: 10_000.0 });
     let mut bed = Bed::new(s, 6);
     bed.serve(200, 0, 50.0);
     for _ in 0..others {
         let (id, to) = bed.ask(0);
         bed.pass(400.0);
         let to = to.expect("sent");
-        bed.turn(&[outcome(id, 0, &to, Outcome::Ok, 400.0), Event::Gone(RequestId(id))]);
+        bed.turn(&[outcome(id, 0, &to, Outcome::Ok, 400.0), Event::ClientDisconnected(RequestId(id))]);
     }
     let mut moved = Vec::new();
     for _ in 0..4 {
@@ -661,7 +675,7 @@
             moved.push(again.first().map(|(_, e)| e.clone()));
             assert!(moved.iter().flatten().all(|e| Some(e) != to.as_ref()), "back to where it was stuck");
         }
-        bed.turn(&[Event::Gone(RequestId(id))]);
+        bed.turn(&[Event::ClientDisconnected(RequestId(id))]);
     }
     moved
 }
@@ -694,7 +708,7 @@
     }
     let actions = bed.turn(&events);
     assert_eq!(sends(&actions).len(), 1);
-    let refused = actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).count();
+    let refused = actions.iter().filter(|a| matches!(a, Action::Reject { .. })).count();
     assert!((2..7).contains(&refused), "{refused} of ten refused at once");
     let first = sends(&actions)[0].clone();
     // Both engines are full for a while when the second one's turn comes: it may wait its cap from then.
@@ -703,16 +717,16 @@
         busy(&mut bed, n, 100.0);
     }
     let turn = bed.turn(&[outcome(first.0, 0, &first.1, Outcome::Ok, 500.0)]);
-    assert!(!turn.iter().any(|a| matches!(a, Action::Refuse { id: RequestId(1_001), .. })), "{turn:?}");
+    assert!(!turn.iter().any(|a| matches!(a, Action::Reject { id: RequestId(1_001), .. })), "{turn:?}");
 }
 
 /// Where nothing is reported, the time of a probe tells which engines are crowded.
 #[test]
 fn a_probe_that_takes_long_shows_a_crowded_engine() {
     let mut s = settings();
-    (s.reporting, s.may_probe) = (Reporting::Never, true);
+    (s.reporting, s.may_check_health) = (Reporting::Never, true);
     let mut bed = Bed::new(s, 6);
-    let probed = |n: usize, took| Event::Probed { engine: engine(n), ok: true, took, report: None };
+    let probed = |n: usize, took| Event::HealthChecked { engine: engine(n), ok: true, took, report: None };
     // Engines of the other zone are far: their time is long though they are idle.
     let mut events: Vec<Event> = (0..6).map(|n| probed(n, if n % 2 == 1 { 3.0 } else { 0.6 })).collect();
     events.extend([probed(0, 3.0), probed(2, 0.6), probed(4, 3.0)]);
@@ -722,7 +736,7 @@
     assert!(to != engine(0) && to != engine(4), "sent to a crowded one: {to:?}");
     // With all that near probes show far over any bound, a gateway with hundreds of fellows holds back.
     let mut s = settings();
-    (s.reporting, s.may_probe, s.gateways) = (Reporting::Never, true, 200);
+    (s.reporting, s.may_check_health, s.gateways) = (Reporting::Never, true, 200);
     let mut bed = Bed::new(s, 6);
     bed.turn(&(0..6).map(|n| probed(n, 0.6)).collect::<Vec<_>>());
     for _ in 0..60 {
@@ -743,8 +757,8 @@
         let out: Vec<_> = (0..6).map(|_| bed.ask(1)).collect();
         for k in 1..30 {
             bed.now += 100.0;
-            let util = Some(Report { util: Some(0.1), ..Report::default() });
-            let probed = |n| Event::Probed { engine: engine(n), ok: true, took: 1.0, report: util };
+            let util = Some(LoadReport { util: Some(0.1), ..LoadReport::default() });
+            let probed = |n| Event::HealthChecked { engine: engine(n), ok: true, took: 1.0, report: util };
             let mut events: Vec<Event> = (0..6).map(probed).collect();
             if f64::from(k) * 100.0 == took {
                 let sent = out.iter().filter_map(|(id, to)| Some((id, to.as_ref()?)));
@@ -809,7 +823,7 @@
     let mut bed = Bed::new(s, 2);
     let mut least = f64::INFINITY;
     for id in 0..2_000 {
-        let asked = Incoming { memory_mb: Some(100.0), ..incoming(id, 0, bed.now + 3_000.0) };
+        let asked = RequestDetails { memory_mb: Some(100.0), ..incoming(id, 0, bed.now + 3_000.0) };
         for action in bed.turn(&[Event::Request(asked)]) {
             if let Action::Terms { memory_mb, .. } = action {
                 least = least.min(memory_mb);
@@ -828,12 +842,13 @@
     let mut s = settings();
     s.classes[1].is_load = true;
     // Loads take so long as a rule: the engine is not stuck.
-    (s.classes[1].aim, s.classes[1].give_up) = (30_000.0, 60_000.0);
+    (s.classes[1].latency_objective, s.classes[1].client_timeout) = (30_000.0, 60_000.0);
     s.classes[0].waits_for_loads = true;
     let mut bed = Bed::new(s, 2);
     let ask = |bed: &mut Bed, class: usize, set: u64| {
         bed.next += 1;
-        let asked = Incoming { data: Some(DataSet(set)), ..incoming(bed.next, class, bed.now + 20_000.0) };
+        let asked =
+            RequestDetails { data: Some(DataSet(set)), ..incoming(bed.next, class, bed.now + 20_000.0) };
         sends(&bed.turn(&[Event::Request(asked)]))[0].clone()
     };
     let (load, loading) = ask(&mut bed, 1, 5);
@@ -861,14 +876,14 @@
     let mut s = settings();
     s.grants = grants;
     s.gateways = 1;
-    s.classes[0].aim = 2_000.0;
+    s.classes[0].latency_objective = 2_000.0;
     let mut bed = Bed::new(s, 4);
     for _ in 0..400 {
         let (id, to) = bed.ask(0);
         bed.pass(took);
         if let Some(util) = in_use {
-            let report = Some(Report { util: Some(util), ..Report::default() });
-            let probed = |n| Event::Probed { engine: engine(n), ok: true, took: 1.0, report };
+            let report = Some(LoadReport { util: Some(util), ..LoadReport::default() });
+            let probed = |n| Event::HealthChecked { engine: engine(n), ok: true, took: 1.0, report };
             bed.turn(&(0..4).map(probed).collect::<Vec<_>>());
         }
         let ended = Event::Outcome {
@@ -918,8 +933,8 @@
     // What is reported next is not smoothed with what was.
     bed.pass(1_000.0);
     for n in 0..4 {
-        let report = Report { util: Some(0.9), ..Report::default() };
-        bed.turn(&[Event::Probed { engine: engine(n), ok: true, took: 1.0, report: Some(report) }]);
+        let report = LoadReport { util: Some(0.9), ..LoadReport::default() };
+        bed.turn(&[Event::HealthChecked { engine: engine(n), ok: true, took: 1.0, report: Some(report) }]);
     }
     let sent = (0..8).filter(|_| bed.ask(0).1.is_some()).count();
     assert_eq!(sent, 8, "nine cores of ten in use, one thread each");
@@ -937,7 +952,7 @@
         let one = |area: u64| {
             bed.next += 1;
             let asked =
-                Incoming { data: Some(DataSet(area)), ..incoming(bed.next, class, bed.now + 20_000.0) };
+                RequestDetails { data: Some(DataSet(area)), ..incoming(bed.next, class, bed.now + 20_000.0) };
             let (id, to) = sends(&bed.turn(&[Event::Request(asked)]))[0].clone();
             bed.now += 20.0;
             bed.turn(&[outcome(id, 0, &to, Outcome::Ok, 20.0)]);
@@ -954,7 +969,7 @@
 fn engines_that_have_gone_are_forgotten() {
     let mut bed = Bed::new(settings(), 1);
     for n in 1..=40 {
-        bed.turn(&[Event::Members { whole: true, members: vec![member(n)] }]);
+        bed.turn(&[Event::Members { complete: true, members: vec![member(n)] }]);
         let (id, to) = bed.ask(0);
         bed.pass(1_000.0);
         bed.turn(&[outcome(id, 0, &to.expect("sent"), Outcome::Ok, 1_000.0)]);
@@ -981,8 +996,8 @@
     let mut sent = vec![0; loads.len()];
     for seed in 0..100 {
         let mut bed = Bed::new(Settings { gateways: 100, seed, ..settings() }, loads.len());
-        let util = |util| Some(Report { util: Some(util), ..Report::default() });
-        let probed = |(n, u): (usize, &f64)| Event::Probed {
+        let util = |util| Some(LoadReport { util: Some(util), ..LoadReport::default() });
+        let probed = |(n, u): (usize, &f64)| Event::HealthChecked {
             engine: engine(n),
             ok: true,
             took: 1.0,
@@ -1008,14 +1023,14 @@
 #[test]
 fn a_probe_that_costs_much_is_paid_for_by_many_requests() {
     let probes = |price| {
-        let s = Settings { gateways: 100, may_probe: true, probe_price: price, ..settings() };
+        let s = Settings { gateways: 100, may_check_health: true, health_check_price: price, ..settings() };
         let mut bed = Bed::new(s, 30);
         let mut all = 0;
         for _ in 0..200 {
             let id = bed.next;
             bed.next += 1;
             let asked = Event::Request(incoming(id, 0, bed.now + 3_000.0));
-            let probe = |a: &&Action| matches!(a, Action::Probe { .. });
+            let probe = |a: &&Action| matches!(a, Action::CheckHealth { .. });
             all += bed.turn(&[asked]).iter().filter(probe).count();
             bed.pass(250.0);
         }
@@ -1034,11 +1049,11 @@
     for k in 0..300 {
         let (id, to) = bed.ask(0);
         let sent: Vec<_> = to.into_iter().map(|to| (id, to)).chain(bed.pass(200.0)).collect();
-        let idle = |to: &EngineId| Event::Probed {
+        let idle = |to: &EngineId| Event::HealthChecked {
             engine: to.clone(),
             ok: true,
             took: 1.0,
-            report: Some(Report { util: Some(0.1), ..Report::default() }),
+            report: Some(LoadReport { util: Some(0.1), ..LoadReport::default() }),
         };
         for (id, to) in sent {
             into += usize::from(k >= 100 && to == engine(0));
@@ -1051,10 +1066,10 @@
 
 #[test]
 fn what_is_late_and_earns_nothing_is_given_up_and_answered_at_once() {
-    for (late_worth, given_up) in [(0.0, true), (0.5, false)] {
+    for (late_weight_share, given_up) in [(0.0, true), (0.5, false)] {
         let mut s = settings();
         s.may_cancel = true;
-        s.classes[0].late_worth = late_worth;
+        s.classes[0].late_weight_share = late_weight_share;
         let mut bed = Bed::new(s, 2);
         bed.serve(30, 0, 400.0);
         let (id, to) = bed.ask(0);
@@ -1062,8 +1077,9 @@
         let mut actions = Vec::new();
         let until = bed.now + 1_300.0;
         run_on(&mut bed, until, &mut actions);
-        let refused = |a: &Action| matches!(a, Action::Refuse { id: r, why: Why::Late, .. } if r.0 == id);
-        assert_eq!(actions.iter().any(|(_, a)| refused(a)), given_up, "late worth {late_worth}");
+        let refused =
+            |a: &Action| matches!(a, Action::Reject { id: r, reason: BlockReason::Late, .. } if r.0 == id);
+        assert_eq!(actions.iter().any(|(_, a)| refused(a)), given_up, "late worth {late_weight_share}");
     }
 }
 
@@ -1079,8 +1095,8 @@
             let (id, to) = bed.ask(0);
             bed.pass(1_000.0);
             to.into_iter().for_each(|to| drop(bed.turn(&[outcome(id, 0, &to, Outcome::Ok, 1_000.0)])));
-            let report = Some(Report { util: Some(0.15 * f64::from(second)), ..Report::default() });
-            let heard = |n| Event::Probed { engine: engine(n), ok: true, took: 1.0, report };
+            let report = Some(LoadReport { util: Some(0.15 * f64::from(second)), ..LoadReport::default() });
+            let heard = |n| Event::HealthChecked { engine: engine(n), ok: true, took: 1.0, report };
             bed.turn(&(0..10).map(heard).collect::<Vec<_>>());
             let fleet = bed.balancer.learned().fleet;
             sum += fleet.own_seen / fleet.all_seen;
@@ -1094,10 +1110,10 @@
 fn query_that_takes_long_as_its_engine_is_cold_does_not_tell_of_a_crowd() {
     let mut s = settings();
     s.gateways = 1;
-    s.warm_within = 1e9;
+    s.slow_start_duration = 1e9;
     let mut bed = Bed::new(s, 0);
     let started = |n| Member { started: Some(0.0), ..member(n) };
-    bed.turn(&[Event::Members { whole: true, members: (0..4).map(started).collect() }]);
+    bed.turn(&[Event::Members { complete: true, members: (0..4).map(started).collect() }]);
     for _ in 0..200 {
         let (id, to) = bed.ask(0);
         bed.pass(300.0);
@@ -1118,7 +1134,7 @@
 #[test]
 fn requests_that_came_in_a_stand_still_count_for_the_ration_from_when_they_may_have_come() {
     let mut s = settings();
-    s.ration = Some(Ration { free: 0.0, per_request: 0.2, span: 10_000.0 });
+    s.retry_budget = Some(RetryBudgetSettings { free: 0.0, per_request: 0.2, span: 10_000.0 });
     let mut balancer = Balancer::new(s, 0.0).expect("settings are good");
     let mut actions = Vec::new();
     balancer.turn(0.0, &[fleet(4)], &mut actions);
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -228,11 +228,14 @@
 /// Load reports come with probes alone on one deployment, with answers as well on another; each field that is there is
 /// read, and one that is not is not made up.
 #[rstest]
-#[case::queue_and_util("queue:3;util:0.61", Report { queue: Some(3.0), util: Some(0.61), ..Report::default() })]
-#[case::inflight("inflight:7", Report { inflight: Some(7.0), ..Report::default() })]
-#[case::memory_and_disks("x0:0.4;x1:0.9", Report { memory: Some(0.4), disks: Some(0.9), ..Report::default() })]
-#[case::unknown("latency_ms:5;util:0.5", Report { util: Some(0.5), ..Report::default() })]
-fn load_reports_are_read_from_probes_and_from_answers(#[case] text: &'static str, #[case] expected: Report) {
+#[case::queue_and_util("queue:3;util:0.61", LoadReport { queue: Some(3.0), util: Some(0.61), ..LoadReport::default() })]
+#[case::inflight("inflight:7", LoadReport { inflight: Some(7.0), ..LoadReport::default() })]
+#[case::memory_and_disks("x0:0.4;x1:0.9", LoadReport { memory: Some(0.4), disks: Some(0.9), ..LoadReport::default() })]
+#[case::unknown("latency_ms:5;util:0.5", LoadReport { util: Some(0.5), ..LoadReport::default() })]
+fn load_reports_are_read_from_probes_and_from_answers(
+    #[case] text: &'static str,
+    #[case] expected: LoadReport,
+) {
     let (at, _) = resp_engine(move |parts| {
         let with = |fields: &str| format!("{fields}use={text}");
         Some(match parts[0].as_str() {
@@ -248,7 +251,9 @@
         let mut engines = RespEngines::new(limits, Common::new(1), sender);
         let (engine, mut at_once) = (EngineId("s-0".into()), Vec::new());
         engines.probe(1, &engine, at, &mut at_once);
-        let Some(Event::Probed(1, true, Some(probed))) = events.recv().await else { panic!("a report") };
+        let Some(Event::HealthChecked(1, true, Some(probed))) = events.recv().await else {
+            panic!("a report")
+        };
         let statement = Statement { name: ID.into(), class: "lookup".into(), ..Statement::default() };
         let send = Send {
             id: (RequestId(1), 0),
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -71,17 +71,17 @@
 }
 
 impl Gateway {
-    fn start(rank: usize, seed: u64, now: Milliseconds, told: [Milliseconds; 2]) -> Self {
-        let ration = Some(Ration { free: 2.0, per_request: 0.2, span: 10_000.0 });
+    fn start(gateway_index: usize, seed: u64, now: Milliseconds, told: [Milliseconds; 2]) -> Self {
+        let retry_budget = Some(RetryBudgetSettings { free: 2.0, per_request: 0.2, span: 10_000.0 });
         let s = Settings {
             seed,
             gateways: GATEWAYS,
-            rank: Some(rank as u64),
-            ration,
+            gateway_index: Some(gateway_index as u64),
+            retry_budget,
             drain_grace: 2_000.0,
             ..settings()
         };
-        let s = Settings { may_cancel: true, may_probe: true, ..s };
+        let s = Settings { may_cancel: true, may_check_health: true, ..s };
         let limits = Limits::read(&Fields::new("settings", BTreeMap::new())).expect("defaults");
         let core = Core::new(s, limits, now).expect("sound");
         let heard = told.iter().filter(|t| **t <= now).count();
@@ -141,7 +141,8 @@
             if n == 3 && (SILENT.0..SILENT.1).contains(&now) {
                 continue;
             }
-            let util = Some(Report { util: Some((e.util * 20.0).round() / 20.0), ..Report::default() });
+            let util =
+                Some(LoadReport { util: Some((e.util * 20.0).round() / 20.0), ..LoadReport::default() });
             for ((g, life, attempt), work) in e.work(CORES * warmth) {
                 let end = End { work: Some(work), report: util, ..End::plain(Outcome::Ok) };
                 if gateways[g].life == life {
@@ -167,7 +168,7 @@
                     if long { (1_200.0, 4.0, 12_000.0) } else { (80.0, 1.0, 2_000.0) };
                 let work = work * (0.5 + rng.f64());
                 let deadline = now + limit;
-                let asked = Incoming {
+                let asked = RequestDetails {
                     id: RequestId(next),
                     class: ClassId(usize::from(long)),
                     tenant: None,
@@ -176,7 +177,7 @@
                     work: Some(work),
                     memory_mb: None,
                     data: None,
-                    repeat: false,
+                    is_retry: false,
                 };
                 next += 1;
                 gateway.taken.push(now);
@@ -231,8 +232,8 @@
                     Effect::Probe(tag, engine, _) => {
                         let silent = engine == id(3) && (SILENT.0..SILENT.1).contains(&now);
                         let util = engines[&engine].util;
-                        let report = Some(Report { util: Some(util), ..Report::default() });
-                        gateway.events.extend((!silent).then_some(Event::Probed(tag, true, report)));
+                        let report = Some(LoadReport { util: Some(util), ..LoadReport::default() });
+                        gateway.events.extend((!silent).then_some(Event::HealthChecked(tag, true, report)));
                     }
                     _ => {}
                 }
--- a/tests/gate.rs
+++ b/tests/gate.rs
@@ -19,7 +19,7 @@
 }
 
 fn down(n: usize, availability: Availability) -> Event {
-    Event::Members { whole: false, members: vec![Member { availability, ..member(n) }] }
+    Event::Members { complete: false, members: vec![Member { availability, ..member(n) }] }
 }
 
 #[test]
@@ -27,7 +27,7 @@
     let mut balancer = start(settings(), 1);
     turn(&mut balancer, 0.0, &[Event::Request(incoming(1, 0, 100.0))]);
     let actions = turn(&mut balancer, 111.0, &[Event::Timer(0)]);
-    assert!(actions.iter().any(|a| matches!(a, Action::Refuse { id: RequestId(1), .. })));
+    assert!(actions.iter().any(|a| matches!(a, Action::Reject { id: RequestId(1), .. })));
     // The late outcome ends the record and brings no second answer.
     let late = outcome(1, 0, &engine(0), Outcome::Timeout, 112.0);
     assert!(turn(&mut balancer, 112.0, &[late]).iter().all(|a| matches!(a, Action::Timer { .. })));
@@ -38,7 +38,7 @@
 fn rule_2_unsafe_goes_again_only_after_proof() {
     for (how, again) in [(Outcome::Full, true), (Outcome::ConnectFailed, true), (Outcome::Reset, false)] {
         let mut s = settings();
-        s.classes[0].repeat = Repeat::Unsafe;
+        s.classes[0].idempotency = Idempotency::NotIdempotent;
         let mut balancer = start(s, 3);
         let first = sends(&turn(&mut balancer, 0.0, &[Event::Request(incoming(1, 0, 3_000.0))]));
         let actions = turn(&mut balancer, 10.0, &[outcome(1, 0, &first[0].1, how, 10.0)]);
@@ -51,7 +51,7 @@
 fn rule_2_keyed_stays_in_its_cell_and_window() {
     for (after, again) in [(100.0, true), (900.0, false)] {
         let mut s = settings();
-        s.classes[0].repeat = Repeat::Keyed { scope: Scope::Cell, window: 800.0 };
+        s.classes[0].idempotency = Idempotency::Keyed { scope: Scope::Cell, window: 800.0 };
         let mut balancer = start(s, 6);
         let first = sends(&turn(&mut balancer, 0.0, &[Event::Request(incoming(1, 0, 3_000.0))]))[0].1.clone();
         let actions = turn(&mut balancer, after, &[outcome(1, 0, &first, Outcome::Error, after)]);
@@ -66,7 +66,7 @@
 #[test]
 fn rule_3_nothing_goes_to_what_drains_or_is_gone() {
     let mut balancer = start(settings(), 3);
-    turn(&mut balancer, 1.0, &[down(0, Availability::Draining), down(1, Availability::Gone)]);
+    turn(&mut balancer, 1.0, &[down(0, Availability::Draining), down(1, Availability::Removed)]);
     for i in 0..5 {
         let sent = sends(&turn(&mut balancer, 2.0, &[Event::Request(incoming(i, 0, 3_000.0))]));
         assert!(sent.iter().all(|(_, e)| *e == engine(2)));
@@ -78,9 +78,9 @@
 fn rule_5_a_key_runs_in_turn_and_rests_after_a_reset() {
     let mut s = settings();
     s.classes[0].ordered = true;
-    s.send_cap = 1;
+    s.max_attempts = 1;
     let mut balancer = start(s, 3);
-    let ask = |id| Event::Request(Incoming { key: Some(OrderKey(4)), ..incoming(id, 0, 3_000.0) });
+    let ask = |id| Event::Request(RequestDetails { key: Some(OrderKey(4)), ..incoming(id, 0, 3_000.0) });
     let first = sends(&turn(&mut balancer, 0.0, &[ask(1), ask(2)]));
     assert_eq!(first.len(), 1);
     let reset = outcome(1, 0, &first[0].1, Outcome::Reset, 10.0);
@@ -97,16 +97,16 @@
     let mut balancer = start(s, 4);
     let sent = sends(&turn(&mut balancer, 0.0, &[Event::Request(incoming(1, 0, 3_000.0))]));
     assert_eq!(sent[0].1, engine(1));
-    turn(&mut balancer, 1.0, &[down(1, Availability::Gone)]);
+    turn(&mut balancer, 1.0, &[down(1, Availability::Removed)]);
     assert!(sends(&turn(&mut balancer, 2.0, &[Event::Request(incoming(2, 0, 3_000.0))])).is_empty());
     let actions = turn(&mut balancer, 130.0, &[Event::Timer(0)]);
-    assert!(actions.iter().any(|a| matches!(a, Action::Refuse { id: RequestId(2), .. })));
+    assert!(actions.iter().any(|a| matches!(a, Action::Reject { id: RequestId(2), .. })));
 }
 
 #[test]
 fn rule_7_further_attempts_stay_in_the_ration() {
     let mut s = settings();
-    s.ration = Some(Ration { free: 2.0, per_request: 0.0, span: 10_000.0 });
+    s.retry_budget = Some(RetryBudgetSettings { free: 2.0, per_request: 0.0, span: 10_000.0 });
     let mut balancer = start(s, 6);
     let mut again = 0;
     for i in 0..6 {
--- a/tests/idle.rs
+++ b/tests/idle.rs
@@ -104,7 +104,7 @@
                     self.began.insert(id, self.now);
                     self.whose.insert(id, client);
                     let now = 1_000_000.0 + self.now as f64 / 1e6;
-                    let asked = Incoming {
+                    let asked = RequestDetails {
                         id: RequestId(id),
                         class: ClassId(0),
                         tenant: None,
@@ -113,20 +113,20 @@
                         work: None,
                         memory_mb: None,
                         data: None,
-                        repeat: false,
+                        is_retry: false,
                     };
                     self.step(Event::Taken(Ask { asked, statement: Rc::new(Statement::default()) }));
                 }
                 Next::End(id, attempt) => {
                     let report = self
                         .reports
-                        .then(|| Report { util: Some(self.rng.f64() * 0.2), ..Report::default() });
+                        .then(|| LoadReport { util: Some(self.rng.f64() * 0.2), ..LoadReport::default() });
                     self.step(Event::Ended(
                         (RequestId(id), attempt),
                         End { report, ..End::plain(Outcome::Ok) },
                     ));
                 }
-                Next::Probed(tag) => self.step(Event::Probed(tag, true, None)),
+                Next::Probed(tag) => self.step(Event::HealthChecked(tag, true, None)),
                 // Once all is answered the module's own timers go on for ever.
                 Next::Clock if self.began.is_empty() && self.left == 0 => {}
                 Next::Clock => self.step(Event::Clock),
@@ -141,7 +141,7 @@
     #[values(2, 8)] engines: usize,
     #[values(true, false)] reports: bool,
 ) {
-    let s = Settings { gateways: 1, may_probe: true, may_cancel: true, ..settings() };
+    let s = Settings { gateways: 1, may_check_health: true, may_cancel: true, ..settings() };
     let limits = Limits::read(&Fields::new("settings", BTreeMap::new())).expect("defaults");
     let queries = 100_000 / 12;
     let mut world = World {
--- a/tests/notes.rs
+++ b/tests/notes.rs
@@ -4,8 +4,8 @@
 
 use rstest::rstest;
 use stand::*;
-use starlingplank::interface::Note;
-use starlingplank::net::engine::resp::{self, BadNote, Read};
+use starlingplank::interface::ProgressUpdate;
+use starlingplank::net::engine::resp::{self, InvalidProgressUpdate, Read};
 use std::io::Write;
 use std::sync::{Arc, Mutex};
 
@@ -17,23 +17,26 @@
 }
 
 #[rstest]
-#[case::progress("detail=p,v=0.25", Ok(Some(Note::Progress(0.25))))]
-#[case::spill("detail=s,v=120", Ok(Some(Note::Spill(120.0))))]
-#[case::memory("detail=w,v=1", Ok(Some(Note::WaitsForMemory)))]
-#[case::load("v=2,detail=w", Ok(Some(Note::WaitsForLoad)))]
+#[case::progress("detail=p,v=0.25", Ok(Some(ProgressUpdate::Progress(0.25))))]
+#[case::spill("detail=s,v=120", Ok(Some(ProgressUpdate::Spill(120.0))))]
+#[case::memory("detail=w,v=1", Ok(Some(ProgressUpdate::WaitsForMemory)))]
+#[case::load("v=2,detail=w", Ok(Some(ProgressUpdate::WaitsForLoad)))]
 #[case::absent("-", Ok(None))]
 #[case::empty("detail=,v=", Ok(None))]
 #[case::others_alone("use=util:0.5", Ok(None))]
-#[case::cut("detail=p", Err(BadNote))]
-#[case::no_kind("v=0.5", Err(BadNote))]
-#[case::not_a_number("detail=p,v=half", Err(BadNote))]
-#[case::not_finite("detail=s,v=inf", Err(BadNote))]
-#[case::past_all("detail=p,v=1.5", Err(BadNote))]
-#[case::below_nothing("detail=s,v=-1", Err(BadNote))]
-#[case::absurd("detail=s,v=1e300", Err(BadNote))]
-#[case::unknown_wait("detail=w,v=3", Err(BadNote))]
-#[case::unknown_kind("detail=z,v=1", Err(BadNote))]
-fn progress_updates_are_read(#[case] fields: &str, #[case] expected: Result<Option<Note>, BadNote>) {
+#[case::cut("detail=p", Err(InvalidProgressUpdate))]
+#[case::no_kind("v=0.5", Err(InvalidProgressUpdate))]
+#[case::not_a_number("detail=p,v=half", Err(InvalidProgressUpdate))]
+#[case::not_finite("detail=s,v=inf", Err(InvalidProgressUpdate))]
+#[case::past_all("detail=p,v=1.5", Err(InvalidProgressUpdate))]
+#[case::below_nothing("detail=s,v=-1", Err(InvalidProgressUpdate))]
+#[case::absurd("detail=s,v=1e300", Err(InvalidProgressUpdate))]
+#[case::unknown_wait("detail=w,v=3", Err(InvalidProgressUpdate))]
+#[case::unknown_kind("detail=z,v=1", Err(InvalidProgressUpdate))]
+fn progress_updates_are_read(
+    #[case] fields: &str,
+    #[case] expected: Result<Option<ProgressUpdate>, InvalidProgressUpdate>,
+) {
     let bytes = update(ID, fields);
     let Read::Reply(read, _) = resp::read(bytes.as_bytes(), 1000) else { panic!("an answer") };
     assert_eq!(read.note(), expected);
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use starlingplank::config::{Config, ConfigError, EngineWire};
-use starlingplank::interface::{Repeat, Scope};
+use starlingplank::interface::{Idempotency, Scope};
 use std::process::Command;
 
 const WHOLE: &str = include_str!("../deploy/clickhouse.hcl");
@@ -21,10 +21,10 @@
     assert_eq!((config.name.as_str(), s.seed, s.gateways), ("gateway-1", 0x5f2c_9a1e_77d0_4b36, 1));
     assert_eq!((config.engines, config.known.len()), (EngineWire::ClickHouse, 2));
     assert_eq!(s.kinds[0].memory_mb, 24_576.0);
-    assert_eq!(s.classes[2].repeat, Repeat::Keyed { scope: Scope::All, window: 12_000.0 });
+    assert_eq!(s.classes[2].idempotency, Idempotency::Keyed { scope: Scope::All, window: 12_000.0 });
     assert!(s.classes[2].is_load && s.classes[0].waits_for_loads && !s.classes[1].is_load);
-    assert_eq!((s.classes[1].threads, s.max_retry_after, s.send_cap), (3.0, 1_000.0, 3));
-    assert_eq!(s.ration.map(|r| (r.free, r.per_request, r.span)), Some((2.0, 0.2, 10_000.0)));
+    assert_eq!((s.classes[1].threads, s.max_retry_after, s.max_attempts), (3.0, 1_000.0, 3));
+    assert_eq!(s.retry_budget.map(|r| (r.free, r.per_request, r.span)), Some((2.0, 0.2, 10_000.0)));
     assert!(config.clickhouse.is_some() && config.knowledge.is_none());
 }
 
--- a/tests/recall.rs
+++ b/tests/recall.rs
@@ -25,7 +25,7 @@
         engines: vec![EngineLearned { id: engine(0).0.to_string(), slow: 1.0, ..from }],
         ..Learned::default()
     };
-    turn(&mut balancer, 0.0, &[fleet(1), Event::Recalled(Box::new(learned))]);
+    turn(&mut balancer, 0.0, &[fleet(1), Event::Restored(Box::new(learned))]);
     balancer
 }
 
@@ -34,7 +34,7 @@
     let mut count = 0;
     for n in 0..200_u64 {
         let now = n as f64 * 10.0;
-        let asked = Incoming { deadline: now + 2_900.0, ..incoming(n, 0, 0.0) };
+        let asked = RequestDetails { deadline: now + 2_900.0, ..incoming(n, 0, 0.0) };
         count += sends(&turn(balancer, now, &[Event::Request(asked), Event::Timer(0)])).len();
     }
     count
@@ -55,7 +55,7 @@
 fn engine_whose_budget_was_spent_gets_nothing_until_the_span_is_over() {
     let mut balancer = recalled(EngineLearned { perhaps_cold: true, spent: true, ..Default::default() });
     assert_eq!(sent(&mut balancer), 0);
-    let asked = Incoming { deadline: 5_000.0, ..incoming(900, 0, 0.0) };
+    let asked = RequestDetails { deadline: 5_000.0, ..incoming(900, 0, 0.0) };
     let later: usize = (0..20)
         .map(|n| {
             let now = 2_100.0 + f64::from(n) * 50.0;
@@ -73,7 +73,8 @@
     let mut most = 0;
     for n in 0..300_u64 {
         let now = n as f64 * 10.0;
-        let mut events = vec![Event::Request(Incoming { deadline: now + 2_900.0, ..incoming(n, 0, 0.0) })];
+        let mut events =
+            vec![Event::Request(RequestDetails { deadline: now + 2_900.0, ..incoming(n, 0, 0.0) })];
         for (_, id) in out.extract_if(.., |(at, _)| *at + took <= now) {
             let Event::Outcome { id, attempt, engine, outcome, took, over, report, .. } =
                 outcome(id, 0, &engine(0), Outcome::Ok, took)
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -16,7 +16,7 @@
 }
 
 struct Seen {
-    asked: Incoming,
+    asked: RequestDetails,
     taken: Milliseconds,
     answered: Option<Milliseconds>,
     sent: Vec<Sent>,
@@ -35,7 +35,7 @@
 }
 
 fn ran(o: &Option<(Milliseconds, Outcome)>) -> bool {
-    !matches!(o, Some((_, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)))
+    !matches!(o, Some((_, Outcome::Full | Outcome::ConnectFailed | Outcome::NotExecuted)))
 }
 
 impl Checker {
@@ -46,17 +46,17 @@
     fn action(&mut self, now: Milliseconds, action: &Action) {
         match action {
             Action::Send { id, engine, timeout } => self.send(now, id.0, Self::index(engine), *timeout),
-            Action::Refuse { id, retry_after, .. } => {
+            Action::Reject { id, retry_after, .. } => {
                 assert!(*retry_after <= self.s.max_retry_after, "advice that is not allowed");
                 let r = self.requests.get_mut(&id.0).expect("a request of ours");
                 assert!(r.answered.is_none(), "rule 1: two answers");
                 let maybe = r.sent.iter().any(|a| ran(&a.outcome));
-                match self.s.classes[r.asked.class.0].repeat {
-                    Repeat::Unsafe => assert!(!maybe, "rule 2: refused what may have run"),
-                    Repeat::Keyed { scope, .. } => {
+                match self.s.classes[r.asked.class.0].idempotency {
+                    Idempotency::NotIdempotent => assert!(!maybe, "rule 2: refused what may have run"),
+                    Idempotency::Keyed { scope, .. } => {
                         assert!(scope == Scope::All || !maybe, "rule 2: refused a keyed one")
                     }
-                    Repeat::Safe => {}
+                    Idempotency::Idempotent => {}
                 }
                 r.answered = Some(now);
             }
@@ -69,7 +69,7 @@
                 assert!(self.s.may_cancel);
                 assert!(self.requests[&id.0].sent.len() > *attempt as usize);
             }
-            Action::Probe { .. } => assert!(self.s.may_probe),
+            Action::CheckHealth { .. } => assert!(self.s.may_check_health),
             Action::Terms { .. } | Action::Timer { .. } | Action::Watch => {}
         }
     }
@@ -82,7 +82,7 @@
         let r = &self.requests[&id];
         let c = self.s.classes[r.asked.class.0].clone();
         assert!(r.answered.is_none(), "rule 1: sent after the end");
-        assert!(r.sent.len() < self.s.send_cap as usize, "send cap");
+        assert!(r.sent.len() < self.s.max_attempts as usize, "send cap");
         if let Some(kinds) = &c.kinds {
             assert!(kinds.contains(&m.kind.expect("kind")), "rule 6: kind");
         }
@@ -90,12 +90,12 @@
             assert!(zones.contains(&m.zone.expect("zone")), "rule 6: zone");
         }
         let out = r.sent.iter().filter(|a| a.outcome.is_none()).count();
-        assert!(self.s.may_copy || out == 0, "rule 2: two at once");
+        assert!(self.s.may_hedge || out == 0, "rule 2: two at once");
         for a in r.sent.iter().filter(|a| ran(&a.outcome)) {
-            match c.repeat {
-                Repeat::Safe => {}
-                Repeat::Unsafe => panic!("rule 2: unsafe sent again"),
-                Repeat::Keyed { scope, window } => {
+            match c.idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NotIdempotent => panic!("rule 2: unsafe sent again"),
+                Idempotency::Keyed { scope, window } => {
                     let old = member(a.engine);
                     let same = match scope {
                         Scope::All => true,
@@ -114,26 +114,29 @@
                 for a in &b.sent {
                     let (at, how) = a.outcome.expect("rule 5: an earlier attempt is out");
                     if matches!(how, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
-                        assert!(own || now >= at + self.s.order_pause, "rule 5: the key rests");
+                        assert!(own || now >= at + self.s.ordered_key_pause, "rule 5: the key rests");
                     }
                 }
             }
         }
         if !r.sent.is_empty() {
             self.extra.push(now);
-            if let Some(ration) = self.s.ration {
-                let recent =
-                    |list: &[Milliseconds]| list.iter().filter(|t| **t > now - ration.span).count() as f64;
-                let most = ration.free + ration.per_request * recent(&self.taken);
+            if let Some(retry_budget) = self.s.retry_budget {
+                let recent = |list: &[Milliseconds]| {
+                    list.iter().filter(|t| **t > now - retry_budget.span).count() as f64
+                };
+                let most = retry_budget.free + retry_budget.per_request * recent(&self.taken);
                 assert!(recent(&self.extra) <= most, "rule 7: ration");
             }
         }
-        if self.started.get(&to).is_some_and(|t| now < t + self.s.warm_within) {
+        if self.started.get(&to).is_some_and(|t| now < t + self.s.slow_start_duration) {
             // Our part of the budget, at the capacity after its start and at least a millisecond a query.
             let cold = self.cold.entry(to).or_default();
             cold.push((now, id));
-            let recent = cold.iter().filter(|(t, _)| *t > now - self.s.tip_after).count() as f64;
-            let part = self.s.fall_multiple * 8.0 * self.s.tip_after / self.s.gateways as f64;
+            let recent =
+                cold.iter().filter(|(t, _)| *t > now - self.s.overload_collapse_after).count() as f64;
+            let part = self.s.overload_collapse_multiple * 8.0 * self.s.overload_collapse_after
+                / self.s.gateways as f64;
             assert!(recent * 20.0 <= part, "rule 4: a burst into a cold engine");
         }
         let r = self.requests.get_mut(&id).expect("known");
@@ -146,30 +149,31 @@
     let mut s = settings();
     s.seed = rng.u64(..);
     s.gateways = rng.usize(1..6);
-    s.may_copy = rng.bool();
+    s.may_hedge = rng.bool();
     s.may_cancel = rng.bool();
-    s.may_probe = rng.bool();
+    s.may_check_health = rng.bool();
     s.priorities = rng.bool();
     s.grants = rng.bool();
-    s.send_cap = rng.u32(1..6);
-    s.ask_for_list = rng.bool();
+    s.max_attempts = rng.u32(1..6);
+    s.subscribes_to_endpoints = rng.bool();
     s.reporting = [Reporting::Answers, Reporting::Probes, Reporting::Never][rng.usize(..3)];
     let span = [2_000.0, 5_000.0][rng.usize(..2)];
-    s.ration = rng.bool().then_some(Ration { free: rng.f64() * 4.0, per_request: 0.1, span });
+    s.retry_budget =
+        rng.bool().then_some(RetryBudgetSettings { free: rng.f64() * 4.0, per_request: 0.1, span });
     s.drain_grace = [0.0, 250.0, 1_000.0][rng.usize(..3)];
-    s.fall_multiple = 2.5 + rng.f64();
+    s.overload_collapse_multiple = 2.5 + rng.f64();
     s.max_retry_after = if rng.bool() { 1_000.0 } else { 0.0 };
-    s.order_pause = [0.0, 500.0][rng.usize(..2)];
+    s.ordered_key_pause = [0.0, 500.0][rng.usize(..2)];
     if rng.bool() {
         s.tenants = (0..2).map(|i| Tenant { name: format!("t{i}"), quota_per_s: rng.f64() * 20.0 }).collect();
     }
     for c in &mut s.classes {
-        c.repeat = match rng.u8(..5) {
-            0 => Repeat::Unsafe,
-            1 => Repeat::Keyed { scope: Scope::All, window: 800.0 },
-            2 => Repeat::Keyed { scope: Scope::Zone, window: 800.0 },
-            3 => Repeat::Keyed { scope: Scope::Cell, window: 800.0 },
-            _ => Repeat::Safe,
+        c.idempotency = match rng.u8(..5) {
+            0 => Idempotency::NotIdempotent,
+            1 => Idempotency::Keyed { scope: Scope::All, window: 800.0 },
+            2 => Idempotency::Keyed { scope: Scope::Zone, window: 800.0 },
+            3 => Idempotency::Keyed { scope: Scope::Cell, window: 800.0 },
+            _ => Idempotency::Idempotent,
         };
         c.ordered = rng.u8(..3) == 0;
         c.kinds = (rng.u8(..4) == 0).then(|| vec![KindId(rng.usize(..2))]);
@@ -180,7 +184,7 @@
     s
 }
 
-fn report(rng: &mut fastrand::Rng, how: Reporting) -> Option<Report> {
+fn report(rng: &mut fastrand::Rng, how: Reporting) -> Option<LoadReport> {
     if how != Reporting::Answers {
         return None;
     }
@@ -189,7 +193,7 @@
     let mut figure = || if rng.u8(..8) == 0 { odd[rng.usize(..5)] } else { rng.f64() * 20.0 };
     let (inflight, util) = (Some(figure()), Some(figure() / 20.0));
     let inflight = inflight.filter(|_| counts);
-    Some(Report { inflight, util, queue: None, memory: Some(figure() / 20.0), disks: None })
+    Some(LoadReport { inflight, util, queue: None, memory: Some(figure() / 20.0), disks: None })
 }
 
 fn play(seed: u64) -> (usize, usize) {
@@ -208,7 +212,7 @@
     };
     let ok_share = 0.7 + 0.3 * rng.f64();
     let mut next = 0;
-    let mut first = vec![Event::Members { whole: true, members: (0..6).map(member).collect() }];
+    let mut first = vec![Event::Members { complete: true, members: (0..6).map(member).collect() }];
     // After the last arrival a day runs on past the longest deadline, 5,050 ms later.
     for turn in 0..3_100 {
         let now = f64::from(turn) * 5.0;
@@ -216,7 +220,7 @@
         if rng.u8(..60) == 0 {
             let n = rng.usize(..6);
             let mut m = member(n);
-            m.availability = [Availability::Live, Availability::Draining, Availability::Gone]
+            m.availability = [Availability::Live, Availability::Draining, Availability::Removed]
                 [rng.usize(..5).saturating_sub(2)];
             if m.availability == Availability::Live {
                 check.told_down.remove(&n);
@@ -230,7 +234,7 @@
             }
             // Later news of an engine keeps the time it started.
             m.started = check.started.get(&n).copied();
-            events.push(Event::Members { whole: false, members: vec![m] });
+            events.push(Event::Members { complete: false, members: vec![m] });
         }
         if rng.u8(..100) == 0 {
             events.push(Event::ListFailed);
@@ -241,7 +245,7 @@
             balancer = Balancer::new(Settings { seed: rng.u64(..), ..s.clone() }, now).expect("good");
             for r in check.requests.values_mut() {
                 r.answered.get_or_insert(now);
-                r.sent.iter_mut().for_each(|a| a.outcome = a.outcome.or(Some((now, Outcome::Moot))));
+                r.sent.iter_mut().for_each(|a| a.outcome = a.outcome.or(Some((now, Outcome::NotExecuted))));
             }
             (check.taken, check.extra) = (Vec::new(), Vec::new());
             check.order.clear();
@@ -250,11 +254,12 @@
                 let availability = if down { Availability::Draining } else { Availability::Live };
                 Member { availability, started: check.started.get(&n).copied(), ..member(n) }
             });
-            events = vec![Event::Members { whole: true, members: listed.collect() }];
+            events = vec![Event::Members { complete: true, members: listed.collect() }];
         }
         while turn < 2_000 && rng.u8(..10) == 0 {
             let class = rng.usize(..2);
-            let mut asked = incoming(next, class, now + 50.0 + rng.f64() * s.classes[class].give_up / 4.0);
+            let mut asked =
+                incoming(next, class, now + 50.0 + rng.f64() * s.classes[class].client_timeout / 4.0);
             asked.key = (s.classes[class].ordered && rng.bool()).then(|| OrderKey(rng.u64(..3)));
             asked.tenant = (!s.tenants.is_empty()).then(|| TenantId(rng.usize(..2)));
             asked.data = Some(DataSet(rng.u64(..4)));
@@ -303,7 +308,7 @@
             }
             if r.answered.is_none() && rng.u16(..4_000) == 0 {
                 r.answered = Some(now);
-                events.push(Event::Gone(RequestId(*id)));
+                events.push(Event::ClientDisconnected(RequestId(*id)));
             }
         }
         events.push(Event::Timer(0));
@@ -313,7 +318,7 @@
             check.action(now, action);
         }
         for r in check.requests.values() {
-            let due = r.asked.deadline + s.answer_slack;
+            let due = r.asked.deadline + s.answer_grace;
             assert!(r.answered.is_some() || now < due, "rule 1: taken at {}, no answer", r.taken);
         }
     }
--- a/tests/stand/mod.rs
+++ b/tests/stand/mod.rs
@@ -74,9 +74,9 @@
 }
 
 /// No retry budget, and so many attempts for a request at most.
-pub fn without_retry_budget(config: &str, send_cap: u32) -> String {
+pub fn without_retry_budget(config: &str, max_attempts: u32) -> String {
     let text = changed(config, r#","extra_free":2,"extra_per_request":0.2,"ratio_span":10000"#, "");
-    changed(&text, r#""send_cap":3"#, &format!(r#""send_cap":{send_cap}"#))
+    changed(&text, r#""send_cap":3"#, &format!(r#""send_cap":{max_attempts}"#))
 }
 
 impl Gateway {
