--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -41,9 +41,9 @@
     assert_eq!(&*front, "front_3");
     assert_eq!((s.gateways, s.seed, s.zone), (3, 513, Some(ZoneId(1))));
     assert_eq!(s.kinds[1].cores, 4.0);
-    assert_eq!(s.classes[0].repeat, Repeat::Safe);
-    assert_eq!(s.ration, None);
-    assert!(s.may_probe && !s.may_cancel);
+    assert_eq!(s.classes[0].idempotency, Idempotency::Idempotent);
+    assert_eq!(s.retry_budget, None);
+    assert!(s.may_check_health && !s.may_cancel);
 }
 
 #[test]
@@ -184,7 +184,7 @@
             "ASSIGN\tfront_id=f\tticket=9\ttry_for=80.000\tengine=e:1\n",
         ),
         (
-            Action::Refuse { id, retry_after: 250.0, why: Why::Part },
+            Action::Reject { id, retry_after: 250.0, reason: BlockReason::Part },
             "OVERLOAD_REPLY\tfront_id=f\tticket=9\tretry_in=250.000\n",
         ),
         (Action::Fail { id }, "ABORT\tfront_id=f\tticket=9\n"),
@@ -195,7 +195,7 @@
         ),
         (Action::Timer { after: 500.0, token: 77 }, "TIMER\tfront_id=f\tdelay=500.000\tcookie=77\n"),
         (Action::Watch, "SUBSCRIBE\tfront_id=f\ton=1\n"),
-        (Action::Probe { engine }, "INSPECT\tfront_id=f\tengine=e:1\n"),
+        (Action::CheckHealth { engine }, "INSPECT\tfront_id=f\tengine=e:1\n"),
     ] {
         let mut out = String::new();
         wire::write(&mut out, "f", &action);
@@ -215,8 +215,8 @@
         let line = "HEARTBEAT\tfront_id=front_3\tticket=9\tsend_no=0\tengine=e:1\ttopic=3\tamount=";
         event(&format!("{line}{amount}"))
     };
-    assert!(matches!(note("1"), Event::Note { note: Note::WaitsForMemory, .. }));
-    assert!(matches!(note("2"), Event::Note { note: Note::WaitsForLoad, .. }));
+    assert!(matches!(note("1"), Event::ProgressUpdate { update: ProgressUpdate::WaitsForMemory, .. }));
+    assert!(matches!(note("2"), Event::ProgressUpdate { update: ProgressUpdate::WaitsForLoad, .. }));
     let probed = event("HEALTH_RESULT\tfront_id=front_3\tduration=1.4\tengine=e:1\tdisposition=ok");
-    assert!(matches!(probed, Event::Probed { ok: true, took, report: None, .. } if took == 1.4));
+    assert!(matches!(probed, Event::HealthChecked { ok: true, took, report: None, .. } if took == 1.4));
 }
