--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -130,7 +130,7 @@
         let Err(refusal) = may_send(&facts) else { return true };
         self.rules.count(refusal);
         if refusal.is_violation() {
-            effects.push(Effect::Violation(id, refusal));
+            effects.push(Effect::LogViolation(id, refusal));
         }
         false
     }
@@ -208,13 +208,13 @@
         }
         r.streaming = true;
         self.pending_events.push(DecisionEvent::Streaming { id: id.0 });
-        effects.push(Effect::Begin(id.0, rows));
+        effects.push(Effect::StartResponse(id.0, rows));
     }
 
     /// Streams a further part of a result.
     pub(super) fn forward_part(&mut self, id: AttemptId, part: Vec<u8>, effects: &mut Vec<Effect>) {
         if self.find_attempt(id).is_some_and(|a| a.in_flight) {
-            effects.push(Effect::Part(id.0, part));
+            effects.push(Effect::ResponseChunk(id.0, part));
         }
     }
 
@@ -273,7 +273,7 @@
         let Some(engine) = self.find_attempt(id).filter(|a| a.in_flight).map(|a| a.engine.clone()) else {
             return;
         };
-        effects.push(Effect::GiveUp(id, engine, outcome));
+        effects.push(Effect::AbortAttempt(id, engine, outcome));
         self.end_attempt(now, id, End::plain(outcome), effects);
     }
 
@@ -317,7 +317,7 @@
         let changed = r.terms.priority != terms.priority;
         r.terms = terms;
         for (n, a) in r.numbered().filter(|(_, a)| a.in_flight && changed) {
-            effects.push(Effect::Hurry((id, n), a.engine.clone(), terms.priority));
+            effects.push(Effect::SetPriority((id, n), a.engine.clone(), terms.priority));
         }
     }
 }
--- a/src/core/membership.rs
+++ b/src/core/membership.rs
@@ -230,7 +230,7 @@
     fn apply_list_lease(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
         let expired = !self.list_lease.holds(now);
         if std::mem::replace(&mut self.list_expired, expired) != expired {
-            effects.push(Effect::ListReliable(!expired));
+            effects.push(Effect::LogListReliability(!expired));
             self.rebuild_engines(now, effects);
         }
     }
@@ -244,12 +244,12 @@
             before.remove(engine);
             // While the list is too old the writers keep new work back; connections to engines that are well stay.
             if listed.member.availability != Availability::Live && !self.list_expired {
-                effects.push(Effect::Shut(engine.clone()));
+                effects.push(Effect::DropQueued(engine.clone()));
             }
             self.engines.insert(engine.clone(), listed.clone());
         }
         for (engine, _) in before {
-            effects.push(Effect::Shut(engine.clone()));
+            effects.push(Effect::DropQueued(engine.clone()));
             self.set_timer(now + self.limits.gone_grace, Due::EngineRemoved(engine));
         }
     }
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -13,48 +13,48 @@
 #[derive(Debug)]
 pub enum Event {
     /// The name service's whole list, with its version.
-    List(u64, Vec<Listed>),
+    EndpointList(u64, Vec<Listed>),
     /// The name service's present address has spoken: the list that follows replaces what a former address has said since
     /// the move, though its version may be lower.
-    FormerAddressSuperseded,
+    PreviousAddressSuperseded,
     /// Until when the list may be relied on.
-    ListReliableUntil(Milliseconds),
+    EndpointListLease(Milliseconds),
     /// A front received a request.
-    Taken(Ask),
+    RequestReceived(Ask),
     /// The client disconnected or withdrew the request.
-    Left(RequestId),
+    ClientDisconnected(RequestId),
     /// The first part of a streamed answer arrived.
-    Begun(AttemptId, Rows),
+    ResponseStarted(AttemptId, Rows),
     /// A further part of a streamed answer arrived.
-    More(AttemptId, Vec<u8>),
+    ResponseChunk(AttemptId, Vec<u8>),
     /// An attempt ended.
-    Ended(AttemptId, End),
+    AttemptEnded(AttemptId, End),
     /// An engine sent a progress update of an attempt.
-    Noted(AttemptId, ProgressUpdate),
+    ProgressUpdate(AttemptId, ProgressUpdate),
     /// A probe ended: its number, whether it succeeded, the engine's load.
     HealthChecked(u64, bool, Option<LoadReport>),
     /// The time of a timer has come.
-    Clock,
+    TimersDue,
     /// All events of a batch were handled: run a decision cycle if one is due.
-    Turn,
+    RunDecisionCycle,
     /// The shutdown was requested.
     Terminate,
     /// These records of keyed sends are durable.
-    Recorded(Vec<u64>),
+    RecordsDurable(Vec<u64>),
     /// These records may not be durable, and the log accepts no more.
     RecordsFailed(Vec<u64>),
     /// The log was rewritten with these keys.
-    LogBegun(Vec<(Key, Sends)>),
+    LogRewritten(Vec<(Key, Sends)>),
     /// The maintenance tick of the log, once a second.
-    Tend,
+    MaintenanceTick,
     /// Another process takes over, which leaves more time for open requests.
-    HandOver,
+    SuccessorListens,
     /// The operator override: engines that operators have excluded.
-    Hand(Hand),
+    OperatorOverrides(Hand),
     /// What an earlier process of this gateway heard of the name service.
-    Earlier(Heard),
+    InheritedMembership(Heard),
     /// Another process of this gateway sent requests with these keys.
-    Heard(Vec<(Key, Sends)>),
+    PeerKeys(Vec<(Key, Sends)>),
     /// How many processes of this gateway run now.
     ProcessCount(usize),
 }
@@ -94,31 +94,31 @@
     /// Transmit an attempt.
     Send(Send),
     /// Abort an attempt. The outcome gives the reason: a timeout, a cancellation or a reset.
-    GiveUp(AttemptId, EngineId, Outcome),
+    AbortAttempt(AttemptId, EngineId, Outcome),
     /// Change the priority of an attempt in flight.
-    Hurry(AttemptId, EngineId, u8),
+    SetPriority(AttemptId, EngineId, u8),
     /// Probe an engine under this number.
-    Probe(u64, EngineId, SocketAddr),
+    CheckHealth(u64, EngineId, SocketAddr),
     /// Drop what is queued for an engine that drains or was removed.
-    Shut(EngineId),
+    DropQueued(EngineId),
     /// Stream the first part of an answer to the client.
-    Begin(RequestId, Rows),
+    StartResponse(RequestId, Rows),
     /// Stream a further part.
-    Part(RequestId, Vec<u8>),
+    ResponseChunk(RequestId, Vec<u8>),
     /// Send the final answer.
     Answer(RequestId, Answer),
     /// Log why a request was rejected, and how long it had waited.
-    Refused(RequestId, ClassId, &'static str, Milliseconds),
+    LogRejection(RequestId, ClassId, &'static str, Milliseconds),
     /// Log that an attempt was asked for which the rules do not allow. It was not sent.
-    Violation(AttemptId, SendRefusal),
-    /// Write a record of a keyed send; [`Event::Recorded`] reports its number.
-    Record(u64, Key, Sent),
+    LogViolation(AttemptId, SendRefusal),
+    /// Write a record of a keyed send; [`Event::RecordsDurable`] reports its number.
+    WriteRecord(u64, Key, Sent),
     /// Write a mark that the log is complete: the time, and until when no keyed request may be transmitted.
-    Mark(Milliseconds, Milliseconds),
+    WriteMark(Milliseconds, Milliseconds),
     /// Rewrite the log.
-    Rewrite(Rewrite),
+    RewriteLog(Rewrite),
     /// Log whether the list of engines may be relied on from now on.
-    ListReliable(bool),
+    LogListReliability(bool),
     /// Every request is answered: exit.
     Exit,
 }
--- a/src/core/probes.rs
+++ b/src/core/probes.rs
@@ -32,7 +32,7 @@
         let tag = self.last_number;
         self.probes.insert(tag, Probe { engine: engine.clone(), sent_at: now });
         self.set_timer(now + self.limits.probe, Due::ProbeTimeout(tag));
-        effects.push(Effect::Probe(tag, engine, address));
+        effects.push(Effect::CheckHealth(tag, engine, address));
     }
 
     /// Ends a probe. The late answer of one that timed out changes nothing.
--- a/src/core/records.rs
+++ b/src/core/records.rs
@@ -47,7 +47,7 @@
         }
         self.pending_records.insert(number, id);
         self.set_timer(now + self.limits.record, Due::RecordTimeout(number));
-        effects.push(Effect::Record(number, key, sent));
+        effects.push(Effect::WriteRecord(number, key, sent));
     }
 
     /// Transmits the attempts whose records are durable.
@@ -112,12 +112,12 @@
     /// The maintenance tick: marks the log, or rewrites it where it failed or has grown long.
     pub(super) fn maintain_log(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
         match self.gate.rewrite(now) {
-            Some(rewrite) => effects.push(Effect::Rewrite(rewrite)),
+            Some(rewrite) => effects.push(Effect::RewriteLog(rewrite)),
             None => self.mark_log(now, effects),
         }
     }
 
     fn mark_log(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
-        effects.extend(self.gate.mark(now).map(|(at, shut_until)| Effect::Mark(at, shut_until)));
+        effects.extend(self.gate.mark(now).map(|(at, shut_until)| Effect::WriteMark(at, shut_until)));
     }
 }
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -162,8 +162,8 @@
     fn reject(&mut self, id: RequestId, class: ClassId, rejection: Rejection, effects: &mut Vec<Effect>) {
         let Rejection { reason, retry_after } = rejection;
         *self.counts[class.0].refusals.entry(reason).or_default() += 1;
-        effects.push(Effect::Refused(id, class, reason, 0.0));
-        effects.push(Effect::Answer(id, Answer::Refused(retry_after)));
+        effects.push(Effect::LogRejection(id, class, reason, 0.0));
+        effects.push(Effect::Answer(id, Answer::Rejected(retry_after)));
     }
 
     /// Rejects a request that was accepted.
@@ -180,9 +180,9 @@
         self.abort_attempts(now, id, Outcome::Cancelled, effects);
         if !streaming && self.requests.get(&id).is_some_and(|r| !r.closed) {
             *self.counts[class.0].refusals.entry(why).or_default() += 1;
-            effects.push(Effect::Refused(id, class, why, waited));
+            effects.push(Effect::LogRejection(id, class, why, waited));
         }
-        self.answer(id, Answer::Refused(wait), effects);
+        self.answer(id, Answer::Rejected(wait), effects);
     }
 
     /// Fails a request with the engine's last error.
--- a/src/core/timers.rs
+++ b/src/core/timers.rs
@@ -62,7 +62,7 @@
 }
 
 impl Core {
-    /// When [`Event::Clock`](super::Event::Clock) is due next.
+    /// When [`Event::TimersDue`](super::Event::TimersDue) is due next.
     pub fn next_due(&self) -> Option<Milliseconds> {
         self.timers.peek().map(|timer| timer.at)
     }
@@ -94,7 +94,7 @@
             Due::EngineRemoved(engine) => self.engine_removed(now, &engine, effects),
             // `exit_when_done` runs after every event.
             Due::TerminationWindow => {}
-            // The cycle follows with the next `Event::Turn`.
+            // The cycle follows with the next `Event::RunDecisionCycle`.
             Due::DecisionCycle => self.decision_timer_set = false,
             Due::AnswerDeadline => self.answer_deadline_passed(now, effects),
             Due::RecordTimeout(number) => self.record_timed_out(now, number, effects),
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -81,14 +81,14 @@
 /// The one final answer to a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
-    /// The whole result.
+    /// The complete result.
     Served(Rows),
     /// The streamed result is complete.
     Finished,
     /// The streamed result cannot be completed.
     Cut,
     /// Rejected before execution; the client may retry, best after this many milliseconds.
-    Refused(Milliseconds),
+    Rejected(Milliseconds),
     /// Failed, with the engine's error if there is one.
     Failed(Option<EngineError>),
     /// Failed as its deadline passed.
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -163,9 +163,9 @@
                 self.addresses = addresses_of(&answer.list);
             }
             if verdict.supersedes {
-                self.events.send(Event::FormerAddressSuperseded).await?;
+                self.events.send(Event::PreviousAddressSuperseded).await?;
             }
-            self.events.send(Event::List(answer.serial, answer.list)).await?;
+            self.events.send(Event::EndpointList(answer.serial, answer.list)).await?;
         }
         self.report().await
     }
@@ -174,7 +174,7 @@
     async fn report(&mut self) -> Result<(), SendError<Event>> {
         let until = self.discovery.borrow().reliable_until();
         if std::mem::replace(&mut self.told_until, until) != until {
-            self.events.send(Event::ListReliableUntil(until)).await?;
+            self.events.send(Event::EndpointListLease(until)).await?;
         }
         let now = self.clock.now();
         let mut discovery = self.discovery.borrow_mut();
--- a/src/net/engine/clickhouse.rs
+++ b/src/net/engine/clickhouse.rs
@@ -110,7 +110,7 @@
         let (id, engine, address) = (send.id, send.engine.clone(), send.address);
         if !self.start(&engine, address, job, Frame::sending(send, encode_request)) {
             log::seldom_error("no connection is left for an attempt on an engine", &engine.0);
-            events.push(Event::Ended(id, End::plain(Outcome::NotExecuted)));
+            events.push(Event::AttemptEnded(id, End::plain(Outcome::NotExecuted)));
         }
     }
 
@@ -138,7 +138,7 @@
             for id in conn.out.unsent() {
                 if conn.out.withdraw(id) {
                     *conn.job.borrow_mut() = None;
-                    events.push(Event::Ended(id, End::plain(Outcome::NotExecuted)));
+                    events.push(Event::AttemptEnded(id, End::plain(Outcome::NotExecuted)));
                 }
             }
         }
@@ -253,7 +253,7 @@
                 Ok(_) if unsent.contains(&id) => Outcome::NotExecuted,
                 Ok(_) => Outcome::Reset,
             };
-            Event::Ended(id, End::plain(outcome))
+            Event::AttemptEnded(id, End::plain(outcome))
         }
     };
     let _ = events.send(event).await;
@@ -264,7 +264,7 @@
     loop {
         let id = conn.out.overdue().await;
         if conn.holds(id) {
-            let _ = events.send(Event::Ended(id, End::plain(Outcome::NotExecuted))).await;
+            let _ = events.send(Event::AttemptEnded(id, End::plain(Outcome::NotExecuted))).await;
             *conn.job.borrow_mut() = None;
         }
     }
@@ -369,17 +369,17 @@
         let job = conn.job.borrow().clone()?;
         match job {
             Job::Attempt(id, Some(_)) if begun => {
-                place.send(Event::More(id, part));
+                place.send(Event::ResponseChunk(id, part));
             }
             Job::Attempt(id, flow) => {
                 rows.parts.push(part);
                 if status == 200 && bytes > limits.result_bytes && flow.is_some() {
                     begun = true;
-                    place.send(Event::Begun(id, std::mem::take(&mut rows)));
+                    place.send(Event::ResponseStarted(id, std::mem::take(&mut rows)));
                 } else if bytes > limits.message_bytes {
                     log::seldom("a result that is too large cannot be passed on whole");
                     conn.job.borrow_mut().take();
-                    place.send(Event::Ended(id, End::plain(Outcome::Error)));
+                    place.send(Event::AttemptEnded(id, End::plain(Outcome::Error)));
                     return None;
                 }
             }
@@ -391,7 +391,7 @@
     let job = conn.job.borrow_mut().take()?;
     place.send(match job {
         Job::Probe(tag) => Event::HealthChecked(tag, status == 200, None),
-        Job::Attempt(id, _) => Event::Ended(id, end(status, rows)),
+        Job::Attempt(id, _) => Event::AttemptEnded(id, end(status, rows)),
     });
     Some(keep)
 }
--- a/src/net/engine/connection.rs
+++ b/src/net/engine/connection.rs
@@ -138,7 +138,7 @@
             let Some(attempt) = self.end_attempt(&name) else { continue };
             self.outbox.push(resp::command(&["shut", &name]), limits);
             self.retire_id(name, limits);
-            events.push(Event::Ended(attempt.id, End::plain(Outcome::Error)));
+            events.push(Event::AttemptEnded(attempt.id, End::plain(Outcome::Error)));
         }
     }
 
--- a/src/net/engine/progress.rs
+++ b/src/net/engine/progress.rs
@@ -50,7 +50,7 @@
         return ReplyEffect::Ignored;
     }
     match reply.note() {
-        Ok(Some(note)) => ReplyEffect::Event(Event::Noted(attempt.id, note)),
+        Ok(Some(note)) => ReplyEffect::Event(Event::ProgressUpdate(attempt.id, note)),
         Ok(None) => ReplyEffect::Ignored,
         Err(InvalidProgressUpdate) => {
             log::seldom("an engine's progress update cannot be used; it was dropped");
--- a/src/net/engine/replies.rs
+++ b/src/net/engine/replies.rs
@@ -60,5 +60,5 @@
     // An attempt whose result has begun was executed, whatever the reply says.
     let outcome = if attempt.result.is_some() { Outcome::Error } else { outcome };
     let end = End { report: reply.report(), ..End::plain(outcome) };
-    ReplyEffect::Event(Event::Ended(attempt.id, end))
+    ReplyEffect::Event(Event::AttemptEnded(attempt.id, end))
 }
--- a/src/net/engine/results.rs
+++ b/src/net/engine/results.rs
@@ -110,7 +110,7 @@
     if result.pages.len() > 1 {
         connection.outbox.push(resp::command(&["shut", name]), limits);
     }
-    ReplyEffect::Event(Event::Ended(id, result.into_end()))
+    ReplyEffect::Event(Event::AttemptEnded(id, result.into_end()))
 }
 
 /// The value of a field that is a whole number from 1 to `most`.
--- a/src/net/front/clickhouse.rs
+++ b/src/net/front/clickhouse.rs
@@ -135,7 +135,7 @@
                 s.keep.set(false);
                 s.seat.out.common().figures.add(tally);
             }
-            Answer::Refused(later) => {
+            Answer::Rejected(later) => {
                 // The header has whole seconds alone. Where the deployment gives no advice there is none.
                 let seconds = (later / 1000.0).ceil().to_string();
                 let advice = (later > 0.0).then_some(("Retry-After", &*seconds));
--- a/src/net/front/mod.rs
+++ b/src/net/front/mod.rs
@@ -220,7 +220,7 @@
         self.names.borrow_mut().insert(statement.name.clone(), id);
         self.waiting.borrow_mut().insert(id, (client, statement.clone()));
         let ask = Ask { asked: asked_of_module, statement };
-        event.send(Event::Taken(ask));
+        event.send(Event::RequestReceived(ask));
     }
 
     /// The open request with that name. Two under one name could not be told apart at their engines.
@@ -239,7 +239,7 @@
         // The reducer hears of it, also where the connection ends while this waits.
         let Ok(event) = self.events.reserve().await else { return };
         if self.gone(id).is_some() {
-            event.send(Event::Left(id));
+            event.send(Event::ClientDisconnected(id));
         }
     }
 
@@ -265,7 +265,7 @@
 pub fn count_of(answer: &Answer) -> Count {
     match answer {
         Answer::Served(_) | Answer::Finished => Count::Answered,
-        Answer::Refused(_) => Count::Deferred,
+        Answer::Rejected(_) => Count::Deferred,
         Answer::Cut | Answer::Failed(_) | Answer::Expired => Count::Errored,
     }
 }
--- a/src/net/front/thrift.rs
+++ b/src/net/front/thrift.rs
@@ -277,7 +277,7 @@
         let count = count_of(&answer);
         let frame = match answer {
             Answer::Served(rows) => self::answer("call", self.seq, rows, true),
-            Answer::Refused(later) => overloaded(self.seq, later),
+            Answer::Rejected(later) => overloaded(self.seq, later),
             Answer::Failed(_) | Answer::Cut | Answer::Finished => internal(self.seq, "failed"),
             Answer::Expired => internal(self.seq, "out of time"),
         };
--- a/src/net/keep.rs
+++ b/src/net/keep.rs
@@ -504,12 +504,12 @@
     let mut state = locked(state);
     state.keys = written;
     match news {
-        KeyNews::Recorded(numbers) => Event::Recorded(numbers),
+        KeyNews::Recorded(numbers) => Event::RecordsDurable(numbers),
         KeyNews::Rewritten(keys) => {
             if std::mem::replace(&mut state.keys_failing, false) {
                 info!("the log of keys works again");
             }
-            Event::LogBegun(keys)
+            Event::LogRewritten(keys)
         }
         KeyNews::Failed(numbers, why) => {
             if !std::mem::replace(&mut state.keys_failing, true) {
--- a/src/net/runtime/calls.rs
+++ b/src/net/runtime/calls.rs
@@ -47,7 +47,7 @@
         match handover.change(change) {
             Ok(changed) => {
                 tracing::info!("by hand: {id} is {what}{}", if changed.is_some() { "" } else { " already" });
-                events.extend(changed.map(Event::Hand));
+                events.extend(changed.map(Event::OperatorOverrides));
                 Reply::line(200, format_args!("{id} is {what}"))
             }
             Err(Refused::No(why @ No::Unknown)) => Reply::line(404, format_args!("{id}: {why}")),
--- a/src/net/runtime/cycle.rs
+++ b/src/net/runtime/cycle.rs
@@ -41,7 +41,7 @@
     /// One cycle: the reducer takes the events, and decides once.
     fn decide(&mut self, events: impl Iterator<Item = Event>, effects: &mut Vec<Effect>) {
         let now = self.desk.clock.now();
-        for event in events.chain([Event::Clock, Event::Turn]) {
+        for event in events.chain([Event::TimersDue, Event::RunDecisionCycle]) {
             trace_event(&event);
             self.prepare(now, &event, effects);
             self.core.handle(now, event, effects);
@@ -53,8 +53,8 @@
     /// Does what has to be done before the reducer takes an event.
     fn prepare(&mut self, now: Milliseconds, event: &Event, effects: &mut Vec<Effect>) {
         match event {
-            Event::List(..) => self.list_received = true,
-            Event::Taken(ask) if ask.statement.key.is_some() => self.read_peer_keys(now, effects),
+            Event::EndpointList(..) => self.list_received = true,
+            Event::RequestReceived(ask) if ask.statement.key.is_some() => self.read_peer_keys(now, effects),
             _ => {}
         }
     }
@@ -64,7 +64,7 @@
         let Some(handover) = &mut self.handover else { return };
         let keys = handover.peer_keys(now);
         if !keys.is_empty() {
-            self.core.handle(now, Event::Heard(keys), effects);
+            self.core.handle(now, Event::PeerKeys(keys), effects);
         }
     }
 }
@@ -72,15 +72,15 @@
 /// Logs an event in one line at the level `trace`; where that is off, it costs a test of one flag.
 fn trace_event(event: &Event) {
     match event {
-        Event::Ended((id, n), end) => {
+        Event::AttemptEnded((id, n), end) => {
             tracing::trace!("end {}.{n} {:?} work {:?} {:?}", id.0, end.outcome, end.work, end.report);
         }
         Event::HealthChecked(tag, ok, report) => tracing::trace!("probed {tag} {ok} {report:?}"),
-        Event::List(serial, list) => tracing::trace!("list {serial} of {}", list.len()),
-        Event::Taken(ask) => {
+        Event::EndpointList(serial, list) => tracing::trace!("list {serial} of {}", list.len()),
+        Event::RequestReceived(ask) => {
             tracing::trace!("taken {} class {} work {:?}", ask.asked.id.0, ask.asked.class.0, ask.asked.work);
         }
-        Event::Left(id) => tracing::trace!("left {}", id.0),
+        Event::ClientDisconnected(id) => tracing::trace!("left {}", id.0),
         _ => {}
     }
 }
--- a/src/net/runtime/effects.rs
+++ b/src/net/runtime/effects.rs
@@ -12,37 +12,37 @@
         trace_effect(&effect);
         match effect {
             Effect::Send(send) if self.record_for_peers(&send) => self.engines.send(send, new_events),
-            Effect::Send(send) => new_events.push(Event::Ended(send.id, End::plain(Outcome::NotExecuted))),
-            Effect::GiveUp(id, _, outcome) => self.engines.abort_attempt(id, outcome == Outcome::Timeout),
-            Effect::Hurry(id, _, priority) => self.engines.hurry(id, priority),
-            Effect::Probe(tag, engine, address) => self.engines.probe(tag, &engine, address, new_events),
-            Effect::Shut(engine) => self.engines.shut(&engine, new_events),
-            Effect::Begin(id, rows) => self.desk.begin(id, rows),
-            Effect::Part(id, bytes) => self.desk.part(id, bytes),
+            Effect::Send(send) => new_events.push(Event::AttemptEnded(send.id, End::plain(Outcome::NotExecuted))),
+            Effect::AbortAttempt(id, _, outcome) => self.engines.abort_attempt(id, outcome == Outcome::Timeout),
+            Effect::SetPriority(id, _, priority) => self.engines.hurry(id, priority),
+            Effect::CheckHealth(tag, engine, address) => self.engines.probe(tag, &engine, address, new_events),
+            Effect::DropQueued(engine) => self.engines.shut(&engine, new_events),
+            Effect::StartResponse(id, rows) => self.desk.begin(id, rows),
+            Effect::ResponseChunk(id, bytes) => self.desk.part(id, bytes),
             Effect::Answer(id, answer) => self.desk.answer(id, answer),
-            Effect::Refused(id, class, why, waited) => tracing::debug!(
+            Effect::LogRejection(id, class, why, waited) => tracing::debug!(
                 "request {} of {} was refused after {waited:.1} ms: {why}",
                 id.0,
                 self.desk.settings.classes[class.0].name
             ),
-            Effect::Violation((id, n), refusal) => log::seldom_error(
+            Effect::LogViolation((id, n), refusal) => log::seldom_error(
                 "an attempt was asked for against the rules",
                 format_args!("{}.{n}: {}", id.0, refusal.name()),
             ),
-            Effect::Record(number, key, sent) => {
+            Effect::WriteRecord(number, key, sent) => {
                 if !self.keep.record(number, key, sent) {
                     new_events.push(Event::RecordsFailed(vec![number]));
                 }
             }
             // A mark that cannot be queued is left out: the log is then trusted for a shorter time.
-            Effect::Mark(at, shut_until) => drop(self.keep.mark((at, shut_until))),
-            Effect::Rewrite(rewrite) => {
+            Effect::WriteMark(at, shut_until) => drop(self.keep.mark((at, shut_until))),
+            Effect::RewriteLog(rewrite) => {
                 if !self.keep.rewrite(rewrite) {
                     new_events.push(Event::RecordsFailed(Vec::new()));
                 }
             }
-            Effect::ListReliable(true) => tracing::info!("the list of engines is confirmed: new work goes on"),
-            Effect::ListReliable(false) => tracing::warn!(
+            Effect::LogListReliability(true) => tracing::info!("the list of engines is confirmed: new work goes on"),
+            Effect::LogListReliability(false) => tracing::warn!(
                 "the list of engines is older than the rule on drains allows: no new work until it is confirmed"
             ),
             Effect::Exit => self.settled = true,
@@ -72,13 +72,13 @@
             }
             tracing::trace!("send {}.{} to {} for {:.0} ms", s.id.0 .0, s.id.1, s.engine.0, s.budget)
         }
-        Effect::GiveUp((id, n), engine, _) => tracing::trace!("give up {}.{n} on {}", id.0, engine.0),
-        Effect::Probe(tag, engine, _) => tracing::trace!("probe {tag} to {}", engine.0),
-        Effect::Shut(engine) => tracing::trace!("shut {}", engine.0),
+        Effect::AbortAttempt((id, n), engine, _) => tracing::trace!("give up {}.{n} on {}", id.0, engine.0),
+        Effect::CheckHealth(tag, engine, _) => tracing::trace!("probe {tag} to {}", engine.0),
+        Effect::DropQueued(engine) => tracing::trace!("shut {}", engine.0),
         Effect::Answer(id, answer) => {
             let kind = match answer {
                 Answer::Served(_) | Answer::Finished => "served",
-                Answer::Refused(_) => "refused",
+                Answer::Rejected(_) => "refused",
                 Answer::Cut | Answer::Failed(_) => "failed",
                 Answer::Expired => "expired",
             };
--- a/src/net/runtime/mod.rs
+++ b/src/net/runtime/mod.rs
@@ -196,7 +196,7 @@
             }
             Wake::ObservePeers => self.observe_handover(events),
             Wake::Call((call, reply_to)) => drop(reply_to.send(self.answer_call(call, events))),
-            Wake::MaintainKnowledge => events.push(Event::Tend),
+            Wake::MaintainKnowledge => events.push(Event::MaintenanceTick),
             Wake::Snapshot => self.write_snapshot(),
             Wake::Reload => self.begin_reload(reload()),
             Wake::Terminate => self.begin_termination(events),
@@ -208,7 +208,7 @@
     fn observe_handover(&mut self, events: &mut Vec<Event>) {
         events.extend(self.observe_peers());
         if self.keep.waits() && self.take_over_knowledge() {
-            events.push(Event::Tend);
+            events.push(Event::MaintenanceTick);
         }
     }
 
--- a/src/net/runtime/peers.rs
+++ b/src/net/runtime/peers.rs
@@ -44,9 +44,9 @@
         }
         let (own, others) = (handover.own(), handover.others());
         let mut events = Vec::new();
-        events.extend(seen.hand.map(Event::Hand));
+        events.extend(seen.hand.map(Event::OperatorOverrides));
         if !seen.keys.is_empty() {
-            events.push(Event::Heard(seen.keys));
+            events.push(Event::PeerKeys(seen.keys));
         }
         self.share_limits(lives::processes(&others), &mut events);
         if self.desk.leaving() == Leaving::Alone && lives::hands_over(own, &others) {
@@ -67,6 +67,6 @@
         tracing::info!("a new version listens: what is open is answered, and the rest is for it");
         self.desk.leave_by(Leaving::AfterAnswer);
         self.publish_stage(Stage::Leaving);
-        events.push(Event::HandOver);
+        events.push(Event::SuccessorListens);
     }
 }
--- a/src/net/runtime/startup.rs
+++ b/src/net/runtime/startup.rs
@@ -147,13 +147,13 @@
     async fn inherit_from_peers(&mut self) -> Vec<Event> {
         let Some(handover) = &mut self.handover else { return Vec::new() };
         let (config, clock, limits) = (&self.config, &self.desk.clock, &self.desk.limits);
-        let mut inherited = vec![Event::Heard(handover.look(clock.now()).keys)];
+        let mut inherited = vec![Event::PeerKeys(handover.look(clock.now()).keys)];
         // A folder of knowledge that an earlier process of this gateway holds is followed; one that another gateway holds
         // is not.
         if !handover.others().is_empty() {
             self.keep.follow(config, &mut self.core, clock.now());
         }
-        inherited.push(Event::Hand(handover.hand().clone()));
+        inherited.push(Event::OperatorOverrides(handover.hand().clone()));
         let rules = recall::Rules {
             overload_collapse_after: config.settings.overload_collapse_after,
             ..recall::DEFAULT
@@ -163,7 +163,7 @@
         }
         // Without a list service the list at the start is the list.
         let heard = handover.heard().filter(|_| config.names.is_some());
-        inherited.extend(heard.map(|heard| Event::Earlier(heard.taken_over(clock.now()))));
+        inherited.extend(heard.map(|heard| Event::InheritedMembership(heard.taken_over(clock.now()))));
         inherited
     }
 
@@ -180,7 +180,7 @@
     fn begin(&mut self, mut inherited: Vec<Event>) {
         let observed = self.observe_peers();
         let known = self.initial_list(&mut inherited);
-        let first = [Event::List(self.config.serial, known), Event::Tend];
+        let first = [Event::EndpointList(self.config.serial, known), Event::MaintenanceTick];
         self.run_decision_cycles(inherited.into_iter().chain(first).chain(observed));
         if self.config.names.is_some() {
             self.core.await_list(self.desk.clock.now());
@@ -196,7 +196,7 @@
         let known = self.config.known.clone();
         let Some(kept) = self.keep.found_list().filter(|_| self.config.names.is_some()) else { return known };
         if !known.is_empty() {
-            inherited.push(Event::Earlier(out_of_service(kept)));
+            inherited.push(Event::InheritedMembership(out_of_service(kept)));
             return known;
         }
         let age = (self.desk.clock.now() - kept.heard) / 1000.0;
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -32,14 +32,14 @@
         let mut effects = Vec::new();
         self.now += 5.0; // a turn may follow each event
         self.core.handle(self.now, event, &mut effects);
-        self.core.handle(self.now, Event::Clock, &mut effects);
-        self.core.handle(self.now, Event::Turn, &mut effects);
+        self.core.handle(self.now, Event::TimersDue, &mut effects);
+        self.core.handle(self.now, Event::RunDecisionCycle, &mut effects);
         effects
     }
 
     fn list(&mut self, serial: u64, engines: &[&str]) -> Vec<Effect> {
         let live = |id: &&str| listed(id, Availability::Live);
-        self.step(Event::List(serial, engines.iter().map(live).collect()))
+        self.step(Event::EndpointList(serial, engines.iter().map(live).collect()))
     }
 
     fn take(&mut self, id: u64, key: Option<&str>) -> Vec<Effect> {
@@ -55,7 +55,7 @@
             is_retry: false,
         };
         let statement = Rc::new(Statement { key: key.map(str::to_owned), ..Statement::default() });
-        self.step(Event::Taken(Ask { asked, statement }))
+        self.step(Event::RequestReceived(Ask { asked, statement }))
     }
 }
 
@@ -86,25 +86,28 @@
     let mut bed = Bed::new(settings());
     bed.list(1, &["a", "b"]);
     let first = sent(&bed.take(1, None)).expect("sent");
-    let effects = bed.step(Event::Ended(first, End::plain(Outcome::ConnectFailed)));
+    let effects = bed.step(Event::AttemptEnded(first, End::plain(Outcome::ConnectFailed)));
     let second = sent(&effects).expect("sent again");
     assert_eq!(second, (first.0, 1));
-    assert!(answers(&bed.step(Event::Ended(first, End::plain(Outcome::Ok)))).is_empty());
-    assert_eq!(answers(&bed.step(Event::Ended(second, End::plain(Outcome::Ok)))).len(), 1);
-    assert!(answers(&bed.step(Event::Ended(second, End::plain(Outcome::Ok)))).is_empty(), "a second answer");
+    assert!(answers(&bed.step(Event::AttemptEnded(first, End::plain(Outcome::Ok)))).is_empty());
+    assert_eq!(answers(&bed.step(Event::AttemptEnded(second, End::plain(Outcome::Ok)))).len(), 1);
+    assert!(
+        answers(&bed.step(Event::AttemptEnded(second, End::plain(Outcome::Ok)))).is_empty(),
+        "a second answer"
+    );
 }
 
 #[test]
 fn a_list_that_came_late_changes_nothing_and_one_that_is_new_shuts_what_left() {
     let mut bed = Bed::new(settings());
     bed.list(5, &["a"]);
-    assert!(!bed.list(4, &[]).iter().any(|e| matches!(e, Effect::Shut(_))));
+    assert!(!bed.list(4, &[]).iter().any(|e| matches!(e, Effect::DropQueued(_))));
     let first = sent(&bed.take(1, None)).expect("sent");
-    assert!(bed.list(6, &[]).iter().any(|e| matches!(e, Effect::Shut(_))));
+    assert!(bed.list(6, &[]).iter().any(|e| matches!(e, Effect::DropQueued(_))));
     // What ran there can end no more: it is given up soon, not at its deadline.
     bed.now += 300.0;
-    let effects = bed.step(Event::Clock);
-    assert!(effects.iter().any(|e| matches!(e, Effect::GiveUp(id, ..) if *id == first)));
+    let effects = bed.step(Event::TimersDue);
+    assert!(effects.iter().any(|e| matches!(e, Effect::AbortAttempt(id, ..) if *id == first)));
 }
 
 #[test]
@@ -113,8 +116,8 @@
     bed.list(1, &["a"]);
     let first = sent(&bed.take(1, None)).expect("sent");
     let mut effects = Vec::new();
-    bed.core.handle(bed.now, Event::Left(RequestId(1)), &mut effects);
-    assert!(effects.iter().any(|e| matches!(e, Effect::GiveUp(id, ..) if *id == first)));
+    bed.core.handle(bed.now, Event::ClientDisconnected(RequestId(1)), &mut effects);
+    assert!(effects.iter().any(|e| matches!(e, Effect::AbortAttempt(id, ..) if *id == first)));
 }
 
 #[test]
@@ -123,9 +126,9 @@
     bed.list(1, &["a"]);
     assert!(sent(&bed.take(1, None)).is_some());
     bed.now += 1_990.0;
-    assert_eq!(answers(&bed.step(Event::Clock)).len(), 1);
+    assert_eq!(answers(&bed.step(Event::TimersDue)).len(), 1);
     bed.now += 100.0;
-    assert!(answers(&bed.step(Event::Clock)).is_empty());
+    assert!(answers(&bed.step(Event::TimersDue)).is_empty());
 }
 
 /// At the end of its time an attempt was followed by two more that could not leave, both counted as sent.
@@ -137,7 +140,7 @@
     bed.now += 1_970.0;
     let mut effects = Vec::new();
     for _ in 0..6 {
-        effects.extend(bed.step(Event::Clock));
+        effects.extend(bed.step(Event::TimersDue));
     }
     assert_eq!((answers(&effects).len(), sent(&effects)), (1, None));
     assert_eq!(bed.core.counts()[0].outcomes[Outcome::NotExecuted as usize], 0);
@@ -150,13 +153,13 @@
     let mut bed = Bed::new(s);
     bed.list(1, &["a"]);
     let first = sent(&bed.take(1, Some("k"))).expect("sent");
-    bed.step(Event::Ended(first, End::plain(Outcome::Ok)));
+    bed.step(Event::AttemptEnded(first, End::plain(Outcome::Ok)));
     bed.now += 980.0;
     assert_eq!(sent(&bed.take(2, Some("k"))), None);
     assert!(sent(&bed.take(3, Some("other"))).is_some());
     bed.now += 100.0;
     let late = bed.take(4, Some("k"));
-    assert!(sent(&late).is_none() && matches!(answers(&late)[..], [Answer::Refused(_)]), "engines may lag");
+    assert!(sent(&late).is_none() && matches!(answers(&late)[..], [Answer::Rejected(_)]), "engines may lag");
     bed.now += gate::ARRIVES;
     assert!(sent(&bed.take(5, Some("k"))).is_some(), "past the window it is a load of its own");
 }
@@ -170,13 +173,13 @@
     gate.trust([], 0.0, bed.now);
     bed.core.resume(gate, None);
     bed.list(1, &["a", "b"]);
-    assert!(bed.step(Event::Tend).iter().any(|e| matches!(e, Effect::Rewrite(_))));
-    assert!(bed.step(Event::LogBegun(Vec::new())).iter().any(|e| matches!(e, Effect::Mark(..))));
+    assert!(bed.step(Event::MaintenanceTick).iter().any(|e| matches!(e, Effect::RewriteLog(_))));
+    assert!(bed.step(Event::LogRewritten(Vec::new())).iter().any(|e| matches!(e, Effect::WriteMark(..))));
     bed
 }
 
 fn record(effects: &[Effect]) -> Option<u64> {
-    effects.iter().find_map(|e| if let Effect::Record(n, ..) = e { Some(*n) } else { None })
+    effects.iter().find_map(|e| if let Effect::WriteRecord(n, ..) = e { Some(*n) } else { None })
 }
 
 #[test]
@@ -186,8 +189,8 @@
     let number = record(&effects).expect("a record");
     assert_eq!(sent(&effects), None);
     assert!(sent(&bed.take(2, None)).is_some(), "what has no key waits for no record");
-    assert_eq!(sent(&bed.step(Event::Recorded(vec![number]))), Some((RequestId(1), 0)));
-    assert_eq!(sent(&bed.step(Event::Recorded(vec![number]))), None, "once");
+    assert_eq!(sent(&bed.step(Event::RecordsDurable(vec![number]))), Some((RequestId(1), 0)));
+    assert_eq!(sent(&bed.step(Event::RecordsDurable(vec![number]))), None, "once");
 }
 
 #[test]
@@ -195,7 +198,7 @@
     let mut bed = logged();
     let number = record(&bed.take(1, Some("k"))).expect("a record");
     bed.list(2, &[]);
-    let effects = bed.step(Event::Recorded(vec![number]));
+    let effects = bed.step(Event::RecordsDurable(vec![number]));
     assert_eq!(sent(&effects), None);
     assert_eq!(bed.core.counts()[0].outcomes[Outcome::NotExecuted as usize], 1, "it never ran");
 }
@@ -223,7 +226,7 @@
     let mut bed = Bed::new(settings());
     bed.list(1, &[]);
     assert_eq!(sent(&bed.take(1, None)), None, "it waits");
-    bed.step(Event::Left(RequestId(1)));
+    bed.step(Event::ClientDisconnected(RequestId(1)));
     assert_eq!(sent(&bed.list(2, &["a"])), None);
     // One that stays is sent then.
     bed.list(3, &[]);
@@ -235,8 +238,8 @@
 fn client_that_leaves_while_its_record_is_written_sends_nothing() {
     let mut bed = logged();
     let number = record(&bed.take(1, Some("k"))).expect("a record");
-    bed.step(Event::Left(RequestId(1)));
-    assert_eq!(sent(&bed.step(Event::Recorded(vec![number]))), None);
+    bed.step(Event::ClientDisconnected(RequestId(1)));
+    assert_eq!(sent(&bed.step(Event::RecordsDurable(vec![number]))), None);
 }
 
 #[test]
@@ -245,19 +248,20 @@
     let number = record(&bed.take(1, Some("k"))).expect("a record");
     let mut effects = Vec::new();
     for _ in 0..400 {
-        effects.extend(bed.step(Event::Clock));
+        effects.extend(bed.step(Event::TimersDue));
     }
     assert!(sent(&effects).is_none() && answers(&effects).len() == 1, "one answer: {effects:?}");
-    assert_eq!(sent(&bed.step(Event::Recorded(vec![number]))), None, "too late to be of use");
+    assert_eq!(sent(&bed.step(Event::RecordsDurable(vec![number]))), None, "too late to be of use");
     let refused = bed.take(2, Some("other"));
-    assert!(matches!(answers(&refused)[..], [Answer::Refused(_)]) && record(&refused).is_none());
+    assert!(matches!(answers(&refused)[..], [Answer::Rejected(_)]) && record(&refused).is_none());
     assert!(sent(&bed.take(3, None)).is_some());
     // The disk goes on: the log is begun anew, and keys leave again once that is durable.
-    let effects = bed.step(Event::Tend);
-    let keys = effects.iter().find_map(|e| if let Effect::Rewrite(w) = e { Some(w.clone()) } else { None });
+    let effects = bed.step(Event::MaintenanceTick);
+    let keys =
+        effects.iter().find_map(|e| if let Effect::RewriteLog(w) = e { Some(w.clone()) } else { None });
     let rewrite = keys.expect("begun anew");
     assert_eq!(rewrite.mark, None, "a log that failed carries no mark until it is whole");
-    bed.step(Event::LogBegun(rewrite.keys));
+    bed.step(Event::LogRewritten(rewrite.keys));
     assert!(record(&bed.take(4, Some("third"))).is_some());
 }
 
@@ -266,8 +270,8 @@
     let mut first = Bed::new(settings());
     first.list(1, &["a", "b"]);
     let send = sent(&first.take(1, None)).expect("sent");
-    (0..60).for_each(|_| drop(first.step(Event::Clock)));
-    first.step(Event::Ended(send, End::plain(Outcome::Ok)));
+    (0..60).for_each(|_| drop(first.step(Event::TimersDue)));
+    first.step(Event::AttemptEnded(send, End::plain(Outcome::Ok)));
     let learned = first.core.learned(first.now);
     let snapshot = Snapshot::new("n0", &learned, &first.core.addresses());
     assert!(snapshot.engines.iter().any(|e| e.confirmed.is_some()), "{snapshot:?}");
@@ -290,9 +294,9 @@
     bed.take(1, None);
     bed.step(Event::Terminate);
     bed.now += 1_000.0;
-    assert!(!bed.step(Event::Clock).iter().any(|e| matches!(e, Effect::Exit)));
+    assert!(!bed.step(Event::TimersDue).iter().any(|e| matches!(e, Effect::Exit)));
     bed.now += 2_500.0;
-    let effects = bed.step(Event::Clock);
+    let effects = bed.step(Event::TimersDue);
     assert_eq!(answers(&effects).len(), 1);
     assert!(effects.iter().any(|e| matches!(e, Effect::Exit)));
 }
@@ -305,8 +309,8 @@
     assert!(sent(&bed.take(1, None)).is_some());
     let mut hand = Hand::default();
     hand.exclude("a", true, bed.now).expect("listed");
-    let effects = bed.step(Event::Hand(hand.clone()));
-    assert!(effects.iter().any(|e| matches!(e, Effect::Shut(engine) if &*engine.0 == "a")));
+    let effects = bed.step(Event::OperatorOverrides(hand.clone()));
+    assert!(effects.iter().any(|e| matches!(e, Effect::DropQueued(engine) if &*engine.0 == "a")));
     assert_eq!(bed.core.engines(), (1, 1));
     assert!(sent(&bed.take(2, None)).is_none());
     // A new event of the list, one without it, and one with it again.
@@ -324,7 +328,7 @@
     bed.list(5, &["a"]);
     assert!(sent(&bed.take(1_000, None)).is_none());
     hand.include("a", true, bed.now).expect("out");
-    bed.step(Event::Hand(hand));
+    bed.step(Event::OperatorOverrides(hand));
     assert_eq!(bed.core.engines(), (1, 0));
     // It is cold, and its budget lets the first request in once a draw allows it.
     let used = (0..500).any(|n| {
@@ -341,9 +345,9 @@
     bed.step(Event::Terminate);
     assert!(sent(&bed.take(1, None)).is_some(), "there is time left");
     bed.now += 60_000.0;
-    bed.step(Event::Clock);
+    bed.step(Event::TimersDue);
     let effects = bed.take(2, None);
-    assert!(effects.iter().any(|e| matches!(e, Effect::Answer(RequestId(2), Answer::Refused(_)))));
+    assert!(effects.iter().any(|e| matches!(e, Effect::Answer(RequestId(2), Answer::Rejected(_)))));
     assert!(sent(&effects).is_none());
 }
 
@@ -356,9 +360,9 @@
     bed.now = 100_000.0;
     bed.list(1, &["a"]);
     let sends = gate::Sends { first: bed.now - 11_990.0, last: bed.now - 11_990.0, window: 12_000.0 };
-    bed.step(Event::Heard(vec![(gate::key("k1"), sends)]));
+    bed.step(Event::PeerKeys(vec![(gate::key("k1"), sends)]));
     let effects = bed.take(1, Some("k1"));
-    assert!(effects.iter().any(|e| matches!(e, Effect::Answer(_, Answer::Refused(_)))), "{effects:?}");
+    assert!(effects.iter().any(|e| matches!(e, Effect::Answer(_, Answer::Rejected(_)))), "{effects:?}");
     assert!(sent(&bed.take(2, Some("k2"))).is_some());
 }
 
@@ -370,7 +374,7 @@
 fn engine_that_an_earlier_process_heard_to_drain_gets_nothing(#[case] speaks: bool) {
     let mut bed = Bed::new(settings());
     let now = bed.now;
-    bed.step(Event::Earlier(Heard::new(now, ["b".to_owned()])));
+    bed.step(Event::InheritedMembership(Heard::new(now, ["b".to_owned()])));
     bed.list(1, &["a", "b"]);
     let live = |bed: &Bed| bed.core.engines();
     assert_eq!(live(&bed), (2, 1));
@@ -383,7 +387,7 @@
         bed.list(1, &["a", "b"]);
     } else {
         bed.now += 60_000.0;
-        bed.step(Event::Clock);
+        bed.step(Event::TimersDue);
     }
     assert_eq!(live(&bed), (2, 0));
     assert_eq!(bed.core.heard().is_some(), speaks);
@@ -399,7 +403,7 @@
     bed.now += 1_000.0;
     let waits: Vec<f64> = (0..20)
         .map(|id| match answers(&bed.take(id, None))[..] {
-            [Answer::Refused(ms)] => *ms,
+            [Answer::Rejected(ms)] => *ms,
             ref other => panic!("{other:?}"),
         })
         .collect();
@@ -416,18 +420,18 @@
     let mut bed =
         Bed::new(Settings { gateways: 300, gateway_index: Some(150), may_check_health: true, ..settings() });
     let begun = bed.now;
-    let probed = |effects: &[Effect]| effects.iter().filter(|e| matches!(e, Effect::Probe(..))).count();
+    let probed = |effects: &[Effect]| effects.iter().filter(|e| matches!(e, Effect::CheckHealth(..))).count();
     let mut early = probed(&bed.list(1, &["a", "b", "c"]));
     let effects = bed.take(1, None);
     assert!(sent(&effects).is_some(), "a request does not wait for its gateway's place");
     early += probed(&effects);
     while bed.now < begun + 140.0 {
-        early += probed(&bed.step(Event::Clock));
+        early += probed(&bed.step(Event::TimersDue));
     }
     assert_eq!(early, 0);
     let mut later = 0;
     while bed.now < begun + 160.0 {
-        later += probed(&bed.step(Event::Clock));
+        later += probed(&bed.step(Event::TimersDue));
     }
     assert!(later >= 2, "{later}");
 }
@@ -438,7 +442,9 @@
 
 /// Whether the reducer says that the list may be relied on, or no longer.
 fn told_reliable(effects: &[Effect]) -> Option<bool> {
-    effects.iter().find_map(|e| if let Effect::ListReliable(reliable) = e { Some(*reliable) } else { None })
+    effects
+        .iter()
+        .find_map(|e| if let Effect::LogListReliability(reliable) = e { Some(*reliable) } else { None })
 }
 
 #[test]
@@ -446,21 +452,24 @@
     let mut bed = Bed::new(settings());
     bed.list(1, &["a"]);
     let until = bed.now + 1_000.0;
-    assert_eq!(told_reliable(&bed.step(Event::ListReliableUntil(until))), None);
+    assert_eq!(told_reliable(&bed.step(Event::EndpointListLease(until))), None);
     let effects = bed.take(1, None);
     let permit = permits(&effects)[0].clone();
     assert_eq!(permit.check(until - 1.0), Ok(()));
     // The writer asks by itself, also before the reducer's timer has fired.
     assert_eq!(permit.check(until), Err(SendRefusal::ListExpired));
     bed.now = until;
-    let effects = bed.step(Event::Clock);
+    let effects = bed.step(Event::TimersDue);
     assert_eq!(told_reliable(&effects), Some(false));
-    assert!(!effects.iter().any(|e| matches!(e, Effect::Shut(_))), "connections stay");
+    assert!(!effects.iter().any(|e| matches!(e, Effect::DropQueued(_))), "connections stay");
     assert!(sent(&bed.take(2, None)).is_none());
     let until = bed.now + 1_000.0;
-    let effects = bed.step(Event::ListReliableUntil(until));
+    let effects = bed.step(Event::EndpointListLease(until));
     assert_eq!(told_reliable(&effects), Some(true));
-    assert!(sent(&effects).is_some() || sent(&bed.step(Event::Turn)).is_some(), "what waited goes out");
+    assert!(
+        sent(&effects).is_some() || sent(&bed.step(Event::RunDecisionCycle)).is_some(),
+        "what waited goes out"
+    );
 }
 
 #[test]
@@ -468,13 +477,13 @@
     let mut bed = Bed::new(settings());
     bed.list(1, &["a"]);
     for _ in 0..100 {
-        let effects = bed.step(Event::ListReliableUntil(bed.now + 3_500.0));
+        let effects = bed.step(Event::EndpointListLease(bed.now + 3_500.0));
         assert_eq!(told_reliable(&effects), None);
         bed.now += 200.0;
     }
     assert!(sent(&bed.take(1, None)).is_some());
     // The end comes forward: what was confirmed no longer counts.
-    assert_eq!(told_reliable(&bed.step(Event::ListReliableUntil(bed.now))), Some(false));
+    assert_eq!(told_reliable(&bed.step(Event::EndpointListLease(bed.now))), Some(false));
     assert!(sent(&bed.take(2, None)).is_none());
 }
 
@@ -487,20 +496,20 @@
     let drains = |id| listed(id, Availability::Draining);
     let live = |id| listed(id, Availability::Live);
     bed.list(1, &["a", "b"]);
-    bed.step(Event::List(9, vec![drains("a"), live("b")]));
+    bed.step(Event::EndpointList(9, vec![drains("a"), live("b")]));
     bed.list(9, &["a", "b"]);
-    bed.step(Event::FormerAddressSuperseded);
+    bed.step(Event::PreviousAddressSuperseded);
     bed.list(2, &["a", "b", "c"]);
     assert_eq!((bed.core.serial(), bed.core.draining()), (Some(2), vec!["a"]));
     bed.list(8, &["a", "c"]);
     assert_eq!(bed.core.draining(), ["a"]);
     bed.list(9, &["a", "c"]);
     assert!(bed.core.draining().is_empty());
-    bed.step(Event::List(10, vec![drains("a"), live("b")]));
-    bed.step(Event::FormerAddressSuperseded);
+    bed.step(Event::EndpointList(10, vec![drains("a"), live("b")]));
+    bed.step(Event::PreviousAddressSuperseded);
     bed.list(9, &["a"]);
     assert_eq!(bed.core.draining(), ["a"]);
     bed.now += 61_000.0;
-    bed.step(Event::Clock);
+    bed.step(Event::TimersDue);
     assert!(bed.core.draining().is_empty(), "its word does not bind for ever");
 }
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -270,7 +270,7 @@
             at: 0.0,
         };
         engines.send(send, &mut at_once);
-        let Some(Event::Ended(_, end)) = events.recv().await else { panic!("an end") };
+        let Some(Event::AttemptEnded(_, end)) = events.recv().await else { panic!("an end") };
         assert_eq!((probed, end.report, end.work), (expected, Some(expected), Some(5.0)));
         assert!(at_once.is_empty());
     }));
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -85,7 +85,7 @@
         let limits = Limits::read(&Fields::new("settings", BTreeMap::new())).expect("defaults");
         let core = Core::new(s, limits, now).expect("sound");
         let heard = told.iter().filter(|t| **t <= now).count();
-        let events = vec![Event::List(1 + heard as u64, list(heard))];
+        let events = vec![Event::EndpointList(1 + heard as u64, list(heard))];
         let (requests, taken, extras) = (BTreeMap::new(), Vec::new(), Vec::new());
         Self { core, life: 0, events, requests, told, heard, taken, extras }
     }
@@ -146,7 +146,7 @@
             for ((g, life, attempt), work) in e.work(CORES * warmth) {
                 let end = End { work: Some(work), report: util, ..End::plain(Outcome::Ok) };
                 if gateways[g].life == life {
-                    gateways[g].events.push(Event::Ended(attempt, end));
+                    gateways[g].events.push(Event::AttemptEnded(attempt, end));
                     gateways[g].requests.entry(attempt.0).and_modify(|r| r.out -= 1);
                 }
             }
@@ -158,7 +158,7 @@
             while gateway.heard < 2 && now >= gateway.told[gateway.heard] {
                 gateway.heard += 1;
                 let serial = 1 + gateway.heard as u64;
-                gateway.events.push(Event::List(serial, list(gateway.heard)));
+                gateway.events.push(Event::EndpointList(serial, list(gateway.heard)));
             }
             // Three queries a second each, one in ten of them long, are 0.6 of the fleet's capacity; 1.5 at first.
             let rate = if now < BEGIN + 3_000.0 { 7.5 } else { 3.0 };
@@ -182,13 +182,15 @@
                 next += 1;
                 gateway.taken.push(now);
                 gateway.requests.insert(asked.id, Taken { work, threads, deadline, out: 0, answered: 0 });
-                gateway.events.push(Event::Taken(Ask { asked, statement: Rc::new(Statement::default()) }));
+                gateway
+                    .events
+                    .push(Event::RequestReceived(Ask { asked, statement: Rc::new(Statement::default()) }));
             }
             if gateway.events.is_empty() && gateway.core.next_due().is_none_or(|at| at > now) {
                 continue;
             }
             let mut effects = Vec::new();
-            for event in gateway.events.drain(..).chain([Event::Clock, Event::Turn]) {
+            for event in gateway.events.drain(..).chain([Event::TimersDue, Event::RunDecisionCycle]) {
                 gateway.core.handle(now, event, &mut effects);
             }
             for effect in effects {
@@ -217,7 +219,7 @@
                             .running
                             .insert(key, (r.threads, r.work, r.work));
                     }
-                    Effect::GiveUp(attempt, engine, _) => {
+                    Effect::AbortAttempt(attempt, engine, _) => {
                         let e = engines.get_mut(&engine).expect("listed");
                         if e.running.remove(&(g, gateway.life, attempt)).is_some() {
                             gateway.requests.entry(attempt.0).and_modify(|r| r.out -= 1);
@@ -229,7 +231,7 @@
                         assert!(now <= r.deadline + 20.0, "answered {} ms late", now - r.deadline);
                         served += u64::from(matches!(answer, starlingplank::core::Answer::Served(_)));
                     }
-                    Effect::Probe(tag, engine, _) => {
+                    Effect::CheckHealth(tag, engine, _) => {
                         let silent = engine == id(3) && (SILENT.0..SILENT.1).contains(&now);
                         let util = engines[&engine].util;
                         let report = Some(LoadReport { util: Some(util), ..LoadReport::default() });
--- a/tests/full_queue.rs
+++ b/tests/full_queue.rs
@@ -74,7 +74,7 @@
     let mut ended = Vec::new();
     while ended.len() < 2 {
         match timeout(WAIT, events.recv()).await {
-            Ok(Some(Event::Ended(id, _))) => ended.push(id),
+            Ok(Some(Event::AttemptEnded(id, _))) => ended.push(id),
             Ok(Some(_)) => {}
             _ => break,
         }
@@ -98,7 +98,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(tokio::task::LocalSet::new().run_until(async {
         let (sender, mut events) = channel(1);
-        sender.try_send(Event::Tend).expect("room for one");
+        sender.try_send(Event::MaintenanceTick).expect("room for one");
         let mut engines = engines(wire, limits, sender);
         let mut at_once = Vec::new();
         engines.send(attempt(1, at), &mut at_once);
--- a/tests/idle.rs
+++ b/tests/idle.rs
@@ -54,7 +54,7 @@
     fn step(&mut self, event: Event) {
         let now = 1_000_000.0 + self.now as f64 / 1e6;
         let mut effects = Vec::new();
-        for event in [event, Event::Clock, Event::Turn] {
+        for event in [event, Event::TimersDue, Event::RunDecisionCycle] {
             self.core.handle(now, event, &mut effects);
         }
         // A turn takes 20 us of the thread.
@@ -65,7 +65,7 @@
                     let after = self.answer_time();
                     self.at(after, Next::End(send.id.0 .0, send.id.1));
                 }
-                Effect::Probe(tag, ..) => {
+                Effect::CheckHealth(tag, ..) => {
                     let after = self.answer_time();
                     self.at(after, Next::Probed(tag));
                 }
@@ -115,13 +115,16 @@
                         data: None,
                         is_retry: false,
                     };
-                    self.step(Event::Taken(Ask { asked, statement: Rc::new(Statement::default()) }));
+                    self.step(Event::RequestReceived(Ask {
+                        asked,
+                        statement: Rc::new(Statement::default()),
+                    }));
                 }
                 Next::End(id, attempt) => {
                     let report = self
                         .reports
                         .then(|| LoadReport { util: Some(self.rng.f64() * 0.2), ..LoadReport::default() });
-                    self.step(Event::Ended(
+                    self.step(Event::AttemptEnded(
                         (RequestId(id), attempt),
                         End { report, ..End::plain(Outcome::Ok) },
                     ));
@@ -129,7 +132,7 @@
                 Next::Probed(tag) => self.step(Event::HealthChecked(tag, true, None)),
                 // Once all is answered the module's own timers go on for ever.
                 Next::Clock if self.began.is_empty() && self.left == 0 => {}
-                Next::Clock => self.step(Event::Clock),
+                Next::Clock => self.step(Event::TimersDue),
             }
         }
     }
@@ -171,7 +174,7 @@
         },
         address: "127.0.0.1:1".parse().expect("an address"),
     };
-    world.step(Event::List(1, (0..engines).map(listed).collect()));
+    world.step(Event::EndpointList(1, (0..engines).map(listed).collect()));
     (0..clients).for_each(|c| world.at(10_000, Next::Ask(c)));
     world.run();
     let all = queries + clients as u64;
