--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -6,7 +6,7 @@
 pub mod operator;
 pub mod schema;
 
-use crate::core::Listed;
+use crate::core::Endpoint;
 use crate::interface::{Availability, EngineId, KindId, Member, Milliseconds, Settings, SettingsError};
 use crate::limits::Limits;
 use crate::net::front::rules::ClassRules;
@@ -132,7 +132,7 @@
     /// The number of the last event in `known`.
     pub serial: u64,
     /// The list at start.
-    pub known: Vec<Listed>,
+    pub known: Vec<Endpoint>,
     /// The module's settings.
     pub settings: Settings,
     /// The program's limits.
@@ -252,7 +252,7 @@
 }
 
 impl RawEngine {
-    fn read(&self, settings: &Settings) -> Option<Listed> {
+    fn read(&self, settings: &Settings) -> Option<Endpoint> {
         let availability = match self.phase.as_str() {
             "ready" => Availability::Live,
             "draining" => Availability::Draining,
@@ -261,7 +261,7 @@
         };
         let member =
             describe(settings, &self.id, &self.zone, &self.kind, self.cell, availability, self.started);
-        Some(Listed { member, address: self.address.parse().ok()? })
+        Some(Endpoint { member, address: self.address.parse().ok()? })
     }
 }
 
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -3,7 +3,7 @@
 use super::records::PendingRecord;
 use super::requests::{Request, RequestKey, Terms};
 use super::timers::Due;
-use super::{Answer, AttemptId, Core, Effect, End, EngineError, Rows, Send};
+use super::{Answer, AttemptEnd, AttemptId, Core, Effect, EngineError, ResultRows, Send};
 use crate::interface::{EngineId, Event as DecisionEvent, Milliseconds, Outcome, ProgressUpdate, RequestId};
 use starlingplank_decision::permission::send::{
     may_repeat, may_send, never_ran, EarlierAttempt, Place, SendFacts, SendPermit,
@@ -67,7 +67,7 @@
 fn final_answer(
     outcome: Outcome,
     streaming: bool,
-    rows: Rows,
+    rows: ResultRows,
     error: Option<EngineError>,
 ) -> Result<Answer, Option<EngineError>> {
     match (outcome, streaming) {
@@ -110,7 +110,7 @@
             None => Leave::No,
         };
         match leave {
-            Leave::No => self.end_attempt(now, attempt, End::plain(Outcome::NotExecuted), effects),
+            Leave::No => self.end_attempt(now, attempt, AttemptEnd::plain(Outcome::NotExecuted), effects),
             Leave::Now => self.transmit(now, attempt, deadline, effects),
             Leave::AfterRecord(sent) => {
                 self.request_record(now, attempt, PendingRecord { sent, deadline }, effects)
@@ -159,7 +159,7 @@
 
     /// Zone and cell of an engine.
     fn place(&self, engine: &EngineId) -> Place {
-        self.engines.get(engine).map_or((None, 0), |listed| (listed.member.zone, listed.member.cell))
+        self.engines.get(engine).map_or((None, 0), |endpoint| (endpoint.member.zone, endpoint.member.cell))
     }
 
     /// Transmits an attempt, if it may still be sent.
@@ -171,7 +171,7 @@
         effects: &mut Vec<Effect>,
     ) {
         if !self.may_send(now, id, deadline, effects) {
-            return self.end_attempt(now, id, End::plain(Outcome::NotExecuted), effects);
+            return self.end_attempt(now, id, AttemptEnd::plain(Outcome::NotExecuted), effects);
         }
         let Some(r) = self.requests.get(&id.0) else { return };
         let Some(attempt) = r.attempts.get(id.1 as usize) else { return };
@@ -199,7 +199,7 @@
         &mut self,
         now: Milliseconds,
         id: AttemptId,
-        rows: Rows,
+        rows: ResultRows,
         effects: &mut Vec<Effect>,
     ) {
         let Some(r) = self.requests.get_mut(&id.0).filter(|r| !r.closed && !r.streaming) else { return };
@@ -223,7 +223,7 @@
         &mut self,
         now: Milliseconds,
         id: AttemptId,
-        end: End,
+        end: AttemptEnd,
         effects: &mut Vec<Effect>,
     ) {
         let Some(r) = self.requests.get_mut(&id.0) else { return };
@@ -232,7 +232,7 @@
         a.outcome = Some(end.outcome);
         a.permit.revoke();
         let (engine, took) = (a.engine.clone(), now - a.sent_at);
-        let End { outcome, work, report, rows, error } = end;
+        let AttemptEnd { outcome, work, report, rows, error } = end;
         self.counts[r.class.0].outcomes[outcome as usize] += 1;
         match final_answer(outcome, r.streaming, rows, error) {
             Ok(answer) => self.answer(id.0, answer, effects),
@@ -274,7 +274,7 @@
             return;
         };
         effects.push(Effect::AbortAttempt(id, engine, outcome));
-        self.end_attempt(now, id, End::plain(outcome), effects);
+        self.end_attempt(now, id, AttemptEnd::plain(outcome), effects);
     }
 
     /// Aborts all attempts of a request.
--- a/src/core/membership.rs
+++ b/src/core/membership.rs
@@ -2,7 +2,7 @@
 //! this gateway heard of the name service.
 
 use super::timers::Due;
-use super::{Core, Effect, Listed};
+use super::{Core, Effect, Endpoint};
 use crate::interface::{Availability, EngineId, Event as DecisionEvent, Member, Milliseconds};
 use starlingplank_admin::hand::Hand;
 use starlingplank_admin::heard::{Gone, Heard};
@@ -21,11 +21,11 @@
 }
 
 /// A member in the form in which learned state is matched to it.
-fn named(listed: &Listed) -> Named {
+fn named(endpoint: &Endpoint) -> Named {
     Named {
-        id: listed.member.engine.0.to_string(),
-        address: listed.address.to_string(),
-        started: listed.member.started,
+        id: endpoint.member.engine.0.to_string(),
+        address: endpoint.address.to_string(),
+        started: endpoint.member.started,
     }
 }
 
@@ -38,14 +38,14 @@
     /// The number of members, and how many of them get no new work: draining, excluded by operators, or avoided by the
     /// decision module.
     pub fn engines(&self) -> (usize, usize) {
-        let live = |l: &&Listed| l.member.availability == Availability::Live;
+        let live = |l: &&Endpoint| l.member.availability == Availability::Live;
         let used = self.engines.values().filter(live).filter(|l| !self.balancer.avoids(&l.member.engine));
         (self.engines.len(), self.engines.len() - used.count())
     }
 
     /// The ids of the members that drain.
     pub fn draining(&self) -> Vec<&str> {
-        let drains = |(_, l): &(&EngineId, &Listed)| l.member.availability != Availability::Live;
+        let drains = |(_, l): &(&EngineId, &Endpoint)| l.member.availability != Availability::Live;
         self.engines.iter().filter(drains).map(|(id, _)| &*id.0).collect()
     }
 
@@ -72,13 +72,13 @@
     }
 
     /// When the name service last answered, its members, and the engines that it removed; none before its first answer.
-    pub fn service_list(&self) -> Option<(Milliseconds, &[Listed], &Gone)> {
+    pub fn service_list(&self) -> Option<(Milliseconds, &[Endpoint], &Gone)> {
         self.service_heard_at.map(|at| (at, &*self.service_members, &self.removed_engines))
     }
 
     /// What a successor inherits: what this process heard of the name service, or else what it inherited itself.
     pub fn heard(&self) -> Option<Heard> {
-        let drains = |l: &&Listed| l.member.availability != Availability::Live;
+        let drains = |l: &&Endpoint| l.member.availability != Availability::Live;
         let drained = self.service_members.iter().filter(drains).map(|l| l.member.engine.0.to_string());
         let out = || drained.chain(self.removed_engines.ids().map(str::to_owned));
         self.service_heard_at.map(|at| Heard::new(at, out())).or_else(|| self.inherited_membership.clone())
@@ -89,7 +89,7 @@
         &mut self,
         now: Milliseconds,
         serial: u64,
-        list: Vec<Listed>,
+        list: Vec<Endpoint>,
         effects: &mut Vec<Effect>,
     ) {
         if !self.is_news(now, serial) {
@@ -107,7 +107,7 @@
 
     /// Learns when the members started. An empty list tells nothing: a process that begins without members has not been
     /// told that none has started.
-    fn learn_starts(&mut self, now: Milliseconds, list: &[Listed]) {
+    fn learn_starts(&mut self, now: Milliseconds, list: &[Endpoint]) {
         let starts: Vec<_> = list.iter().map(|l| (l.member.engine.clone(), l.member.started)).collect();
         if !starts.is_empty() {
             self.start_times.receive(&starts, now);
@@ -158,22 +158,22 @@
     /// that operators included again counts as just started.
     fn rebuild_engines(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
         self.operator_override.forget(now, self.settings.slow_start_duration);
-        let list: Vec<Listed> = self.service_members.iter().map(|l| self.merge(l, now)).collect();
+        let list: Vec<Endpoint> = self.service_members.iter().map(|l| self.merge(l, now)).collect();
         self.replace_engines(now, &list, effects);
         self.report_members(now, list);
     }
 
     /// A member after everything that may keep it out is applied.
-    fn merge(&self, listed: &Listed, now: Milliseconds) -> Listed {
-        let mut listed = listed.clone();
-        let m = &mut listed.member;
+    fn merge(&self, endpoint: &Endpoint, now: Milliseconds) -> Endpoint {
+        let mut endpoint = endpoint.clone();
+        let m = &mut endpoint.member;
         let id = m.engine.clone();
         m.started = self.operator_override.started(&id.0, m.started);
         let out = self.list_expired || self.is_kept_out(&id, now);
         if out && m.availability == Availability::Live {
             m.availability = Availability::Draining;
         }
-        listed
+        endpoint
     }
 
     /// Whether operators, an earlier process or a former address of the name service keep an engine out.
@@ -237,16 +237,16 @@
 
     /// Replaces the engines in use. Queued work for draining and removed engines is dropped; attempts on removed ones
     /// end after a grace period.
-    fn replace_engines(&mut self, now: Milliseconds, list: &[Listed], effects: &mut Vec<Effect>) {
+    fn replace_engines(&mut self, now: Milliseconds, list: &[Endpoint], effects: &mut Vec<Effect>) {
         let mut before = std::mem::take(&mut self.engines);
-        for listed in list {
-            let engine = &listed.member.engine;
+        for endpoint in list {
+            let engine = &endpoint.member.engine;
             before.remove(engine);
             // While the list is too old the writers keep new work back; connections to engines that are well stay.
-            if listed.member.availability != Availability::Live && !self.list_expired {
+            if endpoint.member.availability != Availability::Live && !self.list_expired {
                 effects.push(Effect::DropQueued(engine.clone()));
             }
-            self.engines.insert(engine.clone(), listed.clone());
+            self.engines.insert(engine.clone(), endpoint.clone());
         }
         for (engine, _) in before {
             effects.push(Effect::DropQueued(engine.clone()));
@@ -255,7 +255,7 @@
     }
 
     /// Tells the decision module its engines, and what an earlier incarnation learned of them.
-    fn report_members(&mut self, now: Milliseconds, list: Vec<Listed>) {
+    fn report_members(&mut self, now: Milliseconds, list: Vec<Endpoint>) {
         let named: Vec<Named> = list.iter().map(named).collect();
         let recalled = self.recall.as_mut().and_then(|recall| recall.list(&named, now));
         // Merging keeps the order of the service's members, which hold the starts as they were told.
@@ -276,7 +276,7 @@
 
     /// The address of an engine, if it takes new work.
     pub(super) fn live_address(&self, engine: &EngineId) -> Option<SocketAddr> {
-        let listed = self.engines.get(engine)?;
-        (listed.member.availability == Availability::Live).then_some(listed.address)
+        let endpoint = self.engines.get(engine)?;
+        (endpoint.member.availability == Availability::Live).then_some(endpoint.address)
     }
 }
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -1,6 +1,6 @@
 //! The reducer's input, [`Event`], and its output, [`Effect`].
 
-use super::types::{Answer, Ask, AttemptId, End, Listed, Rows, Statement};
+use super::types::{Answer, AttemptEnd, AttemptId, ClientRequest, Endpoint, ResultRows, Statement};
 use crate::interface::{ClassId, EngineId, LoadReport, Milliseconds, Outcome, ProgressUpdate, RequestId};
 use starlingplank_admin::hand::Hand;
 use starlingplank_admin::heard::Heard;
@@ -13,22 +13,22 @@
 #[derive(Debug)]
 pub enum Event {
     /// The name service's whole list, with its version.
-    EndpointList(u64, Vec<Listed>),
+    EndpointList(u64, Vec<Endpoint>),
     /// The name service's present address has spoken: the list that follows replaces what a former address has said since
     /// the move, though its version may be lower.
     PreviousAddressSuperseded,
     /// Until when the list may be relied on.
     EndpointListLease(Milliseconds),
     /// A front received a request.
-    RequestReceived(Ask),
+    RequestReceived(ClientRequest),
     /// The client disconnected or withdrew the request.
     ClientDisconnected(RequestId),
     /// The first part of a streamed answer arrived.
-    ResponseStarted(AttemptId, Rows),
+    ResponseStarted(AttemptId, ResultRows),
     /// A further part of a streamed answer arrived.
     ResponseChunk(AttemptId, Vec<u8>),
     /// An attempt ended.
-    AttemptEnded(AttemptId, End),
+    AttemptEnded(AttemptId, AttemptEnd),
     /// An engine sent a progress update of an attempt.
     ProgressUpdate(AttemptId, ProgressUpdate),
     /// A probe ended: its number, whether it succeeded, the engine's load.
@@ -102,7 +102,7 @@
     /// Drop what is queued for an engine that drains or was removed.
     DropQueued(EngineId),
     /// Stream the first part of an answer to the client.
-    StartResponse(RequestId, Rows),
+    StartResponse(RequestId, ResultRows),
     /// Stream a further part.
     ResponseChunk(RequestId, Vec<u8>),
     /// Send the final answer.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -44,7 +44,10 @@
 use timers::Timer;
 
 pub use messages::{Effect, Event, Send};
-pub use types::{Answer, Ask, AttemptId, Counts, End, EngineError, Flow, Listed, Rows, Statement};
+pub use types::{
+    Answer, AttemptEnd, AttemptId, ClientRequest, Counts, Endpoint, EngineError, FlowControl, ResultRows,
+    Statement,
+};
 
 /// The state of one gateway.
 pub struct Core {
@@ -54,7 +57,7 @@
     /// The version of the membership.
     serial: Option<u64>,
     /// The membership as the name service last sent it.
-    service_members: Vec<Listed>,
+    service_members: Vec<Endpoint>,
     /// When members started, by this gateway's clock.
     start_times: StartTimes,
     /// Engines that were members before and are not any more.
@@ -77,7 +80,7 @@
     /// Engines that operators have excluded.
     operator_override: Hand,
     /// The three merged: the engines in use.
-    engines: BTreeMap<EngineId, Listed>,
+    engines: BTreeMap<EngineId, Endpoint>,
     requests: BTreeMap<RequestId, Request>,
     /// The deduplication window: sends by idempotency key.
     gate: Gate,
@@ -198,7 +201,7 @@
             Event::OperatorOverrides(hand) => self.override_membership(now, hand, effects),
             Event::InheritedMembership(heard) => self.inherit_membership(now, heard, effects),
             Event::ProcessCount(n) => self.pending_events.push(DecisionEvent::ProcessCount(n as u32)),
-            Event::RequestReceived(ask) => self.receive(now, ask, effects),
+            Event::RequestReceived(request) => self.receive(now, request, effects),
             Event::ClientDisconnected(id) => self.client_disconnected(now, id, effects),
             Event::ResponseStarted(id, rows) => self.start_streaming(now, id, rows, effects),
             Event::ResponseChunk(id, part) => self.forward_part(id, part, effects),
--- a/src/core/records.rs
+++ b/src/core/records.rs
@@ -2,7 +2,7 @@
 
 use super::requests::RequestKey;
 use super::timers::Due;
-use super::{AttemptId, Core, Effect, End};
+use super::{AttemptEnd, AttemptId, Core, Effect};
 use crate::interface::{Milliseconds, Outcome};
 use starlingplank_persistence::gate::{Gate, Key, Sends, Sent};
 
@@ -91,7 +91,7 @@
         if in_time {
             self.transmit(now, id, deadline, effects);
         } else {
-            self.end_attempt(now, id, End::plain(Outcome::NotExecuted), effects);
+            self.end_attempt(now, id, AttemptEnd::plain(Outcome::NotExecuted), effects);
         }
     }
 
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -2,7 +2,7 @@
 
 use super::attempts::Attempt;
 use super::timers::Due;
-use super::{Answer, Ask, Core, Effect, EngineError, Statement};
+use super::{Answer, ClientRequest, Core, Effect, EngineError, Statement};
 use crate::interface::{
     ClassId, Event as DecisionEvent, Idempotency, Milliseconds, Outcome, RequestDetails, RequestId,
 };
@@ -73,26 +73,26 @@
     }
 
     /// Accepts or rejects a request.
-    pub(super) fn receive(&mut self, now: Milliseconds, ask: Ask, effects: &mut Vec<Effect>) {
-        let (id, class) = (ask.asked.id, ask.asked.class);
+    pub(super) fn receive(&mut self, now: Milliseconds, request: ClientRequest, effects: &mut Vec<Effect>) {
+        let (id, class) = (request.details.id, request.details.class);
         self.counts[class.0].taken += 1;
-        match self.admit(now, &ask) {
-            Ok(admitted) => self.accept(now, ask, admitted),
+        match self.admit(now, &request) {
+            Ok(admitted) => self.accept(now, request, admitted),
             Err(rejection) => self.reject(id, class, rejection, effects),
         }
     }
 
-    fn admit(&mut self, now: Milliseconds, ask: &Ask) -> Result<Admitted, Rejection> {
-        self.check_capacity(ask)?;
+    fn admit(&mut self, now: Milliseconds, request: &ClientRequest) -> Result<Admitted, Rejection> {
+        self.check_capacity(request)?;
         self.check_membership(now)?;
         self.check_shutdown(now)?;
-        self.check_deduplication(now, ask)
+        self.check_deduplication(now, request)
     }
 
     /// Bounds memory: past these limits a request is rejected without a decision.
-    fn check_capacity(&self, ask: &Ask) -> Result<(), Rejection> {
+    fn check_capacity(&self, request: &ClientRequest) -> Result<(), Rejection> {
         let crowded = self.open_requests >= self.limits.max_open;
-        if crowded || self.held_bytes + ask.statement.bytes() > self.limits.held_bytes {
+        if crowded || self.held_bytes + request.statement.bytes() > self.limits.held_bytes {
             return Err(self.rejection("limits"));
         }
         Ok(())
@@ -116,8 +116,12 @@
 
     /// A repeat that arrives while engines remember its key must not be transmitted after they forget it: it would be
     /// executed twice.
-    fn check_deduplication(&mut self, now: Milliseconds, ask: &Ask) -> Result<Admitted, Rejection> {
-        let text = ask.statement.key.as_ref().zip(self.window(ask.asked.class));
+    fn check_deduplication(
+        &mut self,
+        now: Milliseconds,
+        request: &ClientRequest,
+    ) -> Result<Admitted, Rejection> {
+        let text = request.statement.key.as_ref().zip(self.window(request.details.class));
         let Some((text, window)) = text else { return Ok(Admitted { key: None, send_by: f64::INFINITY }) };
         let key = RequestKey { key: gate::key(text), window };
         match self.gate.admit(&key.key, window, now, self.limits.answer_margin) {
@@ -132,12 +136,13 @@
         Rejection { reason, retry_after: self.settings.max_retry_after }
     }
 
-    fn accept(&mut self, now: Milliseconds, ask: Ask, admitted: Admitted) {
-        let RequestDetails { id, class, deadline, .. } = ask.asked;
+    fn accept(&mut self, now: Milliseconds, request: ClientRequest, admitted: Admitted) {
+        let ClientRequest { details, statement } = request;
+        let RequestDetails { id, class, deadline, .. } = details;
         self.open_requests += 1;
-        self.held_bytes += ask.statement.bytes();
+        self.held_bytes += statement.bytes();
         let request = Request {
-            statement: ask.statement,
+            statement,
             class,
             received_at: now,
             key: admitted.key,
@@ -155,7 +160,7 @@
         // with that earlier deadline: with the client's it would spend its retry budget on retries in between.
         let deadline = deadline - self.limits.answer_margin;
         self.decision_urgent = true;
-        self.pending_events.push(DecisionEvent::Request(RequestDetails { deadline, ..ask.asked }));
+        self.pending_events.push(DecisionEvent::Request(RequestDetails { deadline, ..details }));
     }
 
     /// Rejects a request that was not accepted.
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -10,7 +10,7 @@
 
 /// A member: an engine as the name service lists it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Listed {
+pub struct Endpoint {
     /// The decision module's view of it.
     pub member: Member,
     /// Where it listens. Engines are identified by their id alone, as addresses are reused.
@@ -19,7 +19,7 @@
 
 /// Flow control of a streamed answer. A front implements it; an engine wire waits for room before it reads on, so that
 /// a slow client slows its own engine and memory stays bounded.
-pub trait Flow: Debug {
+pub trait FlowControl: Debug {
     /// Waits until at most this many bytes are queued for the client, or the client has disconnected.
     fn room(&self, bytes: usize) -> Pin<Box<dyn Future<Output = ()> + '_>>;
 }
@@ -40,7 +40,7 @@
     /// Further parameters and credentials, where the engines' interface has them.
     pub params: Vec<(String, String)>,
     /// Flow control where the answer can be streamed; without it the answer is sent whole.
-    pub flow: Option<Rc<dyn Flow>>,
+    pub flow: Option<Rc<dyn FlowControl>>,
 }
 
 impl Statement {
@@ -51,7 +51,7 @@
 
 /// A result: its bytes in the parts in which they arrived, and the headers that describe them.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Rows {
+pub struct ResultRows {
     /// Text of rows, in order.
     pub parts: Vec<Vec<u8>>,
     /// Headers of the engine's answer that go to the client.
@@ -60,9 +60,9 @@
 
 /// A request as a front received it.
 #[derive(Debug)]
-pub struct Ask {
+pub struct ClientRequest {
     /// The decision module's view of it.
-    pub asked: RequestDetails,
+    pub details: RequestDetails,
     /// What is sent to the engine.
     pub statement: Rc<Statement>,
 }
@@ -82,7 +82,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
     /// The complete result.
-    Served(Rows),
+    Served(ResultRows),
     /// The streamed result is complete.
     Finished,
     /// The streamed result cannot be completed.
@@ -100,7 +100,7 @@
 
 /// How an attempt ended, as an engine wire saw it.
 #[derive(Debug)]
-pub struct End {
+pub struct AttemptEnd {
     /// Its outcome.
     pub outcome: Outcome,
     /// The work it took, where the engine reports that.
@@ -108,15 +108,15 @@
     /// The engine's load, where the engine reports that.
     pub report: Option<LoadReport>,
     /// The result, if it was not streamed.
-    pub rows: Rows,
+    pub rows: ResultRows,
     /// The engine's error, if it failed.
     pub error: Option<EngineError>,
 }
 
-impl End {
+impl AttemptEnd {
     /// An end that has nothing but its outcome.
     pub fn plain(outcome: Outcome) -> Self {
-        Self { outcome, work: None, report: None, rows: Rows::default(), error: None }
+        Self { outcome, work: None, report: None, rows: ResultRows::default(), error: None }
     }
 }
 
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -1,6 +1,6 @@
 //! One connection: what waits to be written, in frames that go out by gathered writes, and what was read.
 
-use crate::core::{AttemptId, Flow};
+use crate::core::{AttemptId, FlowControl};
 use crate::limits::Limits;
 use crate::net::frame::Frame;
 use crate::net::log;
@@ -369,7 +369,7 @@
     }
 }
 
-impl Flow for Outbox {
+impl FlowControl for Outbox {
     fn room(&self, bytes: usize) -> Pin<Box<dyn Future<Output = ()> + '_>> {
         Box::pin(async move {
             while self.bytes.get() > bytes && self.closing.get().is_none() {
--- a/src/net/discovery/message.rs
+++ b/src/net/discovery/message.rs
@@ -1,7 +1,7 @@
 //! The messages of service discovery: DNS over UDP (RFC 1035), a question for SRV records and the list in its answer.
 
 use crate::config::describe;
-use crate::core::Listed;
+use crate::core::Endpoint;
 use crate::interface::{Availability, Settings};
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -116,7 +116,7 @@
     /// Of the last event.
     pub serial: u64,
     /// The engines.
-    pub list: Vec<Listed>,
+    pub list: Vec<Endpoint>,
 }
 
 fn message<'a>(whole: &'a [u8]) -> Res<(u16, Records<'a>)> {
@@ -162,7 +162,7 @@
         let state = if *priority == 0 { Availability::Live } else { Availability::Draining };
         let kind = text("kind").map_or("", |(_, v)| v);
         let member = describe(settings, engine, zone, kind, number("cell") as u64, state, number("started"));
-        list.push(Listed { member, address });
+        list.push(Endpoint { member, address });
     }
     Some(Answered { id, serial: records.serial?, list })
 }
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -7,7 +7,7 @@
 pub mod message;
 pub mod sockets;
 
-use crate::core::{Event, Listed};
+use crate::core::{Endpoint, Event};
 use crate::interface::{Milliseconds, Settings};
 use crate::limits::Limits;
 use crate::net::clock::Clock;
@@ -188,7 +188,7 @@
 }
 
 /// The addresses of the engines of a list.
-pub fn addresses_of(list: &[Listed]) -> KnownAddresses {
+pub fn addresses_of(list: &[Endpoint]) -> KnownAddresses {
     list.iter().map(|listed| (listed.member.engine.0.to_string(), listed.address)).collect()
 }
 
--- a/src/net/engine/clickhouse.rs
+++ b/src/net/engine/clickhouse.rs
@@ -1,7 +1,7 @@
 //! Engines that speak the ClickHouse HTTP interface: one attempt at a time on a connection, which is used again.
 //! An attempt given up ends its connection, as that is how such an engine hears of it.
 
-use crate::core::{AttemptId, End, EngineError, Event, Flow, Rows, Send};
+use crate::core::{AttemptEnd, AttemptId, EngineError, Event, FlowControl, ResultRows, Send};
 use crate::interface::{EngineId, Milliseconds, Outcome};
 use crate::limits::Limits;
 use crate::net::conn::{Close, Common, Inbox, Outbox};
@@ -30,7 +30,7 @@
 
 #[derive(Clone)]
 enum Job {
-    Attempt(AttemptId, Option<Rc<dyn Flow>>),
+    Attempt(AttemptId, Option<Rc<dyn FlowControl>>),
     Probe(u64),
 }
 
@@ -110,7 +110,7 @@
         let (id, engine, address) = (send.id, send.engine.clone(), send.address);
         if !self.start(&engine, address, job, Frame::sending(send, encode_request)) {
             log::seldom_error("no connection is left for an attempt on an engine", &engine.0);
-            events.push(Event::AttemptEnded(id, End::plain(Outcome::NotExecuted)));
+            events.push(Event::AttemptEnded(id, AttemptEnd::plain(Outcome::NotExecuted)));
         }
     }
 
@@ -138,7 +138,7 @@
             for id in conn.out.unsent() {
                 if conn.out.withdraw(id) {
                     *conn.job.borrow_mut() = None;
-                    events.push(Event::AttemptEnded(id, End::plain(Outcome::NotExecuted)));
+                    events.push(Event::AttemptEnded(id, AttemptEnd::plain(Outcome::NotExecuted)));
                 }
             }
         }
@@ -253,7 +253,7 @@
                 Ok(_) if unsent.contains(&id) => Outcome::NotExecuted,
                 Ok(_) => Outcome::Reset,
             };
-            Event::AttemptEnded(id, End::plain(outcome))
+            Event::AttemptEnded(id, AttemptEnd::plain(outcome))
         }
     };
     let _ = events.send(event).await;
@@ -264,7 +264,7 @@
     loop {
         let id = conn.out.overdue().await;
         if conn.holds(id) {
-            let _ = events.send(Event::AttemptEnded(id, End::plain(Outcome::NotExecuted))).await;
+            let _ = events.send(Event::AttemptEnded(id, AttemptEnd::plain(Outcome::NotExecuted))).await;
             *conn.job.borrow_mut() = None;
         }
     }
@@ -321,7 +321,7 @@
             Read::More => fill(inbox, stream, limits).await?,
         }
     };
-    let mut rows = Rows { parts: Vec::new(), headers };
+    let mut rows = ResultRows { parts: Vec::new(), headers };
     let (mut bytes, mut begun, mut left) = (0, false, length);
     loop {
         let part = match left {
@@ -379,7 +379,7 @@
                 } else if bytes > limits.message_bytes {
                     log::seldom("a result that is too large cannot be passed on whole");
                     conn.job.borrow_mut().take();
-                    place.send(Event::AttemptEnded(id, End::plain(Outcome::Error)));
+                    place.send(Event::AttemptEnded(id, AttemptEnd::plain(Outcome::Error)));
                     return None;
                 }
             }
@@ -396,11 +396,11 @@
     Some(keep)
 }
 
-fn end(status: u16, rows: Rows) -> End {
+fn end(status: u16, rows: ResultRows) -> AttemptEnd {
     let code = rows.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case("x-clickhouse-exception-code"));
     let code = code.and_then(|(_, v)| v.parse().ok());
     if status == 200 && code.is_none() {
-        return End { rows, ..End::plain(Outcome::Ok) };
+        return AttemptEnd { rows, ..AttemptEnd::plain(Outcome::Ok) };
     }
     let outcome = match (status, code) {
         (_, Some(TOO_MANY_SIMULTANEOUS_QUERIES)) => Outcome::Full,
@@ -409,5 +409,5 @@
         _ => Outcome::Error,
     };
     let error = EngineError { status, code: code.unwrap_or(0), text: rows.parts.concat() };
-    End { error: Some(error), ..End::plain(outcome) }
+    AttemptEnd { error: Some(error), ..AttemptEnd::plain(outcome) }
 }
--- a/src/net/engine/connection.rs
+++ b/src/net/engine/connection.rs
@@ -1,6 +1,6 @@
 //! State of one connection to an engine of the platform: what is in flight on it, and when it was last active.
 
-use crate::core::{AttemptId, End, Event};
+use crate::core::{AttemptEnd, AttemptId, Event};
 use crate::interface::Outcome;
 use crate::limits::Limits;
 use crate::net::conn::{Common, Outbox};
@@ -138,7 +138,7 @@
             let Some(attempt) = self.end_attempt(&name) else { continue };
             self.outbox.push(resp::command(&["shut", &name]), limits);
             self.retire_id(name, limits);
-            events.push(Event::AttemptEnded(attempt.id, End::plain(Outcome::Error)));
+            events.push(Event::AttemptEnded(attempt.id, AttemptEnd::plain(Outcome::Error)));
         }
     }
 
--- a/src/net/engine/driver.rs
+++ b/src/net/engine/driver.rs
@@ -1,6 +1,6 @@
 //! Drives one connection: opens it, writes and reads until it ends, and reports what was open on it as ended.
 
-use crate::core::{AttemptId, End, Event};
+use crate::core::{AttemptEnd, AttemptId, Event};
 use crate::interface::Outcome;
 use crate::limits::Limits;
 use crate::net::conn::{Close, Inbox};
@@ -50,7 +50,7 @@
     loop {
         let id = connection.outbox.overdue().await;
         // It stays in flight until it is reported: if the connection ends meanwhile, its end is reported with it.
-        let _ = events.send(Event::AttemptEnded(id, End::plain(Outcome::NotExecuted))).await;
+        let _ = events.send(Event::AttemptEnded(id, AttemptEnd::plain(Outcome::NotExecuted))).await;
         connection.remove_attempt(id);
     }
 }
@@ -142,7 +142,7 @@
             None if unsent.contains(&attempt.id) => Outcome::NotExecuted,
             None => Outcome::Reset,
         };
-        let _ = events.send(Event::AttemptEnded(attempt.id, End::plain(outcome))).await;
+        let _ = events.send(Event::AttemptEnded(attempt.id, AttemptEnd::plain(outcome))).await;
     }
 }
 
--- a/src/net/engine/pool.rs
+++ b/src/net/engine/pool.rs
@@ -1,7 +1,7 @@
 //! Connections to the platform's engines, in pools by the engine's id. An address does not identify an engine: a new
 //! engine may be given the address of one that was removed.
 
-use crate::core::{AttemptId, End, Event, Send};
+use crate::core::{AttemptEnd, AttemptId, Event, Send};
 use crate::interface::{EngineId, Outcome};
 use crate::limits::Limits;
 use crate::net::conn::{Close, Common};
@@ -130,7 +130,7 @@
         let name = send.statement.name.clone();
         let Some(connection) = self.choose_connection(&send.engine, send.address, &name) else {
             log::seldom_error("no connection is left for an attempt on an engine", &send.engine.0);
-            return events.push(Event::AttemptEnded(send.id, End::plain(Outcome::NotExecuted)));
+            return events.push(Event::AttemptEnded(send.id, AttemptEnd::plain(Outcome::NotExecuted)));
         };
         connection.last_used.set(Instant::now());
         connection.in_flight.borrow_mut().insert(name.clone(), InFlight::new(send.id));
@@ -182,7 +182,7 @@
             connection.retired.set(true);
             for id in connection.withdraw_unsent() {
                 self.placements.remove(&id);
-                events.push(Event::AttemptEnded(id, End::plain(Outcome::NotExecuted)));
+                events.push(Event::AttemptEnded(id, AttemptEnd::plain(Outcome::NotExecuted)));
             }
         }
     }
--- a/src/net/engine/replies.rs
+++ b/src/net/engine/replies.rs
@@ -1,6 +1,6 @@
 //! The meaning of a reply: the outcome of an attempt, the result of a probe, or news of an attempt that goes on.
 
-use crate::core::{End, Event};
+use crate::core::{AttemptEnd, Event};
 use crate::interface::Outcome;
 use crate::limits::Limits;
 use crate::net::engine::connection::Connection;
@@ -59,6 +59,6 @@
     connection.retire_id(reply.id.to_owned(), limits);
     // An attempt whose result has begun was executed, whatever the reply says.
     let outcome = if attempt.result.is_some() { Outcome::Error } else { outcome };
-    let end = End { report: reply.report(), ..End::plain(outcome) };
+    let end = AttemptEnd { report: reply.report(), ..AttemptEnd::plain(outcome) };
     ReplyEffect::Event(Event::AttemptEnded(attempt.id, end))
 }
--- a/src/net/engine/results.rs
+++ b/src/net/engine/results.rs
@@ -1,6 +1,6 @@
 //! Pages of a result, gathered until all of them have arrived.
 
-use crate::core::{End, Event, Rows};
+use crate::core::{AttemptEnd, Event, ResultRows};
 use crate::interface::Outcome;
 use crate::limits::Limits;
 use crate::net::engine::connection::{Connection, InFlight};
@@ -16,7 +16,7 @@
 pub struct PartialResult {
     pages: Vec<Option<Vec<u8>>>,
     bytes: usize,
-    end: End,
+    end: AttemptEnd,
     last_page_at: Instant,
 }
 
@@ -37,7 +37,11 @@
     /// than an engine sends.
     fn begin(reply: &Reply<'_>, limits: &Limits) -> Option<Self> {
         let count = positive_integer(reply, "pages", limits.queue)?;
-        let end = End { work: reply.number("cost"), report: reply.report(), ..End::plain(Outcome::Ok) };
+        let end = AttemptEnd {
+            work: reply.number("cost"),
+            report: reply.report(),
+            ..AttemptEnd::plain(Outcome::Ok)
+        };
         let pages = (0..count).map(|_| None).collect();
         Some(Self { pages, bytes: 0, end, last_page_at: Instant::now() })
     }
@@ -65,9 +69,9 @@
         PageEffect::Complete
     }
 
-    fn into_end(self) -> End {
-        let rows = Rows { parts: self.pages.into_iter().flatten().collect(), headers: Vec::new() };
-        End { rows, ..self.end }
+    fn into_end(self) -> AttemptEnd {
+        let rows = ResultRows { parts: self.pages.into_iter().flatten().collect(), headers: Vec::new() };
+        AttemptEnd { rows, ..self.end }
     }
 }
 
--- a/src/net/front/clickhouse.rs
+++ b/src/net/front/clickhouse.rs
@@ -1,7 +1,7 @@
 //! The ClickHouse HTTP interface, for clients that speak it: the same requests, deadlines and answers as the
 //! platform's protocol, in that interface's words.
 
-use crate::core::{Answer, EngineError, Flow, Rows, Statement};
+use crate::core::{Answer, EngineError, FlowControl, ResultRows, Statement};
 use crate::interface::{ClassId, Idempotency, RequestId};
 use crate::limits::Limits;
 use crate::net::conn::{finish, Close, Inbox};
@@ -99,7 +99,7 @@
 
 impl Caller {
     /// What the engine said of its answer, under the name that the client gave.
-    fn headers<'a>(&'a self, rows: &'a Rows) -> Vec<(&'a str, &'a str)> {
+    fn headers<'a>(&'a self, rows: &'a ResultRows) -> Vec<(&'a str, &'a str)> {
         let mut headers: Vec<(&str, &str)> =
             rows.headers.iter().map(|(n, v)| (n.as_str(), v.as_str())).collect();
         headers.retain(|(n, _)| !n.eq_ignore_ascii_case("X-ClickHouse-Query-Id"));
@@ -109,7 +109,7 @@
 }
 
 impl Client for Caller {
-    fn begin(&self, rows: Rows) {
+    fn begin(&self, rows: ResultRows) {
         let head = self.session.head(200, &self.headers(&rows), None);
         self.session.seat.say(Frame::plain(head), &self.session.limits);
         rows.parts.into_iter().for_each(|part| self.part(part));
@@ -422,7 +422,7 @@
         key,
         data,
         params: request.params,
-        flow: request.parts.then(|| -> Rc<dyn Flow> { session.seat.out.clone() }),
+        flow: request.parts.then(|| -> Rc<dyn FlowControl> { session.seat.out.clone() }),
     };
     // The interface has no word for a client's retry.
     let is_retry = false;
--- a/src/net/front/mod.rs
+++ b/src/net/front/mod.rs
@@ -7,7 +7,7 @@
 
 pub use seat::Seat;
 
-use crate::core::{Answer, Ask, Event, Rows, Statement};
+use crate::core::{Answer, ClientRequest, Event, ResultRows, Statement};
 use crate::interface::{ClassId, DataSet, Milliseconds, RequestDetails, RequestId, Settings, TenantId};
 use crate::limits::Limits;
 use crate::net::clock::Clock;
@@ -26,7 +26,7 @@
 /// Who waits for an answer.
 pub trait Client {
     /// Passes on the first part of an answer.
-    fn begin(&self, rows: Rows);
+    fn begin(&self, rows: ResultRows);
     /// Passes on a further part.
     fn part(&self, bytes: Vec<u8>);
     /// Gives the final answer.
@@ -202,7 +202,7 @@
     /// Hands in a request whose client waits up to `limit`.
     pub async fn take(&self, id: RequestId, client: Box<dyn Client>, asked: Asked) {
         let data = sql::table_group(&asked.statement.text).map(DataSet);
-        let asked_of_module = RequestDetails {
+        let details = RequestDetails {
             id,
             class: asked.class,
             tenant: asked.tenant,
@@ -219,8 +219,8 @@
         self.common.count_request();
         self.names.borrow_mut().insert(statement.name.clone(), id);
         self.waiting.borrow_mut().insert(id, (client, statement.clone()));
-        let ask = Ask { asked: asked_of_module, statement };
-        event.send(Event::RequestReceived(ask));
+        let request = ClientRequest { details, statement };
+        event.send(Event::RequestReceived(request));
     }
 
     /// The open request with that name. Two under one name could not be told apart at their engines.
@@ -244,7 +244,7 @@
     }
 
     /// Passes on the first part of an answer.
-    pub fn begin(&self, id: RequestId, rows: Rows) {
+    pub fn begin(&self, id: RequestId, rows: ResultRows) {
         self.waiting.borrow().get(&id).into_iter().for_each(|(c, _)| c.begin(rows.clone()));
     }
 
--- a/src/net/front/thrift.rs
+++ b/src/net/front/thrift.rs
@@ -1,6 +1,6 @@
 //! The platform's protocol: framed Thrift, strict binary. Heads are read in place, answers are gathered.
 
-use crate::core::{Answer, Rows, Statement};
+use crate::core::{Answer, ResultRows, Statement};
 use crate::interface::{ClassId, Idempotency, RequestId, TenantId};
 use crate::limits::Limits;
 use crate::net::conn::{finish, Close, Inbox};
@@ -205,7 +205,7 @@
 }
 
 /// An `Answer`: the result's parts go out as they came.
-pub fn answer(method: &str, seq: i32, rows: Rows, good: bool) -> Frame {
+pub fn answer(method: &str, seq: i32, rows: ResultRows, good: bool) -> Frame {
     let mut out = head(REPLY, method, seq);
     field(&mut out, STRUCT, 0);
     field(&mut out, STRING, 1);
@@ -267,7 +267,7 @@
 
 impl Client for Caller {
     // Answers of this protocol are whole: no statement of this front says that it takes parts.
-    fn begin(&self, _: Rows) {}
+    fn begin(&self, _: ResultRows) {}
     fn part(&self, _: Vec<u8>) {}
 
     fn answer(self: Box<Self>, answer: Answer) {
@@ -342,7 +342,7 @@
             let last = &session.last;
             last.set(if last.get().checked_add(1) == Some(seq) { seq } else { last.get() });
             let good = !desk.turns_away() && !desk.awaits_list.get();
-            say(answer("health", seq, Rows::default(), good));
+            say(answer("health", seq, ResultRows::default(), good));
         }
         Message::Unknown(seq, name) => say(unknown(seq, name)),
         Message::Cancel(seq) => {
--- a/src/net/keep.rs
+++ b/src/net/keep.rs
@@ -2,7 +2,7 @@
 //! threads that write. Off unless the operator's file sets it up.
 
 use crate::config::{describe, Config, KnowledgeSettings};
-use crate::core::{Core, Event, Listed};
+use crate::core::{Core, Endpoint, Event};
 use crate::interface::{Availability, Idempotency, Milliseconds, Settings};
 use starlingplank_persistence::disk::Disk;
 use starlingplank_persistence::folder::{Boot, Files, Folder, FolderError};
@@ -434,7 +434,7 @@
     /// Has the list kept as the service last told it. One that does not fit is said again with the next snapshot.
     pub fn list(&self, core: &Core, settings: &Settings) {
         let (Some(keeper), Some((heard, told, gone))) = (&self.lists, core.service_list()) else { return };
-        let engine = |l: &Listed| list::Engine {
+        let engine = |l: &Endpoint| list::Engine {
             id: l.member.engine.0.to_string(),
             address: l.address.to_string(),
             zone: l.member.zone.and_then(|z| settings.zones.get(z.0)).cloned().unwrap_or_default(),
@@ -490,11 +490,11 @@
 }
 
 /// Engines of a kept list, as a list names them. One whose address is none is left out.
-pub fn listed(kept: &KeptList, settings: &Settings) -> Vec<Listed> {
+pub fn listed(kept: &KeptList, settings: &Settings) -> Vec<Endpoint> {
     let engine = |e: &list::Engine| {
         let state = if e.live { Availability::Live } else { Availability::Draining };
         let member = describe(settings, &e.id, &e.zone, &e.kind, e.cell, state, e.started);
-        Some(Listed { member, address: e.address.parse().ok()? })
+        Some(Endpoint { member, address: e.address.parse().ok()? })
     };
     kept.engines.iter().filter_map(engine).collect()
 }
--- a/src/net/runtime/cycle.rs
+++ b/src/net/runtime/cycle.rs
@@ -54,7 +54,9 @@
     fn prepare(&mut self, now: Milliseconds, event: &Event, effects: &mut Vec<Effect>) {
         match event {
             Event::EndpointList(..) => self.list_received = true,
-            Event::RequestReceived(ask) if ask.statement.key.is_some() => self.read_peer_keys(now, effects),
+            Event::RequestReceived(request) if request.statement.key.is_some() => {
+                self.read_peer_keys(now, effects)
+            }
             _ => {}
         }
     }
@@ -77,8 +79,13 @@
         }
         Event::HealthChecked(tag, ok, report) => tracing::trace!("probed {tag} {ok} {report:?}"),
         Event::EndpointList(serial, list) => tracing::trace!("list {serial} of {}", list.len()),
-        Event::RequestReceived(ask) => {
-            tracing::trace!("taken {} class {} work {:?}", ask.asked.id.0, ask.asked.class.0, ask.asked.work);
+        Event::RequestReceived(request) => {
+            tracing::trace!(
+                "taken {} class {} work {:?}",
+                request.details.id.0,
+                request.details.class.0,
+                request.details.work
+            );
         }
         Event::ClientDisconnected(id) => tracing::trace!("left {}", id.0),
         _ => {}
--- a/src/net/runtime/effects.rs
+++ b/src/net/runtime/effects.rs
@@ -1,6 +1,6 @@
 //! Performs the effects that the reducer asks for.
 
-use crate::core::{Answer, Effect, End, Event, Send};
+use crate::core::{Answer, AttemptEnd, Effect, Event, Send};
 use crate::interface::{Idempotency, Outcome};
 use crate::net::log;
 use crate::net::runtime::Runtime;
@@ -12,7 +12,7 @@
         trace_effect(&effect);
         match effect {
             Effect::Send(send) if self.record_for_peers(&send) => self.engines.send(send, new_events),
-            Effect::Send(send) => new_events.push(Event::AttemptEnded(send.id, End::plain(Outcome::NotExecuted))),
+            Effect::Send(send) => new_events.push(Event::AttemptEnded(send.id, AttemptEnd::plain(Outcome::NotExecuted))),
             Effect::AbortAttempt(id, _, outcome) => self.engines.abort_attempt(id, outcome == Outcome::Timeout),
             Effect::SetPriority(id, _, priority) => self.engines.hurry(id, priority),
             Effect::CheckHealth(tag, engine, address) => self.engines.probe(tag, &engine, address, new_events),
--- a/src/net/runtime/startup.rs
+++ b/src/net/runtime/startup.rs
@@ -1,7 +1,7 @@
 //! Everything that is opened and recovered before the loop begins.
 
 use crate::config::{Config, EngineWire};
-use crate::core::{Core, Event, Listed};
+use crate::core::{Core, Endpoint, Event};
 use crate::limits::Limits;
 use crate::net::conn::Common;
 use crate::net::discovery::sockets::Sockets;
@@ -192,7 +192,7 @@
 
     /// The list of engines at the start. Where the configuration names none, it is the one that an earlier process kept;
     /// else the drains and removals of the kept list bind until the name service answers.
-    fn initial_list(&self, inherited: &mut Vec<Event>) -> Vec<Listed> {
+    fn initial_list(&self, inherited: &mut Vec<Event>) -> Vec<Endpoint> {
         let known = self.config.known.clone();
         let Some(kept) = self.keep.found_list().filter(|_| self.config.names.is_some()) else { return known };
         if !known.is_empty() {
--- a/tests/client_retries.rs
+++ b/tests/client_retries.rs
@@ -52,8 +52,8 @@
             tokio::task::spawn_local(clickhouse::serve(stream, seat, desk.clone(), Rc::new(rules)));
         }
         client.write_all(bytes).await.expect("sent");
-        let Some(Event::RequestReceived(ask)) = events.recv().await else { panic!("a request") };
-        ask.asked
+        let Some(Event::RequestReceived(request)) = events.recv().await else { panic!("a request") };
+        request.details
     }))
 }
 
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -4,7 +4,9 @@
 
 use common::settings;
 use rstest::rstest;
-use starlingplank::core::{Answer, Ask, AttemptId, Core, Effect, End, Event, Listed, Statement};
+use starlingplank::core::{
+    Answer, AttemptEnd, AttemptId, ClientRequest, Core, Effect, Endpoint, Event, Statement,
+};
 use starlingplank::interface::*;
 use starlingplank::limits::Limits;
 use starlingplank::wire::Fields;
@@ -38,7 +40,7 @@
     }
 
     fn list(&mut self, serial: u64, engines: &[&str]) -> Vec<Effect> {
-        let live = |id: &&str| listed(id, Availability::Live);
+        let live = |id: &&str| endpoint(id, Availability::Live);
         self.step(Event::EndpointList(serial, engines.iter().map(live).collect()))
     }
 
@@ -55,12 +57,12 @@
             is_retry: false,
         };
         let statement = Rc::new(Statement { key: key.map(str::to_owned), ..Statement::default() });
-        self.step(Event::RequestReceived(Ask { asked, statement }))
+        self.step(Event::RequestReceived(ClientRequest { details: asked, statement }))
     }
 }
 
-fn listed(id: &str, availability: Availability) -> Listed {
-    Listed {
+fn endpoint(id: &str, availability: Availability) -> Endpoint {
+    Endpoint {
         member: Member {
             engine: EngineId(id.into()),
             zone: Some(ZoneId(0)),
@@ -86,13 +88,13 @@
     let mut bed = Bed::new(settings());
     bed.list(1, &["a", "b"]);
     let first = sent(&bed.take(1, None)).expect("sent");
-    let effects = bed.step(Event::AttemptEnded(first, End::plain(Outcome::ConnectFailed)));
+    let effects = bed.step(Event::AttemptEnded(first, AttemptEnd::plain(Outcome::ConnectFailed)));
     let second = sent(&effects).expect("sent again");
     assert_eq!(second, (first.0, 1));
-    assert!(answers(&bed.step(Event::AttemptEnded(first, End::plain(Outcome::Ok)))).is_empty());
-    assert_eq!(answers(&bed.step(Event::AttemptEnded(second, End::plain(Outcome::Ok)))).len(), 1);
+    assert!(answers(&bed.step(Event::AttemptEnded(first, AttemptEnd::plain(Outcome::Ok)))).is_empty());
+    assert_eq!(answers(&bed.step(Event::AttemptEnded(second, AttemptEnd::plain(Outcome::Ok)))).len(), 1);
     assert!(
-        answers(&bed.step(Event::AttemptEnded(second, End::plain(Outcome::Ok)))).is_empty(),
+        answers(&bed.step(Event::AttemptEnded(second, AttemptEnd::plain(Outcome::Ok)))).is_empty(),
         "a second answer"
     );
 }
@@ -153,7 +155,7 @@
     let mut bed = Bed::new(s);
     bed.list(1, &["a"]);
     let first = sent(&bed.take(1, Some("k"))).expect("sent");
-    bed.step(Event::AttemptEnded(first, End::plain(Outcome::Ok)));
+    bed.step(Event::AttemptEnded(first, AttemptEnd::plain(Outcome::Ok)));
     bed.now += 980.0;
     assert_eq!(sent(&bed.take(2, Some("k"))), None);
     assert!(sent(&bed.take(3, Some("other"))).is_some());
@@ -271,7 +273,7 @@
     first.list(1, &["a", "b"]);
     let send = sent(&first.take(1, None)).expect("sent");
     (0..60).for_each(|_| drop(first.step(Event::TimersDue)));
-    first.step(Event::AttemptEnded(send, End::plain(Outcome::Ok)));
+    first.step(Event::AttemptEnded(send, AttemptEnd::plain(Outcome::Ok)));
     let learned = first.core.learned(first.now);
     let snapshot = Snapshot::new("n0", &learned, &first.core.addresses());
     assert!(snapshot.engines.iter().any(|e| e.confirmed.is_some()), "{snapshot:?}");
@@ -493,8 +495,8 @@
 fn drains_that_a_former_address_told_bind_until_the_present_one_says_as_much() {
     let mut bed = Bed::new(settings());
     bed.list(1, &["a", "b"]);
-    let drains = |id| listed(id, Availability::Draining);
-    let live = |id| listed(id, Availability::Live);
+    let drains = |id| endpoint(id, Availability::Draining);
+    let live = |id| endpoint(id, Availability::Live);
     bed.list(1, &["a", "b"]);
     bed.step(Event::EndpointList(9, vec![drains("a"), live("b")]));
     bed.list(9, &["a", "b"]);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::settings;
-use starlingplank::core::{Ask, AttemptId, Core, Effect, End, Event, Listed, Statement};
+use starlingplank::core::{AttemptEnd, AttemptId, ClientRequest, Core, Effect, Endpoint, Event, Statement};
 use starlingplank::interface::*;
 use starlingplank::limits::Limits;
 use starlingplank::wire::Fields;
@@ -96,8 +96,8 @@
 }
 
 /// The list at the start, with the first engine draining, and with a new one that has just started.
-fn list(version: usize) -> Vec<Listed> {
-    let engine = |n: usize| Listed {
+fn list(version: usize) -> Vec<Endpoint> {
+    let engine = |n: usize| Endpoint {
         member: Member {
             engine: id(n),
             zone: Some(ZoneId(n % 2)),
@@ -144,7 +144,7 @@
             let util =
                 Some(LoadReport { util: Some((e.util * 20.0).round() / 20.0), ..LoadReport::default() });
             for ((g, life, attempt), work) in e.work(CORES * warmth) {
-                let end = End { work: Some(work), report: util, ..End::plain(Outcome::Ok) };
+                let end = AttemptEnd { work: Some(work), report: util, ..AttemptEnd::plain(Outcome::Ok) };
                 if gateways[g].life == life {
                     gateways[g].events.push(Event::AttemptEnded(attempt, end));
                     gateways[g].requests.entry(attempt.0).and_modify(|r| r.out -= 1);
@@ -182,9 +182,10 @@
                 next += 1;
                 gateway.taken.push(now);
                 gateway.requests.insert(asked.id, Taken { work, threads, deadline, out: 0, answered: 0 });
-                gateway
-                    .events
-                    .push(Event::RequestReceived(Ask { asked, statement: Rc::new(Statement::default()) }));
+                gateway.events.push(Event::RequestReceived(ClientRequest {
+                    details: asked,
+                    statement: Rc::new(Statement::default()),
+                }));
             }
             if gateway.events.is_empty() && gateway.core.next_due().is_none_or(|at| at > now) {
                 continue;
--- a/tests/idle.rs
+++ b/tests/idle.rs
@@ -4,7 +4,7 @@
 
 use common::settings;
 use rstest::rstest;
-use starlingplank::core::{Answer, Ask, Core, Effect, End, Event, Listed, Statement};
+use starlingplank::core::{Answer, AttemptEnd, ClientRequest, Core, Effect, Endpoint, Event, Statement};
 use starlingplank::interface::*;
 use starlingplank::limits::Limits;
 use starlingplank::wire::Fields;
@@ -115,8 +115,8 @@
                         data: None,
                         is_retry: false,
                     };
-                    self.step(Event::RequestReceived(Ask {
-                        asked,
+                    self.step(Event::RequestReceived(ClientRequest {
+                        details: asked,
                         statement: Rc::new(Statement::default()),
                     }));
                 }
@@ -126,7 +126,7 @@
                         .then(|| LoadReport { util: Some(self.rng.f64() * 0.2), ..LoadReport::default() });
                     self.step(Event::AttemptEnded(
                         (RequestId(id), attempt),
-                        End { report, ..End::plain(Outcome::Ok) },
+                        AttemptEnd { report, ..AttemptEnd::plain(Outcome::Ok) },
                     ));
                 }
                 Next::Probed(tag) => self.step(Event::HealthChecked(tag, true, None)),
@@ -163,7 +163,7 @@
         reports,
         clock: 0,
     };
-    let listed = |n: usize| Listed {
+    let endpoint = |n: usize| Endpoint {
         member: Member {
             engine: EngineId(format!("e-{n}").into()),
             zone: Some(ZoneId(0)),
@@ -174,7 +174,7 @@
         },
         address: "127.0.0.1:1".parse().expect("an address"),
     };
-    world.step(Event::EndpointList(1, (0..engines).map(listed).collect()));
+    world.step(Event::EndpointList(1, (0..engines).map(endpoint).collect()));
     (0..clients).for_each(|c| world.at(10_000, Next::Ask(c)));
     world.run();
     let all = queries + clients as u64;
--- a/tests/tenants.rs
+++ b/tests/tenants.rs
@@ -36,7 +36,7 @@
         let mut fields = vec![("verb", "short"), ("txn", "00000000000000a1"), ("limit", "1000")];
         fields.extend(team.map(|t| ("team", t)));
         client.write_all(&call(1, &fields, "select 1")).await.expect("sent");
-        let Some(Event::RequestReceived(ask)) = events.recv().await else { panic!("a request") };
-        assert_eq!(ask.asked.tenant, tenant);
+        let Some(Event::RequestReceived(request)) = events.recv().await else { panic!("a request") };
+        assert_eq!(request.details.tenant, tenant);
     }));
 }
