--- a/src/limits.rs
+++ b/src/limits.rs
@@ -25,7 +25,7 @@
     /// Bytes of a result that are held before any are passed on, or at most where it is passed on whole.
     pub result_bytes: usize,
     /// Bytes that wait for one reader; a client that lets more pile up is cut off.
-    pub outbox_bytes: usize,
+    pub write_queue_bytes: usize,
     /// Bytes of statements and results held in all.
     pub held_bytes: usize,
     /// Read from a socket at a time.
@@ -158,7 +158,7 @@
             message_bytes: 1 << 20,
             head_bytes: 16 << 10,
             result_bytes: 64 << 10,
-            outbox_bytes: 2 << 20,
+            write_queue_bytes: 2 << 20,
             held_bytes: (memory * 0.4) as usize,
             read_bytes: 16 << 10,
             gather: 64,
--- a/src/main.rs
+++ b/src/main.rs
@@ -5,7 +5,7 @@
 use starlingplank::config::{Config, ConfigError};
 use starlingplank::net::clock::Clock;
 use starlingplank::net::runtime::Signals;
-use starlingplank::net::{keep, log, runtime};
+use starlingplank::net::{log, persistence, runtime};
 use starlingplank_persistence::{recall, show};
 use std::error::Error;
 use std::io::Write;
@@ -106,7 +106,7 @@
             let rules = match operator {
                 Some(_) => {
                     let config = read(&Files { config: None, operator })?;
-                    config.knowledge.map(|k| keep::rules(&k, config.settings.overload_collapse_after))
+                    config.knowledge.map(|k| persistence::rules(&k, config.settings.overload_collapse_after))
                 }
                 None => None,
             };
--- a/src/net/operate.rs
+++ b/src/net/admin.rs
@@ -1,10 +1,10 @@
 //! The second address: where staff call. One call on each connection, answered beside the queue that requests wait in.
 
 use crate::limits::Limits;
-use crate::net::conn::{Common, Inbox, Retry};
+use crate::net::conn::{ReadBuffer, Retry, SharedState};
 use crate::net::http::{self, Length, Read};
 use crate::net::log;
-use crate::net::momentary::Backoff;
+use crate::net::transient_errors::Backoff;
 use starlingplank_admin::calls::{self, Call, Reply};
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -24,7 +24,7 @@
 pub async fn listen(
     listener: TcpListener,
     limits: Rc<Limits>,
-    common: Rc<Common>,
+    shared: Rc<SharedState>,
     calls: mpsc::Sender<Asked>,
     served: Rc<Cell<usize>>,
 ) {
@@ -54,10 +54,10 @@
             // Its descriptor is free before the next one is taken.
             let _ = caller.await;
         }
-        let (limits, common, calls) = (limits.clone(), common.clone(), calls.clone());
+        let (limits, shared, calls) = (limits.clone(), shared.clone(), calls.clone());
         let one = One::of(&served);
         callers.push_back(tokio::task::spawn_local(async move {
-            serve(stream, limits, common, calls).await;
+            serve(stream, limits, shared, calls).await;
             drop(one);
         }));
     }
@@ -79,10 +79,15 @@
     }
 }
 
-async fn serve(mut stream: TcpStream, limits: Rc<Limits>, common: Rc<Common>, calls: mpsc::Sender<Asked>) {
-    let mut inbox = Inbox::new(common);
+async fn serve(
+    mut stream: TcpStream,
+    limits: Rc<Limits>,
+    shared: Rc<SharedState>,
+    calls: mpsc::Sender<Asked>,
+) {
+    let mut read_buffer = ReadBuffer::new(shared);
     let until = Instant::now() + limits.call_whole;
-    let read = match timeout_at(until, read(&stream, &mut inbox, &limits)).await {
+    let read = match timeout_at(until, read(&stream, &mut read_buffer, &limits)).await {
         Ok(None) => return,
         Ok(Some(read)) => read,
         Err(_) => Err(Reply::line(408, "the call did not come whole in time")),
@@ -112,9 +117,9 @@
     // What still comes of a call that was turned away is read and dropped: closed with bytes unread, the connection
     // would be reset, and the answer perhaps never read.
     let rest = async {
-        inbox.used(inbox.unread().len());
-        while matches!(inbox.fill(&stream, &limits).await, Ok(true)) {
-            inbox.used(inbox.unread().len());
+        read_buffer.used(read_buffer.unread().len());
+        while matches!(read_buffer.fill(&stream, &limits).await, Ok(true)) {
+            read_buffer.used(read_buffer.unread().len());
         }
     };
     let _ = timeout(limits.call_rest, rest).await;
@@ -134,10 +139,14 @@
 }
 
 /// Reads one call. None: the caller has gone.
-async fn read(stream: &TcpStream, inbox: &mut Inbox, limits: &Limits) -> Option<Result<Call, Reply>> {
+async fn read(
+    stream: &TcpStream,
+    read_buffer: &mut ReadBuffer,
+    limits: &Limits,
+) -> Option<Result<Call, Reply>> {
     let bad = |status, text: &str| Some(Err(Reply::line(status, text)));
     loop {
-        match http::read_head(inbox.unread()) {
+        match http::read_head(read_buffer.unread()) {
             Read::Done(head, used) => {
                 if !matches!(head.third, "HTTP/1.1" | "HTTP/1.0") {
                     return bad(400, "the version must be HTTP/1.1");
@@ -156,17 +165,17 @@
                         wrong.unwrap_or_else(|| Reply::line(413, "the body is longer than any id"))
                     ));
                 }
-                if let Some(body) = inbox.unread().get(used..used + length) {
+                if let Some(body) = read_buffer.unread().get(used..used + length) {
                     return Some(call(body));
                 }
             }
             Read::Bad => return bad(400, "the call cannot be read as HTTP/1.1"),
-            Read::More if inbox.unread().len() > limits.head_bytes => {
+            Read::More if read_buffer.unread().len() > limits.head_bytes => {
                 return bad(431, "the head of the call is too long");
             }
             Read::More => {}
         }
-        if !matches!(inbox.fill(stream, limits).await, Ok(true)) {
+        if !matches!(read_buffer.fill(stream, limits).await, Ok(true)) {
             return None;
         }
     }
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -22,7 +22,7 @@
 
 /// What all connections have in common.
 #[derive(Debug)]
-pub struct Common {
+pub struct SharedState {
     /// Bytes read and not yet used, and bytes that wait to be written.
     pub held: Cell<usize>,
     /// What has been written to whom.
@@ -36,7 +36,7 @@
     started: Instant,
 }
 
-impl Common {
+impl SharedState {
     /// Nothing is held, and this process is the only one.
     pub fn new(classes: usize) -> Rc<Self> {
         Self::with_retry_budget(classes, None)
@@ -85,12 +85,12 @@
 
 /// What waits for one reader. Its bytes count towards its own limit and towards a sum over all connections.
 #[derive(Debug)]
-pub struct Outbox {
+pub struct WriteQueue {
     frames: RefCell<VecDeque<Frame>>,
     /// Of the first frame, what has left.
     begun: Cell<usize>,
     bytes: Cell<usize>,
-    common: Rc<Common>,
+    shared: Rc<SharedState>,
     closing: Cell<Option<Close>>,
     wake: Notify,
     drained: Notify,
@@ -133,7 +133,7 @@
 /// The one way in which this side ends a connection. What waits is written, the peer is told that nothing more comes, and
 /// what it still says is read and dropped until it closes as well: closed over bytes that nobody has read, the connection
 /// would be reset, and what was written might never be read. A peer that goes on for too long, or says too much, is cut off.
-pub async fn finish(mut stream: TcpStream, out: &Outbox, limits: &Limits) {
+pub async fn finish(mut stream: TcpStream, out: &WriteQueue, limits: &Limits) {
     let within = match out.closing.get() {
         // Another client waits for the room.
         Some(Close::Now) => limits.front_grace,
@@ -160,15 +160,15 @@
     let _: Result<io::Result<()>, _> = timeout(within, end).await;
 }
 
-impl Outbox {
+impl WriteQueue {
     /// Nothing waits.
-    pub fn new(common: Rc<Common>) -> Self {
+    pub fn new(shared: Rc<SharedState>) -> Self {
         let (frames, begun, bytes) = Default::default();
         Self {
             frames,
             begun,
             bytes,
-            common,
+            shared,
             closing: Cell::new(None),
             wake: Notify::new(),
             drained: Notify::new(),
@@ -179,8 +179,8 @@
     }
 
     /// What all connections have in common.
-    pub fn common(&self) -> Rc<Common> {
-        self.common.clone()
+    pub fn shared(&self) -> Rc<SharedState> {
+        self.shared.clone()
     }
 
     /// Bytes that wait.
@@ -190,7 +190,7 @@
 
     fn count(&self, more: usize, less: usize) {
         self.bytes.set(self.bytes.get() + more - less);
-        self.common.held.set(self.common.held.get() + more - less);
+        self.shared.held.set(self.shared.held.get() + more - less);
     }
 
     /// Adds a message. A reader who lets too much pile up is cut off: it stalls nobody else.
@@ -199,8 +199,8 @@
             return;
         }
         let len = frame.len();
-        let most = self.common.part(limits.held_bytes);
-        if self.bytes.get() + len > limits.outbox_bytes || self.common.held.get() + len > most {
+        let most = self.shared.part(limits.held_bytes);
+        if self.bytes.get() + len > limits.write_queue_bytes || self.shared.held.get() + len > most {
             log::seldom("a connection was closed: its reader is too slow");
             return self.close(Close::Now);
         }
@@ -275,7 +275,7 @@
     fn admit(&self, at: usize) -> Result<(), SendRefusal> {
         let mut frames = self.frames.borrow_mut();
         let Some(frame) = frames.get_mut(at) else { return Ok(()) };
-        frame.may_leave(|| self.common.take_from_retry_budget())?;
+        frame.may_leave(|| self.shared.take_from_retry_budget())?;
         let before = frame.len();
         frame.refresh();
         let after = frame.len();
@@ -287,7 +287,7 @@
     fn take_back(&self, at: usize, refusal: SendRefusal) {
         let Some(frame) = self.frames.borrow_mut().remove(at) else { return };
         self.count(0, frame.len());
-        self.common.rules.count(refusal);
+        self.shared.rules.count(refusal);
         if let Some((request, number)) = frame.attempt {
             tracing::debug!("attempt {}.{number} is not written: {}", request.0, refusal.name());
         }
@@ -315,7 +315,7 @@
         while let Some(len) = frames.front().map(Frame::len).filter(|len| *len <= written) {
             written -= len;
             let tally = frames.pop_front().and_then(|f| f.tally);
-            tally.into_iter().for_each(|t| self.common.figures.add(t));
+            tally.into_iter().for_each(|t| self.shared.figures.add(t));
         }
         self.begun.set(written);
         drop(frames);
@@ -369,7 +369,7 @@
     }
 }
 
-impl FlowControl for Outbox {
+impl FlowControl for WriteQueue {
     fn room(&self, bytes: usize) -> Pin<Box<dyn Future<Output = ()> + '_>> {
         Box::pin(async move {
             while self.bytes.get() > bytes && self.closing.get().is_none() {
@@ -379,30 +379,30 @@
     }
 }
 
-impl Drop for Outbox {
+impl Drop for WriteQueue {
     fn drop(&mut self) {
-        self.common.held.set(self.common.held.get() - self.bytes.get());
+        self.shared.held.set(self.shared.held.get() - self.bytes.get());
     }
 }
 
 /// What was read and not yet used. It grows only as bytes arrive.
 #[derive(Debug)]
-pub struct Inbox {
+pub struct ReadBuffer {
     bytes: Vec<u8>,
     from: usize,
     /// What of it is counted in the sum over all connections.
     counted: usize,
-    common: Rc<Common>,
+    shared: Rc<SharedState>,
     /// When the first of the bytes not yet used came.
     since: Option<Instant>,
     /// When the last bytes came.
     filled: Instant,
 }
 
-impl Inbox {
+impl ReadBuffer {
     /// Nothing was read.
-    pub fn new(common: Rc<Common>) -> Self {
-        Self { bytes: Vec::new(), from: 0, counted: 0, common, since: None, filled: Instant::now() }
+    pub fn new(shared: Rc<SharedState>) -> Self {
+        Self { bytes: Vec::new(), from: 0, counted: 0, shared, since: None, filled: Instant::now() }
     }
 
     /// Since when a message has been incomplete.
@@ -444,8 +444,8 @@
                     self.filled = Instant::now();
                     self.since = self.since.or(Some(self.filled));
                     // Many long messages at once must not take the memory of all: the long ones go first.
-                    let most = self.common.part(limits.held_bytes);
-                    if self.common.held.get() > most && self.counted > 4 * limits.read_bytes {
+                    let most = self.shared.part(limits.held_bytes);
+                    if self.shared.held.get() > most && self.counted > 4 * limits.read_bytes {
                         return Err(io::ErrorKind::OutOfMemory.into());
                     }
                     return Ok(n > 0);
@@ -458,13 +458,13 @@
 
     fn count(&mut self) {
         let now = self.bytes.capacity();
-        self.common.held.set(self.common.held.get() + now - self.counted);
+        self.shared.held.set(self.shared.held.get() + now - self.counted);
         self.counted = now;
     }
 }
 
-impl Drop for Inbox {
+impl Drop for ReadBuffer {
     fn drop(&mut self) {
-        self.common.held.set(self.common.held.get() - self.counted);
+        self.shared.held.set(self.shared.held.get() - self.counted);
     }
 }
--- a/src/net/engine/clickhouse.rs
+++ b/src/net/engine/clickhouse.rs
@@ -4,7 +4,7 @@
 use crate::core::{AttemptEnd, AttemptId, EngineError, Event, FlowControl, ResultRows, Send};
 use crate::interface::{EngineId, Milliseconds, Outcome};
 use crate::limits::Limits;
-use crate::net::conn::{Close, Common, Inbox, Outbox};
+use crate::net::conn::{Close, ReadBuffer, SharedState, WriteQueue};
 use crate::net::engine::connect::{connect, ConnectError};
 use crate::net::engine::Engines;
 use crate::net::frame::{Frame, Part};
@@ -36,7 +36,7 @@
 
 struct Conn {
     address: SocketAddr,
-    out: Outbox,
+    out: WriteQueue,
     job: RefCell<Option<Job>>,
     wake: Notify,
     dead: Cell<bool>,
@@ -58,14 +58,14 @@
 pub struct HttpEngines {
     pools: BTreeMap<EngineId, Vec<Rc<Conn>>>,
     limits: Rc<Limits>,
-    common: Rc<Common>,
+    shared: Rc<SharedState>,
     events: Sender<Event>,
 }
 
 impl HttpEngines {
     /// No connection yet.
-    pub fn new(limits: Rc<Limits>, common: Rc<Common>, events: Sender<Event>) -> Self {
-        Self { pools: BTreeMap::new(), limits, common, events }
+    pub fn new(limits: Rc<Limits>, shared: Rc<SharedState>, events: Sender<Event>) -> Self {
+        Self { pools: BTreeMap::new(), limits, shared, events }
     }
 
     fn start(&mut self, engine: &EngineId, address: SocketAddr, job: Job, frame: Frame) -> bool {
@@ -74,14 +74,14 @@
         let free = pool.iter().filter(|c| c.free()).max_by_key(|c| c.used.get()).cloned();
         let open = |p: &Vec<Rc<Conn>>| p.iter().filter(|c| !c.dead.get()).count();
         if free.is_none()
-            && self.pools.values().map(open).sum::<usize>() >= self.common.part(self.limits.engine_conns)
+            && self.pools.values().map(open).sum::<usize>() >= self.shared.part(self.limits.engine_conns)
         {
             return false;
         }
         let conn = free.unwrap_or_else(|| {
             let conn = Rc::new(Conn {
                 address,
-                out: Outbox::new(self.common.clone()),
+                out: WriteQueue::new(self.shared.clone()),
                 job: RefCell::default(),
                 wake: Notify::new(),
                 dead: Cell::new(false),
@@ -272,16 +272,16 @@
 
 /// Reads answers until the connection is of no more use. None ends it.
 async fn read(conn: &Conn, stream: &TcpStream, limits: &Limits, events: &Sender<Event>) -> Option<()> {
-    let mut inbox = Inbox::new(conn.out.common());
+    let mut read_buffer = ReadBuffer::new(conn.out.shared());
     loop {
         while conn.job.borrow().is_none() {
             tokio::select! {
                 () = conn.wake.notified() => {}
                 // The engine closed an idle connection, or says what nobody asked.
-                _ = inbox.fill(stream, limits) => return None,
+                _ = read_buffer.fill(stream, limits) => return None,
             }
         }
-        let keep = answer(conn, &mut inbox, stream, limits, events).await?;
+        let keep = answer(conn, &mut read_buffer, stream, limits, events).await?;
         conn.used.set(Instant::now());
         if !keep {
             return None;
@@ -289,21 +289,21 @@
     }
 }
 
-async fn fill(inbox: &mut Inbox, stream: &TcpStream, limits: &Limits) -> Option<()> {
-    inbox.fill(stream, limits).await.ok().filter(|more| *more).map(|_| ())
+async fn fill(read_buffer: &mut ReadBuffer, stream: &TcpStream, limits: &Limits) -> Option<()> {
+    read_buffer.fill(stream, limits).await.ok().filter(|more| *more).map(|_| ())
 }
 
 /// Reads one answer and tells what became of the attempt. The job is looked up anew each time: an attempt may
 /// be given up at any point.
 async fn answer(
     conn: &Conn,
-    inbox: &mut Inbox,
+    read_buffer: &mut ReadBuffer,
     stream: &TcpStream,
     limits: &Limits,
     events: &Sender<Event>,
 ) -> Option<bool> {
     let (status, headers, length, keep) = loop {
-        match http::read_head(inbox.unread()) {
+        match http::read_head(read_buffer.unread()) {
             Read::Done(head, used) => {
                 let status = http::status(&head)?;
                 let own = |n: &str| n.len() > 13 && n[..13].eq_ignore_ascii_case("x-clickhouse-");
@@ -311,14 +311,14 @@
                     head.headers.iter().filter(|(n, _)| own(n) || n.eq_ignore_ascii_case("content-type"));
                 let headers: Vec<_> = kept.map(|(n, v)| ((*n).to_owned(), (*v).to_owned())).collect();
                 let all = (status, headers, head.body(Length::Stream)?, head.keeps(head.first));
-                inbox.used(used);
+                read_buffer.used(used);
                 if status != 100 {
                     break all;
                 }
             }
             Read::Bad => return None,
-            Read::More if inbox.unread().len() > limits.head_bytes => return None,
-            Read::More => fill(inbox, stream, limits).await?,
+            Read::More if read_buffer.unread().len() > limits.head_bytes => return None,
+            Read::More => fill(read_buffer, stream, limits).await?,
         }
     };
     let mut rows = ResultRows { parts: Vec::new(), headers };
@@ -327,24 +327,24 @@
         let part = match left {
             Length::Bytes(0) => break,
             Length::Bytes(n) => {
-                let part = inbox.unread()[..inbox.unread().len().min(n)].to_vec();
-                inbox.used(part.len());
+                let part = read_buffer.unread()[..read_buffer.unread().len().min(n)].to_vec();
+                read_buffer.used(part.len());
                 left = Length::Bytes(n - part.len());
                 part
             }
             Length::Stream => {
-                let part = inbox.unread().to_vec();
-                inbox.used(part.len());
+                let part = read_buffer.unread().to_vec();
+                read_buffer.used(part.len());
                 part
             }
-            Length::Chunked => match http::read_chunk(inbox.unread(), 4 * limits.message_bytes) {
+            Length::Chunked => match http::read_chunk(read_buffer.unread(), 4 * limits.message_bytes) {
                 Read::Done([], used) => {
-                    inbox.used(used);
+                    read_buffer.used(used);
                     break;
                 }
                 Read::Done(chunk, used) => {
                     let part = chunk.to_vec();
-                    inbox.used(used);
+                    read_buffer.used(used);
                     part
                 }
                 Read::Bad => return None,
@@ -352,7 +352,7 @@
             },
         };
         if part.is_empty() {
-            match fill(inbox, stream, limits).await {
+            match fill(read_buffer, stream, limits).await {
                 Some(()) => continue,
                 // Without a length, the end of the stream is the end of the body, whole or not.
                 None if left == Length::Stream && status != 200 => break,
--- a/src/net/engine/connect.rs
+++ b/src/net/engine/connect.rs
@@ -2,7 +2,7 @@
 
 use crate::interface::Outcome;
 use crate::limits::Limits;
-use crate::net::momentary::{self, Backoff};
+use crate::net::transient_errors::{self, Backoff};
 use std::io;
 use std::net::SocketAddr;
 use thiserror::Error;
@@ -46,7 +46,7 @@
     loop {
         match timeout_at(until, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => return Ok(stream),
-            Ok(Err(e)) if !momentary::is_local(&e) => return Err(ConnectError::Refused(e)),
+            Ok(Err(e)) if !transient_errors::is_local(&e) => return Err(ConnectError::Refused(e)),
             Ok(Err(e)) => {
                 let wait = backoff.wait();
                 if Instant::now() + wait >= until {
--- a/src/net/engine/connection.rs
+++ b/src/net/engine/connection.rs
@@ -3,7 +3,7 @@
 use crate::core::{AttemptEnd, AttemptId, Event};
 use crate::interface::Outcome;
 use crate::limits::Limits;
-use crate::net::conn::{Common, Outbox};
+use crate::net::conn::{SharedState, WriteQueue};
 use crate::net::engine::resp;
 use crate::net::engine::results::PartialResult;
 use std::cell::{Cell, RefCell};
@@ -41,7 +41,7 @@
     /// The address that it was opened to.
     pub address: SocketAddr,
     /// Its write queue.
-    pub outbox: Outbox,
+    pub write_queue: WriteQueue,
     /// When it was established; none: it is being opened.
     pub connected_at: Cell<Option<Instant>>,
     /// It has ended; the pool forgets it at the next maintenance tick.
@@ -63,10 +63,10 @@
 
 impl Connection {
     /// A connection that is about to be opened.
-    pub fn new(address: SocketAddr, common: Rc<Common>) -> Self {
+    pub fn new(address: SocketAddr, shared: Rc<SharedState>) -> Self {
         Self {
             address,
-            outbox: Outbox::new(common),
+            write_queue: WriteQueue::new(shared),
             connected_at: Cell::new(None),
             closed: Cell::new(false),
             retired: Cell::new(false),
@@ -87,7 +87,7 @@
     pub fn accepts(&self, limits: &Limits, name: &str) -> bool {
         !self.closed.get()
             && !self.retired.get()
-            && !self.outbox.closing()
+            && !self.write_queue.closing()
             && self.in_flight_count() < limits.streams
             && !self.in_flight.borrow().contains_key(name)
             && !self.retired_ids.borrow().contains(name)
@@ -126,8 +126,8 @@
 
     /// Withdraws the attempts none of whose bytes has left, and returns their ids.
     pub fn withdraw_unsent(&self) -> Vec<AttemptId> {
-        let mut withdrawn = self.outbox.unsent();
-        withdrawn.retain(|id| self.outbox.withdraw(*id));
+        let mut withdrawn = self.write_queue.unsent();
+        withdrawn.retain(|id| self.write_queue.withdraw(*id));
         withdrawn.iter().for_each(|id| self.remove_attempt(*id));
         withdrawn
     }
@@ -136,7 +136,7 @@
     pub fn end_stalled_results(&self, limits: &Limits, events: &mut Vec<Event>) {
         for name in self.stalled_names(limits) {
             let Some(attempt) = self.end_attempt(&name) else { continue };
-            self.outbox.push(resp::command(&["shut", &name]), limits);
+            self.write_queue.push(resp::command(&["shut", &name]), limits);
             self.retire_id(name, limits);
             events.push(Event::AttemptEnded(attempt.id, AttemptEnd::plain(Outcome::Error)));
         }
--- a/src/net/engine/driver.rs
+++ b/src/net/engine/driver.rs
@@ -3,7 +3,7 @@
 use crate::core::{AttemptEnd, AttemptId, Event};
 use crate::interface::Outcome;
 use crate::limits::Limits;
-use crate::net::conn::{Close, Inbox};
+use crate::net::conn::{Close, ReadBuffer};
 use crate::net::engine::connect::{connect, ConnectError};
 use crate::net::engine::connection::Connection;
 use crate::net::engine::replies::{handle_reply, ReplyEffect};
@@ -27,8 +27,8 @@
     }
     let never_up = stream.as_ref().err().map(ConnectError::outcome);
     connection.closed.set(true);
-    let unsent = connection.outbox.unsent();
-    connection.outbox.close(Close::Now);
+    let unsent = connection.write_queue.unsent();
+    connection.write_queue.close(Close::Now);
     report_ended_attempts(&connection, never_up, &unsent, &events).await;
     report_failed_probes(&connection, &events).await;
 }
@@ -39,7 +39,7 @@
     tracing::trace!("connection to {} is up", connection.address);
     let _ = stream.set_nodelay(true);
     tokio::select! {
-        written = connection.outbox.write_all(stream, limits) => drop(written),
+        written = connection.write_queue.write_all(stream, limits) => drop(written),
         () = read_replies(connection, stream, limits, events) => {}
         () = report_overdue(connection, events) => {}
     }
@@ -48,7 +48,7 @@
 /// Reports attempts that could not leave in time.
 async fn report_overdue(connection: &Connection, events: &Sender<Event>) {
     loop {
-        let id = connection.outbox.overdue().await;
+        let id = connection.write_queue.overdue().await;
         // It stays in flight until it is reported: if the connection ends meanwhile, its end is reported with it.
         let _ = events.send(Event::AttemptEnded(id, AttemptEnd::plain(Outcome::NotExecuted))).await;
         connection.remove_attempt(id);
@@ -57,12 +57,12 @@
 
 /// Reads until the engine closes the connection, or sends what cannot be used.
 async fn read_replies(connection: &Connection, stream: &TcpStream, limits: &Limits, events: &Sender<Event>) {
-    let mut inbox = Inbox::new(connection.outbox.common());
+    let mut read_buffer = ReadBuffer::new(connection.write_queue.shared());
     loop {
-        if handle_buffered_replies(connection, &mut inbox, limits, events).await.is_break() {
+        if handle_buffered_replies(connection, &mut read_buffer, limits, events).await.is_break() {
             return;
         }
-        if receive(connection, &mut inbox, stream, limits).await.is_break() {
+        if receive(connection, &mut read_buffer, stream, limits).await.is_break() {
             return;
         }
     }
@@ -71,7 +71,7 @@
 /// Handles all whole replies in the read buffer. Break: the connection is to be closed.
 async fn handle_buffered_replies(
     connection: &Connection,
-    inbox: &mut Inbox,
+    read_buffer: &mut ReadBuffer,
     limits: &Limits,
     events: &Sender<Event>,
 ) -> ControlFlow<()> {
@@ -79,12 +79,12 @@
     loop {
         // The place of its event is there before a reply changes anything: this future may be dropped while it waits.
         let Ok(place) = events.reserve().await else { return ControlFlow::Break(()) };
-        let (effect, used) = match resp::read(inbox.unread(), limits.result_bytes) {
+        let (effect, used) = match resp::read(read_buffer.unread(), limits.result_bytes) {
             Read::Reply(reply, used) => (handle_reply(connection, &reply, limits), used),
-            Read::More if inbox.unread().len() <= longest => return ControlFlow::Continue(()),
+            Read::More if read_buffer.unread().len() <= longest => return ControlFlow::Continue(()),
             Read::More | Read::Bad => (ReplyEffect::ProtocolError, 0),
         };
-        inbox.used(used);
+        read_buffer.used(used);
         match effect {
             ReplyEffect::Ignored => {}
             ReplyEffect::Event(event) => place.send(event),
@@ -100,13 +100,13 @@
 /// Waits for more bytes; not for ever where a reply is incomplete. Break: the connection is to be closed.
 async fn receive(
     connection: &Connection,
-    inbox: &mut Inbox,
+    read_buffer: &mut ReadBuffer,
     stream: &TcpStream,
     limits: &Limits,
 ) -> ControlFlow<()> {
-    let complete_by = inbox.since().map(|since| since + limits.engine_silent);
+    let complete_by = read_buffer.since().map(|since| since + limits.engine_silent);
     tokio::select! {
-        filled = inbox.fill(stream, limits) => {
+        filled = read_buffer.fill(stream, limits) => {
             if !matches!(filled, Ok(true)) {
                 return ControlFlow::Break(());
             }
--- a/src/net/engine/pool.rs
+++ b/src/net/engine/pool.rs
@@ -4,7 +4,7 @@
 use crate::core::{AttemptEnd, AttemptId, Event, Send};
 use crate::interface::{EngineId, Outcome};
 use crate::limits::Limits;
-use crate::net::conn::{Close, Common};
+use crate::net::conn::{Close, SharedState};
 use crate::net::engine::connection::{Connection, InFlight};
 use crate::net::engine::{driver, resp, Engines};
 use crate::net::log;
@@ -26,14 +26,14 @@
     pools: BTreeMap<EngineId, Vec<Rc<Connection>>>,
     placements: HashMap<AttemptId, Placement>,
     limits: Rc<Limits>,
-    common: Rc<Common>,
+    shared: Rc<SharedState>,
     events: Sender<Event>,
 }
 
 impl RespEngines {
     /// Pools without a connection.
-    pub fn new(limits: Rc<Limits>, common: Rc<Common>, events: Sender<Event>) -> Self {
-        Self { pools: BTreeMap::new(), placements: HashMap::new(), limits, common, events }
+    pub fn new(limits: Rc<Limits>, shared: Rc<SharedState>, events: Sender<Event>) -> Self {
+        Self { pools: BTreeMap::new(), placements: HashMap::new(), limits, shared, events }
     }
 
     /// The connection for an attempt of that name: the least loaded one, or a new one if all are busy and the limits
@@ -83,7 +83,7 @@
 
     /// Connections that this process may have open at once.
     fn most_connections(&self) -> usize {
-        self.common.part(self.limits.engine_conns)
+        self.shared.part(self.limits.engine_conns)
     }
 
     fn open_connections(&self) -> usize {
@@ -91,7 +91,7 @@
     }
 
     fn open_connection(&mut self, engine: &EngineId, address: SocketAddr) -> Rc<Connection> {
-        let connection = Rc::new(Connection::new(address, self.common.clone()));
+        let connection = Rc::new(Connection::new(address, self.shared.clone()));
         self.pools.entry(engine.clone()).or_default().push(connection.clone());
         let run = driver::run(connection.clone(), self.limits.clone(), self.events.clone());
         tokio::task::spawn_local(run);
@@ -104,7 +104,7 @@
         for connection in connections.filter(|connection| !connection.closed.get() && connection.is_idle()) {
             if connection.retired.get() || connection.last_used.get().elapsed() >= self.limits.idle {
                 connection.retired.set(true);
-                connection.outbox.close(Close::AfterWrite);
+                connection.write_queue.close(Close::AfterWrite);
             }
         }
     }
@@ -135,7 +135,7 @@
         connection.last_used.set(Instant::now());
         connection.in_flight.borrow_mut().insert(name.clone(), InFlight::new(send.id));
         let id = send.id;
-        connection.outbox.push(resp::want_command(send), &self.limits);
+        connection.write_queue.push(resp::want_command(send), &self.limits);
         self.placements.insert(id, Placement { connection, name });
     }
 
@@ -145,7 +145,7 @@
             return;
         }
         let Some(attempt) = connection.end_attempt(&name) else { return };
-        if connection.outbox.withdraw(id) {
+        if connection.write_queue.withdraw(id) {
             return;
         }
         // An attempt that is out of time has waited long enough, however short its time was. Any other proves the
@@ -153,7 +153,7 @@
         let silence = if out_of_time { Duration::ZERO } else { self.limits.engine_silent };
         connection.retire_if_silent(attempt.sent_at, silence);
         let word = if attempt.result.is_some() { "shut" } else { "never_mind" };
-        connection.outbox.push(resp::command(&[word, &name]), &self.limits);
+        connection.write_queue.push(resp::command(&[word, &name]), &self.limits);
         connection.retire_id(name, &self.limits);
     }
 
@@ -165,7 +165,7 @@
             .get(name)
             .is_some_and(|attempt| attempt.id == id && attempt.result.is_none());
         if is_running {
-            connection.outbox.push(resp::command(&["hurry", name, &priority.to_string()]), &self.limits);
+            connection.write_queue.push(resp::command(&["hurry", name, &priority.to_string()]), &self.limits);
         }
     }
 
@@ -174,7 +174,7 @@
             return events.push(Event::HealthChecked(tag, false, None));
         };
         connection.probes.borrow_mut().insert(tag, Instant::now());
-        connection.outbox.push(resp::command(&["busy", &format!("p{tag}")]), &self.limits);
+        connection.write_queue.push(resp::command(&["busy", &format!("p{tag}")]), &self.limits);
     }
 
     fn shut(&mut self, engine: &EngineId, events: &mut Vec<Event>) {
--- a/src/net/engine/results.rs
+++ b/src/net/engine/results.rs
@@ -102,7 +102,7 @@
 /// Asks for all pages after the first.
 fn request_further_pages(connection: &Connection, name: &str, count: usize, limits: &Limits) {
     for page in 1..count {
-        connection.outbox.push(resp::command(&["turn", name, &page.to_string()]), limits);
+        connection.write_queue.push(resp::command(&["turn", name, &page.to_string()]), limits);
     }
 }
 
@@ -112,7 +112,7 @@
         return ReplyEffect::Ignored;
     };
     if result.pages.len() > 1 {
-        connection.outbox.push(resp::command(&["shut", name]), limits);
+        connection.write_queue.push(resp::command(&["shut", name]), limits);
     }
     ReplyEffect::Event(Event::AttemptEnded(id, result.into_end()))
 }
--- a/src/net/front/clickhouse.rs
+++ b/src/net/front/clickhouse.rs
@@ -4,10 +4,10 @@
 use crate::core::{Answer, EngineError, FlowControl, ResultRows, Statement};
 use crate::interface::{ClassId, Idempotency, RequestId};
 use crate::limits::Limits;
-use crate::net::conn::{finish, Close, Inbox};
+use crate::net::conn::{finish, Close, ReadBuffer};
 use crate::net::frame::Frame;
 use crate::net::front::rules::ClassRules;
-use crate::net::front::{count_of, Asked, Client, Desk, Seat};
+use crate::net::front::{count_of, Asked, Client, ClientConnection, FrontendState};
 use crate::net::http::{self, Head, Length, Read};
 use crate::net::log;
 use sha2::{Digest, Sha256};
@@ -34,7 +34,7 @@
 const LOOK: Duration = Duration::from_millis(25);
 
 struct Session {
-    seat: Rc<Seat>,
+    connection: Rc<ClientConnection>,
     limits: Rc<Limits>,
     answered: Notify,
     /// Cleared by an answer that can not be followed by another.
@@ -75,7 +75,7 @@
             None => "Transfer-Encoding: chunked\r\n".to_owned(),
         };
         // The next request is for the process that takes over.
-        if self.seat.leaving() {
+        if self.connection.ends_after_answer() {
             self.keep.set(false);
         }
         out += if self.keep.get() { "Connection: Keep-Alive\r\n\r\n" } else { "Connection: Close\r\n\r\n" };
@@ -85,7 +85,7 @@
     fn say(&self, status: u16, headers: &[(&str, &str)], body: Vec<Vec<u8>>) {
         let head = self.head(status, headers, Some(body.iter().map(Vec::len).sum()));
         let frame = Frame::of(std::iter::once(head).chain(body).collect());
-        self.seat.say(Frame { tally: self.tally.take(), ..frame }, &self.limits);
+        self.connection.say(Frame { tally: self.tally.take(), ..frame }, &self.limits);
     }
 
     fn fail(&self, (status, code, name): (u16, u32, &str), what: &str, more: &[(&str, &str)]) {
@@ -111,14 +111,14 @@
 impl Client for Caller {
     fn begin(&self, rows: ResultRows) {
         let head = self.session.head(200, &self.headers(&rows), None);
-        self.session.seat.say(Frame::plain(head), &self.session.limits);
+        self.session.connection.say(Frame::plain(head), &self.session.limits);
         rows.parts.into_iter().for_each(|part| self.part(part));
     }
 
     fn part(&self, bytes: Vec<u8>) {
         if !bytes.is_empty() {
             let parts = vec![format!("{:x}\r\n", bytes.len()).into_bytes(), bytes, b"\r\n".to_vec()];
-            self.session.seat.say(Frame::of(parts), &self.session.limits);
+            self.session.connection.say(Frame::of(parts), &self.session.limits);
         }
     }
 
@@ -129,11 +129,13 @@
         let id = ("X-ClickHouse-Query-Id", &*self.name);
         match answer {
             Answer::Served(rows) => s.say(200, &self.headers(&rows), rows.parts.clone()),
-            Answer::Finished => s.seat.say(Frame::plain(b"0\r\n\r\n".to_vec()).counted(tally), &s.limits),
+            Answer::Finished => {
+                s.connection.say(Frame::plain(b"0\r\n\r\n".to_vec()).counted(tally), &s.limits)
+            }
             // No last chunk: the client sees that the result is not whole.
             Answer::Cut => {
                 s.keep.set(false);
-                s.seat.out.common().figures.add(tally);
+                s.connection.out.shared().figures.add(tally);
             }
             Answer::Rejected(later) => {
                 // The header has whole seconds alone. Where the deployment gives no advice there is none.
@@ -151,17 +153,22 @@
             }
         }
         s.tally.set(None);
-        s.seat.ended();
+        s.connection.ended();
         s.answered.notify_one();
     }
 }
 
 /// Serves one client, one request after the other, until the connection ends.
-pub async fn serve(stream: TcpStream, seat: Rc<Seat>, desk: Rc<Desk>, rules: Rc<ClassRules>) {
+pub async fn serve(
+    stream: TcpStream,
+    connection: Rc<ClientConnection>,
+    frontend: Rc<FrontendState>,
+    rules: Rc<ClassRules>,
+) {
     let _ = stream.set_nodelay(true);
-    let limits = desk.limits.clone();
+    let limits = frontend.limits.clone();
     let session = Rc::new(Session {
-        seat: seat.clone(),
+        connection: connection.clone(),
         limits: limits.clone(),
         answered: Notify::new(),
         keep: Cell::new(true),
@@ -169,42 +176,44 @@
     });
     let open = Cell::new(None);
     let gone = tokio::select! {
-        written = seat.out.write_all(&stream, &limits) => written.is_err(),
-        () = read(&stream, &session, &desk, &rules, &open) => seat.gone(),
+        written = connection.out.write_all(&stream, &limits) => written.is_err(),
+        () = read(&stream, &session, &frontend, &rules, &open) => connection.gone(),
     };
     // A client that left is waited for no longer, also in the middle of its result.
     if let Some(id) = open.take() {
-        desk.leave(id).await;
+        frontend.leave(id).await;
     }
     match gone {
-        true => seat.out.close(Close::Now),
-        false => finish(stream, &seat.out, &limits).await,
+        true => connection.out.close(Close::Now),
+        false => finish(stream, &connection.out, &limits).await,
     }
 }
 
 async fn read(
     stream: &TcpStream,
     session: &Rc<Session>,
-    desk: &Rc<Desk>,
+    frontend: &Rc<FrontendState>,
     rules: &ClassRules,
     open: &Cell<Option<RequestId>>,
 ) {
-    let mut inbox = Inbox::new(desk.common.clone());
+    let mut read_buffer = ReadBuffer::new(frontend.shared.clone());
     while session.keep.get() {
-        let Some(id) = read_request(stream, &mut inbox, session, desk, rules).await else { continue };
+        let Some(id) = read_request(stream, &mut read_buffer, session, frontend, rules).await else {
+            continue;
+        };
         open.set(Some(id));
         loop {
             tokio::select! {
                 () = session.answered.notified() => break,
                 // More than one message is not read ahead.
-                more = inbox.fill(stream, &session.limits), if inbox.unread().len() < session.limits.read_bytes => {
+                more = read_buffer.fill(stream, &session.limits), if read_buffer.unread().len() < session.limits.read_bytes => {
                     if !matches!(more, Ok(true)) {
-                        return session.seat.has_gone();
+                        return session.connection.has_gone();
                     }
                 }
                 // A client that has gone is heard behind what is not read yet.
-                () = closed(stream), if inbox.unread().len() >= session.limits.read_bytes => {
-                    return session.seat.has_gone();
+                () = closed(stream), if read_buffer.unread().len() >= session.limits.read_bytes => {
+                    return session.connection.has_gone();
                 }
             }
         }
@@ -220,8 +229,8 @@
 }
 
 /// Reads more, or says that the connection is of no more use.
-async fn more(stream: &TcpStream, inbox: &mut Inbox, session: &Session) -> bool {
-    let good = session.seat.read(inbox, stream, &session.limits).await;
+async fn more(stream: &TcpStream, read_buffer: &mut ReadBuffer, session: &Session) -> bool {
+    let good = session.connection.read(read_buffer, stream, &session.limits).await;
     session.keep.set(session.keep.get() && good);
     good
 }
@@ -229,9 +238,9 @@
 /// Reads a request and hands it in. None: there is none, or it was answered on the spot.
 async fn read_request(
     stream: &TcpStream,
-    inbox: &mut Inbox,
+    read_buffer: &mut ReadBuffer,
     session: &Rc<Session>,
-    desk: &Rc<Desk>,
+    frontend: &Rc<FrontendState>,
     rules: &ClassRules,
 ) -> Option<RequestId> {
     let limits = &session.limits;
@@ -242,24 +251,27 @@
         None
     };
     let (request, length) = loop {
-        match http::read_head(inbox.unread()) {
+        match http::read_head(read_buffer.unread()) {
             Read::Done(head, used) => {
                 let Some(length) = head.body(Length::Bytes(0)) else {
                     return bad(BAD_REQUEST, "The length of the body is not clear");
                 };
                 if head.header("expect").is_some() {
-                    session.seat.out.push(Frame::plain(b"HTTP/1.1 100 Continue\r\n\r\n".to_vec()), limits);
+                    session
+                        .connection
+                        .out
+                        .push(Frame::plain(b"HTTP/1.1 100 Continue\r\n\r\n".to_vec()), limits);
                 }
                 let request = Request::new(&head);
-                inbox.used(used);
+                read_buffer.used(used);
                 break (request, length);
             }
             Read::Bad => return bad(BAD_REQUEST, "The request cannot be read"),
-            Read::More if inbox.unread().len() > limits.head_bytes => {
+            Read::More if read_buffer.unread().len() > limits.head_bytes => {
                 return bad(BAD_REQUEST, "The head of the request is too long");
             }
             Read::More => {
-                if !more(stream, inbox, session).await {
+                if !more(stream, read_buffer, session).await {
                     return None;
                 }
             }
@@ -270,17 +282,17 @@
         let whole = match length {
             Length::Bytes(n) if n > limits.message_bytes => return bad(TOO_LARGE, "The body is too large"),
             Length::Bytes(n) => {
-                let part = inbox.unread().len().min(n - body.len());
-                body.extend_from_slice(&inbox.unread()[..part]);
-                inbox.used(part);
+                let part = read_buffer.unread().len().min(n - body.len());
+                body.extend_from_slice(&read_buffer.unread()[..part]);
+                read_buffer.used(part);
                 body.len() == n
             }
             Length::Chunked | Length::Stream => {
-                match http::read_chunk(inbox.unread(), limits.message_bytes) {
+                match http::read_chunk(read_buffer.unread(), limits.message_bytes) {
                     Read::Done(chunk, used) => {
                         let end = chunk.is_empty();
                         body.extend_from_slice(chunk);
-                        inbox.used(used);
+                        read_buffer.used(used);
                         if body.len() > limits.message_bytes {
                             return bad(TOO_LARGE, "The body is too large");
                         }
@@ -297,12 +309,12 @@
         if whole {
             break;
         }
-        if !more(stream, inbox, session).await {
+        if !more(stream, read_buffer, session).await {
             return None;
         }
     }
     session.keep.set(request.keep);
-    take(request, body, session, desk, rules).await
+    take(request, body, session, frontend, rules).await
 }
 
 /// What is kept of a head.
@@ -354,7 +366,7 @@
     mut request: Request,
     body: Vec<u8>,
     session: &Rc<Session>,
-    desk: &Rc<Desk>,
+    frontend: &Rc<FrontendState>,
     rules: &ClassRules,
 ) -> Option<RequestId> {
     let plain = [("Content-Type", "text/plain; charset=UTF-8")];
@@ -363,12 +375,14 @@
     match (request.method.as_str(), request.path.as_str()) {
         // Load balancers ask here; one that asks a gateway about to end goes elsewhere.
         ("HEAD", "/ping" | "/") => ok(200, ""),
-        ("GET", "/ping") if desk.turns_away() => ok(503, "Ending.\n"),
-        ("GET", "/ping") if desk.awaits_list.get() => ok(503, "Starting: the list of engines is awaited.\n"),
+        ("GET", "/ping") if frontend.turns_away() => ok(503, "Ending.\n"),
+        ("GET", "/ping") if frontend.awaits_list.get() => {
+            ok(503, "Starting: the list of engines is awaited.\n")
+        }
         ("GET", "/ping") => ok(200, "Ok.\n"),
         ("GET", "/") if query.is_none() && body.is_empty() => ok(200, "Ok.\n"),
         ("GET" | "POST", "/") if query.is_some() || !body.is_empty() => {
-            return hand_in(request, query, body, session, desk, rules).await;
+            return hand_in(request, query, body, session, frontend, rules).await;
         }
         ("POST", "/") => session.fail(BAD_REQUEST, "Empty query", &[]),
         ("GET" | "POST", _) => session.fail(NOT_FOUND, "There is no such path", &[]),
@@ -382,31 +396,31 @@
     query: Option<String>,
     body: Vec<u8>,
     session: &Rc<Session>,
-    desk: &Rc<Desk>,
+    frontend: &Rc<FrontendState>,
     rules: &ClassRules,
 ) -> Option<RequestId> {
-    let arrived = desk.arrival_time(&session.seat);
+    let arrived = frontend.arrival_time(&session.connection);
     // With a query in the target, the body is its data; else the body is the query.
     let (text, data) = match query {
         Some(query) => (query.into_bytes(), body),
         None => (body, Vec::new()),
     };
     let class = rules.class(&text, request.param("user"));
-    let of = &desk.settings.classes[class.0];
+    let of = &frontend.settings.classes[class.0];
     let limit = request.param("max_execution_time").parse::<f64>().ok().filter(|s| *s > 0.0);
     let limit = limit.map_or(of.client_timeout, |s| (s * 1000.0).min(of.client_timeout));
     request.take("max_execution_time");
     let token = request.take("insert_deduplication_token");
     let key = matches!(of.idempotency, Idempotency::Keyed { .. })
         .then(|| token.clone().unwrap_or_else(|| stable_key(request.param("database"), &text, &data)));
-    let id = desk.number();
+    let id = frontend.number();
     let name = request.take("query_id").unwrap_or_else(|| format!("{:016x}", fastrand::u64(..)));
     // What goes into a header or a field must not end it.
     if name.len() > 256 || name.contains(|c: char| c.is_control() || c == ',' || c == '=') {
         session.fail(BAD_REQUEST, "The query id cannot be used", &[]);
         return None;
     }
-    if desk.named(&name).is_some() {
+    if frontend.named(&name).is_some() {
         session.fail(SAME_NAME, "A query with this id is already running", &[]);
         return None;
     }
@@ -422,14 +436,14 @@
         key,
         data,
         params: request.params,
-        flow: request.parts.then(|| -> Rc<dyn FlowControl> { session.seat.out.clone() }),
+        flow: request.parts.then(|| -> Rc<dyn FlowControl> { session.connection.out.clone() }),
     };
     // The interface has no word for a client's retry.
     let is_retry = false;
     let asked =
         Asked { class, tenant: None, arrived, limit, work: None, memory_mb: None, is_retry, statement };
-    session.seat.asked();
-    desk.take(id, Box::new(Caller { session: session.clone(), name, class }), asked).await;
+    session.connection.asked();
+    frontend.take(id, Box::new(Caller { session: session.clone(), name, class }), asked).await;
     Some(id)
 }
 
--- a/src/net/front/seat.rs
+++ b/src/net/front/client_connection.rs
@@ -1,9 +1,9 @@
 //! A client's connection as a front holds it: what is open on it, and when it ends.
 
 use crate::limits::Limits;
-use crate::net::conn::{Close, Inbox, Outbox};
+use crate::net::conn::{Close, ReadBuffer, WriteQueue};
 use crate::net::frame::Frame;
-use crate::net::front::Leaving;
+use crate::net::front::ShutdownPhase;
 use starlingplank_decision::permission::close::{may_close, may_cut_off, ConnectionFacts};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -11,10 +11,10 @@
 use tokio::time::{timeout_at, Instant};
 
 /// A client's connection.
-pub struct Seat {
+pub struct ClientConnection {
     /// What waits to be written.
-    pub out: Rc<Outbox>,
-    end: Rc<Cell<Leaving>>,
+    pub out: Rc<WriteQueue>,
+    end: Rc<Cell<ShutdownPhase>>,
     /// It was answered since this process began to leave.
     done: Cell<bool>,
     opened: Instant,
@@ -32,9 +32,9 @@
     active: Cell<Instant>,
 }
 
-impl Seat {
+impl ClientConnection {
     /// A connection that has just been taken.
-    pub fn new(out: Rc<Outbox>, end: Rc<Cell<Leaving>>) -> Self {
+    pub fn new(out: Rc<WriteQueue>, end: Rc<Cell<ShutdownPhase>>) -> Self {
         let opened = Instant::now();
         let (done, left, give_way, read, came, open, answered) = Default::default();
         let active = Cell::new(opened);
@@ -77,36 +77,36 @@
     /// Says something to the client.
     pub fn say(&self, frame: Frame, limits: &Limits) {
         self.answered.set(true);
-        self.done.set(self.leaving());
+        self.done.set(self.ends_after_answer());
         self.active.set(Instant::now());
         self.out.push(frame, limits);
     }
 
     /// Reads more; false once the connection is of no more use. Guards against clients that say nothing, stop
     /// inside a message, or ask for nothing that has an answer: they are told so by a close, and soon.
-    pub async fn read(&self, inbox: &mut Inbox, stream: &TcpStream, limits: &Limits) -> bool {
+    pub async fn read(&self, read_buffer: &mut ReadBuffer, stream: &TcpStream, limits: &Limits) -> bool {
         // Only what lies there before the first read may have come with the connection.
         let is_first = !self.read.replace(true);
-        if !is_first || self.facts(inbox, stream).unread == 0 {
+        if !is_first || self.facts(read_buffer, stream).unread == 0 {
             self.came.set(None);
         }
         loop {
-            if self.is_over(inbox, stream) {
+            if self.is_over(read_buffer, stream) {
                 tracing::debug!(
                     "a client's connection is closed: this process leaves ({:?})",
                     self.end.get()
                 );
                 return false;
             }
-            if self.gives_way(inbox, stream) {
+            if self.gives_way(read_buffer, stream) {
                 tracing::debug!("a client's connection is closed: another client needs its place");
                 return false;
             }
-            let silent = self.silent_by(inbox, limits);
+            let silent = self.silent_by(read_buffer, limits);
             let until = silent.unwrap_or(self.active.get() + limits.front_idle);
             // What is open is waited for, whatever else the client does.
             let until = match self.open.get() {
-                0 if until <= Instant::now() => match may_cut_off(&self.written_facts(inbox, stream)) {
+                0 if until <= Instant::now() => match may_cut_off(&self.written_facts(read_buffer, stream)) {
                     Ok(()) => {
                         let kind = if silent.is_some() { "it is silent" } else { "it is idle" };
                         tracing::debug!("a client's connection is closed: {kind}");
@@ -119,7 +119,7 @@
                 _ => Instant::now() + limits.front_silent,
             };
             tokio::select! {
-                filled = timeout_at(until, inbox.fill(stream, limits)) => {
+                filled = timeout_at(until, read_buffer.fill(stream, limits)) => {
                     if let Ok(filled) = filled {
                         let more = matches!(filled, Ok(true));
                         self.left.set(!more);
@@ -133,11 +133,11 @@
 
     /// By when a client has to go on: with the message that has begun, or with its first one. A message may come in pieces,
     /// and takes a bounded time in all.
-    fn silent_by(&self, inbox: &Inbox, limits: &Limits) -> Option<Instant> {
+    fn silent_by(&self, read_buffer: &ReadBuffer, limits: &Limits) -> Option<Instant> {
         let unanswered = || Some(self.opened).filter(|_| !self.answered.get());
-        match inbox.since() {
+        match read_buffer.since() {
             Some(begun) => {
-                Some((inbox.last_filled() + limits.front_silent).min(begun + limits.front_message))
+                Some((read_buffer.last_filled() + limits.front_silent).min(begun + limits.front_message))
             }
             None => unanswered().map(|at| at + limits.front_silent),
         }
@@ -154,27 +154,27 @@
     }
 
     /// Whether what this client asks next is for another process.
-    pub fn leaving(&self) -> bool {
-        !matches!(self.end.get(), Leaving::Not | Leaving::Alone)
+    pub fn ends_after_answer(&self) -> bool {
+        !matches!(self.end.get(), ShutdownPhase::Not | ShutdownPhase::Alone)
     }
 
     /// Whether it ends now, as this process is leaving. What has just arrived is answered first: a request that
     /// meets a closed connection has to be sent again.
-    fn is_over(&self, inbox: &Inbox, stream: &TcpStream) -> bool {
+    fn is_over(&self, read_buffer: &ReadBuffer, stream: &TcpStream) -> bool {
         let due = match self.end.get() {
-            Leaving::Not | Leaving::Alone => false,
-            Leaving::AfterAnswer => self.done.get(),
-            Leaving::Idle | Leaving::Last => true,
+            ShutdownPhase::Not | ShutdownPhase::Alone => false,
+            ShutdownPhase::AfterAnswer => self.done.get(),
+            ShutdownPhase::Idle | ShutdownPhase::Last => true,
         };
-        due && !self.out.closing() && may_close(&self.facts(inbox, stream)).is_ok()
+        due && !self.out.closing() && may_close(&self.facts(read_buffer, stream)).is_ok()
     }
 
     /// Whether it ends now, as another client waits for its place. One at which something has arrived does not.
-    fn gives_way(&self, inbox: &Inbox, stream: &TcpStream) -> bool {
+    fn gives_way(&self, read_buffer: &ReadBuffer, stream: &TcpStream) -> bool {
         if !self.give_way.take() {
             return false;
         }
-        let gives_way = may_close(&self.facts(inbox, stream)).is_ok();
+        let gives_way = may_close(&self.facts(read_buffer, stream)).is_ok();
         match gives_way {
             true => self.out.close(Close::Now),
             // It is in use: others are asked before it from now on.
@@ -183,19 +183,19 @@
         gives_way
     }
 
-    fn facts(&self, inbox: &Inbox, stream: &TcpStream) -> ConnectionFacts {
+    fn facts(&self, read_buffer: &ReadBuffer, stream: &TcpStream) -> ConnectionFacts {
         ConnectionFacts {
             open_requests: self.open.get(),
             unwritten: self.out.waiting(),
-            incomplete: inbox.unread().len(),
+            incomplete: read_buffer.unread().len(),
             // Where the system does not tell, something may have arrived.
             unread: rustix::io::ioctl_fionread(stream).map_or(1, |bytes| bytes as usize),
         }
     }
 
     /// The same, where what waits to be written does not keep it: it is written as the connection ends.
-    fn written_facts(&self, inbox: &Inbox, stream: &TcpStream) -> ConnectionFacts {
-        ConnectionFacts { unwritten: 0, ..self.facts(inbox, stream) }
+    fn written_facts(&self, read_buffer: &ReadBuffer, stream: &TcpStream) -> ConnectionFacts {
+        ConnectionFacts { unwritten: 0, ..self.facts(read_buffer, stream) }
     }
 
     /// Since when nothing has been open and nothing has waited to be written.
--- a/src/net/front/mod.rs
+++ b/src/net/front/mod.rs
@@ -1,17 +1,17 @@
 //! Fronts: they turn what clients ask into requests, and final answers into what clients read.
 
 pub mod clickhouse;
+mod client_connection;
 pub mod rules;
-mod seat;
 pub mod thrift;
 
-pub use seat::Seat;
+pub use client_connection::ClientConnection;
 
 use crate::core::{Answer, ClientRequest, Event, ResultRows, Statement};
 use crate::interface::{ClassId, DataSet, Milliseconds, RequestDetails, RequestId, Settings, TenantId};
 use crate::limits::Limits;
 use crate::net::clock::Clock;
-use crate::net::conn::{Common, Outbox};
+use crate::net::conn::{SharedState, WriteQueue};
 use crate::net::pause::PauseDetector;
 use crate::net::sql;
 use starlingplank_admin::figures::Count;
@@ -37,7 +37,7 @@
 type Waiting = (Box<dyn Client>, Rc<Statement>);
 
 /// What fronts share: where requests are handed in and answers given out.
-pub struct Desk {
+pub struct FrontendState {
     /// The module's settings.
     pub settings: Rc<Settings>,
     /// The program's limits.
@@ -49,9 +49,9 @@
     /// To the reducer.
     pub events: Sender<Event>,
     /// What all connections have in common.
-    pub common: Rc<Common>,
+    pub shared: Rc<SharedState>,
     /// How far this process is on its way out.
-    end: Rc<Cell<Leaving>>,
+    end: Rc<Cell<ShutdownPhase>>,
     /// Nothing can be served before the list is heard.
     pub awaits_list: Cell<bool>,
     /// Told when it stops listening.
@@ -59,7 +59,7 @@
     waiting: RefCell<HashMap<RequestId, Waiting>>,
     /// Requests that are open, by their clients' names for them, over all connections.
     names: RefCell<HashMap<String, RequestId>>,
-    seats: RefCell<Vec<Rc<Seat>>>,
+    connections: RefCell<Vec<Rc<ClientConnection>>>,
     listens: Listens,
     /// Places for connections for which room is awaited, over all listeners.
     pub waiting_places: Arc<Semaphore>,
@@ -72,7 +72,7 @@
 
 /// How far a process is on its way out.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Leaving {
+pub enum ShutdownPhase {
     /// It serves.
     #[default]
     Not,
@@ -86,11 +86,11 @@
     Last,
 }
 
-impl Desk {
+impl FrontendState {
     /// Nobody waits yet.
     pub fn new(settings: Rc<Settings>, limits: Rc<Limits>, events: Sender<Event>) -> Rc<Self> {
         Rc::new(Self {
-            common: Common::with_retry_budget(settings.classes.len(), settings.retry_budget),
+            shared: SharedState::with_retry_budget(settings.classes.len(), settings.retry_budget),
             settings,
             waiting_places: Arc::new(Semaphore::new(limits.front_waiting)),
             limits,
@@ -102,7 +102,7 @@
             closing: watch::Sender::new(false),
             waiting: RefCell::default(),
             names: RefCell::default(),
-            seats: RefCell::default(),
+            connections: RefCell::default(),
             listens: Listens::default(),
             freed: Notify::new(),
             next: Cell::new(1),
@@ -112,20 +112,20 @@
     /// A place for a client's new connection. In a full house the connection that has been idle longest gives
     /// way: a new one is likely to bring a request, and its client waits for the answer. None: all have
     /// something open, for as long as the client can be left waiting.
-    pub async fn connect(&self) -> Option<Rc<Seat>> {
+    pub async fn connect(&self) -> Option<Rc<ClientConnection>> {
         let until = Instant::now() + self.limits.front_wait;
-        while self.seats.borrow().len() >= self.common.part(self.limits.front_conns) {
+        while self.connections.borrow().len() >= self.shared.part(self.limits.front_conns) {
             let longest = self
-                .seats
+                .connections
                 .borrow()
                 .iter()
                 .filter(|s| !s.is_asked_for_place())
                 .filter_map(|s| s.idle().map(|at| (at, s.clone())))
                 .min_by_key(|x| x.0);
             let again = match longest {
-                Some((at, seat)) if at.elapsed() >= self.limits.front_grace => {
+                Some((at, connection)) if at.elapsed() >= self.limits.front_grace => {
                     // It looks first whether something has arrived; if so another one is asked.
-                    seat.ask_for_place();
+                    connection.ask_for_place();
                     Instant::now() + self.limits.front_grace
                 }
                 Some((at, _)) => at + self.limits.front_grace,
@@ -136,37 +136,37 @@
                 return None;
             }
         }
-        let out = Rc::new(Outbox::new(self.common.clone()));
-        let seat = Rc::new(Seat::new(out, self.end.clone()));
-        self.seats.borrow_mut().push(seat.clone());
-        Some(seat)
+        let out = Rc::new(WriteQueue::new(self.shared.clone()));
+        let connection = Rc::new(ClientConnection::new(out, self.end.clone()));
+        self.connections.borrow_mut().push(connection.clone());
+        Some(connection)
     }
 
     /// A client's connection has ended.
-    pub fn disconnect(&self, seat: &Rc<Seat>) {
-        self.seats.borrow_mut().retain(|s| !Rc::ptr_eq(s, seat));
+    pub fn disconnect(&self, connection: &Rc<ClientConnection>) {
+        self.connections.borrow_mut().retain(|s| !Rc::ptr_eq(s, connection));
         self.freed.notify_one();
     }
 
     /// This process goes one step further on its way out.
-    pub fn leave_by(&self, how: Leaving) {
+    pub fn leave_by(&self, how: ShutdownPhase) {
         let before = self.end.replace(how);
         tracing::info!("on its way out: {before:?}, now {how:?}");
-        if !matches!(how, Leaving::Not | Leaving::Alone) {
+        if !matches!(how, ShutdownPhase::Not | ShutdownPhase::Alone) {
             self.closing.send_replace(true);
         }
-        self.seats.borrow().iter().for_each(|s| s.out.nudge());
+        self.connections.borrow().iter().for_each(|s| s.out.nudge());
     }
 
     /// How far it is.
-    pub fn leaving(&self) -> Leaving {
+    pub fn shutdown_phase(&self) -> ShutdownPhase {
         self.end.get()
     }
 
     /// Whether those who ask how this gateway does should go elsewhere. While another process takes over they need not:
     /// it listens at the same address.
     pub fn turns_away(&self) -> bool {
-        matches!(self.end.get(), Leaving::Alone | Leaving::Last)
+        matches!(self.end.get(), ShutdownPhase::Alone | ShutdownPhase::Last)
     }
 
     /// Something that may bring a connection.
@@ -176,7 +176,7 @@
 
     /// Whether no client is connected, and none can come.
     pub fn empty(&self) -> bool {
-        self.seats.borrow().is_empty() && Rc::strong_count(&self.listens) == 1
+        self.connections.borrow().is_empty() && Rc::strong_count(&self.listens) == 1
     }
 
     /// Requests taken and not yet ended.
@@ -185,9 +185,9 @@
     }
 
     /// When what is read now from a connection arrived, at the earliest.
-    pub fn arrival_time(&self, seat: &Seat) -> Milliseconds {
+    pub fn arrival_time(&self, connection: &ClientConnection) -> Milliseconds {
         let now = Instant::now();
-        let arrived = self.pauses.arrived(now).min(seat.earliest_arrival().unwrap_or(now));
+        let arrived = self.pauses.arrived(now).min(connection.earliest_arrival().unwrap_or(now));
         let age = now.saturating_duration_since(arrived);
         self.clock.now() - age.as_secs_f64() * 1000.0
     }
@@ -216,7 +216,7 @@
         let statement = Rc::new(asked.statement);
         // From here on nothing is waited for: a connection that ends meanwhile leaves no half-taken request behind.
         let Ok(event) = self.events.reserve().await else { return };
-        self.common.count_request();
+        self.shared.count_request();
         self.names.borrow_mut().insert(statement.name.clone(), id);
         self.waiting.borrow_mut().insert(id, (client, statement.clone()));
         let request = ClientRequest { details, statement };
--- a/src/net/front/thrift.rs
+++ b/src/net/front/thrift.rs
@@ -3,9 +3,9 @@
 use crate::core::{Answer, ResultRows, Statement};
 use crate::interface::{ClassId, Idempotency, RequestId, TenantId};
 use crate::limits::Limits;
-use crate::net::conn::{finish, Close, Inbox};
+use crate::net::conn::{finish, Close, ReadBuffer};
 use crate::net::frame::Frame;
-use crate::net::front::{count_of, Asked, Client, Desk, Seat};
+use crate::net::front::{count_of, Asked, Client, ClientConnection, FrontendState};
 use crate::net::log;
 use starlingplank_admin::figures::Count;
 use std::cell::{Cell, RefCell};
@@ -252,7 +252,7 @@
 }
 
 struct Session {
-    seat: Rc<Seat>,
+    connection: Rc<ClientConnection>,
     limits: Rc<Limits>,
     open: RefCell<HashMap<i32, RequestId>>,
     /// Number of the last call, or of a question for health in its turn; 0: none yet.
@@ -272,7 +272,7 @@
 
     fn answer(self: Box<Self>, answer: Answer) {
         if self.session.open.borrow_mut().remove(&self.seq).is_some() {
-            self.session.seat.ended();
+            self.session.connection.ended();
         }
         let count = count_of(&answer);
         let frame = match answer {
@@ -281,67 +281,67 @@
             Answer::Failed(_) | Answer::Cut | Answer::Finished => internal(self.seq, "failed"),
             Answer::Expired => internal(self.seq, "out of time"),
         };
-        self.session.seat.say(frame.counted((self.class.0, count)), &self.session.limits);
+        self.session.connection.say(frame.counted((self.class.0, count)), &self.session.limits);
     }
 }
 
 /// Serves one client until its connection ends; then nobody waits for what is open on it.
-pub async fn serve(stream: TcpStream, seat: Rc<Seat>, desk: Rc<Desk>) {
-    let limits = desk.limits.clone();
+pub async fn serve(stream: TcpStream, connection: Rc<ClientConnection>, frontend: Rc<FrontendState>) {
+    let limits = frontend.limits.clone();
     let session = Rc::new(Session {
-        seat: seat.clone(),
+        connection: connection.clone(),
         limits: limits.clone(),
         open: RefCell::default(),
         last: Cell::new(0),
     });
     let _ = stream.set_nodelay(true);
     let gone = tokio::select! {
-        written = seat.out.write_all(&stream, &limits) => written.is_err(),
-        () = read(&stream, &session, &desk) => seat.gone(),
+        written = connection.out.write_all(&stream, &limits) => written.is_err(),
+        () = read(&stream, &session, &frontend) => connection.gone(),
     };
     let open: Vec<_> = session.open.borrow_mut().drain().collect();
     for (_, id) in open {
-        desk.leave(id).await;
+        frontend.leave(id).await;
     }
     match gone {
-        true => seat.out.close(Close::Now),
-        false => finish(stream, &seat.out, &limits).await,
+        true => connection.out.close(Close::Now),
+        false => finish(stream, &connection.out, &limits).await,
     }
 }
 
-async fn read(stream: &TcpStream, session: &Rc<Session>, desk: &Rc<Desk>) {
+async fn read(stream: &TcpStream, session: &Rc<Session>, frontend: &Rc<FrontendState>) {
     let limits = &session.limits;
-    let mut inbox = Inbox::new(desk.common.clone());
+    let mut read_buffer = ReadBuffer::new(frontend.shared.clone());
     loop {
-        while let Some(len) = frame_len(inbox.unread()) {
+        while let Some(len) = frame_len(read_buffer.unread()) {
             if len > limits.message_bytes {
                 return log::seldom("a client's frame is too long; the connection was closed");
             }
-            let Some(frame) = inbox.unread().get(4..len) else { break };
+            let Some(frame) = read_buffer.unread().get(4..len) else { break };
             let Some(message) = message(frame) else {
                 return log::seldom("a client's message cannot be read; the connection was closed");
             };
-            if !take_message(message, session, desk).await {
+            if !take_message(message, session, frontend).await {
                 return log::seldom(
                     "a client used a number out of turn, or a name twice; the connection was closed",
                 );
             }
-            inbox.used(len);
+            read_buffer.used(len);
         }
-        if !session.seat.read(&mut inbox, stream, limits).await {
+        if !session.connection.read(&mut read_buffer, stream, limits).await {
             return;
         }
     }
 }
 
 /// False: the client breaks the protocol, and nothing that is open on its connection can be told apart.
-async fn take_message(message: Message<'_>, session: &Rc<Session>, desk: &Rc<Desk>) -> bool {
-    let say = |frame| session.seat.say(frame, &session.limits);
+async fn take_message(message: Message<'_>, session: &Rc<Session>, frontend: &Rc<FrontendState>) -> bool {
+    let say = |frame| session.connection.say(frame, &session.limits);
     match message {
         Message::Health(seq) => {
             let last = &session.last;
             last.set(if last.get().checked_add(1) == Some(seq) { seq } else { last.get() });
-            let good = !desk.turns_away() && !desk.awaits_list.get();
+            let good = !frontend.turns_away() && !frontend.awaits_list.get();
             say(answer("health", seq, ResultRows::default(), good));
         }
         Message::Unknown(seq, name) => say(unknown(seq, name)),
@@ -349,9 +349,9 @@
             let id = session.open.borrow().get(&seq).copied();
             if let Some(id) = id {
                 // It stays open until the reducer is told: the connection may end while this waits.
-                desk.leave(id).await;
+                frontend.leave(id).await;
                 if session.open.borrow_mut().remove(&seq).is_some() {
-                    session.seat.ended();
+                    session.connection.ended();
                 }
             }
         }
@@ -363,27 +363,27 @@
             }
             session.last.set(seq);
             if session.open.borrow().len() >= session.limits.open_per_conn {
-                let frame = overloaded(seq, desk.settings.max_retry_after);
-                say(counted(frame, class_of(&fields, desk), Count::Deferred));
+                let frame = overloaded(seq, frontend.settings.max_retry_after);
+                say(counted(frame, class_of(&fields, frontend), Count::Deferred));
                 return true;
             }
-            let named = fields.get("txn").and_then(|txn| desk.named(txn));
+            let named = fields.get("txn").and_then(|txn| frontend.named(txn));
             if named.is_some_and(|id| session.open.borrow().values().any(|open| *open == id)) {
                 return false;
             }
-            match asked(&fields, body, session, desk) {
+            match asked(&fields, body, session, frontend) {
                 Ok(asked) if named.is_some() => {
                     let frame = internal(seq, "txn is that of another open request");
                     say(counted(frame, Some(asked.class), Count::Errored));
                 }
                 Ok(asked) => {
-                    let id = desk.number();
+                    let id = frontend.number();
                     session.open.borrow_mut().insert(seq, id);
-                    session.seat.asked();
+                    session.connection.asked();
                     let class = asked.class;
-                    desk.take(id, Box::new(Caller { session: session.clone(), seq, class }), asked).await;
+                    frontend.take(id, Box::new(Caller { session: session.clone(), seq, class }), asked).await;
                 }
-                Err(why) => say(counted(internal(seq, why), class_of(&fields, desk), Count::Errored)),
+                Err(why) => say(counted(internal(seq, why), class_of(&fields, frontend), Count::Errored)),
             }
         }
     }
@@ -398,18 +398,18 @@
     }
 }
 
-fn class_of(fields: &BTreeMap<&str, &str>, desk: &Desk) -> Option<ClassId> {
+fn class_of(fields: &BTreeMap<&str, &str>, frontend: &FrontendState) -> Option<ClassId> {
     let verb = fields.get("verb")?;
-    desk.settings.classes.iter().position(|c| c.name == *verb).map(ClassId)
+    frontend.settings.classes.iter().position(|c| c.name == *verb).map(ClassId)
 }
 
 fn asked(
     fields: &BTreeMap<&str, &str>,
     body: &[u8],
     session: &Session,
-    desk: &Desk,
+    frontend: &FrontendState,
 ) -> Result<Asked, &'static str> {
-    let arrived = desk.arrival_time(&session.seat);
+    let arrived = frontend.arrival_time(&session.connection);
     // A figure that is none, or past all sense, makes the request unfit: what it would do is not what was asked.
     let number = |name: &str| match fields.get(name).map(|v| v.parse::<f64>()) {
         None => Ok(None),
@@ -417,24 +417,24 @@
         Some(_) => Err("a figure cannot be used"),
     };
     let verb = *fields.get("verb").ok_or("verb is missing")?;
-    let class = class_of(fields, desk).ok_or("verb is no class")?.0;
+    let class = class_of(fields, frontend).ok_or("verb is no class")?.0;
     let txn = *fields.get("txn").ok_or("txn is missing")?;
     // What goes on into an engine's field must not end that field.
     let plain =
         |text: &str| (1..=256).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_alphanumeric());
-    let keyed = matches!(desk.settings.classes[class].idempotency, Idempotency::Keyed { .. });
+    let keyed = matches!(frontend.settings.classes[class].idempotency, Idempotency::Keyed { .. });
     let key = fields.get("unique").copied().filter(|_| keyed);
     if !plain(txn) || keyed && !key.is_some_and(plain) {
         return Err("txn or unique is missing or cannot be used");
     }
-    let client_timeout = desk.settings.classes[class].client_timeout;
+    let client_timeout = frontend.settings.classes[class].client_timeout;
     let limit = number("limit")?.ok_or("limit is missing")?;
     if limit > 10.0 * client_timeout {
         return Err("limit is longer than any request of its class may take");
     }
     // One that the settings do not name has no share that it could be held to.
     let team = fields.get("team");
-    let tenant = team.and_then(|t| desk.settings.tenants.iter().position(|tenant| tenant.name == *t));
+    let tenant = team.and_then(|t| frontend.settings.tenants.iter().position(|tenant| tenant.name == *t));
     Ok(Asked {
         class: ClassId(class),
         tenant: tenant.map(TenantId),
--- a/src/net/handover.rs
+++ b/src/net/hot_restart.rs
@@ -59,7 +59,7 @@
 
 /// This process's side of the folder.
 #[derive(Debug)]
-pub struct Handover {
+pub struct HotRestart {
     path: PathBuf,
     own: u64,
     life: File,
@@ -107,7 +107,7 @@
     under.join(name)
 }
 
-impl Handover {
+impl HotRestart {
     /// Takes its place after all that were there before. What those that have ended left is taken over.
     ///
     /// # Errors
@@ -126,7 +126,7 @@
         let boot = Boot::read();
         let offset = Offset { by: boot.now - now, boot: boot.id.unwrap_or_default() };
         let keys = create(&path.join(named("keys", own)))?;
-        let mut handover = Self {
+        let mut hot_restart = Self {
             path: path.to_owned(),
             own,
             life,
@@ -139,14 +139,14 @@
             hand: Hand::default(),
             hand_bytes: None,
         };
-        handover.say(Stage::Starting)?;
-        handover.begin_keys(now)?;
+        hot_restart.say(Stage::Starting)?;
+        hot_restart.begin_keys(now)?;
         // Past the bound the oldest are left alone: they ended long ago, or nobody could make sense of them.
         for life in lives.into_iter().rev().take(LIVES) {
-            handover.meet(life);
+            hot_restart.meet(life);
         }
-        handover.read_hand();
-        Ok(handover)
+        hot_restart.read_hand();
+        Ok(hot_restart)
     }
 
     /// This process's number.
--- a/src/net/keep.rs
+++ b/src/net/persistence.rs
@@ -37,7 +37,7 @@
 }
 
 /// Keeps what the gateway knows.
-pub struct Keep {
+pub struct Persistence {
     gateway: String,
     snapshots: Option<SnapshotKeeper>,
     keys: Option<KeyKeeper>,
@@ -143,7 +143,7 @@
     }
 }
 
-impl Keep {
+impl Persistence {
     /// Nothing is kept.
     pub fn off() -> Self {
         Self {
@@ -231,7 +231,7 @@
         if recall.is_none() {
             info!("starting with no knowledge of an earlier life");
         }
-        let mut keep = Self { gateway: config.name.clone(), ..Self::off() };
+        let mut persistence = Self { gateway: config.name.clone(), ..Self::off() };
         let gate = if keyed {
             let mut gate = gate(knowledge::Log::Open { required: settings.required });
             let log = Log::read(&folder.disk(), window, now);
@@ -240,22 +240,22 @@
                 gate.trust(sends, shut, now);
             }
             // Those of processes that have ended have done their part once this life's own log begins.
-            keep.keep_keys(&folder, log.offset, events, dead_words(&folder))?;
+            persistence.keep_keys(&folder, log.offset, events, dead_words(&folder))?;
             gate
         } else {
             Gate::off()
         };
         core.resume(gate, recall);
-        keep.found = match list::load(&folder.disk()) {
+        persistence.found = match list::load(&folder.disk()) {
             Ok(found) => found.and_then(|l| l.now(now, settings.restart_within, settings.keep_for)),
             Err(why) => {
                 warn!("{}/{}: {why}", settings.folder.display(), list::FILE);
                 None
             }
         };
-        keep.keep_learned(&folder, store)?;
-        keep.folder = Some(folder);
-        Ok(keep)
+        persistence.keep_learned(&folder, store)?;
+        persistence.folder = Some(folder);
+        Ok(persistence)
     }
 
     /// While another version of this gateway has the folder: keyed requests leave as that one's keys allow, and each is
--- a/src/net/runtime/calls.rs
+++ b/src/net/runtime/calls.rs
@@ -1,7 +1,7 @@
 //! Operators' calls, and what they change.
 
 use crate::core::Event;
-use crate::net::handover::Refused;
+use crate::net::hot_restart::Refused;
 use crate::net::runtime::Runtime;
 use starlingplank_admin::calls::{Call, Reply};
 use starlingplank_admin::figures::Now;
@@ -17,17 +17,17 @@
             }
             Call::Ready => Reply::line(200, "ready"),
             Call::Telemetry => {
-                let names: Vec<_> = self.desk.settings.classes.iter().map(|c| c.name.as_str()).collect();
+                let names: Vec<_> = self.frontend.settings.classes.iter().map(|c| c.name.as_str()).collect();
                 let (cluster_size, cluster_unhealthy) = self.core.engines();
-                let now = Now { current: self.desk.current(), cluster_size, cluster_unhealthy };
-                Reply { status: 200, text: self.desk.common.figures.text(&names, now) }
+                let now = Now { current: self.frontend.current(), cluster_size, cluster_unhealthy };
+                Reply { status: 200, text: self.frontend.shared.figures.text(&names, now) }
             }
             Call::Exclude(id) => {
-                let (listed, now) = (self.core.lists(&id), self.desk.clock.now());
+                let (listed, now) = (self.core.lists(&id), self.frontend.clock.now());
                 self.change_exclusion(&id, "out", events, |hand| hand.exclude(&id, listed, now))
             }
             Call::Include(id) => {
-                let (listed, now) = (self.core.lists(&id), self.desk.clock.now());
+                let (listed, now) = (self.core.lists(&id), self.frontend.clock.now());
                 self.change_exclusion(&id, "in use", events, |hand| hand.include(&id, listed, now))
             }
         }
@@ -41,10 +41,10 @@
         events: &mut Vec<Event>,
         change: impl FnOnce(&mut Hand) -> Result<bool, No>,
     ) -> Reply {
-        let Some(handover) = &mut self.handover else {
+        let Some(hot_restart) = &mut self.hot_restart else {
             return Reply::line(503, "the call cannot be kept for the next version: no folder is open");
         };
-        match handover.change(change) {
+        match hot_restart.change(change) {
             Ok(changed) => {
                 tracing::info!("by hand: {id} is {what}{}", if changed.is_some() { "" } else { " already" });
                 events.extend(changed.map(Event::OperatorOverrides));
--- a/src/net/runtime/cycle.rs
+++ b/src/net/runtime/cycle.rs
@@ -26,7 +26,7 @@
         // The next process starts from the list as this one has last received it.
         if self.core.serial() != serial {
             self.log_members();
-            self.keep.list(&self.core, &self.desk.settings);
+            self.persistence.list(&self.core, &self.frontend.settings);
         }
     }
 
@@ -40,14 +40,14 @@
 
     /// One cycle: the reducer takes the events, and decides once.
     fn decide(&mut self, events: impl Iterator<Item = Event>, effects: &mut Vec<Effect>) {
-        let now = self.desk.clock.now();
+        let now = self.frontend.clock.now();
         for event in events.chain([Event::TimersDue, Event::RunDecisionCycle]) {
             trace_event(&event);
             self.prepare(now, &event, effects);
             self.core.handle(now, event, effects);
         }
-        self.core.spent(self.desk.clock.now() - now);
-        self.desk.awaits_list.set(self.core.awaits_list());
+        self.core.spent(self.frontend.clock.now() - now);
+        self.frontend.awaits_list.set(self.core.awaits_list());
     }
 
     /// Does what has to be done before the reducer takes an event.
@@ -63,8 +63,8 @@
 
     /// Tells the reducer of the keys that other processes have just sent: a request with one of them is a repeat.
     fn read_peer_keys(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
-        let Some(handover) = &mut self.handover else { return };
-        let keys = handover.peer_keys(now);
+        let Some(hot_restart) = &mut self.hot_restart else { return };
+        let keys = hot_restart.peer_keys(now);
         if !keys.is_empty() {
             self.core.handle(now, Event::PeerKeys(keys), effects);
         }
--- a/src/net/runtime/effects.rs
+++ b/src/net/runtime/effects.rs
@@ -17,27 +17,27 @@
             Effect::SetPriority(id, _, priority) => self.engines.hurry(id, priority),
             Effect::CheckHealth(tag, engine, address) => self.engines.probe(tag, &engine, address, new_events),
             Effect::DropQueued(engine) => self.engines.shut(&engine, new_events),
-            Effect::StartResponse(id, rows) => self.desk.begin(id, rows),
-            Effect::ResponseChunk(id, bytes) => self.desk.part(id, bytes),
-            Effect::Answer(id, answer) => self.desk.answer(id, answer),
+            Effect::StartResponse(id, rows) => self.frontend.begin(id, rows),
+            Effect::ResponseChunk(id, bytes) => self.frontend.part(id, bytes),
+            Effect::Answer(id, answer) => self.frontend.answer(id, answer),
             Effect::LogRejection(id, class, why, waited) => tracing::debug!(
                 "request {} of {} was refused after {waited:.1} ms: {why}",
                 id.0,
-                self.desk.settings.classes[class.0].name
+                self.frontend.settings.classes[class.0].name
             ),
             Effect::LogViolation((id, n), refusal) => log::seldom_error(
                 "an attempt was asked for against the rules",
                 format_args!("{}.{n}: {}", id.0, refusal.name()),
             ),
             Effect::WriteRecord(number, key, sent) => {
-                if !self.keep.record(number, key, sent) {
+                if !self.persistence.record(number, key, sent) {
                     new_events.push(Event::RecordsFailed(vec![number]));
                 }
             }
             // A mark that cannot be queued is left out: the log is then trusted for a shorter time.
-            Effect::WriteMark(at, shut_until) => drop(self.keep.mark((at, shut_until))),
+            Effect::WriteMark(at, shut_until) => drop(self.persistence.mark((at, shut_until))),
             Effect::RewriteLog(rewrite) => {
-                if !self.keep.rewrite(rewrite) {
+                if !self.persistence.rewrite(rewrite) {
                     new_events.push(Event::RecordsFailed(Vec::new()));
                 }
             }
@@ -51,11 +51,14 @@
 
     /// Records a keyed send for other processes of this gateway. False: it is not recorded, and must not leave.
     fn record_for_peers(&mut self, send: &Send) -> bool {
-        let (Some(handover), Some(key)) = (&mut self.handover, &send.statement.key) else { return true };
-        let Idempotency::Keyed { window, .. } = self.desk.settings.classes[send.class.0].idempotency else {
+        let (Some(hot_restart), Some(key)) = (&mut self.hot_restart, &send.statement.key) else {
             return true;
         };
-        let recorded = handover.record(gate::key(key), Sent { at: self.desk.clock.now(), window });
+        let Idempotency::Keyed { window, .. } = self.frontend.settings.classes[send.class.0].idempotency
+        else {
+            return true;
+        };
+        let recorded = hot_restart.record(gate::key(key), Sent { at: self.frontend.clock.now(), window });
         if let Err(e) = &recorded {
             log::seldom_error("a keyed request was not sent, as other versions would not hear of it", e);
         }
--- a/src/net/runtime/inputs.rs
+++ b/src/net/runtime/inputs.rs
@@ -3,7 +3,7 @@
 use crate::config::KnowledgeSettings;
 use crate::core::Event;
 use crate::limits::Limits;
-use crate::net::operate::Asked;
+use crate::net::admin::Asked;
 use crate::net::runtime::signals::{Received, Signals};
 use crate::net::tasks::TaskName;
 use std::time::Duration;
--- a/src/net/runtime/listeners.rs
+++ b/src/net/runtime/listeners.rs
@@ -1,10 +1,10 @@
 //! Listeners for clients: each connection is served by a task of its own, as long as there is room for it.
 
 use crate::config::Config;
-use crate::net::front::{clickhouse, thrift, Desk, Listens, Seat};
+use crate::net::front::{clickhouse, thrift, ClientConnection, FrontendState, Listens};
 use crate::net::log;
-use crate::net::momentary::{self, Backoff};
 use crate::net::tasks::{TaskName, Tasks};
+use crate::net::transient_errors::{self, Backoff};
 use std::future::Future;
 use std::io;
 use std::net::SocketAddr;
@@ -24,21 +24,25 @@
 ///
 /// # Errors
 /// An address cannot be listened at.
-pub async fn listen_to_clients(config: &Config, desk: &Rc<Desk>, tasks: &Tasks) -> io::Result<()> {
+pub async fn listen_to_clients(
+    config: &Config,
+    frontend: &Rc<FrontendState>,
+    tasks: &Tasks,
+) -> io::Result<()> {
     let shared = config.operator.is_some();
-    let within = desk.limits.bind_retry;
+    let within = frontend.limits.bind_retry;
     let listener = bind(config.listen, shared, within).await?;
     tracing::info!("{} listens at {}", config.name, listener.local_addr()?);
-    let thrift_desk = desk.clone();
-    accept("thrift listener", tasks, listener, desk, move |stream, seat| {
-        thrift::serve(stream, seat, thrift_desk.clone())
+    let thrift_desk = frontend.clone();
+    accept("thrift listener", tasks, listener, frontend, move |stream, connection| {
+        thrift::serve(stream, connection, thrift_desk.clone())
     });
     if let Some((at, rules)) = &config.clickhouse {
         let listener = bind(*at, shared, within).await?;
         tracing::info!("{} listens at {} for ClickHouse HTTP", config.name, listener.local_addr()?);
-        let (http_desk, rules) = (desk.clone(), Rc::new(rules.clone()));
-        accept("http listener", tasks, listener, desk, move |stream, seat| {
-            clickhouse::serve(stream, seat, http_desk.clone(), rules.clone())
+        let (http_desk, rules) = (frontend.clone(), Rc::new(rules.clone()));
+        accept("http listener", tasks, listener, frontend, move |stream, connection| {
+            clickhouse::serve(stream, connection, http_desk.clone(), rules.clone())
         });
     }
     Ok(())
@@ -49,7 +53,7 @@
 /// # Errors
 /// It cannot be listened at.
 pub async fn bind(at: SocketAddr, shared: bool, within: Duration) -> io::Result<TcpListener> {
-    momentary::retry(within, || bind_once(at, shared)).await
+    transient_errors::retry(within, || bind_once(at, shared)).await
 }
 
 fn bind_once(at: SocketAddr, shared: bool) -> io::Result<TcpListener> {
@@ -61,12 +65,12 @@
 }
 
 /// Accepts connections in a task of its own.
-fn accept<S, F>(name: TaskName, tasks: &Tasks, listener: TcpListener, desk: &Rc<Desk>, serve: S)
+fn accept<S, F>(name: TaskName, tasks: &Tasks, listener: TcpListener, frontend: &Rc<FrontendState>, serve: S)
 where
-    S: Fn(TcpStream, Rc<Seat>) -> F + Clone + 'static,
+    S: Fn(TcpStream, Rc<ClientConnection>) -> F + Clone + 'static,
     F: Future<Output = ()> + 'static,
 {
-    let acceptor = Acceptor { desk: desk.clone(), serve, listens: desk.listens() };
+    let acceptor = Acceptor { frontend: frontend.clone(), serve, listens: frontend.listens() };
     tasks.spawn(name, acceptor.run(listener));
 }
 
@@ -96,7 +100,7 @@
 
 /// Accepts the connections of one listener.
 struct Acceptor<S> {
-    desk: Rc<Desk>,
+    frontend: Rc<FrontendState>,
     /// The front that serves a connection.
     serve: S,
     /// Held while further connections may come.
@@ -105,7 +109,7 @@
 
 impl<S, F> Acceptor<S>
 where
-    S: Fn(TcpStream, Rc<Seat>) -> F + Clone + 'static,
+    S: Fn(TcpStream, Rc<ClientConnection>) -> F + Clone + 'static,
     F: Future<Output = ()> + 'static,
 {
     async fn run(self, listener: TcpListener) {
@@ -117,7 +121,7 @@
     /// so that one client that waits keeps out nobody for whom there is some. When those that wait now came, at the
     /// earliest.
     async fn accept_until_closing(&self, listener: &TcpListener) -> Instant {
-        let mut closing = self.desk.closing.subscribe();
+        let mut closing = self.frontend.closing.subscribe();
         let mut queue = ListenerQueue::default();
         loop {
             let accepted = tokio::select! {
@@ -138,7 +142,7 @@
 
     /// When what arrives now came, at the earliest: it may have come in a pause of the process.
     fn earliest(&self) -> Instant {
-        self.desk.pauses.arrived(Instant::now())
+        self.frontend.pauses.arrived(Instant::now())
     }
 
     async fn accept_one(
@@ -146,7 +150,7 @@
         listener: &TcpListener,
         queue: &mut ListenerQueue,
     ) -> (WaitingPlace, io::Result<TcpStream>) {
-        let places = self.desk.waiting_places.clone();
+        let places = self.frontend.waiting_places.clone();
         let place = match places.clone().try_acquire_owned() {
             Ok(place) => Ok(place),
             Err(_) => {
@@ -177,8 +181,8 @@
     /// Accepts what lies in the queue of the listener: as the listener is closed, it would be reset. The listener is
     /// closed in the call after the one that found the queue empty.
     async fn empty_backlog(&self, listener: TcpListener, arrived: Instant) {
-        let until = Instant::now() + self.desk.limits.front_wait;
-        let waiting = self.desk.waiting_places.clone();
+        let until = Instant::now() + self.frontend.limits.front_wait;
+        let waiting = self.frontend.waiting_places.clone();
         let Ok(queue) = listener.into_std() else { return };
         let mut backoff = Backoff::default();
         loop {
@@ -206,8 +210,8 @@
 
     /// Serves a connection that came at that time at the earliest.
     fn spawn(&self, stream: TcpStream, place: WaitingPlace, arrived: Instant) {
-        let (desk, serve, listens) = (self.desk.clone(), self.serve.clone(), self.listens.clone());
-        tokio::task::spawn_local(serve_when_admitted(stream, arrived, desk, serve, place, listens));
+        let (frontend, serve, listens) = (self.frontend.clone(), self.serve.clone(), self.listens.clone());
+        tokio::task::spawn_local(serve_when_admitted(stream, arrived, frontend, serve, place, listens));
     }
 }
 
@@ -215,31 +219,31 @@
 async fn serve_when_admitted<S, F>(
     stream: TcpStream,
     arrived: Instant,
-    desk: Rc<Desk>,
+    frontend: Rc<FrontendState>,
     serve: S,
     place: WaitingPlace,
     _listens: Listens,
 ) where
-    S: Fn(TcpStream, Rc<Seat>) -> F,
+    S: Fn(TcpStream, Rc<ClientConnection>) -> F,
     F: Future<Output = ()>,
 {
-    let Some(seat) = desk.connect().await else {
+    let Some(connection) = frontend.connect().await else {
         return log::seldom("a connection was closed: all others have requests open");
     };
     drop(place);
-    seat.came(arrived);
-    let served = ServedSeat { desk, seat };
-    serve(stream, served.seat.clone()).await;
+    connection.came(arrived);
+    let served = ServedSeat { frontend, connection };
+    serve(stream, served.connection.clone()).await;
 }
 
 /// The place of a connection that is served. It is free again however that ends, by a panic as well.
 struct ServedSeat {
-    desk: Rc<Desk>,
-    seat: Rc<Seat>,
+    frontend: Rc<FrontendState>,
+    connection: Rc<ClientConnection>,
 }
 
 impl Drop for ServedSeat {
     fn drop(&mut self) {
-        self.desk.disconnect(&self.seat);
+        self.frontend.disconnect(&self.connection);
     }
 }
--- a/src/net/runtime/mod.rs
+++ b/src/net/runtime/mod.rs
@@ -25,10 +25,10 @@
 use crate::core::{Core, Event};
 use crate::interface::Milliseconds;
 use crate::net::engine::Engines;
-use crate::net::front::{Desk, Leaving};
-use crate::net::handover::Handover;
-use crate::net::keep::Keep;
+use crate::net::front::{FrontendState, ShutdownPhase};
+use crate::net::hot_restart::HotRestart;
 use crate::net::log;
+use crate::net::persistence::Persistence;
 use crate::net::tasks::{TaskName, Tasks};
 use inputs::{Inputs, Optional, Timers, Wake};
 use reload::PendingReload;
@@ -56,7 +56,7 @@
     reload: impl Fn() -> Result<Config, String>,
 ) -> io::Result<()> {
     let Started { events, calls, failed_tasks, mut gateway } = startup::start(config).await?;
-    let timers = Timers::start(&gateway.desk.limits, gateway.config.knowledge.as_ref());
+    let timers = Timers::start(&gateway.frontend.limits, gateway.config.knowledge.as_ref());
     let mut inputs = Inputs { signals, events, calls, failed_tasks, timers };
     gateway.run(&mut inputs, &reload).await?;
     gateway.shut_down(inputs).await;
@@ -71,11 +71,11 @@
     config: Config,
     core: Core,
     engines: Box<dyn Engines>,
-    desk: Rc<Desk>,
+    frontend: Rc<FrontendState>,
     /// What is shared with other processes of this gateway, if anything.
-    handover: Option<Handover>,
+    hot_restart: Option<HotRestart>,
     /// What is kept through restarts.
-    keep: Keep,
+    persistence: Persistence,
     /// The queue of events for the reducer.
     events: mpsc::Sender<Event>,
     /// Where the name service is, for the task that polls it.
@@ -140,13 +140,13 @@
             }
             let due_at = self.core.next_due();
             let wake = inputs.next(self.wake_by(due_at), self.optional_inputs()).await;
-            self.desk.pauses.alive(Instant::now());
+            self.frontend.pauses.alive(Instant::now());
             if self.reload_is_due() {
                 self.reload(reload());
             }
             let mut events = Vec::new();
             self.handle_wake(wake, reload, &mut events);
-            inputs.drain_events(&mut events, self.desk.limits.queue);
+            inputs.drain_events(&mut events, self.frontend.limits.queue);
             let late = self.check_delay(due_at);
             while let Some((call, reply_to)) = inputs.next_waiting_call() {
                 drop(reply_to.send(self.answer_call(call, &mut events)));
@@ -161,7 +161,7 @@
 
     /// Begins to listen to clients, and tells that to other processes of this gateway.
     async fn listen_to_clients(&mut self) -> io::Result<()> {
-        listeners::listen_to_clients(&self.config, &self.desk, &self.tasks).await?;
+        listeners::listen_to_clients(&self.config, &self.frontend, &self.tasks).await?;
         self.listening = true;
         self.publish_stage(Stage::Listening);
         Ok(())
@@ -170,14 +170,17 @@
     /// When the loop goes on at the latest.
     fn wake_by(&self, due_at: Option<Milliseconds>) -> Instant {
         let due: Instant = match due_at {
-            Some(at) => self.desk.clock.instant(at).into(),
-            None => Instant::now() + self.desk.limits.sweep,
+            Some(at) => self.frontend.clock.instant(at).into(),
+            None => Instant::now() + self.frontend.limits.sweep,
         };
         self.pending_reload.map_or(due, |pending| pending.due().min(due))
     }
 
     fn optional_inputs(&self) -> Optional {
-        Optional { peers: self.handover.is_some() || self.keep.waits(), knowledge: self.keep.is_on() }
+        Optional {
+            peers: self.hot_restart.is_some() || self.persistence.waits(),
+            knowledge: self.persistence.is_on(),
+        }
     }
 
     /// Turns what has woken the loop into events for the reducer.
@@ -207,20 +210,20 @@
     /// Looks at other processes of this gateway, and takes the folder of knowledge over once its owner has ended.
     fn observe_handover(&mut self, events: &mut Vec<Event>) {
         events.extend(self.observe_peers());
-        if self.keep.waits() && self.take_over_knowledge() {
+        if self.persistence.waits() && self.take_over_knowledge() {
             events.push(Event::MaintenanceTick);
         }
     }
 
     fn take_over_knowledge(&mut self) -> bool {
-        let now = self.desk.clock.now();
-        self.keep.take_over(&self.config, &mut self.core, now, &self.events)
+        let now = self.frontend.clock.now();
+        self.persistence.take_over(&self.config, &mut self.core, now, &self.events)
     }
 
     fn write_snapshot(&mut self) {
         let begun = Instant::now();
-        self.keep.snapshot(&self.core, self.desk.clock.now());
-        self.keep.list(&self.core, &self.desk.settings);
+        self.persistence.snapshot(&self.core, self.frontend.clock.now());
+        self.persistence.list(&self.core, &self.frontend.settings);
         self.statistics.count_cycle(begun);
     }
 
@@ -240,17 +243,17 @@
         }
         tracing::info!("SIGTERM: answering what was taken");
         self.terminated = Some(Instant::now());
-        self.desk.leave_by(Leaving::Alone);
+        self.frontend.leave_by(ShutdownPhase::Alone);
         events.push(Event::Terminate);
         events.extend(self.observe_peers());
-        self.keep.snapshot(&self.core, self.desk.clock.now());
+        self.persistence.snapshot(&self.core, self.frontend.clock.now());
     }
 
     /// By how much a timer of the reducer is late. Answers that were due in a pause of the process are late through no
     /// decision, so the log tells of it.
     fn check_delay(&self, due_at: Option<Milliseconds>) -> Milliseconds {
-        let late = due_at.map_or(0.0, |at| self.desk.clock.now() - at);
-        if late > self.desk.limits.stall {
+        let late = due_at.map_or(0.0, |at| self.frontend.clock.now() - at);
+        if late > self.frontend.limits.stall {
             tracing::warn!("stood still for {late:.0} ms");
         }
         late
--- a/src/net/runtime/peers.rs
+++ b/src/net/runtime/peers.rs
@@ -1,7 +1,7 @@
 //! Other processes of this gateway: when this one may listen, and when it hands over to a newer one.
 
 use crate::core::Event;
-use crate::net::front::Leaving;
+use crate::net::front::ShutdownPhase;
 use crate::net::log;
 use crate::net::runtime::Runtime;
 use starlingplank_admin::lives::{self, Stage};
@@ -10,10 +10,10 @@
 impl Runtime {
     /// Whether it may begin to listen to clients.
     pub fn may_listen(&self, waited: Duration) -> bool {
-        let Some(handover) = &self.handover else { return true };
+        let Some(hot_restart) = &self.hot_restart else { return true };
         lives::may_listen(
-            handover.own(),
-            &handover.others(),
+            hot_restart.own(),
+            &hot_restart.others(),
             self.list_received,
             !self.core.awaits_list(),
             waited,
@@ -23,8 +23,8 @@
     /// Tells other processes of this gateway how far this one is. Where that fails it is tried again with the next look at
     /// them.
     pub fn publish_stage(&self, stage: Stage) {
-        let Some(handover) = &self.handover else { return };
-        let said = handover.say(stage);
+        let Some(hot_restart) = &self.hot_restart else { return };
+        let said = hot_restart.say(stage);
         self.unpublished.set(said.is_err().then_some(stage));
         if let Err(e) = said {
             log::seldom_error("other versions cannot see how far this one is", e);
@@ -33,23 +33,23 @@
 
     /// Looks at what other processes of this gateway do, and acts on it.
     pub fn observe_peers(&mut self) -> Vec<Event> {
-        let now = self.desk.clock.now();
+        let now = self.frontend.clock.now();
         if let Some(stage) = self.unpublished.get() {
             self.publish_stage(stage);
         }
-        let Some(handover) = &mut self.handover else { return Vec::new() };
-        let seen = handover.look(now);
+        let Some(hot_restart) = &mut self.hot_restart else { return Vec::new() };
+        let seen = hot_restart.look(now);
         for newcomer in seen.newcomers {
-            handover.pass_on(newcomer, &self.config.name, &self.core, now, &self.desk.limits);
+            hot_restart.pass_on(newcomer, &self.config.name, &self.core, now, &self.frontend.limits);
         }
-        let (own, others) = (handover.own(), handover.others());
+        let (own, others) = (hot_restart.own(), hot_restart.others());
         let mut events = Vec::new();
         events.extend(seen.hand.map(Event::OperatorOverrides));
         if !seen.keys.is_empty() {
             events.push(Event::PeerKeys(seen.keys));
         }
         self.share_limits(lives::processes(&others), &mut events);
-        if self.desk.leaving() == Leaving::Alone && lives::hands_over(own, &others) {
+        if self.frontend.shutdown_phase() == ShutdownPhase::Alone && lives::hands_over(own, &others) {
             self.hand_over(&mut events);
         }
         events
@@ -57,7 +57,7 @@
 
     /// Divides what one process may use among all processes of this gateway.
     fn share_limits(&self, processes: usize, events: &mut Vec<Event>) {
-        if self.desk.common.processes.replace(processes) != processes {
+        if self.frontend.shared.processes.replace(processes) != processes {
             events.push(Event::ProcessCount(processes));
         }
     }
@@ -65,7 +65,7 @@
     /// Begins to hand over to a newer process: each connection ends after its next answer.
     fn hand_over(&self, events: &mut Vec<Event>) {
         tracing::info!("a new version listens: what is open is answered, and the rest is for it");
-        self.desk.leave_by(Leaving::AfterAnswer);
+        self.frontend.leave_by(ShutdownPhase::AfterAnswer);
         self.publish_stage(Stage::Leaving);
         events.push(Event::SuccessorListens);
     }
--- a/src/net/runtime/shutdown.rs
+++ b/src/net/runtime/shutdown.rs
@@ -1,7 +1,7 @@
 //! The end of the process: when it may end, and its last report.
 
 use crate::interface::BlockReason;
-use crate::net::front::Leaving;
+use crate::net::front::ShutdownPhase;
 use crate::net::runtime::inputs::Inputs;
 use crate::net::runtime::Runtime;
 use starlingplank_admin::figures::Count;
@@ -21,33 +21,34 @@
         let window = self.drain_window();
         let waited = terminated.elapsed();
         self.advance_leaving(waited, window);
-        let closes_idle = matches!(self.desk.leaving(), Leaving::Idle | Leaving::Last);
+        let closes_idle = matches!(self.frontend.shutdown_phase(), ShutdownPhase::Idle | ShutdownPhase::Last);
         // Connections that are in use to the end are answered and closed before the program ends.
         may_end(&EndFacts {
             settled: self.settled,
-            unconnected: closes_idle && self.desk.empty(),
+            unconnected: closes_idle && self.frontend.empty(),
             // What clients sent while the process stood still is read before it ends.
-            overdue: waited >= window + self.desk.limits.leave_close
-                && !self.desk.pauses.has_backlog(Instant::now()),
+            overdue: waited >= window + self.frontend.limits.leave_close
+                && !self.frontend.pauses.has_backlog(Instant::now()),
         })
     }
 
     /// How long requests are answered after SIGTERM.
     fn drain_window(&self) -> Duration {
-        let hands_over = matches!(self.desk.leaving(), Leaving::AfterAnswer | Leaving::Idle);
-        let limits = &self.desk.limits;
+        let hands_over =
+            matches!(self.frontend.shutdown_phase(), ShutdownPhase::AfterAnswer | ShutdownPhase::Idle);
+        let limits = &self.frontend.limits;
         let window = if hands_over { limits.leave_answer } else { limits.term_answer };
         Duration::from_secs_f64(window / 1000.0)
     }
 
     /// Goes a step further in closing clients' connections once its time has come.
     fn advance_leaving(&self, waited: Duration, window: Duration) {
-        match self.desk.leaving() {
-            Leaving::Alone if self.settled && !self.awaits_successor(waited, window) => {
-                self.desk.leave_by(Leaving::Last);
+        match self.frontend.shutdown_phase() {
+            ShutdownPhase::Alone if self.settled && !self.awaits_successor(waited, window) => {
+                self.frontend.leave_by(ShutdownPhase::Last);
             }
-            Leaving::AfterAnswer if waited >= self.desk.limits.leave_idle => {
-                self.desk.leave_by(Leaving::Idle);
+            ShutdownPhase::AfterAnswer if waited >= self.frontend.limits.leave_idle => {
+                self.frontend.leave_by(ShutdownPhase::Idle);
             }
             _ => {}
         }
@@ -55,8 +56,8 @@
 
     /// Whether another process of this gateway may still begin to listen and take over.
     fn awaits_successor(&self, waited: Duration, window: Duration) -> bool {
-        let Some(handover) = &self.handover else { return false };
-        lives::awaited(handover.own(), &handover.others(), waited, window)
+        let Some(hot_restart) = &self.hot_restart else { return false };
+        lives::awaited(hot_restart.own(), &hot_restart.others(), waited, window)
     }
 
     /// Ends the process: operators hear of it, what was done is reported, and the last snapshot is written.
@@ -64,26 +65,26 @@
         // Operators whose call is under way are told that it ends; one who says nothing is not waited for.
         drop(inputs.calls);
         if self.config.operator.is_some() {
-            let _ = timeout(self.desk.limits.look, self.callers_end()).await;
+            let _ = timeout(self.frontend.limits.look, self.callers_end()).await;
         }
         self.report_loop();
         // What the last answers taught is in the last snapshot, if the disk takes it in time.
-        self.keep.snapshot(&self.core, self.desk.clock.now());
+        self.persistence.snapshot(&self.core, self.frontend.clock.now());
         self.report_classes();
         self.report_rules();
         if self.config.names.is_some() {
             self.report_discovery();
         }
-        if self.keep.is_on() {
-            let _ = timeout(self.desk.limits.term_snapshot, self.keep.finish()).await;
-            self.keep.say(self.core.gate().refused());
+        if self.persistence.is_on() {
+            let _ = timeout(self.frontend.limits.term_snapshot, self.persistence.finish()).await;
+            self.persistence.say(self.core.gate().refused());
         }
     }
 
     /// Waits until no operator's connection is open.
     async fn callers_end(&self) {
         loop {
-            sleep(self.desk.limits.look / CALLER_CHECKS).await;
+            sleep(self.frontend.limits.look / CALLER_CHECKS).await;
             if self.callers.get() == 0 {
                 break;
             }
@@ -98,23 +99,23 @@
 
     /// Reports which attempts the rules kept back, and how many of them should never have been asked for.
     fn report_rules(&self) {
-        let rules = &self.desk.common.rules;
+        let rules = &self.frontend.shared.rules;
         tracing::info!("rules: attempts kept back {:?}, violations {}", rules.by_name(), rules.violations());
     }
 
     /// Reports the answers of the name service by kind, and how old the list is.
     fn report_discovery(&self) {
         let discovery = self.discovery.borrow();
-        let age = discovery.age(self.desk.clock.now()) / 1000.0;
+        let age = discovery.age(self.frontend.clock.now()) / 1000.0;
         tracing::info!("name service: {}; the list is known as of {age:.2} s ago", discovery.counts());
     }
 
     /// Reports what became of the requests of each class.
     fn report_classes(&self) {
-        let classes = self.desk.settings.classes.iter();
+        let classes = self.frontend.settings.classes.iter();
         let by_class = classes.zip(self.core.counts()).zip(self.core.waits());
         for (i, ((class, counts), waits)) in by_class.enumerate() {
-            let figure = |count| self.desk.common.figures.get(i, count);
+            let figure = |count| self.frontend.shared.figures.get(i, count);
             tracing::info!(
                 "{}: {} taken, {} attempts, ended {:?}, answered {:?}",
                 class.name,
--- a/src/net/runtime/signals.rs
+++ b/src/net/runtime/signals.rs
@@ -2,7 +2,7 @@
 //! signal to the loop's next turn, and none is forgotten.
 
 use crate::net::conn::Retry;
-use crate::net::momentary;
+use crate::net::transient_errors;
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use signal_hook::{flag, low_level::pipe};
 use std::io;
@@ -39,7 +39,7 @@
     /// # Errors
     /// The system does not take a handler, or has no descriptors left for a while.
     pub async fn register() -> io::Result<Self> {
-        let (wake_ups, handler) = momentary::retry(REGISTER_WITHIN, StdStream::pair).await?;
+        let (wake_ups, handler) = transient_errors::retry(REGISTER_WITHIN, StdStream::pair).await?;
         wake_ups.set_nonblocking(true)?;
         handler.set_nonblocking(true)?;
         let signals = Self {
--- a/src/net/runtime/startup.rs
+++ b/src/net/runtime/startup.rs
@@ -3,20 +3,20 @@
 use crate::config::{Config, EngineWire};
 use crate::core::{Core, Endpoint, Event};
 use crate::limits::Limits;
-use crate::net::conn::Common;
+use crate::net::admin::{self, Asked};
+use crate::net::conn::SharedState;
 use crate::net::discovery::sockets::Sockets;
 use crate::net::discovery::{self, Poller};
 use crate::net::engine::clickhouse::HttpEngines;
 use crate::net::engine::pool::RespEngines;
 use crate::net::engine::Engines;
-use crate::net::front::Desk;
-use crate::net::handover::{self, Handover};
-use crate::net::keep::{self, Keep};
-use crate::net::momentary;
-use crate::net::operate::{self, Asked};
+use crate::net::front::FrontendState;
+use crate::net::hot_restart::{self, HotRestart};
+use crate::net::persistence::{self, Persistence};
 use crate::net::runtime::listeners::bind;
 use crate::net::runtime::{LoopStatistics, Runtime};
 use crate::net::tasks::{TaskName, Tasks};
+use crate::net::transient_errors;
 use starlingplank_admin::heard::Heard;
 use starlingplank_persistence::list::KeptList;
 use starlingplank_persistence::recall;
@@ -49,22 +49,22 @@
     let limits = Rc::new(config.limits.clone());
     let settings = Rc::new(config.settings.clone());
     let (sender, events) = mpsc::channel(limits.queue);
-    let desk = Desk::new(settings, limits.clone(), sender.clone());
-    let core = Core::new(config.settings.clone(), config.limits.clone(), desk.clock.now());
+    let frontend = FrontendState::new(settings, limits.clone(), sender.clone());
+    let core = Core::new(config.settings.clone(), config.limits.clone(), frontend.clock.now());
     let mut core = core.map_err(io::Error::other)?;
-    core.count_refusals_in(desk.common.rules.clone());
-    let keep = Keep::open(&config, &mut core, desk.clock.now(), &sender)?;
-    let engines = open_engines(config.engines, limits.clone(), desk.common.clone(), sender.clone());
+    core.count_refusals_in(frontend.shared.rules.clone());
+    let persistence = Persistence::open(&config, &mut core, frontend.clock.now(), &sender)?;
+    let engines = open_engines(config.engines, limits.clone(), frontend.shared.clone(), sender.clone());
     let (call_sender, calls) = mpsc::channel(limits.callers);
     let callers = Rc::new(Cell::new(0));
     let (tasks, failed_tasks) = Tasks::new();
-    let now = desk.clock.now();
+    let now = frontend.clock.now();
     let discovery = discovery::begin(&config.settings, &limits, config.serial, config.names, now);
     let discovery = Rc::new(RefCell::new(discovery));
-    let mut handover = None;
+    let mut hot_restart = None;
     if let Some(at) = config.operator {
-        listen_to_operators(at, &config.name, &desk, call_sender, callers.clone(), &tasks).await?;
-        handover = open_handover(&config, &desk).await;
+        listen_to_operators(at, &config.name, &frontend, call_sender, callers.clone(), &tasks).await?;
+        hot_restart = open_handover(&config, &frontend).await;
     }
     let mut gateway = Runtime {
         names: watch::Sender::new(config.names),
@@ -72,9 +72,9 @@
         config,
         core,
         engines,
-        desk,
-        handover,
-        keep,
+        frontend,
+        hot_restart,
+        persistence,
         events: sender,
         tasks,
         failed: false,
@@ -99,12 +99,12 @@
 fn open_engines(
     wire: EngineWire,
     limits: Rc<Limits>,
-    common: Rc<Common>,
+    shared: Rc<SharedState>,
     events: Sender<Event>,
 ) -> Box<dyn Engines> {
     match wire {
-        EngineWire::Resp => Box::new(RespEngines::new(limits, common, events)),
-        EngineWire::ClickHouse => Box::new(HttpEngines::new(limits, common, events)),
+        EngineWire::Resp => Box::new(RespEngines::new(limits, shared, events)),
+        EngineWire::ClickHouse => Box::new(HttpEngines::new(limits, shared, events)),
     }
 }
 
@@ -112,24 +112,25 @@
 async fn listen_to_operators(
     at: SocketAddr,
     name: &str,
-    desk: &Desk,
+    frontend: &FrontendState,
     calls: Sender<Asked>,
     callers: Rc<Cell<usize>>,
     tasks: &Tasks,
 ) -> io::Result<()> {
-    let listener = bind(at, false, desk.limits.bind_retry).await?;
+    let listener = bind(at, false, frontend.limits.bind_retry).await?;
     tracing::info!("{name} listens at {} for its operators", listener.local_addr()?);
-    let (limits, common) = (desk.limits.clone(), desk.common.clone());
-    tasks.spawn("operators' listener", operate::listen(listener, limits, common, calls, callers));
+    let (limits, shared) = (frontend.limits.clone(), frontend.shared.clone());
+    tasks.spawn("operators' listener", admin::listen(listener, limits, shared, calls, callers));
     Ok(())
 }
 
 /// Opens the folder that the processes of this gateway share. A disk that takes no writes for a moment is waited for: what
 /// this process sends must be known to the next. Without the folder the gateway serves on its own.
-async fn open_handover(config: &Config, desk: &Desk) -> Option<Handover> {
-    let folder = handover::folder(&std::env::temp_dir(), &config.name, config.listen);
-    let open = || Handover::open(&folder, desk.clock.now());
-    match momentary::retry_while(momentary::is_of_disk, desk.limits.disk_retry, open).await {
+async fn open_handover(config: &Config, frontend: &FrontendState) -> Option<HotRestart> {
+    let folder = hot_restart::folder(&std::env::temp_dir(), &config.name, config.listen);
+    let open = || HotRestart::open(&folder, frontend.clock.now());
+    match transient_errors::retry_while(transient_errors::is_of_disk, frontend.limits.disk_retry, open).await
+    {
         Ok(opened) => {
             tracing::info!("{}", opened.describe());
             Some(opened)
@@ -145,33 +146,33 @@
     /// Takes over what other processes of this gateway know: keys that were sent, operators' exclusions, what was learned
     /// and what was heard of the list service.
     async fn inherit_from_peers(&mut self) -> Vec<Event> {
-        let Some(handover) = &mut self.handover else { return Vec::new() };
-        let (config, clock, limits) = (&self.config, &self.desk.clock, &self.desk.limits);
-        let mut inherited = vec![Event::PeerKeys(handover.look(clock.now()).keys)];
+        let Some(hot_restart) = &mut self.hot_restart else { return Vec::new() };
+        let (config, clock, limits) = (&self.config, &self.frontend.clock, &self.frontend.limits);
+        let mut inherited = vec![Event::PeerKeys(hot_restart.look(clock.now()).keys)];
         // A folder of knowledge that an earlier process of this gateway holds is followed; one that another gateway holds
         // is not.
-        if !handover.others().is_empty() {
-            self.keep.follow(config, &mut self.core, clock.now());
+        if !hot_restart.others().is_empty() {
+            self.persistence.follow(config, &mut self.core, clock.now());
         }
-        inherited.push(Event::OperatorOverrides(handover.hand().clone()));
+        inherited.push(Event::OperatorOverrides(hot_restart.hand().clone()));
         let rules = recall::Rules {
             overload_collapse_after: config.settings.overload_collapse_after,
             ..recall::DEFAULT
         };
-        if let Some(recall) = handover.learned(clock.now(), rules, limits).await {
+        if let Some(recall) = hot_restart.learned(clock.now(), rules, limits).await {
             self.core.remember(recall);
         }
         // Without a list service the list at the start is the list.
-        let heard = handover.heard().filter(|_| config.names.is_some());
+        let heard = hot_restart.heard().filter(|_| config.names.is_some());
         inherited.extend(heard.map(|heard| Event::InheritedMembership(heard.taken_over(clock.now()))));
         inherited
     }
 
     /// Takes the folder of knowledge where no other process of this gateway has it.
     fn claim_knowledge(&mut self) -> io::Result<()> {
-        let shared = self.handover.as_ref().is_some_and(|handover| !handover.others().is_empty());
-        if self.keep.waits() && !shared && !self.take_over_knowledge() {
-            self.keep.refuse(&self.config)?;
+        let shared = self.hot_restart.as_ref().is_some_and(|hot_restart| !hot_restart.others().is_empty());
+        if self.persistence.waits() && !shared && !self.take_over_knowledge() {
+            self.persistence.refuse(&self.config)?;
         }
         Ok(())
     }
@@ -183,8 +184,8 @@
         let first = [Event::EndpointList(self.config.serial, known), Event::MaintenanceTick];
         self.run_decision_cycles(inherited.into_iter().chain(first).chain(observed));
         if self.config.names.is_some() {
-            self.core.await_list(self.desk.clock.now());
-            self.desk.awaits_list.set(self.core.awaits_list());
+            self.core.await_list(self.frontend.clock.now());
+            self.frontend.awaits_list.set(self.core.awaits_list());
         }
         // Without a name service the list at the start is the list.
         self.list_received = self.config.names.is_none();
@@ -194,13 +195,15 @@
     /// else the drains and removals of the kept list bind until the name service answers.
     fn initial_list(&self, inherited: &mut Vec<Event>) -> Vec<Endpoint> {
         let known = self.config.known.clone();
-        let Some(kept) = self.keep.found_list().filter(|_| self.config.names.is_some()) else { return known };
+        let Some(kept) = self.persistence.found_list().filter(|_| self.config.names.is_some()) else {
+            return known;
+        };
         if !known.is_empty() {
             inherited.push(Event::InheritedMembership(out_of_service(kept)));
             return known;
         }
-        let age = (self.desk.clock.now() - kept.heard) / 1000.0;
-        let known = keep::listed(kept, &self.config.settings);
+        let age = (self.frontend.clock.now() - kept.heard) / 1000.0;
+        let known = persistence::listed(kept, &self.config.settings);
         tracing::info!("starting with the list of {age:.1} s ago: {} engines", known.len());
         known
     }
@@ -208,13 +211,13 @@
     fn poll_names(&self) {
         let poller = Poller {
             discovery: self.discovery.clone(),
-            clock: self.desk.clock,
-            settings: self.desk.settings.clone(),
+            clock: self.frontend.clock,
+            settings: self.frontend.settings.clone(),
             events: self.events.clone(),
             sockets: Sockets::default(),
             told_until: f64::INFINITY,
             addresses: discovery::addresses_of(&self.config.known),
-            buffer: vec![0; self.desk.limits.names_bytes],
+            buffer: vec![0; self.frontend.limits.names_bytes],
         };
         let address = self.names.subscribe();
         self.tasks.spawn("name service", poller.run(address));
--- a/tests/client_retries.rs
+++ b/tests/client_retries.rs
@@ -11,7 +11,7 @@
 use starlingplank::interface::*;
 use starlingplank::limits::Limits;
 use starlingplank::net::front::rules::ClassRules;
-use starlingplank::net::front::{clickhouse, thrift, Desk};
+use starlingplank::net::front::{clickhouse, thrift, FrontendState};
 use starlingplank::wire::{self, Fields, Line};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -40,16 +40,16 @@
     let rt = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     rt.block_on(tokio::task::LocalSet::new().run_until(async {
         let (sender, mut events) = tokio::sync::mpsc::channel(8);
-        let desk = Desk::new(Rc::new(settings), Rc::new(limits), sender);
+        let frontend = FrontendState::new(Rc::new(settings), Rc::new(limits), sender);
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let at = listener.local_addr().expect("bound");
         let mut client = tokio::net::TcpStream::connect(at).await.expect("up");
         let (stream, _) = listener.accept().await.expect("one");
-        let seat = desk.connect().await.expect("room");
+        let connection = frontend.connect().await.expect("room");
         if speaks_thrift {
-            tokio::task::spawn_local(thrift::serve(stream, seat, desk.clone()));
+            tokio::task::spawn_local(thrift::serve(stream, connection, frontend.clone()));
         } else {
-            tokio::task::spawn_local(clickhouse::serve(stream, seat, desk.clone(), Rc::new(rules)));
+            tokio::task::spawn_local(clickhouse::serve(stream, connection, frontend.clone(), Rc::new(rules)));
         }
         client.write_all(bytes).await.expect("sent");
         let Some(Event::RequestReceived(request)) = events.recv().await else { panic!("a request") };
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -9,7 +9,7 @@
 use starlingplank::core::{Event, Send, Statement};
 use starlingplank::interface::*;
 use starlingplank::limits::Limits;
-use starlingplank::net::conn::Common;
+use starlingplank::net::conn::SharedState;
 use starlingplank::net::engine::{pool::RespEngines, Engines};
 use starlingplank::wire::Fields;
 use std::collections::BTreeMap;
@@ -248,7 +248,7 @@
     let rt = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     rt.block_on(tokio::task::LocalSet::new().run_until(async {
         let (sender, mut events) = tokio::sync::mpsc::channel(8);
-        let mut engines = RespEngines::new(limits, Common::new(1), sender);
+        let mut engines = RespEngines::new(limits, SharedState::new(1), sender);
         let (engine, mut at_once) = (EngineId("s-0".into()), Vec::new());
         engines.probe(1, &engine, at, &mut at_once);
         let Some(Event::HealthChecked(1, true, Some(probed))) = events.recv().await else {
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -7,7 +7,7 @@
 use stand::faults::Faults;
 use stand::*;
 use starlingplank::limits::Limits;
-use starlingplank::net::conn::{Common, Outbox};
+use starlingplank::net::conn::{SharedState, WriteQueue};
 use starlingplank::net::frame::Frame;
 use starlingplank::wire::Fields;
 use std::collections::BTreeMap;
@@ -352,7 +352,7 @@
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let stream = tokio::net::TcpStream::connect(listener.local_addr().expect("bound")).await.expect("up");
         let (mut engine, _) = listener.accept().await.expect("one");
-        let out = Rc::new(Outbox::new(Common::new(1)));
+        let out = Rc::new(WriteQueue::new(SharedState::new(1)));
         let late = (starlingplank::interface::RequestId(7), 0);
         let over = tokio::time::Instant::now();
         out.push(Frame { attempt: Some(late), by: Some(over), ..Frame::plain(b"late".to_vec()) }, &limits);
--- a/tests/full_queue.rs
+++ b/tests/full_queue.rs
@@ -5,7 +5,7 @@
 use starlingplank::core::{AttemptId, Event, Send, Statement};
 use starlingplank::interface::{ClassId, EngineId, RequestId};
 use starlingplank::limits::Limits;
-use starlingplank::net::conn::Common;
+use starlingplank::net::conn::SharedState;
 use starlingplank::net::engine::clickhouse::HttpEngines;
 use starlingplank::net::engine::pool::RespEngines;
 use starlingplank::net::engine::Engines;
@@ -64,8 +64,8 @@
 
 fn engines(wire: &str, limits: Rc<Limits>, events: Sender<Event>) -> Box<dyn Engines> {
     match wire {
-        "resp" => Box::new(RespEngines::new(limits, Common::new(1), events)),
-        _ => Box::new(HttpEngines::new(limits, Common::new(1), events)),
+        "resp" => Box::new(RespEngines::new(limits, SharedState::new(1), events)),
+        _ => Box::new(HttpEngines::new(limits, SharedState::new(1), events)),
     }
 }
 
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,7 +1,7 @@
 //! The folder that the processes of a gateway share, with several of them in one test process: locks are by open file.
 
 use rstest::rstest;
-use starlingplank::net::handover::{Handover, Refused};
+use starlingplank::net::hot_restart::{HotRestart, Refused};
 use starlingplank_admin::hand::No;
 use starlingplank_admin::lives::{Other, Stage};
 use starlingplank_persistence::gate::{self, Gate, Sends, Sent};
@@ -10,8 +10,8 @@
 const NOW: f64 = 1_000_000.0;
 const WINDOW: f64 = 12_000.0;
 
-fn open(path: &Path) -> Handover {
-    Handover::open(path, NOW).expect("a folder")
+fn open(path: &Path) -> HotRestart {
+    HotRestart::open(path, NOW).expect("a folder")
 }
 
 fn sent(at: f64) -> Sent {
@@ -179,5 +179,5 @@
     use std::os::unix::fs::PermissionsExt;
     let folder = tempfile::tempdir().expect("a folder");
     std::fs::set_permissions(folder.path(), std::fs::Permissions::from_mode(0o755)).expect("set");
-    assert!(Handover::open(folder.path(), NOW).is_err());
+    assert!(HotRestart::open(folder.path(), NOW).is_err());
 }
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -426,15 +426,15 @@
             std::thread::spawn(move || closed_loop(at, client, &stop))
         })
         .collect();
-    let mut leaving: Vec<Process> = Vec::new();
+    let mut shutdown_phase: Vec<Process> = Vec::new();
     for upgrade in 0..50 {
         let next = site.start();
         assert_eq!(next.say("GET /api/ready HTTP/1.1\r\n\r\n").0, 200);
         let old = std::mem::replace(&mut current, next);
         old.signal("-TERM");
-        leaving.push(old);
+        shutdown_phase.push(old);
         if upgrade % 5 == 0 {
-            for old in leaving.drain(..) {
+            for old in shutdown_phase.drain(..) {
                 let said = old.ended();
                 assert!(said.iter().any(|l| l.contains("a new version listens")), "{said:?}");
             }
--- a/tests/shared_folder.rs
+++ b/tests/shared_folder.rs
@@ -5,7 +5,7 @@
 use stand::faults::Faults;
 use stand::requests::*;
 use stand::*;
-use starlingplank::net::handover::{folder, Handover};
+use starlingplank::net::hot_restart::{folder, HotRestart};
 use starlingplank_persistence::gate;
 use std::fs::File;
 use std::io::Write;
@@ -77,7 +77,7 @@
     let mut client = shared.gateway.client();
     client.write_all(&load(1, 1, "early")).expect("sent");
     assert_eq!(answer(&mut client).1, "served");
-    let mut next = Handover::open(&shared.path, 1_000_000.0).expect("the folder");
+    let mut next = HotRestart::open(&shared.path, 1_000_000.0).expect("the folder");
     let heard: Vec<_> = next.look(1_000_000.0).keys.into_iter().map(|(key, _)| key).collect();
     assert!(heard.contains(&gate::key("early")), "{heard:?}");
 }
@@ -97,7 +97,7 @@
     client.write_all(&load(2, 2, "whole")).expect("sent");
     assert_eq!(answer(&mut client).1, "served");
     assert_eq!(attempts(&log).len(), 1);
-    let mut next = Handover::open(&shared.path, 1_000_000.0).expect("the folder");
+    let mut next = HotRestart::open(&shared.path, 1_000_000.0).expect("the folder");
     let heard: Vec<_> = next.look(1_000_000.0).keys.into_iter().map(|(key, _)| key).collect();
     assert!(heard.contains(&gate::key("whole")), "{heard:?}");
 }
--- a/tests/tenants.rs
+++ b/tests/tenants.rs
@@ -9,7 +9,7 @@
 use starlingplank::core::Event;
 use starlingplank::interface::*;
 use starlingplank::limits::Limits;
-use starlingplank::net::front::{thrift, Desk};
+use starlingplank::net::front::{thrift, FrontendState};
 use starlingplank::wire::Fields;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -26,13 +26,13 @@
     let rt = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     rt.block_on(tokio::task::LocalSet::new().run_until(async {
         let (sender, mut events) = tokio::sync::mpsc::channel(8);
-        let desk = Desk::new(Rc::new(s), Rc::new(limits), sender);
+        let frontend = FrontendState::new(Rc::new(s), Rc::new(limits), sender);
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let at = listener.local_addr().expect("bound");
         let mut client = tokio::net::TcpStream::connect(at).await.expect("up");
         let (stream, _) = listener.accept().await.expect("one");
-        let seat = desk.connect().await.expect("room");
-        tokio::task::spawn_local(thrift::serve(stream, seat, desk.clone()));
+        let connection = frontend.connect().await.expect("room");
+        tokio::task::spawn_local(thrift::serve(stream, connection, frontend.clone()));
         let mut fields = vec![("verb", "short"), ("txn", "00000000000000a1"), ("limit", "1000")];
         fields.extend(team.map(|t| ("team", t)));
         client.write_all(&call(1, &fields, "select 1")).await.expect("sent");
