--- a/crates/experiments/src/experiments.rs
+++ b/crates/experiments/src/experiments.rs
@@ -9,9 +9,9 @@
 use rand_pcg::Pcg64Mcg;
 use serde_json::json;
 use starlingplank_persistence::folder::Files;
-use starlingplank_persistence::recall::{self, Named, Recall};
-use starlingplank_persistence::records::{Class, Engine as Known, Snapshot};
-use starlingplank_persistence::{snapshot, store};
+use starlingplank_persistence::recovery::{self, EndpointIdentity, RestoredState};
+use starlingplank_persistence::snapshot_records::{Class, Engine as Known, Snapshot};
+use starlingplank_persistence::{snapshot, snapshot_store};
 use starlingplank_test_doubles::client::{Answer, Caller, Speaks};
 use starlingplank_test_doubles::engine::Wire;
 use starlingplank_test_doubles::model::Spec;
@@ -138,7 +138,7 @@
     let (mut whole, mut empty, mut torn, mut keyless) = (0, 0, 0, 0);
     for life in 0..=lab.kills {
         // What is there before the start, read without the program.
-        let before = store::load(&Files::new(&kept), 1 << 24).ok().and_then(|l| l.snapshot);
+        let before = snapshot_store::load(&Files::new(&kept), 1 << 24).ok().and_then(|l| l.snapshot);
         let mut gateway = Gateway::start(lab, name, &text).await?;
         open(&door, gateway.address);
         match (gateway.said("is whole:"), &before) {
@@ -440,11 +440,12 @@
         ..Snapshot::default()
     };
     let bytes = snapshot::encode(&snapshot, 1 << 24)?;
-    let named: Vec<_> =
-        (0..engines).map(|n| Named { id: format!("engine-{n:05}"), ..Named::default() }).collect();
+    let named: Vec<_> = (0..engines)
+        .map(|n| EndpointIdentity { id: format!("engine-{n:05}"), ..EndpointIdentity::default() })
+        .collect();
     let begun = std::time::Instant::now();
     let read = snapshot::decode(&bytes)?;
-    let mut recall = Recall::new(&read, 1e12 + 100.0, recall::DEFAULT).map_err(|e| e.to_string())?;
+    let mut recall = RestoredState::new(&read, 1e12 + 100.0, recovery::DEFAULT).map_err(|e| e.to_string())?;
     let back = recall.list(&named, 1e12 + 100.0).ok_or("nothing was given back")?;
     let took = begun.elapsed().as_secs_f64() * 1000.0;
     if back.engines.len() != engines {
--- a/crates/persistence/src/list.rs
+++ b/crates/persistence/src/cached_endpoints.rs
@@ -40,7 +40,7 @@
 
 /// A list and when the service last stood by it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct KeptList {
+pub struct CachedEndpoints {
     /// Unix milliseconds.
     pub heard: Milliseconds,
     /// All engines.
@@ -60,7 +60,7 @@
     Frame(#[from] FrameError),
 }
 
-impl KeptList {
+impl CachedEndpoints {
     /// The bytes of the file.
     ///
     /// # Errors
@@ -107,7 +107,7 @@
 ///
 /// # Errors
 /// It was not written; what was there before is still there.
-pub fn save(disk: &mut dyn Disk, list: &KeptList) -> io::Result<()> {
+pub fn save(disk: &mut dyn Disk, list: &CachedEndpoints) -> io::Result<()> {
     disk::replace(disk, FILE, &list.encode().map_err(io::Error::other)?)
 }
 
@@ -115,9 +115,9 @@
 ///
 /// # Errors
 /// It cannot be read, or is no such file.
-pub fn load(disk: &dyn Disk) -> Result<Option<KeptList>, ListError> {
+pub fn load(disk: &dyn Disk) -> Result<Option<CachedEndpoints>, ListError> {
     let bytes = disk.read(FILE, BYTES as u64)?;
-    Ok(bytes.map(|b| KeptList::decode(&b)).transpose()?)
+    Ok(bytes.map(|b| CachedEndpoints::decode(&b)).transpose()?)
 }
 
 #[cfg(test)]
--- a/crates/persistence/src/list/tests.rs
+++ b/crates/persistence/src/cached_endpoints/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use proptest::prelude::*;
 
-fn list() -> KeptList {
+fn list() -> CachedEndpoints {
     let engine = |id: &str, live| Engine {
         id: id.into(),
         address: "10.0.0.1:9".into(),
@@ -12,21 +12,21 @@
         started: 5.0,
     };
     let gone = vec!["s-2".to_owned()];
-    KeptList { heard: 1_000.0, engines: vec![engine("s-0", true), engine("s-1", false)], gone }
+    CachedEndpoints { heard: 1_000.0, engines: vec![engine("s-0", true), engine("s-1", false)], gone }
 }
 
 #[test]
 fn file_is_read_as_it_was_written_and_every_cut_or_changed_byte_is_noticed() {
     let bytes = list().encode().expect("small");
-    assert_eq!(KeptList::decode(&bytes), Ok(list()));
+    assert_eq!(CachedEndpoints::decode(&bytes), Ok(list()));
     for at in 0..bytes.len() {
-        assert!(KeptList::decode(&bytes[..at]).is_err(), "cut at {at}");
+        assert!(CachedEndpoints::decode(&bytes[..at]).is_err(), "cut at {at}");
         let mut changed = bytes.clone();
         changed[at] ^= 4;
-        assert!(KeptList::decode(&changed).is_err(), "byte {at}");
+        assert!(CachedEndpoints::decode(&changed).is_err(), "byte {at}");
     }
-    let never = KeptList { heard: f64::NAN, ..list() };
-    assert!(KeptList::decode(&never.encode().expect("small")).is_err());
+    let never = CachedEndpoints { heard: f64::NAN, ..list() };
+    assert!(CachedEndpoints::decode(&never.encode().expect("small")).is_err());
 }
 
 /// These bytes were written down by hand: the file's form is a promise.
@@ -52,7 +52,7 @@
 proptest! {
     #[test]
     fn reader_never_panics(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        let _ = KeptList::decode(&bytes);
-        let _ = KeptList::decode(&FORM.frame(&bytes));
+        let _ = CachedEndpoints::decode(&bytes);
+        let _ = CachedEndpoints::decode(&FORM.frame(&bytes));
     }
 }
--- a/crates/persistence/src/gate.rs
+++ b/crates/persistence/src/deduplication_window.rs
@@ -45,7 +45,7 @@
 
 /// One send of a key.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Sent {
+pub struct KeySend {
     /// When.
     pub at: Milliseconds,
     /// How long engines drop repeats once it has arrived.
@@ -54,7 +54,7 @@
 
 /// Sends of a key that belong together: any of them may be the first that an engine saw.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Sends {
+pub struct KeySends {
     /// The first of them.
     pub first: Milliseconds,
     /// The last.
@@ -63,9 +63,9 @@
     pub window: Milliseconds,
 }
 
-impl Sends {
+impl KeySends {
     /// One send.
-    pub fn one(sent: Sent) -> Self {
+    pub fn one(sent: KeySend) -> Self {
         Self { first: sent.at, last: sent.at, window: sent.window }
     }
 
@@ -75,7 +75,7 @@
     }
 
     /// With one send more. One after their end begins anew: engines have forgotten them.
-    pub fn and(self, sent: Sent) -> Self {
+    pub fn and(self, sent: KeySend) -> Self {
         if sent.at >= self.end() {
             return Self::one(sent);
         }
@@ -115,20 +115,20 @@
     /// At once.
     Now,
     /// Once this record of it is durable.
-    AfterRecord(Sent),
+    AfterRecord(KeySend),
     /// No: it never ran.
     No,
 }
 
 /// The keys of one gateway. No I/O; times are handed in.
 #[derive(Debug)]
-pub struct Gate {
+pub struct DeduplicationWindow {
     log: Log,
     /// The longest window.
     window: Milliseconds,
     most: usize,
     /// By key, and whether all of them are durable.
-    sends: HashMap<Key, (Sends, bool)>,
+    sends: HashMap<Key, (KeySends, bool)>,
     /// When each expires, to drop the expired without a look at all.
     ends: BTreeMap<(u64, Key), ()>,
     /// Nothing keyed before this.
@@ -148,7 +148,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rewrite {
     /// All keys that hold.
-    pub keys: Vec<(Key, Sends)>,
+    pub keys: Vec<(Key, KeySends)>,
     /// A mark, where one may be given: its time, and until when nothing keyed may leave.
     pub mark: Option<(Milliseconds, Milliseconds)>,
 }
@@ -160,7 +160,7 @@
 /// How long a client is told to keep away while the log is not healthy and nobody knows until when.
 const UNHEALTHY_WAIT: Milliseconds = 1_000.0;
 
-impl Gate {
+impl DeduplicationWindow {
     /// Keys in memory alone.
     pub fn off() -> Self {
         Self::new(Log::Off, 0.0, usize::MAX, 0.0)
@@ -191,7 +191,7 @@
     /// The log of the life before is known to be whole: its keys, and how long it still had to wait itself.
     pub fn trust(
         &mut self,
-        sends: impl IntoIterator<Item = (Key, Sends)>,
+        sends: impl IntoIterator<Item = (Key, KeySends)>,
         shut_until: Milliseconds,
         now: Milliseconds,
     ) {
@@ -207,7 +207,7 @@
     pub fn take_log(
         &mut self,
         required: bool,
-        trusted: Option<(Vec<(Key, Sends)>, Milliseconds)>,
+        trusted: Option<(Vec<(Key, KeySends)>, Milliseconds)>,
         now: Milliseconds,
     ) {
         self.log = Log::Open { required };
@@ -224,16 +224,16 @@
     }
 
     /// Another process of this gateway sent that key, and has recorded it: a repeat here keeps to the window of both.
-    pub fn hear(&mut self, key: Key, sends: Sends, now: Milliseconds) {
+    pub fn hear(&mut self, key: Key, sends: KeySends, now: Milliseconds) {
         if now >= sends.end() {
             return;
         }
         let (held, durable) = self.sends.get(&key).copied().unwrap_or((sends, true));
         let (first, last) = (held.first.min(sends.first), held.last.max(sends.last));
-        self.put(key, Sends { first, last, window: held.window.max(sends.window) }, durable);
+        self.put(key, KeySends { first, last, window: held.window.max(sends.window) }, durable);
     }
 
-    fn put(&mut self, key: Key, sends: Sends, durable: bool) {
+    fn put(&mut self, key: Key, sends: KeySends, durable: bool) {
         if let Some((old, _)) = self.sends.insert(key, (sends, durable)) {
             self.ends.remove(&(order(old.end()), key));
         }
@@ -277,7 +277,7 @@
             return Admission::Later((until - now).min(self.window.max(UNHEALTHY_WAIT)));
         }
         // The shorter of the two windows where another class, or an earlier configuration, sent that key.
-        let until = |s: &Sends| s.first + s.window.min(window) - margin;
+        let until = |s: &KeySends| s.first + s.window.min(window) - margin;
         match self.sends.get(key) {
             // Too late to go as a repeat, too early to be sure that it goes as a load of its own.
             Some((sends, _)) if now >= until(sends) => {
@@ -299,11 +299,11 @@
         if self.shut(now).is_some() {
             return Leave::No;
         }
-        let sent = Sent { at: now, window };
+        let sent = KeySend { at: now, window };
         let sends = match self.sends.get(key) {
             Some((sends, _)) => sends.and(sent),
             None if self.sends.len() >= self.most => return Leave::No,
-            None => Sends::one(sent),
+            None => KeySends::one(sent),
         };
         self.put(*key, sends, false);
         match self.log {
@@ -313,7 +313,7 @@
     }
 
     /// The record of a send is durable. May it leave? Not if that took so long that it could arrive too late.
-    pub fn recorded(&mut self, key: &Key, sent: Sent, now: Milliseconds) -> bool {
+    pub fn recorded(&mut self, key: &Key, sent: KeySend, now: Milliseconds) -> bool {
         self.logged += 1;
         if let Some((sends, durable)) = self.sends.get_mut(key) {
             *durable |= sends.last == sent.at;
@@ -352,7 +352,7 @@
     }
 
     /// The log was begun anew. True: it is healthy now, and had not been.
-    pub fn rewritten(&mut self, keys: &[(Key, Sends)]) -> bool {
+    pub fn rewritten(&mut self, keys: &[(Key, KeySends)]) -> bool {
         for (key, sends) in keys {
             if let Some((held, durable)) = self.sends.get_mut(key) {
                 *durable |= held == sends;
--- a/crates/persistence/src/keylog.rs
+++ b/crates/persistence/src/idempotency_log.rs
@@ -19,9 +19,9 @@
 //! before the old one is removed. Bytes after the last good record are the end of a write that never came to be,
 //! whose send never left; a bad record with good ones after it is damage, and the log is not trusted.
 
+use crate::deduplication_window::{Key, KeySend, KeySends};
 use crate::disk::{self, Disk};
-use crate::gate::{Key, Sends, Sent};
-use crate::store::Fault;
+use crate::snapshot_store::Fault;
 use starlingplank_decision::interface::Milliseconds;
 use std::collections::HashMap;
 use std::io;
@@ -37,7 +37,7 @@
 /// Bytes of a log that is read at most: far more than is ever written before it is written anew.
 const MOST: u64 = 1 << 30;
 
-/// The log was whole at that time: see [`gate`](crate::gate).
+/// The log was whole at that time: see [`gate`](crate::deduplication_window).
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Mark {
     /// When.
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Record {
     /// A send of a key.
-    Sent(Key, Sent),
+    KeySend(Key, KeySend),
     /// The log was whole then.
     Mark(Mark),
 }
@@ -61,7 +61,7 @@
     /// Its bytes.
     pub fn bytes(&self) -> [u8; RECORD] {
         let (kind, at, window, tail) = match self {
-            Record::Sent(key, sent) => (1, sent.at, sent.window, key),
+            Record::KeySend(key, sent) => (1, sent.at, sent.window, key),
             Record::Mark(mark) => (2, mark.at, mark.shut_until, &mark.boot),
         };
         let mut out = [0; RECORD];
@@ -88,7 +88,7 @@
         let (at, window) = (float(8)?, float(16)?);
         let tail: [u8; 16] = bytes[24..40].try_into().ok()?;
         match bytes[0] {
-            1 => Some(Record::Sent(tail, Sent { at, window })),
+            1 => Some(Record::KeySend(tail, KeySend { at, window })),
             2 => Some(Record::Mark(Mark { at, shut_until: window, boot: tail })),
             _ => None,
         }
@@ -116,7 +116,7 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Read {
     /// Sends by key; of a key that was sent anew after all its windows, the later.
-    pub sends: HashMap<Key, Sends>,
+    pub sends: HashMap<Key, KeySends>,
     /// The last mark.
     pub mark: Option<Mark>,
     /// Records that are good.
@@ -142,9 +142,9 @@
     out.torn = body.len() - (good * RECORD).min(body.len());
     for (n, record) in all.iter().take(good).enumerate() {
         match record {
-            Some(Record::Sent(key, sent)) => {
+            Some(Record::KeySend(key, sent)) => {
                 out.records += 1;
-                let sends = out.sends.get(key).map_or(Sends::one(*sent), |held| held.and(*sent));
+                let sends = out.sends.get(key).map_or(KeySends::one(*sent), |held| held.and(*sent));
                 out.sends.insert(*key, sends);
             }
             Some(Record::Mark(mark)) => {
@@ -165,7 +165,7 @@
 #[derive(Debug, Default)]
 pub struct Recovered {
     /// The keys, and until when nothing keyed may leave, where the log can be trusted.
-    pub trusted: Option<(Vec<(Key, Sends)>, Milliseconds)>,
+    pub trusted: Option<(Vec<(Key, KeySends)>, Milliseconds)>,
     /// Why it can't be.
     pub why: Option<String>,
 }
@@ -183,7 +183,7 @@
 }
 
 /// Reads the log of the life before, and settles whether it can be trusted: whole, of this start of the machine, marked
-/// less than `window` ago, and all that there is. [`gate`](crate::gate) shows why that is enough.
+/// less than `window` ago, and all that there is. [`gate`](crate::deduplication_window) shows why that is enough.
 pub fn recover(
     disk: &dyn Disk,
     now: Milliseconds,
@@ -262,13 +262,13 @@
 }
 
 /// Writes the log. After a call that failed nobody knows how the file ends: only a new one goes on.
-pub struct KeyLog {
+pub struct IdempotencyLog {
     disk: Box<dyn Disk>,
     file: Option<String>,
     next: u64,
 }
 
-impl KeyLog {
+impl IdempotencyLog {
     /// No file yet: [`rewrite`](Self::rewrite) begins one.
     ///
     /// # Errors
@@ -283,13 +283,13 @@
     ///
     /// # Errors
     /// It was not written; the old one is still there.
-    pub fn rewrite(&mut self, keys: &[(Key, Sends)], mark: Option<Mark>) -> io::Result<usize> {
+    pub fn rewrite(&mut self, keys: &[(Key, KeySends)], mark: Option<Mark>) -> io::Result<usize> {
         self.file = None;
         let number = self.next;
         self.next = self.next.saturating_add(1);
         let mut bytes = head().to_vec();
         for (key, sends) in keys {
-            let record = |at| Record::Sent(*key, Sent { at, window: sends.window }).bytes();
+            let record = |at| Record::KeySend(*key, KeySend { at, window: sends.window }).bytes();
             bytes.extend(record(sends.first));
             if sends.last > sends.first {
                 bytes.extend(record(sends.last));
--- a/crates/persistence/src/show.rs
+++ b/crates/persistence/src/inspection.rs
@@ -1,12 +1,12 @@
 //! `knowledge show` and `knowledge verify`: what a folder holds, and whether it is whole. They take no lock and change
 //! nothing, so they may be run beside a gateway.
 
+use crate::cached_endpoints::{self, ListError};
 use crate::folder::{Boot, Files};
-use crate::keylog;
-use crate::list::{self, ListError};
-use crate::recall::{self, worth, Doubt, Named, Rules};
-use crate::records::Snapshot;
-use crate::store::{self, Fault};
+use crate::idempotency_log;
+use crate::recovery::{self, worth, EndpointIdentity, Rules, Uncertainty};
+use crate::snapshot_records::Snapshot;
+use crate::snapshot_store::{self, Fault};
 use serde_json::{json, Value};
 use starlingplank_decision::interface::Milliseconds;
 use starlingplank_storage::framed::FrameError;
@@ -48,17 +48,17 @@
         Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(Verdict::default()),
         found => found.map(|_| Files::new(folder))?,
     };
-    let loaded = store::load(&disk, MOST)?;
-    let log = keylog::last(&disk)?;
+    let loaded = snapshot_store::load(&disk, MOST)?;
+    let log = idempotency_log::last(&disk)?;
     let anything = loaded.snapshot.is_some() || !loaded.faults.is_empty() || log.is_some();
     let torn = log.map_or(0, |(_, read)| read.torn);
     let mut faults = loaded.faults;
-    faults.extend(keylog::faults(&disk)?);
-    let list = list::load(&disk);
+    faults.extend(idempotency_log::faults(&disk)?);
+    let list = cached_endpoints::load(&disk);
     let anything = anything || !matches!(list, Ok(None));
     if let Err(e) = list {
         let newer = matches!(e, ListError::Frame(FrameError::Newer(..)));
-        faults.push(Fault { file: list::FILE.into(), offset: None, why: e.to_string(), newer });
+        faults.push(Fault { file: cached_endpoints::FILE.into(), offset: None, why: e.to_string(), newer });
     }
     Ok(Verdict { faults, anything, torn })
 }
@@ -69,8 +69,8 @@
 /// The folder cannot be read.
 pub fn show(folder: &Path, now: Milliseconds, rules: &Rules) -> io::Result<Option<Value>> {
     let disk = Files::new(folder);
-    let loaded = store::load(&disk, MOST)?;
-    let log = keylog::last(&disk)?;
+    let loaded = snapshot_store::load(&disk, MOST)?;
+    let log = idempotency_log::last(&disk)?;
     let Some((generation, snapshot)) = loaded.snapshot else { return Ok(None) };
     let boot = Boot::read();
     let (keys, marked) = match &log {
@@ -80,8 +80,8 @@
         }
         None => (0, None),
     };
-    let counts = recall::age(&snapshot, now, rules);
-    let kept = list::load(&disk).ok().flatten();
+    let counts = recovery::age(&snapshot, now, rules);
+    let kept = cached_endpoints::load(&disk).ok().flatten();
     Ok(Some(json!({
         "generation": generation,
         "gateway": snapshot.gateway,
@@ -101,7 +101,7 @@
         "keys": {
             "held": keys,
             "mark_age_ms": marked,
-            "sent_beside": keylog::sent_beside(&disk)?,
+            "sent_beside": idempotency_log::sent_beside(&disk)?,
         },
     })))
 }
@@ -109,7 +109,7 @@
 fn fleet(s: &Snapshot, now: Milliseconds) -> Value {
     let f = &s.fleet;
     json!({
-        "worth": worth(now - s.taken, recall::TRAFFIC_HALF),
+        "worth": worth(now - s.taken, recovery::TRAFFIC_HALF),
         "own_threads": f.own_seen,
         "all_threads": f.all_seen,
         "threads_per_query": f.width,
@@ -121,13 +121,13 @@
     })
 }
 
-fn class(c: &crate::records::Class, s: &Snapshot, now: Milliseconds) -> Value {
+fn class(c: &crate::snapshot_records::Class, s: &Snapshot, now: Milliseconds) -> Value {
     let age = now - c.confirmed.unwrap_or(s.taken);
     let band = |(level, n, mean, var): &(f64, f64, f64, f64)| json!({ "threads_per_core": level, "outcomes": n, "mean_ms": mean, "deviation_ms": var.max(0.0).sqrt() });
     json!({
         "name": c.name,
         "age_ms": age,
-        "worth": worth(age, recall::LATENCY_HALF),
+        "worth": worth(age, recovery::LATENCY_HALF),
         "threads": c.threads,
         "best_ms": c.best,
         "alone_ms": c.usual,
@@ -139,16 +139,16 @@
     })
 }
 
-fn engine(e: &crate::records::Engine, s: &Snapshot, now: Milliseconds, rules: &Rules) -> Value {
-    let named = Named { id: e.id.clone(), address: e.address.clone(), started: e.started };
-    let doubt = recall::doubt(Some(e), &named, now, rules);
-    let back = recall::engine(Some(e), &named, s.taken, now, rules);
+fn engine(e: &crate::snapshot_records::Engine, s: &Snapshot, now: Milliseconds, rules: &Rules) -> Value {
+    let named = EndpointIdentity { id: e.id.clone(), address: e.address.clone(), started: e.started };
+    let doubt = recovery::doubt(Some(e), &named, now, rules);
+    let back = recovery::engine(Some(e), &named, s.taken, now, rules);
     let age = e.confirmed.map(|at| now - at);
     json!({
         "id": e.id,
         "address": e.address,
         "age_ms": age,
-        "worth": age.map_or(0.0, |age| worth(age, recall::HEALTH_HALF)),
+        "worth": age.map_or(0.0, |age| worth(age, recovery::HEALTH_HALF)),
         "slowness": e.slow,
         "slowness_now": back.slow,
         "errors": e.errors,
@@ -159,13 +159,13 @@
         "ejections": e.ejections,
         "started_ms": e.started,
         "cold": e.cold,
-        "perhaps_cold_now": doubt != Doubt::None,
+        "perhaps_cold_now": doubt != Uncertainty::None,
         "why": match doubt {
-            Doubt::None => "heard of lately",
-            Doubt::Unheard => "not heard of for longer than a restart takes",
-            Doubt::StartedAnew => "started anew",
-            Doubt::Unknown => "unknown",
-            Doubt::WasCold => "cold when last seen",
+            Uncertainty::None => "heard of lately",
+            Uncertainty::Unheard => "not heard of for longer than a restart takes",
+            Uncertainty::StartedAnew => "started anew",
+            Uncertainty::Unknown => "unknown",
+            Uncertainty::WasCold => "cold when last seen",
         },
     })
 }
--- a/crates/persistence/src/lib.rs
+++ b/crates/persistence/src/lib.rs
@@ -12,12 +12,12 @@
 
 pub use starlingplank_storage::{disk, folder};
 
-pub mod gate;
-pub mod keeper;
-pub mod keylog;
-pub mod list;
-pub mod recall;
-pub mod records;
-pub mod show;
+pub mod cached_endpoints;
+pub mod deduplication_window;
+pub mod idempotency_log;
+pub mod inspection;
+pub mod recovery;
 pub mod snapshot;
-pub mod store;
+pub mod snapshot_records;
+pub mod snapshot_store;
+pub mod writers;
--- a/crates/persistence/src/recall.rs
+++ b/crates/persistence/src/recovery.rs
@@ -4,7 +4,7 @@
 //! the minute. What a process knew by being warm can't be told from its id: one that the gateway has not heard of
 //! for longer than a restart takes, that started anew, or that the snapshot does not know, is *perhaps cold*.
 
-use crate::records::{Engine, Snapshot};
+use crate::snapshot_records::{Engine, Snapshot};
 use starlingplank_decision::interface::Milliseconds;
 use starlingplank_decision::learned::{EngineLearned, Learned};
 use std::collections::{BTreeMap, BTreeSet};
@@ -45,7 +45,7 @@
 
 /// An engine as the list names it now.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Named {
+pub struct EndpointIdentity {
     /// Its id.
     pub id: String,
     /// Where it listens.
@@ -56,7 +56,7 @@
 
 /// Why an engine is perhaps cold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Doubt {
+pub enum Uncertainty {
     /// It is the process that was known, heard of lately: none.
     None,
     /// It was not heard of for longer than a restart takes.
@@ -71,7 +71,7 @@
 
 /// Why a snapshot counts as nothing.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Useless {
+pub enum RejectedSnapshot {
     /// It was taken in what is the future now: the clock was set back.
     FromTheFuture(Milliseconds),
     /// It is this old.
@@ -80,14 +80,14 @@
     NoTime,
 }
 
-impl std::fmt::Display for Useless {
+impl std::fmt::Display for RejectedSnapshot {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Useless::FromTheFuture(by) => {
+            RejectedSnapshot::FromTheFuture(by) => {
                 write!(f, "it was taken {:.1} s in the future: the clock was set back", by / 1000.0)
             }
-            Useless::TooOld(age) => write!(f, "it is {:.0} s old", age / 1000.0),
-            Useless::NoTime => write!(f, "its time is none"),
+            RejectedSnapshot::TooOld(age) => write!(f, "it is {:.0} s old", age / 1000.0),
+            RejectedSnapshot::NoTime => write!(f, "its time is none"),
         }
     }
 }
@@ -105,28 +105,33 @@
 ///
 /// # Errors
 /// It is from the future, too old, or has no time.
-pub fn age(snapshot: &Snapshot, now: Milliseconds, rules: &Rules) -> Result<Milliseconds, Useless> {
+pub fn age(snapshot: &Snapshot, now: Milliseconds, rules: &Rules) -> Result<Milliseconds, RejectedSnapshot> {
     let age = now - snapshot.taken;
     match age {
-        _ if !age.is_finite() => Err(Useless::NoTime),
-        _ if age < -CLOCK_SLACK => Err(Useless::FromTheFuture(-age)),
-        _ if age > rules.keep_for => Err(Useless::TooOld(age)),
+        _ if !age.is_finite() => Err(RejectedSnapshot::NoTime),
+        _ if age < -CLOCK_SLACK => Err(RejectedSnapshot::FromTheFuture(-age)),
+        _ if age > rules.keep_for => Err(RejectedSnapshot::TooOld(age)),
         _ => Ok(age.max(0.0)),
     }
 }
 
 /// Whether an engine is the process that was known.
-pub fn doubt(known: Option<&Engine>, named: &Named, now: Milliseconds, rules: &Rules) -> Doubt {
-    let Some(known) = known else { return Doubt::Unknown };
+pub fn doubt(
+    known: Option<&Engine>,
+    named: &EndpointIdentity,
+    now: Milliseconds,
+    rules: &Rules,
+) -> Uncertainty {
+    let Some(known) = known else { return Uncertainty::Unknown };
     if named.started.is_some() && named.started != known.started {
-        return Doubt::StartedAnew;
+        return Uncertainty::StartedAnew;
     }
     if known.cold && named.started.is_none() {
-        return Doubt::WasCold;
+        return Uncertainty::WasCold;
     }
     match known.confirmed {
-        Some(at) if now - at <= rules.restart_within && now - at >= -CLOCK_SLACK => Doubt::None,
-        _ => Doubt::Unheard,
+        Some(at) if now - at <= rules.restart_within && now - at >= -CLOCK_SLACK => Uncertainty::None,
+        _ => Uncertainty::Unheard,
     }
 }
 
@@ -161,16 +166,17 @@
 /// What is kept of an engine.
 pub fn engine(
     known: Option<&Engine>,
-    named: &Named,
+    named: &EndpointIdentity,
     taken: Milliseconds,
     now: Milliseconds,
     rules: &Rules,
 ) -> EngineLearned {
     let doubt = doubt(known, named, now, rules);
-    let cold = doubt != Doubt::None;
+    let cold = doubt != Uncertainty::None;
     let fresh =
         EngineLearned { id: named.id.clone(), slow: 1.0, perhaps_cold: cold, ..EngineLearned::default() };
-    let Some(known) = known.filter(|_| !matches!(doubt, Doubt::StartedAnew | Doubt::Unknown)) else {
+    let Some(known) = known.filter(|_| !matches!(doubt, Uncertainty::StartedAnew | Uncertainty::Unknown))
+    else {
         return fresh;
     };
     let seen = known.confirmed.unwrap_or(taken);
@@ -196,7 +202,7 @@
 
 /// Knowledge of an earlier life, until the list has named its engines or the time for that is over.
 #[derive(Debug)]
-pub struct Recall {
+pub struct RestoredState {
     rules: Rules,
     taken: Milliseconds,
     fleet: Option<Learned>,
@@ -206,12 +212,12 @@
     until: Option<Milliseconds>,
 }
 
-impl Recall {
+impl RestoredState {
     /// A snapshot that counts.
     ///
     /// # Errors
     /// It does not.
-    pub fn new(snapshot: &Snapshot, now: Milliseconds, rules: Rules) -> Result<Self, Useless> {
+    pub fn new(snapshot: &Snapshot, now: Milliseconds, rules: Rules) -> Result<Self, RejectedSnapshot> {
         let age = age(snapshot, now, &rules)?;
         let mut learned = snapshot.learned();
         learned.engines.clear();
@@ -224,7 +230,7 @@
 
     /// The list names these engines: what there is to give back of them, if anything. An engine is given back once;
     /// one that is new to a list later than the wait is the module's own to know.
-    pub fn list(&mut self, named: &[Named], now: Milliseconds) -> Option<Learned> {
+    pub fn list(&mut self, named: &[EndpointIdentity], now: Milliseconds) -> Option<Learned> {
         if named.is_empty() {
             return None;
         }
--- a/crates/persistence/src/snapshot.rs
+++ b/crates/persistence/src/snapshot.rs
@@ -1,7 +1,7 @@
 //! The bytes of a snapshot: a [head](starlingplank_storage::framed) of 20 bytes, `SPKNOWL\n` and version 2, then the
 //! records in postcard's form.
 
-use crate::records::{v1, Snapshot};
+use crate::snapshot_records::{v1, Snapshot};
 use starlingplank_storage::framed::{pack, unpack, Form};
 
 pub use starlingplank_storage::framed::{FrameError as SnapshotError, HEAD};
--- a/crates/persistence/src/store.rs
+++ b/crates/persistence/src/snapshot_store.rs
@@ -2,8 +2,8 @@
 //! the next, so that a file that rots still leaves one to read.
 
 use crate::disk::{self, Disk};
-use crate::records::Snapshot;
 use crate::snapshot::{self, SnapshotError};
+use crate::snapshot_records::Snapshot;
 use std::io;
 use thiserror::Error;
 
--- a/crates/persistence/src/keeper.rs
+++ b/crates/persistence/src/writers.rs
@@ -1,12 +1,12 @@
 //! The threads that write, so that the decision thread never does. One for snapshots, one for the log of keys: a
 //! snapshot that hangs holds up no key. What waits is bounded; what does not fit is told as failed at once.
 
+use crate::cached_endpoints::{self, CachedEndpoints};
+use crate::deduplication_window::{Key, KeySend, KeySends, Rewrite};
 use crate::disk::Disk;
-use crate::gate::{Key, Rewrite, Sends, Sent};
-use crate::keylog::{KeyLog, Mark, Record};
-use crate::list::{self, KeptList};
-use crate::records::Snapshot;
-use crate::store::Store;
+use crate::idempotency_log::{IdempotencyLog, Mark, Record};
+use crate::snapshot_records::Snapshot;
+use crate::snapshot_store::Store;
 use starlingplank_decision::interface::Milliseconds;
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender, TrySendError};
 use std::thread::JoinHandle;
@@ -18,20 +18,20 @@
 #[derive(Debug)]
 enum KeyJob {
     /// A send of a key, under a ticket.
-    Record(u64, Key, Sent),
+    Record(u64, Key, KeySend),
     Mark(Milliseconds, Milliseconds),
     Rewrite(Rewrite),
 }
 
 /// What came of it.
 #[derive(Debug)]
-pub enum KeyNews {
+pub enum IdempotencyLogEvent {
     /// These records are durable.
     Recorded(Vec<u64>),
     /// These may not be.
     Failed(Vec<u64>, String),
     /// The log was begun anew with these keys.
-    Rewritten(Vec<(Key, Sends)>),
+    Rewritten(Vec<(Key, KeySends)>),
 }
 
 /// Bytes and calls so far.
@@ -54,19 +54,19 @@
 
 impl Offset {
     /// As it is written down.
-    pub fn sent(&self, sent: Sent) -> Sent {
-        Sent { at: (sent.at + self.by).max(0.0), ..sent }
+    pub fn sent(&self, sent: KeySend) -> KeySend {
+        KeySend { at: (sent.at + self.by).max(0.0), ..sent }
     }
 
     /// As they are written down.
-    pub fn sends(&self, sends: Sends) -> Sends {
+    pub fn sends(&self, sends: KeySends) -> KeySends {
         let at = |at: Milliseconds| (at + self.by).max(0.0);
-        Sends { first: at(sends.first), last: at(sends.last), ..sends }
+        KeySends { first: at(sends.first), last: at(sends.last), ..sends }
     }
 
     /// As they are in this life.
-    pub fn back(&self, sends: Sends) -> Sends {
-        Sends { first: sends.first - self.by, last: sends.last - self.by, ..sends }
+    pub fn back(&self, sends: KeySends) -> KeySends {
+        KeySends { first: sends.first - self.by, last: sends.last - self.by, ..sends }
     }
 
     /// As it is written down.
@@ -77,11 +77,11 @@
 }
 
 /// Writes the log of keys, records that wait together in one go.
-pub struct KeyKeeper {
+pub struct IdempotencyLogWriter {
     jobs: SyncSender<KeyJob>,
 }
 
-impl KeyKeeper {
+impl IdempotencyLogWriter {
     /// Starts its thread. News is told through `tell`, from that thread.
     ///
     /// # Errors
@@ -89,9 +89,9 @@
     pub fn start(
         disk: Box<dyn Disk>,
         offset: Offset,
-        tell: impl Fn(KeyNews, Written) + Send + 'static,
+        tell: impl Fn(IdempotencyLogEvent, Written) + Send + 'static,
     ) -> std::io::Result<Self> {
-        let log = KeyLog::open(disk)?;
+        let log = IdempotencyLog::open(disk)?;
         let (jobs, waiting) = sync_channel(WAITING);
         std::thread::Builder::new()
             .name("keys".into())
@@ -100,7 +100,7 @@
     }
 
     /// A record, told of under its ticket. False: too many wait, and it will not be written.
-    pub fn record(&self, ticket: u64, key: Key, sent: Sent) -> bool {
+    pub fn record(&self, ticket: u64, key: Key, sent: KeySend) -> bool {
         self.jobs.try_send(KeyJob::Record(ticket, key, sent)).is_ok()
     }
 
@@ -115,7 +115,12 @@
     }
 }
 
-fn write_keys(mut log: KeyLog, jobs: &Receiver<KeyJob>, offset: Offset, tell: &impl Fn(KeyNews, Written)) {
+fn write_keys(
+    mut log: IdempotencyLog,
+    jobs: &Receiver<KeyJob>,
+    offset: Offset,
+    tell: &impl Fn(IdempotencyLogEvent, Written),
+) {
     let mut written = Written::default();
     let mut next = None;
     while let Some(job) = next.take().or_else(|| jobs.recv().ok()) {
@@ -124,7 +129,7 @@
         let mut add = |job: KeyJob| match job {
             KeyJob::Record(ticket, key, sent) => {
                 tickets.push(ticket);
-                records.push(Record::Sent(key, offset.sent(sent)));
+                records.push(Record::KeySend(key, offset.sent(sent)));
                 None
             }
             KeyJob::Mark(at, shut) => {
@@ -139,9 +144,9 @@
                 Ok(bytes) => {
                     written.bytes += bytes as u64;
                     written.writes += 1;
-                    KeyNews::Rewritten(rewrite.keys)
+                    IdempotencyLogEvent::Rewritten(rewrite.keys)
                 }
-                Err(e) => KeyNews::Failed(Vec::new(), e.to_string()),
+                Err(e) => IdempotencyLogEvent::Failed(Vec::new(), e.to_string()),
             };
             tell(news, written);
             continue;
@@ -157,20 +162,20 @@
             Ok(bytes) => {
                 written.bytes += bytes as u64;
                 written.writes += 1;
-                KeyNews::Recorded(tickets)
+                IdempotencyLogEvent::Recorded(tickets)
             }
-            Err(e) => KeyNews::Failed(tickets, e.to_string()),
+            Err(e) => IdempotencyLogEvent::Failed(tickets, e.to_string()),
         };
         tell(news, written);
     }
 }
 
 /// Writes the last list, on a thread of its own.
-pub struct ListKeeper {
-    jobs: SyncSender<KeptList>,
+pub struct EndpointCacheWriter {
+    jobs: SyncSender<CachedEndpoints>,
 }
 
-impl ListKeeper {
+impl EndpointCacheWriter {
     /// Starts its thread. When writing begins to fail, and when it works again (none), is told through `tell`, from that
     /// thread: lists come every second.
     ///
@@ -180,11 +185,11 @@
         mut disk: Box<dyn Disk>,
         tell: impl Fn(Option<String>) + Send + 'static,
     ) -> std::io::Result<Self> {
-        let (jobs, waiting) = sync_channel::<KeptList>(1);
+        let (jobs, waiting) = sync_channel::<CachedEndpoints>(1);
         let write = move || {
             let mut failing = false;
             while let Ok(kept) = waiting.recv() {
-                let failed = list::save(&mut *disk, &kept).err().map(|e| e.to_string());
+                let failed = cached_endpoints::save(&mut *disk, &kept).err().map(|e| e.to_string());
                 if std::mem::replace(&mut failing, failed.is_some()) != failed.is_some() {
                     tell(failed);
                 }
@@ -195,14 +200,14 @@
     }
 
     /// Has one written. False: one waits already, and this must be said again.
-    pub fn save(&self, kept: KeptList) -> bool {
+    pub fn save(&self, kept: CachedEndpoints) -> bool {
         self.jobs.try_send(kept).is_ok()
     }
 }
 
 /// What came of a snapshot.
 #[derive(Debug)]
-pub enum SnapshotNews {
+pub enum SnapshotEvent {
     /// It is durable.
     Saved(Written),
     /// It is not, and why.
@@ -210,17 +215,17 @@
 }
 
 /// Writes snapshots, one at a time; one that comes while another is written waits, and a later one replaces it.
-pub struct SnapshotKeeper {
+pub struct SnapshotWriter {
     jobs: Option<SyncSender<Snapshot>>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl SnapshotKeeper {
+impl SnapshotWriter {
     /// Starts its thread. News is told through `tell`, from that thread.
     ///
     /// # Errors
     /// There is no thread to be had.
-    pub fn start(mut store: Store, tell: impl Fn(SnapshotNews) + Send + 'static) -> std::io::Result<Self> {
+    pub fn start(mut store: Store, tell: impl Fn(SnapshotEvent) + Send + 'static) -> std::io::Result<Self> {
         let (jobs, waiting) = sync_channel::<Snapshot>(1);
         let write = move || {
             let mut written = Written::default();
@@ -229,9 +234,9 @@
                     Ok(bytes) => {
                         written.bytes += bytes as u64;
                         written.writes += 1;
-                        SnapshotNews::Saved(written)
+                        SnapshotEvent::Saved(written)
                     }
-                    Err(e) => SnapshotNews::Failed(e.to_string()),
+                    Err(e) => SnapshotEvent::Failed(e.to_string()),
                 });
             }
         };
--- a/crates/persistence/tests/common/mod.rs
+++ b/crates/persistence/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Snapshots for tests.
 #![allow(dead_code)]
 
-use starlingplank_persistence::records::{Class, Engine, Fleet, Snapshot};
+use starlingplank_persistence::snapshot_records::{Class, Engine, Fleet, Snapshot};
 
 pub fn snapshot(taken: f64, engines: usize) -> Snapshot {
     Snapshot {
--- a/crates/persistence/tests/crash.rs
+++ b/crates/persistence/tests/crash.rs
@@ -4,10 +4,10 @@
 
 use common::snapshot;
 use rstest::rstest;
-use starlingplank_persistence::gate::{key, Sends, Sent};
-use starlingplank_persistence::keylog::{self, KeyLog, Mark, Record};
+use starlingplank_persistence::deduplication_window::{key, KeySend, KeySends};
+use starlingplank_persistence::idempotency_log::{self, IdempotencyLog, Mark, Record};
 use starlingplank_persistence::snapshot as bytes_of;
-use starlingplank_persistence::store::{load, Store};
+use starlingplank_persistence::snapshot_store::{load, Store};
 use starlingplank_test_doubles::disk::{Fault, FaultyDisk};
 
 const MOST: usize = 1 << 20;
@@ -135,16 +135,16 @@
 
 /// Writes two files and records in both, until the disk stops; the keys that were said to be durable.
 fn log(disk: &FaultyDisk) -> Vec<u32> {
-    let first = |n: u32| Sent { at: f64::from(n), window: 12_000.0 };
+    let first = |n: u32| KeySend { at: f64::from(n), window: 12_000.0 };
     let mut done = Vec::new();
-    let Ok(mut log) = KeyLog::open(Box::new(disk.clone())) else { return done };
+    let Ok(mut log) = IdempotencyLog::open(Box::new(disk.clone())) else { return done };
     for file in 0..2_u32 {
-        let keys: Vec<_> = done.iter().map(|n| (key(&n.to_string()), Sends::one(first(*n)))).collect();
+        let keys: Vec<_> = done.iter().map(|n| (key(&n.to_string()), KeySends::one(first(*n)))).collect();
         if log.rewrite(&keys, Some(mark(f64::from(file * 10)))).is_err() {
             return done;
         }
         for n in file * 10..file * 10 + 3 {
-            let batch = [Record::Sent(key(&n.to_string()), first(n)), Record::Mark(mark(f64::from(n)))];
+            let batch = [Record::KeySend(key(&n.to_string()), first(n)), Record::Mark(mark(f64::from(n)))];
             if log.append(&batch).is_err() {
                 return done;
             }
@@ -170,7 +170,7 @@
             disk.fault(at, fault);
             let done = log(&disk);
             disk.restart();
-            let recovered = keylog::recover(&disk, 30.0, Some(BOOT), 12_000.0);
+            let recovered = idempotency_log::recover(&disk, 30.0, Some(BOOT), 12_000.0);
             let Some((sends, _)) = recovered.trusted else { continue };
             trusted += 1;
             for n in done {
@@ -185,9 +185,9 @@
 #[test]
 fn log_is_trusted_only_if_whole_young_and_of_this_start_of_the_machine() {
     let disk = FaultyDisk::new(1);
-    assert!(keylog::recover(&disk, 5.0, Some(BOOT), 12_000.0).trusted.is_none(), "there is none");
+    assert!(idempotency_log::recover(&disk, 5.0, Some(BOOT), 12_000.0).trusted.is_none(), "there is none");
     log(&disk);
-    let at = |now: f64, boot| keylog::recover(&disk, now, boot, 12_000.0);
+    let at = |now: f64, boot| idempotency_log::recover(&disk, now, boot, 12_000.0);
     assert!(at(100.0, Some(BOOT)).trusted.is_some_and(|(keys, _)| keys.len() == 6));
     assert!(at(12_011.0, Some(BOOT)).trusted.is_some());
     assert!(at(12_012.0, Some(BOOT)).trusted.is_none(), "the mark is too old");
@@ -201,22 +201,22 @@
 fn log_with_any_byte_changed_is_not_trusted_unless_its_end_alone_is_lost() {
     let disk = FaultyDisk::new(1);
     log(&disk);
-    let (name, whole) = keylog::last(&disk).expect("read").expect("there");
+    let (name, whole) = idempotency_log::last(&disk).expect("read").expect("there");
     let bytes = disk.bytes(&name).expect("there");
     for at in 0..bytes.len() {
         let mut changed = bytes.clone();
         changed[at] ^= 0x10;
-        let read = keylog::read(&changed);
-        assert!(read.fault.is_some() || at >= bytes.len() - keylog::RECORD, "byte {at}");
-        let cut = keylog::read(&bytes[..at]);
+        let read = idempotency_log::read(&changed);
+        assert!(read.fault.is_some() || at >= bytes.len() - idempotency_log::RECORD, "byte {at}");
+        let cut = idempotency_log::read(&bytes[..at]);
         assert!(cut.sends.len() <= whole.sends.len());
-        assert!(at < keylog::HEAD || cut.fault.is_none(), "a torn end is no fault");
+        assert!(at < idempotency_log::HEAD || cut.fault.is_none(), "a torn end is no fault");
     }
 }
 
 #[test]
 fn record_s_bytes_are_as_the_page_has_them() {
-    let record = Record::Sent([9; 16], Sent { at: 1.0, window: 2.0 });
+    let record = Record::KeySend([9; 16], KeySend { at: 1.0, window: 2.0 });
     let bytes = record.bytes();
     assert_eq!((bytes[0], &bytes[1..4], &bytes[24..]), (1, &[0; 3][..], &[9; 16][..]));
     assert_eq!(bytes[8..16], 1.0_f64.to_le_bytes());
@@ -227,14 +227,14 @@
 
 #[test]
 fn sends_of_a_key_belong_together_until_engines_have_forgotten_the_last() {
-    let sent = |at: f64| Record::Sent(key("k"), Sent { at, window: 12_000.0 }).bytes();
+    let sent = |at: f64| Record::KeySend(key("k"), KeySend { at, window: 12_000.0 }).bytes();
     let head = {
         let disk = FaultyDisk::new(1);
-        KeyLog::open(Box::new(disk.clone())).expect("empty").rewrite(&[], None).expect("written");
+        IdempotencyLog::open(Box::new(disk.clone())).expect("empty").rewrite(&[], None).expect("written");
         disk.bytes("keys-0000000000000001.spl").expect("there")
     };
     let read = |records: &[[u8; 40]]| {
-        let sends = keylog::read(&[&head[..], &records.concat()].concat()).sends[&key("k")];
+        let sends = idempotency_log::read(&[&head[..], &records.concat()].concat()).sends[&key("k")];
         (sends.first, sends.last)
     };
     assert_eq!(read(&[sent(5.0), sent(5.0), sent(11_000.0)]), (5.0, 11_000.0), "repeated records");
--- a/crates/persistence/tests/keylog.rs
+++ b/crates/persistence/tests/idempotency_log.rs
@@ -1,7 +1,7 @@
 //! The log of keys, looked into from outside while its gateway goes on.
 
 use starlingplank_persistence::disk::Disk;
-use starlingplank_persistence::keylog::{last, KeyLog, Mark};
+use starlingplank_persistence::idempotency_log::{last, IdempotencyLog, Mark};
 use starlingplank_test_doubles::disk::FaultyDisk;
 use std::cell::Cell;
 use std::io;
@@ -42,7 +42,7 @@
 #[test]
 fn log_that_is_begun_anew_while_it_is_looked_for_is_found() {
     let disk = FaultyDisk::new(1);
-    let mut log = KeyLog::open(Box::new(disk.clone())).expect("empty");
+    let mut log = IdempotencyLog::open(Box::new(disk.clone())).expect("empty");
     let mark = |at| Some(Mark { at, shut_until: 0.0, boot: [1; 16] });
     log.rewrite(&[], mark(1.0)).expect("written");
     let names = disk.names().expect("listed");
--- a/crates/persistence/tests/snapshot.rs
+++ b/crates/persistence/tests/snapshot.rs
@@ -4,8 +4,8 @@
 
 use common::snapshot;
 use proptest::prelude::*;
-use starlingplank_persistence::records::v1;
 use starlingplank_persistence::snapshot::{decode, encode, encode_v1, SnapshotError, FORM, HEAD};
+use starlingplank_persistence::snapshot_records::v1;
 
 const MOST: usize = 1 << 20;
 /// As version 1 wrote it; made once and never again.
--- a/crates/persistence/tests/twice.rs
+++ b/crates/persistence/tests/twice.rs
@@ -3,9 +3,11 @@
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use starlingplank_persistence::deduplication_window::{
+    key, Admission, DeduplicationWindow, Key, KeySend, KeySends, Leave, Log,
+};
 use starlingplank_persistence::disk::Disk as _;
-use starlingplank_persistence::gate::{key, Admission, Gate, Key, Leave, Log, Sends, Sent};
-use starlingplank_persistence::keylog::{self, KeyLog, Mark, Record};
+use starlingplank_persistence::idempotency_log::{self, IdempotencyLog, Mark, Record};
 use starlingplank_test_doubles::disk::{Fault, FaultyDisk};
 use std::collections::HashMap;
 
@@ -42,8 +44,8 @@
 }
 
 struct Life {
-    gate: Gate,
-    log: Option<KeyLog>,
+    deduplication: DeduplicationWindow,
+    log: Option<IdempotencyLog>,
     /// Between clocks: the machine's is this much ahead.
     offset: f64,
     boot: [u8; 16],
@@ -51,18 +53,19 @@
 
 impl Life {
     fn start(disk: &FaultyDisk, mode: Log, now: f64, offset: f64, boot: [u8; 16]) -> Self {
-        let mut gate = Gate::new(mode, WINDOW, 1_000, now);
+        let mut deduplication = DeduplicationWindow::new(mode, WINDOW, 1_000, now);
         let log = matches!(mode, Log::Open { .. }).then(|| {
-            let found = keylog::recover(disk, now + offset, Some(boot), WINDOW);
+            let found = idempotency_log::recover(disk, now + offset, Some(boot), WINDOW);
             if let Some((sends, shut)) = found.trusted {
-                let here =
-                    |(k, s): (Key, Sends)| (k, Sends { first: s.first - offset, last: s.last - offset, ..s });
+                let here = |(k, s): (Key, KeySends)| {
+                    (k, KeySends { first: s.first - offset, last: s.last - offset, ..s })
+                };
                 let shut = if shut > 0.0 { shut - offset } else { 0.0 };
-                gate.trust(sends.into_iter().map(here), shut, now);
+                deduplication.trust(sends.into_iter().map(here), shut, now);
             }
-            KeyLog::open(Box::new(disk.clone()))
+            IdempotencyLog::open(Box::new(disk.clone()))
         });
-        let mut life = Self { gate, log: log.and_then(Result::ok), offset, boot };
+        let mut life = Self { deduplication, log: log.and_then(Result::ok), offset, boot };
         life.tend(now);
         life
     }
@@ -74,37 +77,39 @@
 
     /// Once a second.
     fn tend(&mut self, now: f64) {
-        if let Some(rewrite) = self.gate.rewrite(now) {
+        if let Some(rewrite) = self.deduplication.rewrite(now) {
             let keys: Vec<_> = rewrite
                 .keys
                 .iter()
-                .map(|(k, s)| (*k, Sends { first: s.first + self.offset, last: s.last + self.offset, ..*s }))
+                .map(|(k, s)| {
+                    (*k, KeySends { first: s.first + self.offset, last: s.last + self.offset, ..*s })
+                })
                 .collect();
             let mark = rewrite.mark.map(|m| self.mark(m));
             match self.log.as_mut().map(|log| log.rewrite(&keys, mark)) {
-                Some(Ok(_)) => drop(self.gate.rewritten(&rewrite.keys)),
-                _ => drop(self.gate.failed()),
+                Some(Ok(_)) => drop(self.deduplication.rewritten(&rewrite.keys)),
+                _ => drop(self.deduplication.failed()),
             }
         }
-        if let Some(mark) = self.gate.mark(now) {
+        if let Some(mark) = self.deduplication.mark(now) {
             let mark = self.mark(mark);
             let wrote = self.log.as_mut().map(|log| log.append(&[Record::Mark(mark)]));
             if !matches!(wrote, Some(Ok(_))) {
-                self.gate.failed();
+                self.deduplication.failed();
             }
         }
     }
 
     fn leave(&mut self, key: Key, now: f64) -> bool {
-        match self.gate.leave(&key, WINDOW, now) {
+        match self.deduplication.leave(&key, WINDOW, now) {
             Leave::No => false,
             Leave::Now => true,
             Leave::AfterRecord(sent) => {
-                let there = Sent { at: sent.at + self.offset, ..sent };
-                match self.log.as_mut().map(|log| log.append(&[Record::Sent(key, there)])) {
-                    Some(Ok(_)) => self.gate.recorded(&key, sent, now),
+                let there = KeySend { at: sent.at + self.offset, ..sent };
+                match self.log.as_mut().map(|log| log.append(&[Record::KeySend(key, there)])) {
+                    Some(Ok(_)) => self.deduplication.recorded(&key, sent, now),
                     _ => {
-                        self.gate.failed();
+                        self.deduplication.failed();
                         false
                     }
                 }
@@ -162,7 +167,7 @@
             }
             if rng.random_bool(0.5) {
                 let key = key(&rng.random_range(0..KEYS).to_string());
-                if let Admission::Until(by) = life.gate.admit(&key, WINDOW, now, MARGIN) {
+                if let Admission::Until(by) = life.deduplication.admit(&key, WINDOW, now, MARGIN) {
                     // Some wait long: it is what makes repeats dangerous.
                     let wait = if rng.random_bool(0.2) { 25_000.0 } else { 700.0 };
                     waiting.push((now + rng.random_range(0.0..wait), key, by, now));
@@ -233,19 +238,25 @@
         Self { life, heard: 0, waiting: Vec::new() }
     }
 
-    fn hear(&mut self, shared: &[(Key, Sent)], now: f64) {
+    fn hear(&mut self, shared: &[(Key, KeySend)], now: f64) {
         for (key, sent) in shared.iter().skip(self.heard) {
-            self.life.gate.hear(*key, Sends::one(*sent), now);
+            self.life.deduplication.hear(*key, KeySends::one(*sent), now);
         }
         self.heard = shared.len();
     }
 
-    fn step(&mut self, rng: &mut Pcg64Mcg, shared: &mut Vec<(Key, Sent)>, engines: &mut Engines, now: f64) {
+    fn step(
+        &mut self,
+        rng: &mut Pcg64Mcg,
+        shared: &mut Vec<(Key, KeySend)>,
+        engines: &mut Engines,
+        now: f64,
+    ) {
         if rng.random_bool(0.5) {
             // What the other has just sent counts before a keyed request is taken.
             self.hear(shared, now);
             let key = key(&rng.random_range(0..KEYS).to_string());
-            if let Admission::Until(by) = self.life.gate.admit(&key, WINDOW, now, MARGIN) {
+            if let Admission::Until(by) = self.life.deduplication.admit(&key, WINDOW, now, MARGIN) {
                 let wait = if rng.random_bool(0.2) { 25_000.0 } else { 700.0 };
                 self.waiting.push((now + rng.random_range(0.0..wait), key, by, now));
             }
@@ -253,7 +264,7 @@
         let due: Vec<_> = self.waiting.extract_if(.., |w| w.0 <= now).collect();
         for (_, key, by, came) in due {
             if now < by && self.life.leave(key, now) {
-                shared.push((key, Sent { at: now, window: WINDOW }));
+                shared.push((key, KeySend { at: now, window: WINDOW }));
                 engines.take(key, came, now + rng.random_range(0.0..MARGIN / 2.0));
             }
         }
@@ -268,7 +279,7 @@
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let disk = FaultyDisk::new(seed);
     let mut engines = Engines::default();
-    let mut shared: Vec<(Key, Sent)> = Vec::new();
+    let mut shared: Vec<(Key, KeySend)> = Vec::new();
     let (mut now, mut machine, mut boot, mut taken) = (1_000_000.0, 5_000.0, [1; 16], 0);
     let unsay = |disk: &FaultyDisk| {
         let mut disk = disk.clone();
@@ -278,7 +289,7 @@
         let born = now;
         let mut old =
             Process::new(Life::start(&disk, Log::Open { required: false }, now, machine - now, boot));
-        if old.life.gate.healthy() {
+        if old.life.deduplication.healthy() {
             unsay(&disk);
         }
         let mut new: Option<Process> = None;
@@ -302,14 +313,14 @@
             match new.take() {
                 // A new one starts, and follows.
                 None => {
-                    let found = keylog::recover_beside(&disk, now + offset, Some(boot), WINDOW);
+                    let found = idempotency_log::recover_beside(&disk, now + offset, Some(boot), WINDOW);
                     let kind = if found.trusted.is_some() { Log::Off } else { Log::Missing };
-                    let mut gate = Gate::new(kind, WINDOW, 1_000, now);
+                    let mut deduplication = DeduplicationWindow::new(kind, WINDOW, 1_000, now);
                     if let Some((sends, shut)) = found.trusted {
-                        let here = |(k, s): (Key, Sends)| {
-                            (k, Sends { first: s.first - offset, last: s.last - offset, ..s })
+                        let here = |(k, s): (Key, KeySends)| {
+                            (k, KeySends { first: s.first - offset, last: s.last - offset, ..s })
                         };
-                        gate.trust(
+                        deduplication.trust(
                             sends.into_iter().map(here),
                             if shut > 0.0 { shut - offset } else { 0.0 },
                             now,
@@ -319,7 +330,7 @@
                         let mut disk = disk.clone();
                         disk.create(SAID).and_then(|()| disk.sync_names()).expect("a good disk");
                     }
-                    new = Some(Process::new(Life { gate, log: None, offset, boot }));
+                    new = Some(Process::new(Life { deduplication, log: None, offset, boot }));
                     upgrade = now + rng.random_range(50.0..5_000.0);
                 }
                 // The old one ends, and the new one sees it a little later: until then it goes on.
@@ -330,20 +341,21 @@
                         next.step(&mut rng, &mut shared, &mut engines, now);
                     }
                     next.hear(&shared, now);
-                    let found = keylog::recover_beside(&disk, now + offset, Some(boot), WINDOW);
-                    let here = |(sends, shut): (Vec<(Key, Sends)>, f64)| {
-                        let back = |s: Sends| Sends { first: s.first - offset, last: s.last - offset, ..s };
+                    let found = idempotency_log::recover_beside(&disk, now + offset, Some(boot), WINDOW);
+                    let here = |(sends, shut): (Vec<(Key, KeySends)>, f64)| {
+                        let back =
+                            |s: KeySends| KeySends { first: s.first - offset, last: s.last - offset, ..s };
                         let shut = if shut > 0.0 { shut - offset } else { 0.0 };
                         (sends.into_iter().map(|(k, s)| (k, back(s))).collect(), shut)
                     };
-                    next.life.gate.take_log(false, found.trusted.map(here), now);
-                    next.life.log = KeyLog::open(Box::new(disk.clone())).ok();
+                    next.life.deduplication.take_log(false, found.trusted.map(here), now);
+                    next.life.log = IdempotencyLog::open(Box::new(disk.clone())).ok();
                     // It may be killed before its first file is there.
                     if rng.random_bool(0.2) {
                         break;
                     }
                     next.life.tend(now);
-                    assert!(next.life.gate.healthy(), "a good disk");
+                    assert!(next.life.deduplication.healthy(), "a good disk");
                     unsay(&disk);
                     (old, taken) = (next, taken + 1);
                     upgrade = now + rng.random_range(100.0..8_000.0);
--- a/crates/persistence/tests/keeper.rs
+++ b/crates/persistence/tests/writers.rs
@@ -3,12 +3,14 @@
 mod common;
 
 use common::snapshot;
+use starlingplank_persistence::deduplication_window::{key, KeySend, Rewrite};
 use starlingplank_persistence::disk::Disk;
 use starlingplank_persistence::folder::{Files, Folder, FolderError};
-use starlingplank_persistence::gate::{key, Rewrite, Sent};
-use starlingplank_persistence::keeper::{KeyKeeper, KeyNews, Offset, SnapshotKeeper, SnapshotNews, Written};
-use starlingplank_persistence::show;
-use starlingplank_persistence::store::Store;
+use starlingplank_persistence::inspection;
+use starlingplank_persistence::snapshot_store::Store;
+use starlingplank_persistence::writers::{
+    IdempotencyLogEvent, IdempotencyLogWriter, Offset, SnapshotEvent, SnapshotWriter, Written,
+};
 use starlingplank_test_doubles::disk::{Fault, FaultyDisk};
 use std::io;
 use std::os::unix::fs::PermissionsExt;
@@ -63,9 +65,10 @@
     (Hanging(FaultyDisk::new(1), gate), open)
 }
 
-fn keys(disk: Box<dyn Disk>) -> (KeyKeeper, Receiver<(KeyNews, Written)>) {
+fn keys(disk: Box<dyn Disk>) -> (IdempotencyLogWriter, Receiver<(IdempotencyLogEvent, Written)>) {
     let (tell, news) = channel();
-    let keeper = KeyKeeper::start(disk, OFFSET, move |n, w| drop(tell.send((n, w)))).expect("it starts");
+    let keeper =
+        IdempotencyLogWriter::start(disk, OFFSET, move |n, w| drop(tell.send((n, w)))).expect("it starts");
     (keeper, news)
 }
 
@@ -78,13 +81,13 @@
     let (disk, open) = hanging();
     let (tell, news) = channel();
     let (store, _) = Store::open(Box::new(disk), MOST).expect("empty");
-    let mut keeper = SnapshotKeeper::start(store, move |n| drop(tell.send(n))).expect("it starts");
+    let mut keeper = SnapshotWriter::start(store, move |n| drop(tell.send(n))).expect("it starts");
     let taken = (0..50).filter(|n| keeper.save(snapshot(f64::from(*n), 1))).count();
     // One is being written and one waits, or the first was not picked up yet.
     assert!((1..=2).contains(&taken), "{taken}");
     assert!(!keeper.finished() && news.try_recv().is_err());
     open();
-    assert!(matches!(news.recv(), Ok(SnapshotNews::Saved(_))));
+    assert!(matches!(news.recv(), Ok(SnapshotEvent::Saved(_))));
     while !keeper.finished() {
         std::thread::yield_now();
     }
@@ -95,15 +98,15 @@
     let (disk, open) = hanging();
     let (keeper, news) = keys(Box::new(disk));
     assert!(keeper.rewrite(begin()));
-    let sent = Sent { at: 5.0, window: 12_000.0 };
+    let sent = KeySend { at: 5.0, window: 12_000.0 };
     assert!((0..100).all(|n| keeper.record(n, key(&n.to_string()), sent)));
     assert!(news.try_recv().is_err(), "none is durable yet");
     open();
     let mut told = Vec::new();
     while told.len() < 100 {
         match news.recv().expect("news") {
-            (KeyNews::Recorded(tickets), _) => told.extend(tickets),
-            (KeyNews::Rewritten(_), _) => {}
+            (IdempotencyLogEvent::Recorded(tickets), _) => told.extend(tickets),
+            (IdempotencyLogEvent::Rewritten(_), _) => {}
             (news, _) => panic!("{news:?}"),
         }
     }
@@ -115,22 +118,22 @@
     let disk = FaultyDisk::new(1);
     let (keeper, news) = keys(Box::new(disk.clone()));
     assert!(keeper.rewrite(begin()));
-    assert!(matches!(news.recv(), Ok((KeyNews::Rewritten(_), _))));
-    let sent = Sent { at: 5.0, window: 12_000.0 };
+    assert!(matches!(news.recv(), Ok((IdempotencyLogEvent::Rewritten(_), _))));
+    let sent = KeySend { at: 5.0, window: 12_000.0 };
     disk.fault(0, Fault::Full);
     for ticket in 0..2 {
         assert!(keeper.record(ticket, key("a"), sent));
-        assert!(matches!(news.recv(), Ok((KeyNews::Failed(t, _), _)) if t == [ticket]));
+        assert!(matches!(news.recv(), Ok((IdempotencyLogEvent::Failed(t, _), _)) if t == [ticket]));
     }
     disk.restart();
     assert!(keeper.record(2, key("a"), sent));
     assert!(
-        matches!(news.recv(), Ok((KeyNews::Failed(..), _))),
+        matches!(news.recv(), Ok((IdempotencyLogEvent::Failed(..), _))),
         "there is space, but how the file ends is unknown"
     );
     assert!(keeper.rewrite(begin()) && keeper.record(3, key("a"), sent));
-    assert!(matches!(news.recv(), Ok((KeyNews::Rewritten(_), _))));
-    assert!(matches!(news.recv(), Ok((KeyNews::Recorded(t), _)) if t == [3]));
+    assert!(matches!(news.recv(), Ok((IdempotencyLogEvent::Rewritten(_), _))));
+    assert!(matches!(news.recv(), Ok((IdempotencyLogEvent::Recorded(t), _)) if t == [3]));
 }
 
 #[test]
@@ -138,7 +141,7 @@
     let (disk, open) = hanging();
     let (keeper, _news) = keys(Box::new(disk));
     keeper.rewrite(begin());
-    let sent = Sent { at: 5.0, window: 12_000.0 };
+    let sent = KeySend { at: 5.0, window: 12_000.0 };
     let taken = (0..10_000).filter(|n| keeper.record(*n, key("a"), sent)).count();
     assert!(taken < 5_000, "{taken}");
     open();
@@ -168,14 +171,14 @@
 #[test]
 fn verify_tells_whole_from_faulty_from_nothing() {
     let folder = tempfile::tempdir().expect("a folder");
-    let code = || show::verify(folder.path()).expect("read");
+    let code = || inspection::verify(folder.path()).expect("read");
     assert_eq!(code().code(), 2);
-    assert_eq!(show::verify(&folder.path().join("none")).expect("read").code(), 2);
+    assert_eq!(inspection::verify(&folder.path().join("none")).expect("read").code(), 2);
     let (mut store, _) = Store::open(Box::new(Files::new(folder.path())), MOST).expect("empty");
     store.save(&snapshot(1.0, 1)).expect("saved");
     let (keeper, news) = keys(Box::new(Files::new(folder.path())));
     keeper.rewrite(begin());
-    assert!(matches!(news.recv(), Ok((KeyNews::Rewritten(_), _))));
+    assert!(matches!(news.recv(), Ok((IdempotencyLogEvent::Rewritten(_), _))));
     assert_eq!(code().code(), 0);
     let log = folder.path().join("keys-0000000000000001.spl");
     let mut bytes = std::fs::read(&log).expect("there");
@@ -187,12 +190,12 @@
     let verdict = code();
     assert_eq!((verdict.code(), verdict.faults[0].offset), (1, Some(3)));
     assert!(verdict.faults[0].to_string().starts_with("keys-0000000000000001.spl: at byte 3"), "{verdict:?}");
-    let shown = show::show(folder.path(), 61.0, &RULES).expect("read").expect("a snapshot");
-    let text = show::text(&shown);
+    let shown = inspection::show(folder.path(), 61.0, &RULES).expect("read").expect("a snapshot");
+    let text = inspection::text(&shown);
     assert!(text.contains("engines[s-0].slowness = 1\n") && text.contains("age_ms = 60\n"), "{text}");
 }
 
-const RULES: starlingplank_persistence::recall::Rules = starlingplank_persistence::recall::DEFAULT;
+const RULES: starlingplank_persistence::recovery::Rules = starlingplank_persistence::recovery::DEFAULT;
 
 /// A disk on which nothing can be made while it is said to be full.
 #[derive(Clone)]
@@ -231,15 +234,15 @@
 /// Lists come every second: a full disk is told of once, and once when it takes lists again.
 #[test]
 fn list_that_cannot_be_written_is_told_of_when_that_begins_and_ends() {
-    use starlingplank_persistence::keeper::ListKeeper;
-    use starlingplank_persistence::list::{self, KeptList};
+    use starlingplank_persistence::cached_endpoints::{self, CachedEndpoints};
+    use starlingplank_persistence::writers::EndpointCacheWriter;
     let disk = Full(FaultyDisk::new(3), Arc::default());
     let (tell, told) = channel();
     let told_of = move |failed: Option<String>| {
         let _ = tell.send(failed.is_some());
     };
-    let keeper = ListKeeper::start(Box::new(disk.clone()), told_of).expect("a thread");
-    let kept = |heard: f64| KeptList { heard, engines: Vec::new(), gone: Vec::new() };
+    let keeper = EndpointCacheWriter::start(Box::new(disk.clone()), told_of).expect("a thread");
+    let kept = |heard: f64| CachedEndpoints { heard, engines: Vec::new(), gone: Vec::new() };
     // Tries until so many were taken by the thread that writes.
     let save = |times: usize| {
         let taken = (0..300_000_000_u64).filter(|_| {
@@ -259,5 +262,5 @@
         save(5);
         assert_eq!(told.recv(), Ok(false), "said once");
     }
-    assert!(matches!(list::load(&disk), Ok(Some(l)) if l.heard == 1.0));
+    assert!(matches!(cached_endpoints::load(&disk), Ok(Some(l)) if l.heard == 1.0));
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -12,7 +12,7 @@
 use crate::net::front::rules::ClassRules;
 use crate::wire::{self, Fields, WireError};
 use miniserde::json::{self, Number, Value};
-use starlingplank_persistence::recall;
+use starlingplank_persistence::recovery;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use thiserror::Error;
@@ -244,9 +244,9 @@
             most_bytes: (f.number_or("knowledge.most_mb", 16.0)? * 1024.0 * 1024.0) as usize,
             keys: f.opt("knowledge.keys") != Some("false"),
             most_keys: f.number_or("knowledge.most_keys", 100_000.0)? as usize,
-            restart_within: f.number_or("knowledge.restart_within", recall::DEFAULT.restart_within)?,
-            keep_for: f.number_or("knowledge.keep_for", recall::DEFAULT.keep_for)?,
-            list_wait: f.number_or("knowledge.list_wait", recall::DEFAULT.list_wait)?,
+            restart_within: f.number_or("knowledge.restart_within", recovery::DEFAULT.restart_within)?,
+            keep_for: f.number_or("knowledge.keep_for", recovery::DEFAULT.keep_for)?,
+            list_wait: f.number_or("knowledge.list_wait", recovery::DEFAULT.list_wait)?,
         }))
     }
 }
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -8,7 +8,7 @@
 use starlingplank_decision::permission::send::{
     may_repeat, may_send, never_ran, EarlierAttempt, Place, SendFacts, SendPermit,
 };
-use starlingplank_persistence::gate::Leave;
+use starlingplank_persistence::deduplication_window::Leave;
 
 /// One attempt to execute a request on an engine.
 pub(super) struct Attempt {
@@ -105,7 +105,7 @@
         let may = self.may_send(now, attempt, deadline, effects);
         let Some(r) = self.requests.get(&id) else { return };
         let leave = match r.key.filter(|_| may) {
-            Some(RequestKey { key, window }) => self.gate.leave(&key, window, now),
+            Some(RequestKey { key, window }) => self.deduplication.leave(&key, window, now),
             None if may => Leave::Now,
             None => Leave::No,
         };
--- a/src/core/membership.rs
+++ b/src/core/membership.rs
@@ -7,7 +7,7 @@
 use starlingplank_admin::hand::Hand;
 use starlingplank_admin::heard::{Gone, Heard};
 use starlingplank_pacing::come_back::ComeBack;
-use starlingplank_persistence::recall::Named;
+use starlingplank_persistence::recovery::EndpointIdentity;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -21,8 +21,8 @@
 }
 
 /// A member in the form in which learned state is matched to it.
-fn named(endpoint: &Endpoint) -> Named {
-    Named {
+fn named(endpoint: &Endpoint) -> EndpointIdentity {
+    EndpointIdentity {
         id: endpoint.member.engine.0.to_string(),
         address: endpoint.address.to_string(),
         started: endpoint.member.started,
@@ -256,15 +256,16 @@
 
     /// Tells the decision module its engines, and what an earlier incarnation learned of them.
     fn report_members(&mut self, now: Milliseconds, list: Vec<Endpoint>) {
-        let named: Vec<Named> = list.iter().map(named).collect();
-        let recalled = self.recall.as_mut().and_then(|recall| recall.list(&named, now));
+        let named: Vec<EndpointIdentity> = list.iter().map(named).collect();
+        let recalled =
+            self.restored_state.as_mut().and_then(|restored_state| restored_state.list(&named, now));
         // Merging keeps the order of the service's members, which hold the starts as they were told.
         let told = self.service_members.iter().map(|l| l.member.started);
         let members = list.into_iter().zip(told).map(|(l, told)| self.with_local_start(now, l.member, told));
         let members = members.collect();
         self.pending_events.push(DecisionEvent::Members { complete: true, members });
         self.pending_events.extend(recalled.map(|learned| DecisionEvent::Restored(Box::new(learned))));
-        self.recall.take_if(|recall| recall.over(now));
+        self.restored_state.take_if(|restored_state| restored_state.over(now));
     }
 
     /// A member as the decision module is told of it: its start is a time of this gateway's clock, and not in the future.
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -5,7 +5,7 @@
 use starlingplank_admin::hand::Hand;
 use starlingplank_admin::heard::Heard;
 use starlingplank_decision::permission::send::{SendPermit, SendRefusal};
-use starlingplank_persistence::gate::{Key, Rewrite, Sends, Sent};
+use starlingplank_persistence::deduplication_window::{Key, KeySend, KeySends, Rewrite};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -44,7 +44,7 @@
     /// These records may not be durable, and the log accepts no more.
     RecordsFailed(Vec<u64>),
     /// The log was rewritten with these keys.
-    LogRewritten(Vec<(Key, Sends)>),
+    LogRewritten(Vec<(Key, KeySends)>),
     /// The maintenance tick of the log, once a second.
     MaintenanceTick,
     /// Another process takes over, which leaves more time for open requests.
@@ -54,7 +54,7 @@
     /// What an earlier process of this gateway heard of the name service.
     InheritedMembership(Heard),
     /// Another process of this gateway sent requests with these keys.
-    PeerKeys(Vec<(Key, Sends)>),
+    PeerKeys(Vec<(Key, KeySends)>),
     /// How many processes of this gateway run now.
     ProcessCount(usize),
 }
@@ -112,7 +112,7 @@
     /// Log that an attempt was asked for which the rules do not allow. It was not sent.
     LogViolation(AttemptId, SendRefusal),
     /// Write a record of a keyed send; [`Event::RecordsDurable`] reports its number.
-    WriteRecord(u64, Key, Sent),
+    WriteRecord(u64, Key, KeySend),
     /// Write a mark that the log is complete: the time, and until when no keyed request may be transmitted.
     WriteMark(Milliseconds, Milliseconds),
     /// Rewrite the log.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -37,8 +37,8 @@
 use starlingplank_decision::start_times::StartTimes;
 use starlingplank_pacing::come_back::ComeBack;
 use starlingplank_pacing::start::FirstProbes;
-use starlingplank_persistence::gate::Gate;
-use starlingplank_persistence::recall::Recall;
+use starlingplank_persistence::deduplication_window::DeduplicationWindow;
+use starlingplank_persistence::recovery::RestoredState;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::rc::Rc;
 use timers::Timer;
@@ -83,11 +83,11 @@
     engines: BTreeMap<EngineId, Endpoint>,
     requests: BTreeMap<RequestId, Request>,
     /// The deduplication window: sends by idempotency key.
-    gate: Gate,
+    deduplication: DeduplicationWindow,
     /// Records of keyed sends that are being written, by number.
     pending_records: BTreeMap<u64, AttemptId>,
     /// What an earlier incarnation learned, until the membership has named its engines.
-    recall: Option<Recall>,
+    restored_state: Option<RestoredState>,
     /// Probes without an answer, by number.
     probes: BTreeMap<u64, Probe>,
     /// Spreads the first probes of a fleet that starts all at once.
@@ -148,9 +148,9 @@
             operator_override: Hand::default(),
             engines: BTreeMap::new(),
             requests: BTreeMap::new(),
-            gate: Gate::off(),
+            deduplication: DeduplicationWindow::off(),
             pending_records: BTreeMap::new(),
-            recall: None,
+            restored_state: None,
             probes: BTreeMap::new(),
             timers: BinaryHeap::new(),
             last_number: 0,
@@ -168,8 +168,8 @@
     }
 
     /// Sets the deduplication window and what an earlier incarnation learned. To be called before the first event.
-    pub fn resume(&mut self, gate: Gate, recall: Option<Recall>) {
-        (self.gate, self.recall) = (gate, recall);
+    pub fn resume(&mut self, deduplication: DeduplicationWindow, restored_state: Option<RestoredState>) {
+        (self.deduplication, self.restored_state) = (deduplication, restored_state);
     }
 
     /// Has what the rules refuse counted there. To be called before the first event.
@@ -183,8 +183,8 @@
     }
 
     /// Sets what an earlier incarnation learned, unless that is set already.
-    pub fn remember(&mut self, recall: Recall) {
-        self.recall.get_or_insert(recall);
+    pub fn remember(&mut self, restored_state: RestoredState) {
+        self.restored_state.get_or_insert(restored_state);
     }
 
     /// Attempts and outcomes by class, in the order of the settings.
--- a/src/core/records.rs
+++ b/src/core/records.rs
@@ -4,29 +4,29 @@
 use super::timers::Due;
 use super::{AttemptEnd, AttemptId, Core, Effect};
 use crate::interface::{Milliseconds, Outcome};
-use starlingplank_persistence::gate::{Gate, Key, Sends, Sent};
+use starlingplank_persistence::deduplication_window::{DeduplicationWindow, Key, KeySend, KeySends};
 
 /// A record that is being written.
 pub(super) struct PendingRecord {
-    pub(super) sent: Sent,
+    pub(super) sent: KeySend,
     /// The deadline of the attempt that waits for it.
     pub(super) deadline: Milliseconds,
 }
 
 impl Core {
     /// The deduplication window.
-    pub fn gate(&self) -> &Gate {
-        &self.gate
+    pub fn deduplication(&self) -> &DeduplicationWindow {
+        &self.deduplication
     }
 
     /// Takes over the log of a process that has ended.
     pub fn take_log(
         &mut self,
         required: bool,
-        trusted: Option<(Vec<(Key, Sends)>, Milliseconds)>,
+        trusted: Option<(Vec<(Key, KeySends)>, Milliseconds)>,
         now: Milliseconds,
     ) {
-        self.gate.take_log(required, trusted, now);
+        self.deduplication.take_log(required, trusted, now);
     }
 
     /// Requests a record of a send. The attempt is transmitted once the record is durable.
@@ -64,7 +64,7 @@
 
     /// Ends the attempts whose records may not be durable. The log is not relied on until it is rewritten.
     pub(super) fn records_failed(&mut self, now: Milliseconds, numbers: Vec<u64>, effects: &mut Vec<Effect>) {
-        self.gate.failed();
+        self.deduplication.failed();
         for number in numbers {
             self.recorded(now, number, false, effects);
         }
@@ -84,7 +84,7 @@
         let Some(RequestKey { key, .. }) = r.key else { return };
         let Some(a) = r.attempts.get_mut(id.1 as usize) else { return };
         let Some(PendingRecord { sent, deadline }) = a.record.take() else { return };
-        let in_time = durable && self.gate.recorded(&key, sent, now);
+        let in_time = durable && self.deduplication.recorded(&key, sent, now);
         if !a.in_flight {
             return;
         }
@@ -96,28 +96,34 @@
     }
 
     /// The log was rewritten with these keys.
-    pub(super) fn log_begun(&mut self, now: Milliseconds, keys: &[(Key, Sends)], effects: &mut Vec<Effect>) {
-        if self.gate.rewritten(keys) {
+    pub(super) fn log_begun(
+        &mut self,
+        now: Milliseconds,
+        keys: &[(Key, KeySends)],
+        effects: &mut Vec<Effect>,
+    ) {
+        if self.deduplication.rewritten(keys) {
             self.mark_log(now, effects);
         }
     }
 
     /// Another process of this gateway sent requests with these keys.
-    pub(super) fn hear_keys(&mut self, now: Milliseconds, keys: Vec<(Key, Sends)>) {
+    pub(super) fn hear_keys(&mut self, now: Milliseconds, keys: Vec<(Key, KeySends)>) {
         for (key, sends) in keys {
-            self.gate.hear(key, sends, now);
+            self.deduplication.hear(key, sends, now);
         }
     }
 
     /// The maintenance tick: marks the log, or rewrites it where it failed or has grown long.
     pub(super) fn maintain_log(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
-        match self.gate.rewrite(now) {
+        match self.deduplication.rewrite(now) {
             Some(rewrite) => effects.push(Effect::RewriteLog(rewrite)),
             None => self.mark_log(now, effects),
         }
     }
 
     fn mark_log(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
-        effects.extend(self.gate.mark(now).map(|(at, shut_until)| Effect::WriteMark(at, shut_until)));
+        effects
+            .extend(self.deduplication.mark(now).map(|(at, shut_until)| Effect::WriteMark(at, shut_until)));
     }
 }
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -6,7 +6,7 @@
 use crate::interface::{
     ClassId, Event as DecisionEvent, Idempotency, Milliseconds, Outcome, RequestDetails, RequestId,
 };
-use starlingplank_persistence::gate::{self, Admission, Key};
+use starlingplank_persistence::deduplication_window::{self, Admission, Key};
 use std::rc::Rc;
 
 /// The priority of a request until the decision module sets another.
@@ -123,8 +123,8 @@
     ) -> Result<Admitted, Rejection> {
         let text = request.statement.key.as_ref().zip(self.window(request.details.class));
         let Some((text, window)) = text else { return Ok(Admitted { key: None, send_by: f64::INFINITY }) };
-        let key = RequestKey { key: gate::key(text), window };
-        match self.gate.admit(&key.key, window, now, self.limits.answer_margin) {
+        let key = RequestKey { key: deduplication_window::key(text), window };
+        match self.deduplication.admit(&key.key, window, now, self.limits.answer_margin) {
             Admission::Until(send_by) => Ok(Admitted { key: Some(key), send_by }),
             Admission::Later(wait) => {
                 Err(Rejection { reason: "keys", retry_after: wait.min(self.settings.max_retry_after) })
--- a/src/main.rs
+++ b/src/main.rs
@@ -6,7 +6,7 @@
 use starlingplank::net::clock::Clock;
 use starlingplank::net::runtime::Signals;
 use starlingplank::net::{log, persistence, runtime};
-use starlingplank_persistence::{recall, show};
+use starlingplank_persistence::{inspection, recovery};
 use std::error::Error;
 use std::io::Write;
 use std::path::PathBuf;
@@ -111,16 +111,20 @@
                 None => None,
             };
             let now = Clock::start().now();
-            let shown = show::show(&folder, now, &rules.unwrap_or(recall::DEFAULT))
+            let shown = inspection::show(&folder, now, &rules.unwrap_or(recovery::DEFAULT))
                 .map_err(|e| format!("{}: {e}", folder.display()))?;
             let Some(shown) = shown else {
                 writeln!(std::io::stderr(), "{}: there is no whole snapshot", folder.display())?;
                 return Ok(ExitCode::from(2));
             };
-            write!(std::io::stdout(), "{}", if json { format!("{shown:#}\n") } else { show::text(&shown) })?;
+            write!(
+                std::io::stdout(),
+                "{}",
+                if json { format!("{shown:#}\n") } else { inspection::text(&shown) }
+            )?;
         }
         Command::Knowledge(Knowledge::Verify { folder }) => {
-            let verdict = show::verify(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
+            let verdict = inspection::verify(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
             for fault in &verdict.faults {
                 writeln!(std::io::stdout(), "{}/{fault}", folder.display())?;
             }
--- a/src/net/hot_restart.rs
+++ b/src/net/hot_restart.rs
@@ -9,12 +9,12 @@
 use starlingplank_admin::hand::{self, Hand, No};
 use starlingplank_admin::heard::{self, Heard};
 use starlingplank_admin::lives::{Other, Stage};
-use starlingplank_persistence::gate::{Key, Sends, Sent};
-use starlingplank_persistence::keeper::Offset;
-use starlingplank_persistence::keylog::{self, Record};
-use starlingplank_persistence::recall::{Recall, Rules};
-use starlingplank_persistence::records::Snapshot;
+use starlingplank_persistence::deduplication_window::{Key, KeySend, KeySends};
+use starlingplank_persistence::idempotency_log::{self, Record};
+use starlingplank_persistence::recovery::{RestoredState, Rules};
 use starlingplank_persistence::snapshot;
+use starlingplank_persistence::snapshot_records::Snapshot;
+use starlingplank_persistence::writers::Offset;
 use starlingplank_storage::disk::{self, Disk};
 use starlingplank_storage::folder::{Boot, Files};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -52,7 +52,7 @@
     /// Engines out by hand, where that changed.
     pub hand: Option<Hand>,
     /// Keys that others sent.
-    pub keys: Vec<(Key, Sends)>,
+    pub keys: Vec<(Key, KeySends)>,
     /// Later processes that wait for what was learned.
     pub newcomers: Vec<u64>,
 }
@@ -69,7 +69,7 @@
     /// It may end inside a record, as a write failed.
     torn: bool,
     /// All keys that may still matter, by this clock.
-    held: HashMap<Key, Sends>,
+    held: HashMap<Key, KeySends>,
     offset: Offset,
     peers: BTreeMap<u64, Peer>,
     hand: Hand,
@@ -232,7 +232,7 @@
     }
 
     /// What others have sent since this was last asked.
-    pub fn peer_keys(&mut self, now: Milliseconds) -> Vec<(Key, Sends)> {
+    pub fn peer_keys(&mut self, now: Milliseconds) -> Vec<(Key, KeySends)> {
         let mut heard = Vec::new();
         for (life, peer) in &mut self.peers {
             let path = self.path.join(named("keys", *life));
@@ -252,7 +252,7 @@
             }
             let mut rest = bytes.as_slice();
             if *at == 0 {
-                let head = keylog::head();
+                let head = idempotency_log::head();
                 match rest.strip_prefix(head.as_slice()) {
                     Some(records) => rest = records,
                     // It has just been made, or no process of this release made it.
@@ -261,14 +261,14 @@
                 *at += head.len() as u64;
             }
             // A record that is being written is read when it is whole. So is one that was changed: never.
-            for record in rest.chunks_exact(keylog::RECORD).map_while(Record::read) {
-                *at += keylog::RECORD as u64;
+            for record in rest.chunks_exact(idempotency_log::RECORD).map_while(Record::read) {
+                *at += idempotency_log::RECORD as u64;
                 match record {
-                    Record::Sent(key, sent) => {
-                        let sends = self.offset.back(Sends::one(sent));
+                    Record::KeySend(key, sent) => {
+                        let sends = self.offset.back(KeySends::one(sent));
                         let held = self.held.get(&key).copied();
                         let both =
-                            held.map_or(sends, |h| h.and(Sent { at: sends.first, window: sends.window }));
+                            held.map_or(sends, |h| h.and(KeySend { at: sends.first, window: sends.window }));
                         if now < both.end() {
                             self.held.insert(key, both);
                             heard.push((key, both));
@@ -287,9 +287,9 @@
     ///
     /// # Errors
     /// It is not recorded, and must not leave.
-    pub fn record(&mut self, key: Key, sent: Sent) -> io::Result<()> {
+    pub fn record(&mut self, key: Key, sent: KeySend) -> io::Result<()> {
         let before = self.held.get(&key).copied();
-        self.held.insert(key, before.map_or(Sends::one(sent), |held| held.and(sent)));
+        self.held.insert(key, before.map_or(KeySends::one(sent), |held| held.and(sent)));
         let written = self.write_record(key, sent);
         if written.is_err() {
             // It is not sent, and binds nobody.
@@ -302,11 +302,11 @@
     }
 
     /// Appends a record, or begins the file anew where it has grown long or may end inside a record: its readers stop there.
-    fn write_record(&mut self, key: Key, sent: Sent) -> io::Result<()> {
+    fn write_record(&mut self, key: Key, sent: KeySend) -> io::Result<()> {
         if self.torn || self.recorded >= REWRITE_AFTER {
             return self.begin_keys(sent.at);
         }
-        let written = self.keys.write_all(&Record::Sent(key, self.offset.sent(sent)).bytes());
+        let written = self.keys.write_all(&Record::KeySend(key, self.offset.sent(sent)).bytes());
         self.torn = written.is_err();
         written?;
         self.recorded += 1;
@@ -316,12 +316,13 @@
     /// Begins the file of keys anew, with those that still matter.
     fn begin_keys(&mut self, now: Milliseconds) -> io::Result<()> {
         self.held.retain(|_, sends| now < sends.end());
-        let mark = keylog::Mark { at: self.offset.by + now, shut_until: 0.0, boot: self.offset.boot };
-        let mut bytes = keylog::head().to_vec();
+        let mark =
+            idempotency_log::Mark { at: self.offset.by + now, shut_until: 0.0, boot: self.offset.boot };
+        let mut bytes = idempotency_log::head().to_vec();
         bytes.extend(Record::Mark(mark).bytes());
         for (key, sends) in &self.held {
             let sends = self.offset.sends(*sends);
-            let record = |at| Record::Sent(*key, Sent { at, window: sends.window }).bytes();
+            let record = |at| Record::KeySend(*key, KeySend { at, window: sends.window }).bytes();
             bytes.extend(record(sends.first));
             if sends.last > sends.first {
                 bytes.extend(record(sends.last));
@@ -408,7 +409,12 @@
     }
 
     /// Waits for what the last of the earlier processes learned, if any lives. None: nothing came in time.
-    pub async fn learned(&mut self, now: Milliseconds, rules: Rules, limits: &Limits) -> Option<Recall> {
+    pub async fn learned(
+        &mut self,
+        now: Milliseconds,
+        rules: Rules,
+        limits: &Limits,
+    ) -> Option<RestoredState> {
         let (from, _) = self.peers.range(..self.own).next_back()?;
         let file = format!("{}-for-{:016x}", named("learned", *from), self.own);
         let mut waited = Duration::ZERO;
@@ -432,7 +438,7 @@
         let _ = std::fs::remove_file(self.path.join(&file));
         let snapshot = snapshot::decode(&bytes).map_err(|e| e.to_string());
         let now = now + waited.as_secs_f64() * 1000.0;
-        let recall = snapshot.and_then(|s| Recall::new(&s, now, rules).map_err(|e| e.to_string()));
+        let recall = snapshot.and_then(|s| RestoredState::new(&s, now, rules).map_err(|e| e.to_string()));
         match &recall {
             Ok(_) => info!("taking over what the running version learned, {} bytes", bytes.len()),
             Err(why) => warn!("what the running version learned cannot be used: {why}"),
--- a/src/net/persistence.rs
+++ b/src/net/persistence.rs
@@ -4,17 +4,20 @@
 use crate::config::{describe, Config, KnowledgeSettings};
 use crate::core::{Core, Endpoint, Event};
 use crate::interface::{Availability, Idempotency, Milliseconds, Settings};
+use starlingplank_persistence::cached_endpoints::{self, CachedEndpoints};
+use starlingplank_persistence::deduplication_window::{
+    self as knowledge, DeduplicationWindow, Key, KeySend, KeySends, Rewrite,
+};
 use starlingplank_persistence::disk::Disk;
 use starlingplank_persistence::folder::{Boot, Files, Folder, FolderError};
-use starlingplank_persistence::gate::{self as knowledge, Gate, Key, Rewrite, Sends, Sent};
-use starlingplank_persistence::keeper::{
-    KeyKeeper, KeyNews, ListKeeper, Offset, SnapshotKeeper, SnapshotNews, Written,
+use starlingplank_persistence::idempotency_log;
+use starlingplank_persistence::recovery::{RestoredState, Rules};
+use starlingplank_persistence::snapshot_records::Snapshot;
+use starlingplank_persistence::snapshot_store::{self, Store};
+use starlingplank_persistence::writers::{
+    EndpointCacheWriter, IdempotencyLogEvent, IdempotencyLogWriter, Offset, SnapshotEvent, SnapshotWriter,
+    Written,
 };
-use starlingplank_persistence::keylog;
-use starlingplank_persistence::list::{self, KeptList};
-use starlingplank_persistence::recall::{Recall, Rules};
-use starlingplank_persistence::records::Snapshot;
-use starlingplank_persistence::store::{self, Store};
 use std::cell::Cell;
 use std::fs::File;
 use std::io;
@@ -39,11 +42,11 @@
 /// Keeps what the gateway knows.
 pub struct Persistence {
     gateway: String,
-    snapshots: Option<SnapshotKeeper>,
-    keys: Option<KeyKeeper>,
-    lists: Option<ListKeeper>,
+    snapshots: Option<SnapshotWriter>,
+    keys: Option<IdempotencyLogWriter>,
+    lists: Option<EndpointCacheWriter>,
     /// The list of the former life, as it counts now.
-    found: Option<KeptList>,
+    found: Option<CachedEndpoints>,
     left_out: Cell<u32>,
     state: Arc<Mutex<State>>,
     folder: Option<Folder>,
@@ -88,7 +91,7 @@
 
 impl Beside {
     fn say(folder: &Path) -> io::Result<Self> {
-        let path = folder.join(format!("{}{}", keylog::BESIDE, std::process::id()));
+        let path = folder.join(format!("{}{}", idempotency_log::BESIDE, std::process::id()));
         let file = File::options().create(true).truncate(true).write(true).mode(0o600).open(&path)?;
         file.try_lock()?;
         file.sync_all()?;
@@ -100,13 +103,14 @@
 /// Such files of processes that have ended.
 fn dead_words(folder: &Folder) -> Vec<PathBuf> {
     let names = folder.disk().names().unwrap_or_default();
-    let words = names.iter().filter(|n| n.starts_with(keylog::BESIDE)).map(|n| folder.path().join(n));
+    let words =
+        names.iter().filter(|n| n.starts_with(idempotency_log::BESIDE)).map(|n| folder.path().join(n));
     words.filter(|path| File::open(path).is_ok_and(|file| file.try_lock().is_ok())).collect()
 }
 
 /// What a log of keys tells in this life's time.
 struct Log {
-    trusted: Option<(Vec<(Key, Sends)>, Milliseconds)>,
+    trusted: Option<(Vec<(Key, KeySends)>, Milliseconds)>,
     why: String,
     offset: Offset,
 }
@@ -115,18 +119,18 @@
     /// Of the life before.
     fn read(disk: &dyn Disk, window: Milliseconds, now: Milliseconds) -> Self {
         let boot = Boot::read();
-        Self::of(keylog::recover(disk, boot.now, boot.id, window), &boot, now)
+        Self::of(idempotency_log::recover(disk, boot.now, boot.id, window), &boot, now)
     }
 
     /// Of a process that is taken over from, by one that knows what was sent beside it.
     fn beside(disk: &dyn Disk, window: Milliseconds, now: Milliseconds) -> Self {
         let boot = Boot::read();
-        Self::of(keylog::recover_beside(disk, boot.now, boot.id, window), &boot, now)
+        Self::of(idempotency_log::recover_beside(disk, boot.now, boot.id, window), &boot, now)
     }
 
-    fn of(found: keylog::Recovered, boot: &Boot, now: Milliseconds) -> Self {
+    fn of(found: idempotency_log::Recovered, boot: &Boot, now: Milliseconds) -> Self {
         let offset = Offset { by: boot.now - now, boot: boot.id.unwrap_or_default() };
-        let back = |(sends, shut): (Vec<(Key, Sends)>, Milliseconds)| {
+        let back = |(sends, shut): (Vec<(Key, KeySends)>, Milliseconds)| {
             let shut = if shut > 0.0 { shut - offset.by } else { 0.0 };
             (sends.into_iter().map(|(k, s)| (k, offset.back(s))).collect(), shut)
         };
@@ -175,7 +179,7 @@
         let Some(settings) = &config.knowledge else { return Ok(Self::off()) };
         let window = window(config);
         let keyed = settings.keys && window > 0.0;
-        let gate = |log| Gate::new(log, window, settings.most_keys, now);
+        let gate = |log| DeduplicationWindow::new(log, window, settings.most_keys, now);
         let opened = Folder::open(&settings.folder).and_then(|folder| {
             let read = Store::open(Box::new(folder.disk()), settings.most_bytes);
             let read = read.map_err(|e| FolderError::Io(settings.folder.clone(), e));
@@ -217,7 +221,7 @@
         }
         let recall = loaded.snapshot.and_then(|(generation, snapshot)| {
             let recall =
-                Recall::new(&snapshot, now, rules(settings, config.settings.overload_collapse_after));
+                RestoredState::new(&snapshot, now, rules(settings, config.settings.overload_collapse_after));
             match &recall {
                 Ok(_) => info!(
                     "knowledge of generation {generation} is whole: {} engines, {:.1} s old",
@@ -243,13 +247,13 @@
             persistence.keep_keys(&folder, log.offset, events, dead_words(&folder))?;
             gate
         } else {
-            Gate::off()
+            DeduplicationWindow::off()
         };
         core.resume(gate, recall);
-        persistence.found = match list::load(&folder.disk()) {
+        persistence.found = match cached_endpoints::load(&folder.disk()) {
             Ok(found) => found.and_then(|l| l.now(now, settings.restart_within, settings.keep_for)),
             Err(why) => {
-                warn!("{}/{}: {why}", settings.folder.display(), list::FILE);
+                warn!("{}/{}: {why}", settings.folder.display(), cached_endpoints::FILE);
                 None
             }
         };
@@ -266,7 +270,7 @@
         };
         let files = Files::new(&settings.folder);
         // Whose it is stands in its snapshots; each life writes one as it ends, and one a second.
-        let of = store::load(&files, settings.most_bytes).ok().and_then(|l| l.snapshot);
+        let of = snapshot_store::load(&files, settings.most_bytes).ok().and_then(|l| l.snapshot);
         if of.is_none_or(|(_, s)| s.gateway != config.name) {
             return error!(
                 "refusing keyed requests until {} is free: no snapshot in it is of {}",
@@ -288,7 +292,7 @@
         let log = Log::beside(&files, window, now);
         log.say(window);
         let kind = if log.trusted.is_some() { knowledge::Log::Off } else { knowledge::Log::Missing };
-        let mut gate = Gate::new(kind, window, settings.most_keys, now);
+        let mut gate = DeduplicationWindow::new(kind, window, settings.most_keys, now);
         if let Some((sends, shut)) = log.trusted {
             gate.trust(sends, shut, now);
         }
@@ -387,15 +391,15 @@
             }
         });
         let words = Mutex::new(words);
-        let tell = move |news: KeyNews, written: Written| {
-            if matches!(news, KeyNews::Rewritten(_)) {
+        let tell = move |news: IdempotencyLogEvent, written: Written| {
+            if matches!(news, IdempotencyLogEvent::Rewritten(_)) {
                 // One that stays costs the next life a wait.
                 let words = std::mem::take(&mut *words.lock().unwrap_or_else(PoisonError::into_inner));
                 words.iter().for_each(|word| drop(std::fs::remove_file(word)));
             }
             drop(tell.send((news, written)));
         };
-        self.keys = Some(KeyKeeper::start(Box::new(folder.disk()), offset, tell)?);
+        self.keys = Some(IdempotencyLogWriter::start(Box::new(folder.disk()), offset, tell)?);
         Ok(())
     }
 
@@ -404,9 +408,9 @@
             Some(why) => warn!("the list of engines is not kept: {why}"),
             None => info!("the list of engines is kept again"),
         };
-        self.lists = Some(ListKeeper::start(Box::new(folder.disk()), tell)?);
+        self.lists = Some(EndpointCacheWriter::start(Box::new(folder.disk()), tell)?);
         let told = self.state.clone();
-        self.snapshots = Some(SnapshotKeeper::start(store, move |news| tell_snapshots(&news, &told))?);
+        self.snapshots = Some(SnapshotWriter::start(store, move |news| tell_snapshots(&news, &told))?);
         Ok(())
     }
 
@@ -427,14 +431,14 @@
     }
 
     /// The list that the former life last heard, if it still counts.
-    pub fn found_list(&self) -> Option<&KeptList> {
+    pub fn found_list(&self) -> Option<&CachedEndpoints> {
         self.found.as_ref()
     }
 
     /// Has the list kept as the service last told it. One that does not fit is said again with the next snapshot.
     pub fn list(&self, core: &Core, settings: &Settings) {
         let (Some(keeper), Some((heard, told, gone))) = (&self.lists, core.service_list()) else { return };
-        let engine = |l: &Endpoint| list::Engine {
+        let engine = |l: &Endpoint| cached_endpoints::Engine {
             id: l.member.engine.0.to_string(),
             address: l.address.to_string(),
             zone: l.member.zone.and_then(|z| settings.zones.get(z.0)).cloned().unwrap_or_default(),
@@ -449,11 +453,11 @@
             started: l.member.started.unwrap_or(0.0),
         };
         let gone = gone.ids().map(str::to_owned).collect();
-        keeper.save(KeptList { heard, engines: told.iter().map(engine).collect(), gone });
+        keeper.save(CachedEndpoints { heard, engines: told.iter().map(engine).collect(), gone });
     }
 
     /// Has a record written; what cannot be is told of at once.
-    pub fn record(&self, number: u64, key: Key, sent: Sent) -> bool {
+    pub fn record(&self, number: u64, key: Key, sent: KeySend) -> bool {
         self.keys.as_ref().is_some_and(|keys| keys.record(number, key, sent))
     }
 
@@ -490,8 +494,8 @@
 }
 
 /// Engines of a kept list, as a list names them. One whose address is none is left out.
-pub fn listed(kept: &KeptList, settings: &Settings) -> Vec<Endpoint> {
-    let engine = |e: &list::Engine| {
+pub fn listed(kept: &CachedEndpoints, settings: &Settings) -> Vec<Endpoint> {
+    let engine = |e: &cached_endpoints::Engine| {
         let state = if e.live { Availability::Live } else { Availability::Draining };
         let member = describe(settings, &e.id, &e.zone, &e.kind, e.cell, state, e.started);
         Some(Endpoint { member, address: e.address.parse().ok()? })
@@ -500,18 +504,18 @@
 }
 
 /// News of the log, for the reducer. How the log does is said when it changes, not each time.
-fn key_news(news: KeyNews, written: Written, state: &Mutex<State>) -> Event {
+fn key_news(news: IdempotencyLogEvent, written: Written, state: &Mutex<State>) -> Event {
     let mut state = locked(state);
     state.keys = written;
     match news {
-        KeyNews::Recorded(numbers) => Event::RecordsDurable(numbers),
-        KeyNews::Rewritten(keys) => {
+        IdempotencyLogEvent::Recorded(numbers) => Event::RecordsDurable(numbers),
+        IdempotencyLogEvent::Rewritten(keys) => {
             if std::mem::replace(&mut state.keys_failing, false) {
                 info!("the log of keys works again");
             }
             Event::LogRewritten(keys)
         }
-        KeyNews::Failed(numbers, why) => {
+        IdempotencyLogEvent::Failed(numbers, why) => {
             if !std::mem::replace(&mut state.keys_failing, true) {
                 error!("the log of keys failed, and keyed requests are refused for a while: {why}");
             }
@@ -520,16 +524,16 @@
     }
 }
 
-fn tell_snapshots(news: &SnapshotNews, state: &Mutex<State>) {
+fn tell_snapshots(news: &SnapshotEvent, state: &Mutex<State>) {
     let mut state = locked(state);
     match news {
-        SnapshotNews::Saved(written) => {
+        SnapshotEvent::Saved(written) => {
             state.snapshots = *written;
             if std::mem::replace(&mut state.snapshots_failing, false) {
                 info!("snapshots are written again");
             }
         }
-        SnapshotNews::Failed(why) => {
+        SnapshotEvent::Failed(why) => {
             if !std::mem::replace(&mut state.snapshots_failing, true) {
                 warn!("what was learned is not kept: {why}");
             }
--- a/src/net/runtime/effects.rs
+++ b/src/net/runtime/effects.rs
@@ -4,7 +4,7 @@
 use crate::interface::{Idempotency, Outcome};
 use crate::net::log;
 use crate::net::runtime::Runtime;
-use starlingplank_persistence::gate::{self, Sent};
+use starlingplank_persistence::deduplication_window::{self, KeySend};
 
 impl Runtime {
     /// Performs one effect. Events that arise at once are pushed to `new_events`.
@@ -58,7 +58,8 @@
         else {
             return true;
         };
-        let recorded = hot_restart.record(gate::key(key), Sent { at: self.frontend.clock.now(), window });
+        let recorded = hot_restart
+            .record(deduplication_window::key(key), KeySend { at: self.frontend.clock.now(), window });
         if let Err(e) = &recorded {
             log::seldom_error("a keyed request was not sent, as other versions would not hear of it", e);
         }
--- a/src/net/runtime/shutdown.rs
+++ b/src/net/runtime/shutdown.rs
@@ -77,7 +77,7 @@
         }
         if self.persistence.is_on() {
             let _ = timeout(self.frontend.limits.term_snapshot, self.persistence.finish()).await;
-            self.persistence.say(self.core.gate().refused());
+            self.persistence.say(self.core.deduplication().refused());
         }
     }
 
--- a/src/net/runtime/startup.rs
+++ b/src/net/runtime/startup.rs
@@ -18,8 +18,8 @@
 use crate::net::tasks::{TaskName, Tasks};
 use crate::net::transient_errors;
 use starlingplank_admin::heard::Heard;
-use starlingplank_persistence::list::KeptList;
-use starlingplank_persistence::recall;
+use starlingplank_persistence::cached_endpoints::CachedEndpoints;
+use starlingplank_persistence::recovery;
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::SocketAddr;
@@ -155,9 +155,9 @@
             self.persistence.follow(config, &mut self.core, clock.now());
         }
         inherited.push(Event::OperatorOverrides(hot_restart.hand().clone()));
-        let rules = recall::Rules {
+        let rules = recovery::Rules {
             overload_collapse_after: config.settings.overload_collapse_after,
-            ..recall::DEFAULT
+            ..recovery::DEFAULT
         };
         if let Some(recall) = hot_restart.learned(clock.now(), rules, limits).await {
             self.core.remember(recall);
@@ -225,7 +225,7 @@
 }
 
 /// The engines that drain in a kept list, or were removed from it.
-fn out_of_service(kept: &KeptList) -> Heard {
+fn out_of_service(kept: &CachedEndpoints) -> Heard {
     let draining = kept.engines.iter().filter(|engine| !engine.live).map(|engine| engine.id.clone());
     Heard::new(kept.heard, draining.chain(kept.gone.iter().cloned()))
 }
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -13,9 +13,9 @@
 use starlingplank_admin::hand::Hand;
 use starlingplank_admin::heard::Heard;
 use starlingplank_decision::permission::send::{SendPermit, SendRefusal};
-use starlingplank_persistence::gate::{self, Gate, Log};
-use starlingplank_persistence::recall::{self, Recall};
-use starlingplank_persistence::records::Snapshot;
+use starlingplank_persistence::deduplication_window::{self, DeduplicationWindow, Log};
+use starlingplank_persistence::recovery::{self, RestoredState};
+use starlingplank_persistence::snapshot_records::Snapshot;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -171,7 +171,7 @@
     let mut s = settings();
     s.classes[0].idempotency = Idempotency::Keyed { scope: Scope::All, window: 12_000.0 };
     let mut bed = Bed::new(s);
-    let mut gate = Gate::new(Log::Open { required: false }, 12_000.0, 100, bed.now);
+    let mut gate = DeduplicationWindow::new(Log::Open { required: false }, 12_000.0, 100, bed.now);
     gate.trust([], 0.0, bed.now);
     bed.core.resume(gate, None);
     bed.list(1, &["a", "b"]);
@@ -280,8 +280,8 @@
 
     let mut second = Bed::new(settings());
     second.now = first.now + 500.0;
-    let recall = Recall::new(&snapshot, second.now, recall::DEFAULT).expect("it counts");
-    second.core.resume(Gate::off(), Some(recall));
+    let recall = RestoredState::new(&snapshot, second.now, recovery::DEFAULT).expect("it counts");
+    second.core.resume(DeduplicationWindow::off(), Some(recall));
     second.list(1, &["a", "b"]);
     let back = second.core.learned(second.now);
     assert!(back.classes[0].bands.iter().any(|b| b.n > 0.5), "{back:?}");
@@ -361,8 +361,12 @@
     let mut bed = Bed::new(s);
     bed.now = 100_000.0;
     bed.list(1, &["a"]);
-    let sends = gate::Sends { first: bed.now - 11_990.0, last: bed.now - 11_990.0, window: 12_000.0 };
-    bed.step(Event::PeerKeys(vec![(gate::key("k1"), sends)]));
+    let sends = deduplication_window::KeySends {
+        first: bed.now - 11_990.0,
+        last: bed.now - 11_990.0,
+        window: 12_000.0,
+    };
+    bed.step(Event::PeerKeys(vec![(deduplication_window::key("k1"), sends)]));
     let effects = bed.take(1, Some("k1"));
     assert!(effects.iter().any(|e| matches!(e, Effect::Answer(_, Answer::Rejected(_)))), "{effects:?}");
     assert!(sent(&bed.take(2, Some("k2"))).is_some());
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -4,7 +4,7 @@
 use starlingplank::net::hot_restart::{HotRestart, Refused};
 use starlingplank_admin::hand::No;
 use starlingplank_admin::lives::{Other, Stage};
-use starlingplank_persistence::gate::{self, Gate, Sends, Sent};
+use starlingplank_persistence::deduplication_window::{self, DeduplicationWindow, KeySend, KeySends};
 use std::path::Path;
 
 const NOW: f64 = 1_000_000.0;
@@ -14,11 +14,11 @@
     HotRestart::open(path, NOW).expect("a folder")
 }
 
-fn sent(at: f64) -> Sent {
-    Sent { at, window: WINDOW }
+fn sent(at: f64) -> KeySend {
+    KeySend { at, window: WINDOW }
 }
 
-fn near(a: &Sends, b: &Sends) -> bool {
+fn near(a: &KeySends, b: &KeySends) -> bool {
     (a.first - b.first).abs() < 50.0 && (a.last - b.last).abs() < 50.0 && a.window == b.window
 }
 
@@ -52,30 +52,39 @@
 fn keys_sent_by_one_process_bind_the_next_and_the_one_after_it() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("shared");
-    let key = gate::key("k1");
+    let key = deduplication_window::key("k1");
     let mut first = open(&path);
     first.record(key, sent(NOW)).expect("recorded");
     let mut second = open(&path);
     let heard = second.look(NOW + 10.0).keys;
-    assert!(heard.len() == 1 && heard[0].0 == key && near(&heard[0].1, &Sends::one(sent(NOW))), "{heard:?}");
+    assert!(
+        heard.len() == 1 && heard[0].0 == key && near(&heard[0].1, &KeySends::one(sent(NOW))),
+        "{heard:?}"
+    );
     // One that is sent while both run is heard as well, and once.
-    first.record(gate::key("k2"), sent(NOW + 20.0)).expect("recorded");
+    first.record(deduplication_window::key("k2"), sent(NOW + 20.0)).expect("recorded");
     assert_eq!(second.peer_keys(NOW + 30.0).len(), 1);
     assert_eq!(second.peer_keys(NOW + 30.0).len(), 0);
     // Written by a process that is killed before anybody looks.
-    first.record(gate::key("k3"), sent(NOW + 40.0)).expect("recorded");
+    first.record(deduplication_window::key("k3"), sent(NOW + 40.0)).expect("recorded");
     drop(first);
     assert_eq!(second.look(NOW + 50.0).keys.len(), 1);
     let mut third = open(&path);
     let mut heard = third.look(NOW + 60.0).keys;
     heard.sort_by(|a, b| a.1.first.total_cmp(&b.1.first));
-    assert_eq!(heard.iter().map(|(k, _)| *k).collect::<Vec<_>>(), ["k1", "k2", "k3"].map(gate::key));
+    assert_eq!(
+        heard.iter().map(|(k, _)| *k).collect::<Vec<_>>(),
+        ["k1", "k2", "k3"].map(deduplication_window::key)
+    );
     // The gate turns away what would run twice.
-    let mut gate = Gate::off();
+    let mut gate = DeduplicationWindow::off();
     heard.into_iter().for_each(|(k, sends)| gate.hear(k, sends, NOW + 60.0));
     let late = NOW + WINDOW - 1.0;
-    assert!(matches!(gate.admit(&key, WINDOW, late, 20.0), gate::Admission::Later(_)));
-    assert!(matches!(gate.admit(&gate::key("new"), WINDOW, late, 20.0), gate::Admission::Until(_)));
+    assert!(matches!(gate.admit(&key, WINDOW, late, 20.0), deduplication_window::Admission::Later(_)));
+    assert!(matches!(
+        gate.admit(&deduplication_window::key("new"), WINDOW, late, 20.0),
+        deduplication_window::Admission::Until(_)
+    ));
 }
 
 #[test]
@@ -88,7 +97,7 @@
     // A load each 50 ms for an hour of this clock: 240 hold at a time.
     for n in 0..72_000_u32 {
         let at = NOW + f64::from(n) * 50.0;
-        first.record(gate::key(&n.to_string()), sent(at)).expect("recorded");
+        first.record(deduplication_window::key(&n.to_string()), sent(at)).expect("recorded");
         if n % 1_000 == 999 {
             heard += second.peer_keys(at).len();
         }
@@ -132,7 +141,7 @@
     let path = folder.path().join("shared");
     let mut first = open(&path);
     first.change(|hand| hand.exclude("s-1", true, NOW)).expect("kept");
-    first.record(gate::key("k1"), sent(NOW)).expect("recorded");
+    first.record(deduplication_window::key("k1"), sent(NOW)).expect("recorded");
     for name in ["hand", "keys-0000000000000001", "life-0000000000000001"] {
         let file = path.join(name);
         let bytes = std::fs::read(&file).expect("there");
@@ -153,7 +162,8 @@
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("first");
     let mut first = open(&path);
-    (0..4).for_each(|n| first.record(gate::key(&n.to_string()), sent(NOW)).expect("recorded"));
+    (0..4)
+        .for_each(|n| first.record(deduplication_window::key(&n.to_string()), sent(NOW)).expect("recorded"));
     let bytes = std::fs::read(path.join(name)).expect("there");
     // What a process finds that starts on a folder with just these bytes of one that was killed.
     let found = |at: usize, bytes: &[u8]| {
@@ -167,7 +177,7 @@
         assert_eq!(found(2 * at, &bytes[..at]).len(), whole, "cut at {at}");
         let mut changed = bytes.clone();
         changed[at] ^= 0x10;
-        let known: Vec<_> = (0..4).map(|n| gate::key(&n.to_string())).collect();
+        let known: Vec<_> = (0..4).map(|n| deduplication_window::key(&n.to_string())).collect();
         let keys = found(2 * at + 1, &changed);
         assert!(keys.len() < 4 || at < 16 + 40, "changed at {at}");
         assert!(keys.iter().all(|(key, _)| known.contains(key)), "changed at {at}");
--- a/tests/knowledge.rs
+++ b/tests/knowledge.rs
@@ -190,7 +190,7 @@
 fn until_kept(folder: &Path, id: &str, live: bool) {
     let kept = || {
         let bytes = std::fs::read(folder.join("list.spk")).ok()?;
-        let list = starlingplank_persistence::list::KeptList::decode(&bytes).ok()?;
+        let list = starlingplank_persistence::cached_endpoints::CachedEndpoints::decode(&bytes).ok()?;
         list.engines.iter().find(|e| e.id == id).map(|e| e.live)
     };
     for _ in 0..30_000 {
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -716,7 +716,7 @@
     // Its end is seen within a tenth of a second; the log is begun anew with all keys.
     let held = || {
         let disk = starlingplank_persistence::folder::Files::new(&kept);
-        let last = starlingplank_persistence::keylog::last(&disk).expect("it can be read");
+        let last = starlingplank_persistence::idempotency_log::last(&disk).expect("it can be read");
         last.map_or(0, |(_, read)| read.sends.len())
     };
     let mut n = 200;
@@ -726,7 +726,7 @@
     });
     assert!(whole, "{} keys are in the log", held());
     let disk = starlingplank_persistence::folder::Files::new(&kept);
-    let beside = || starlingplank_persistence::keylog::sent_beside(&disk).expect("it can be read");
+    let beside = || starlingplank_persistence::idempotency_log::sent_beside(&disk).expect("it can be read");
     assert!((0..1_000_000).any(|_| !beside()), "nothing is beside it any more");
     new.signal("-KILL");
     drop(new);
@@ -812,7 +812,7 @@
     write!(file, "knowledge {{\n  folder = {kept:?}\n  every = \"100ms\"\n}}\n").expect("written");
     site.operator = Some(file);
     let disk = || starlingplank_persistence::folder::Files::new(&kept);
-    let beside = || starlingplank_persistence::keylog::sent_beside(&disk()).expect("it can be read");
+    let beside = || starlingplank_persistence::idempotency_log::sent_beside(&disk()).expect("it can be read");
     let old = site.start();
     assert!((0..1_000_000).any(|_| load(&old, 1) == "served") && !beside());
     let new = site.start();
@@ -827,7 +827,7 @@
     std::fs::remove_dir_all(&shared[0]).expect("removed");
     let third = site.start();
     // Its own first file says until when nothing keyed may leave; then the word has done its part.
-    let mark = || starlingplank_persistence::keylog::last(&disk()).ok()??.1.mark;
+    let mark = || starlingplank_persistence::idempotency_log::last(&disk()).ok()??.1.mark;
     assert!((0..1_000_000).any(|_| !beside()), "the word is taken away");
     // Where the log was begun a second time at the start, its mark follows once that is durable.
     let first = (0..1_000_000).find_map(|_| mark());
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 #[derive(Clone)]
-struct Sent {
+struct SentAttempt {
     at: Milliseconds,
     engine: usize,
     timeout: Milliseconds,
@@ -19,7 +19,7 @@
     asked: RequestDetails,
     taken: Milliseconds,
     answered: Option<Milliseconds>,
-    sent: Vec<Sent>,
+    sent: Vec<SentAttempt>,
 }
 
 /// The rules, written down anew from their wording.
@@ -141,7 +141,7 @@
         }
         let r = self.requests.get_mut(&id).expect("known");
         assert!(timeout >= 0.0 && now + timeout <= r.asked.deadline + 1e-6, "time-out past the deadline");
-        r.sent.push(Sent { at: now, engine: to, timeout, outcome: None });
+        r.sent.push(SentAttempt { at: now, engine: to, timeout, outcome: None });
     }
 }
 
--- a/tests/shared_folder.rs
+++ b/tests/shared_folder.rs
@@ -6,7 +6,7 @@
 use stand::requests::*;
 use stand::*;
 use starlingplank::net::hot_restart::{folder, HotRestart};
-use starlingplank_persistence::gate;
+use starlingplank_persistence::deduplication_window;
 use std::fs::File;
 use std::io::Write;
 use std::net::SocketAddr;
@@ -79,7 +79,7 @@
     assert_eq!(answer(&mut client).1, "served");
     let mut next = HotRestart::open(&shared.path, 1_000_000.0).expect("the folder");
     let heard: Vec<_> = next.look(1_000_000.0).keys.into_iter().map(|(key, _)| key).collect();
-    assert!(heard.contains(&gate::key("early")), "{heard:?}");
+    assert!(heard.contains(&deduplication_window::key("early")), "{heard:?}");
 }
 
 /// A record that is half written must not hide those after it.
@@ -99,5 +99,5 @@
     assert_eq!(attempts(&log).len(), 1);
     let mut next = HotRestart::open(&shared.path, 1_000_000.0).expect("the folder");
     let heard: Vec<_> = next.look(1_000_000.0).keys.into_iter().map(|(key, _)| key).collect();
-    assert!(heard.contains(&gate::key("whole")), "{heard:?}");
+    assert!(heard.contains(&deduplication_window::key("whole")), "{heard:?}");
 }
