--- a/crates/admin/src/calls.rs
+++ b/crates/admin/src/calls.rs
@@ -1,7 +1,7 @@
 //! The calls of the second address. In come method, path and body; out comes what is asked for, or the status and the
 //! line that says what is wrong.
 
-use crate::hand::ID_BYTES;
+use crate::operator_overrides::ID_BYTES;
 
 /// What staff ask for.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/admin/src/heard.rs
+++ b/crates/admin/src/inherited_membership.rs
@@ -23,13 +23,13 @@
 
 /// Engines that were in a list and have gone from it.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Gone {
+pub struct RemovedEndpoints {
     /// By id, in which order they went.
     order: BTreeMap<String, u64>,
     next: u64,
 }
 
-impl Gone {
+impl RemovedEndpoints {
     /// One list gave way to the next, by their ids.
     pub fn follow<'a>(&mut self, before: impl Iterator<Item = &'a str>, now: &BTreeSet<&str>) {
         for id in before.filter(|id| !now.contains(id)) {
@@ -53,12 +53,12 @@
 
 /// What one process heard.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Heard {
+pub struct InheritedMembership {
     at: UnixMilliseconds,
     out: BTreeSet<String>,
 }
 
-impl Heard {
+impl InheritedMembership {
     /// The engines that drain or have gone, by the service's word at that time.
     pub fn new(at: UnixMilliseconds, out: impl IntoIterator<Item = String>) -> Self {
         Self { at, out: out.into_iter().collect() }
--- a/crates/admin/src/heard/tests.rs
+++ b/crates/admin/src/inherited_membership/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use proptest::prelude::*;
 
-fn heard() -> Heard {
-    Heard::new(1_000.0, ["s-1", "s-3"].map(str::to_owned))
+fn heard() -> InheritedMembership {
+    InheritedMembership::new(1_000.0, ["s-1", "s-3"].map(str::to_owned))
 }
 
 #[test]
@@ -14,7 +14,7 @@
 
 #[test]
 fn engines_that_have_gone_are_remembered_until_they_are_back_and_no_more_than_so_many() {
-    let mut gone = Gone::default();
+    let mut gone = RemovedEndpoints::default();
     let ids: Vec<String> = (0..GONE + 10).map(|n| format!("{n:05}")).collect();
     gone.follow(["a", "b", "c"].into_iter(), &BTreeSet::from(["b"]));
     assert_eq!(gone.ids().collect::<Vec<_>>(), ["a", "c"]);
@@ -28,16 +28,16 @@
 #[test]
 fn file_is_read_as_it_was_written_and_every_cut_or_changed_byte_is_noticed() {
     let bytes = heard().encode().expect("small");
-    assert_eq!(Heard::decode(&bytes), Ok(heard()));
+    assert_eq!(InheritedMembership::decode(&bytes), Ok(heard()));
     for at in 0..bytes.len() {
-        assert!(Heard::decode(&bytes[..at]).is_err(), "cut at {at}");
+        assert!(InheritedMembership::decode(&bytes[..at]).is_err(), "cut at {at}");
         let mut changed = bytes.clone();
         changed[at] ^= 1;
-        assert!(Heard::decode(&changed).is_err(), "byte {at}");
+        assert!(InheritedMembership::decode(&changed).is_err(), "byte {at}");
     }
-    let never = Heard::new(f64::INFINITY, []).encode().expect("small");
-    assert!(Heard::decode(&never).is_err());
-    let many = Heard::new(0.0, (0..20_000).map(|n| format!("{n:0100}")));
+    let never = InheritedMembership::new(f64::INFINITY, []).encode().expect("small");
+    assert!(InheritedMembership::decode(&never).is_err());
+    let many = InheritedMembership::new(0.0, (0..20_000).map(|n| format!("{n:0100}")));
     assert!(matches!(many.encode(), Err(FrameError::TooLarge(..))));
 }
 
@@ -45,7 +45,7 @@
 fn what_is_taken_over_binds_for_its_time_whatever_the_clock_of_the_other_process_shows() {
     for step in [-3_600_000.0, 0.0, 3_600_000.0] {
         let now = 5_000_000.0;
-        let heard = Heard::new(now + step, ["s-1".to_owned()]).taken_over(now);
+        let heard = InheritedMembership::new(now + step, ["s-1".to_owned()]).taken_over(now);
         assert!(heard.keeps_out("s-1", now + BINDS - 1.0) && !heard.keeps_out("s-1", now + BINDS));
     }
 }
@@ -53,7 +53,7 @@
 /// These bytes were written down by hand: the file's form is a promise.
 #[test]
 fn file_form_stays() {
-    let bytes = Heard::new(1.0, ["s-1".to_owned()]).encode().expect("small");
+    let bytes = InheritedMembership::new(1.0, ["s-1".to_owned()]).encode().expect("small");
     assert_eq!(&bytes[..16], b"SPKHEARD\x01\0\0\0\x0d\0\0\0");
     assert_eq!(&bytes[20..], [0, 0, 0, 0, 0, 0, 0xf0, 0x3f, 1, 3, b's', b'-', b'1']);
 }
@@ -61,7 +61,7 @@
 proptest! {
     #[test]
     fn reader_never_panics(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        let _ = Heard::decode(&bytes);
-        let _ = Heard::decode(&FORM.frame(&bytes));
+        let _ = InheritedMembership::decode(&bytes);
+        let _ = InheritedMembership::decode(&FORM.frame(&bytes));
     }
 }
--- a/crates/admin/src/figures.rs
+++ b/crates/admin/src/metrics.rs
@@ -48,7 +48,7 @@
 
 /// Counts by class since the process started.
 #[derive(Debug, Default)]
-pub struct Figures {
+pub struct Metrics {
     classes: Vec<[Cell<u64>; 4]>,
 }
 
@@ -63,7 +63,7 @@
     pub cluster_unhealthy: usize,
 }
 
-impl Figures {
+impl Metrics {
     /// Nothing has happened yet.
     pub fn new(classes: usize) -> Self {
         Self { classes: (0..classes).map(|_| Default::default()).collect() }
--- a/crates/admin/src/figures/tests.rs
+++ b/crates/admin/src/metrics/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn every_figure_of_the_table_is_told_and_nothing_else() {
-    let figures = Figures::new(2);
+    let figures = Metrics::new(2);
     [(0, Count::Answered), (0, Count::Answered), (1, Count::Sends), (0, Count::Sends), (9, Count::Errored)]
         .into_iter()
         .for_each(|tally| figures.add(tally));
--- a/crates/admin/src/hand.rs
+++ b/crates/admin/src/operator_overrides.rs
@@ -20,7 +20,7 @@
 
 /// Why a call is answered with no.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum No {
+pub enum OverrideError {
     /// Neither the list nor an earlier call names it.
     #[error("no engine of that id is in the list or out by hand")]
     Unknown,
@@ -31,27 +31,27 @@
 
 /// Which engines are out, and which were called back when.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Hand {
+pub struct OperatorOverrides {
     /// Since when.
     out: BTreeMap<String, UnixMilliseconds>,
     /// Since when they had been out, and when they were called back.
     back: BTreeMap<String, (UnixMilliseconds, UnixMilliseconds)>,
 }
 
-impl Hand {
+impl OperatorOverrides {
     /// Nothing more to that engine. Said twice it is out once. True: this changed something.
     ///
     /// # Errors
     /// It is unknown, or too many are out.
-    pub fn exclude(&mut self, id: &str, listed: bool, now: UnixMilliseconds) -> Result<bool, No> {
+    pub fn exclude(&mut self, id: &str, listed: bool, now: UnixMilliseconds) -> Result<bool, OverrideError> {
         if self.is_out(id) {
             return Ok(false);
         }
         if !listed || id.len() > ID_BYTES {
-            return Err(No::Unknown);
+            return Err(OverrideError::Unknown);
         }
         if self.out.len() >= MOST {
-            return Err(No::TooMany);
+            return Err(OverrideError::TooMany);
         }
         self.back.remove(id);
         Ok(self.out.insert(id.to_owned(), now).is_none())
@@ -61,7 +61,7 @@
     ///
     /// # Errors
     /// It is unknown.
-    pub fn include(&mut self, id: &str, listed: bool, now: UnixMilliseconds) -> Result<bool, No> {
+    pub fn include(&mut self, id: &str, listed: bool, now: UnixMilliseconds) -> Result<bool, OverrideError> {
         if let Some(since) = self.out.remove(id) {
             self.back.insert(id.to_owned(), (since, now));
             return Ok(true);
@@ -69,7 +69,7 @@
         if listed {
             Ok(false)
         } else {
-            Err(No::Unknown)
+            Err(OverrideError::Unknown)
         }
     }
 
--- a/crates/admin/src/hand/tests.rs
+++ b/crates/admin/src/operator_overrides/tests.rs
@@ -3,8 +3,8 @@
 
 #[test]
 fn out_twice_and_in_once_whatever_the_list_says_meanwhile() {
-    let mut hand = Hand::default();
-    assert_eq!(hand.exclude("s-1", false, 1.0), Err(No::Unknown));
+    let mut hand = OperatorOverrides::default();
+    assert_eq!(hand.exclude("s-1", false, 1.0), Err(OverrideError::Unknown));
     assert_eq!(hand.exclude("s-1", true, 1.0), Ok(true));
     assert_eq!(hand.exclude("s-1", true, 1.0), Ok(false));
     // It left the list while out: the second call out and the call back still mean it.
@@ -13,12 +13,12 @@
     assert_eq!(hand.include("s-1", false, 5.0), Ok(true));
     assert!(!hand.is_out("s-1"));
     assert_eq!(hand.include("s-1", true, 6.0), Ok(false));
-    assert_eq!(hand.include("s-2", false, 6.0), Err(No::Unknown));
+    assert_eq!(hand.include("s-2", false, 6.0), Err(OverrideError::Unknown));
 }
 
 #[test]
 fn engine_called_back_is_cold_from_then_on() {
-    let mut hand = Hand::default();
+    let mut hand = OperatorOverrides::default();
     hand.exclude("s-1", true, 500.0).expect("listed");
     assert_eq!(hand.started("s-1", Some(2.0)), Some(2.0));
     hand.include("s-1", true, 1_000.0).expect("out");
@@ -34,26 +34,26 @@
 
 #[test]
 fn file_is_read_as_it_was_written_and_every_cut_or_changed_byte_is_noticed() {
-    let mut hand = Hand::default();
+    let mut hand = OperatorOverrides::default();
     ["s-1", "s-2", "s-3"].iter().for_each(|id| assert_eq!(hand.exclude(id, true, 1.0), Ok(true)));
     hand.include("s-2", true, 7.0).expect("out");
     let bytes = hand.encode().expect("small");
-    assert_eq!(Hand::decode(&bytes), Ok(hand));
+    assert_eq!(OperatorOverrides::decode(&bytes), Ok(hand));
     for at in 0..bytes.len() {
-        assert!(Hand::decode(&bytes[..at]).is_err(), "cut at {at}");
+        assert!(OperatorOverrides::decode(&bytes[..at]).is_err(), "cut at {at}");
         for bit in 0..8 {
             let mut changed = bytes.clone();
             changed[at] ^= 1 << bit;
-            assert!(Hand::decode(&changed).is_err(), "bit {bit} of byte {at}");
+            assert!(OperatorOverrides::decode(&changed).is_err(), "bit {bit} of byte {at}");
         }
     }
     let newer = Form { version: 2, ..FORM }.frame(&[1, 2, 3]);
-    assert_eq!(Hand::decode(&newer), Err(FrameError::Newer(2, 1)));
+    assert_eq!(OperatorOverrides::decode(&newer), Err(FrameError::Newer(2, 1)));
 }
 
 #[test]
 fn call_back_by_a_clock_that_was_ahead_is_one_of_now() {
-    let mut hand = Hand::default();
+    let mut hand = OperatorOverrides::default();
     hand.exclude("s-1", true, 3_600_000.0).expect("listed");
     hand.include("s-1", true, 3_600_001.0).expect("out");
     let hand = hand.not_after(1_000.0);
@@ -63,7 +63,7 @@
 /// These bytes were written down by hand: the file's form is a promise.
 #[test]
 fn file_form_stays() {
-    let mut hand = Hand::default();
+    let mut hand = OperatorOverrides::default();
     hand.exclude("s-1", true, 1.0).expect("listed");
     let bytes = hand.encode().expect("small");
     let records = [1, 3, b's', b'-', b'1', 0, 0, 0, 0, 0, 0, 0xf0, 0x3f, 0];
@@ -75,7 +75,7 @@
 proptest! {
     #[test]
     fn reader_never_panics(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        let _ = Hand::decode(&bytes);
-        let _ = Hand::decode(&FORM.frame(&bytes));
+        let _ = OperatorOverrides::decode(&bytes);
+        let _ = OperatorOverrides::decode(&FORM.frame(&bytes));
     }
 }
--- a/crates/admin/src/lives.rs
+++ b/crates/admin/src/process_lifecycle.rs
@@ -37,7 +37,7 @@
 
 /// Another process that lives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Other {
+pub struct PeerProcess {
     /// Its number: the later one of two has the higher.
     pub life: u64,
     /// How it stands.
@@ -50,25 +50,25 @@
 /// Whether a process may listen: one that is alone at once, as nobody else serves; a successor once it has heard the
 /// list, or has waited for it long enough and knows some engine without it. One that knows none would turn away what its
 /// predecessor serves.
-pub fn may_listen(own: u64, others: &[Other], heard_list: bool, knows: bool, waited: Duration) -> bool {
+pub fn may_listen(own: u64, others: &[PeerProcess], heard_list: bool, knows: bool, waited: Duration) -> bool {
     let before = others.iter().any(|o| o.life < own && o.stage != Stage::Leaving);
     !before || heard_list || knows && waited >= LIST_WAIT
 }
 
 /// Whether a process that was told to end stops listening.
-pub fn hands_over(own: u64, others: &[Other]) -> bool {
+pub fn hands_over(own: u64, others: &[PeerProcess]) -> bool {
     others.iter().any(|o| o.life > own && o.stage == Stage::Listening)
 }
 
 /// Whether one that was told to end should wait for a successor that has started and does not listen yet. Not past `most`:
 /// from then on there is time to close what is open, and no more.
-pub fn awaited(own: u64, others: &[Other], waited: Duration, most: Duration) -> bool {
+pub fn awaited(own: u64, others: &[PeerProcess], waited: Duration, most: Duration) -> bool {
     let starts = others.iter().any(|o| o.life > own && o.stage == Stage::Starting);
     starts && !hands_over(own, others) && waited < most
 }
 
 /// By how many what one gateway may use is divided.
-pub fn processes(others: &[Other]) -> usize {
+pub fn processes(others: &[PeerProcess]) -> usize {
     1 + others.len()
 }
 
--- a/crates/admin/src/lives/tests.rs
+++ b/crates/admin/src/process_lifecycle/tests.rs
@@ -3,8 +3,8 @@
 
 const ZERO: Duration = Duration::ZERO;
 
-fn others(list: &[(u64, Stage)]) -> Vec<Other> {
-    list.iter().map(|(life, stage)| Other { life: *life, stage: *stage }).collect()
+fn others(list: &[(u64, Stage)]) -> Vec<PeerProcess> {
+    list.iter().map(|(life, stage)| PeerProcess { life: *life, stage: *stage }).collect()
 }
 
 #[test]
@@ -70,8 +70,9 @@
         let mut lives: Vec<(Stage, bool, bool)> = vec![(Stage::Listening, false, false)];
         for _ in 0..200 {
             let i = roll(3) as usize;
-            let seen = |of: usize, lives: &[(Stage, bool, bool)]| -> Vec<Other> {
-                let other = |(j, l): (usize, &(Stage, bool, bool))| Other { life: j as u64, stage: l.0 };
+            let seen = |of: usize, lives: &[(Stage, bool, bool)]| -> Vec<PeerProcess> {
+                let other =
+                    |(j, l): (usize, &(Stage, bool, bool))| PeerProcess { life: j as u64, stage: l.0 };
                 lives.iter().enumerate().filter(|(j, l)| *j != of && !l.2).map(other).collect()
             };
             match (lives.get(i).copied(), roll(4)) {
--- a/src/core/membership.rs
+++ b/src/core/membership.rs
@@ -4,8 +4,8 @@
 use super::timers::Due;
 use super::{Core, Effect, Endpoint};
 use crate::interface::{Availability, EngineId, Event as DecisionEvent, Member, Milliseconds};
-use starlingplank_admin::hand::Hand;
-use starlingplank_admin::heard::{Gone, Heard};
+use starlingplank_admin::inherited_membership::{InheritedMembership, RemovedEndpoints};
+use starlingplank_admin::operator_overrides::OperatorOverrides;
 use starlingplank_pacing::come_back::ComeBack;
 use starlingplank_persistence::recovery::EndpointIdentity;
 use std::collections::BTreeMap;
@@ -17,7 +17,7 @@
     /// The version that they said.
     version: u64,
     /// The engines that drain or were removed in it.
-    heard: Heard,
+    heard: InheritedMembership,
 }
 
 /// A member in the form in which learned state is matched to it.
@@ -72,16 +72,18 @@
     }
 
     /// When the name service last answered, its members, and the engines that it removed; none before its first answer.
-    pub fn service_list(&self) -> Option<(Milliseconds, &[Endpoint], &Gone)> {
+    pub fn service_list(&self) -> Option<(Milliseconds, &[Endpoint], &RemovedEndpoints)> {
         self.service_heard_at.map(|at| (at, &*self.service_members, &self.removed_engines))
     }
 
     /// What a successor inherits: what this process heard of the name service, or else what it inherited itself.
-    pub fn heard(&self) -> Option<Heard> {
+    pub fn heard(&self) -> Option<InheritedMembership> {
         let drains = |l: &&Endpoint| l.member.availability != Availability::Live;
         let drained = self.service_members.iter().filter(drains).map(|l| l.member.engine.0.to_string());
         let out = || drained.chain(self.removed_engines.ids().map(str::to_owned));
-        self.service_heard_at.map(|at| Heard::new(at, out())).or_else(|| self.inherited_membership.clone())
+        self.service_heard_at
+            .map(|at| InheritedMembership::new(at, out()))
+            .or_else(|| self.inherited_membership.clone())
     }
 
     /// Replaces the membership by the name service's list.
@@ -131,13 +133,23 @@
     }
 
     /// Replaces the operator override.
-    pub(super) fn override_membership(&mut self, now: Milliseconds, hand: Hand, effects: &mut Vec<Effect>) {
+    pub(super) fn override_membership(
+        &mut self,
+        now: Milliseconds,
+        hand: OperatorOverrides,
+        effects: &mut Vec<Effect>,
+    ) {
         self.operator_override = hand.not_after(now);
         self.rebuild_engines(now, effects);
     }
 
     /// Takes over what an earlier process heard, unless the name service has answered this one.
-    pub(super) fn inherit_membership(&mut self, now: Milliseconds, heard: Heard, effects: &mut Vec<Effect>) {
+    pub(super) fn inherit_membership(
+        &mut self,
+        now: Milliseconds,
+        heard: InheritedMembership,
+        effects: &mut Vec<Effect>,
+    ) {
         if self.service_heard_at.is_some() {
             return;
         }
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -2,8 +2,8 @@
 
 use super::types::{Answer, AttemptEnd, AttemptId, ClientRequest, Endpoint, ResultRows, Statement};
 use crate::interface::{ClassId, EngineId, LoadReport, Milliseconds, Outcome, ProgressUpdate, RequestId};
-use starlingplank_admin::hand::Hand;
-use starlingplank_admin::heard::Heard;
+use starlingplank_admin::inherited_membership::InheritedMembership;
+use starlingplank_admin::operator_overrides::OperatorOverrides;
 use starlingplank_decision::permission::send::{SendPermit, SendRefusal};
 use starlingplank_persistence::deduplication_window::{Key, KeySend, KeySends, Rewrite};
 use std::net::SocketAddr;
@@ -50,9 +50,9 @@
     /// Another process takes over, which leaves more time for open requests.
     SuccessorListens,
     /// The operator override: engines that operators have excluded.
-    OperatorOverrides(Hand),
+    OperatorOverrides(OperatorOverrides),
     /// What an earlier process of this gateway heard of the name service.
-    InheritedMembership(Heard),
+    InheritedMembership(InheritedMembership),
     /// Another process of this gateway sent requests with these keys.
     PeerKeys(Vec<(Key, KeySends)>),
     /// How many processes of this gateway run now.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -29,8 +29,8 @@
 use membership::FormerAddress;
 use probes::Probe;
 use requests::Request;
-use starlingplank_admin::hand::Hand;
-use starlingplank_admin::heard::{Gone, Heard};
+use starlingplank_admin::inherited_membership::{InheritedMembership, RemovedEndpoints};
+use starlingplank_admin::operator_overrides::OperatorOverrides;
 use starlingplank_decision::learned::Learned;
 use starlingplank_decision::permission::counters::RuleCounters;
 use starlingplank_decision::permission::list_lease::ListLease;
@@ -61,7 +61,7 @@
     /// When members started, by this gateway's clock.
     start_times: StartTimes,
     /// Engines that were members before and are not any more.
-    removed_engines: Gone,
+    removed_engines: RemovedEndpoints,
     /// When the name service last answered this process.
     service_heard_at: Option<Milliseconds>,
     /// Set while no membership is known: requests are rejected, each with another time to retry.
@@ -76,9 +76,9 @@
     /// has said as much.
     former_address: Option<FormerAddress>,
     /// What an earlier process heard of the name service; it holds until the service answers this one.
-    inherited_membership: Option<Heard>,
+    inherited_membership: Option<InheritedMembership>,
     /// Engines that operators have excluded.
-    operator_override: Hand,
+    operator_override: OperatorOverrides,
     /// The three merged: the engines in use.
     engines: BTreeMap<EngineId, Endpoint>,
     requests: BTreeMap<RequestId, Request>,
@@ -137,7 +137,7 @@
             service_members: Vec::new(),
             start_times: StartTimes::default(),
             rules: Rc::default(),
-            removed_engines: Gone::default(),
+            removed_engines: RemovedEndpoints::default(),
             service_heard_at: None,
             membership_wait: None,
             list_lease: ListLease::default(),
@@ -145,7 +145,7 @@
             list_timer_set: false,
             former_address: None,
             inherited_membership: None,
-            operator_override: Hand::default(),
+            operator_override: OperatorOverrides::default(),
             engines: BTreeMap::new(),
             requests: BTreeMap::new(),
             deduplication: DeduplicationWindow::off(),
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -4,7 +4,7 @@
 use crate::limits::Limits;
 use crate::net::frame::Frame;
 use crate::net::log;
-use starlingplank_admin::figures::Figures;
+use starlingplank_admin::metrics::Metrics;
 use starlingplank_decision::interface::RetryBudgetSettings;
 use starlingplank_decision::permission::counters::RuleCounters;
 use starlingplank_decision::permission::send::SendRefusal;
@@ -26,7 +26,7 @@
     /// Bytes read and not yet used, and bytes that wait to be written.
     pub held: Cell<usize>,
     /// What has been written to whom.
-    pub figures: Figures,
+    pub figures: Metrics,
     /// Processes of this gateway that run now: together they keep to what one may use.
     pub processes: Cell<usize>,
     /// What the rules refused.
@@ -46,7 +46,7 @@
     pub fn with_retry_budget(classes: usize, retry_budget: Option<RetryBudgetSettings>) -> Rc<Self> {
         Rc::new(Self {
             held: Cell::new(0),
-            figures: Figures::new(classes),
+            figures: Metrics::new(classes),
             processes: Cell::new(1),
             rules: Rc::default(),
             retry_budget: RefCell::new(RetryBudget::new(retry_budget)),
--- a/src/net/frame.rs
+++ b/src/net/frame.rs
@@ -2,7 +2,7 @@
 
 use crate::core::{AttemptId, Send, Statement};
 use crate::interface::Milliseconds;
-use starlingplank_admin::figures::{Count, Tally};
+use starlingplank_admin::metrics::{Count, Tally};
 use starlingplank_decision::permission::send::SendRefusal;
 use std::rc::Rc;
 use std::time::Duration;
--- a/src/net/front/clickhouse.rs
+++ b/src/net/front/clickhouse.rs
@@ -11,7 +11,7 @@
 use crate::net::http::{self, Head, Length, Read};
 use crate::net::log;
 use sha2::{Digest, Sha256};
-use starlingplank_admin::figures::Tally;
+use starlingplank_admin::metrics::Tally;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/src/net/front/mod.rs
+++ b/src/net/front/mod.rs
@@ -14,7 +14,7 @@
 use crate::net::conn::{SharedState, WriteQueue};
 use crate::net::pause::PauseDetector;
 use crate::net::sql;
-use starlingplank_admin::figures::Count;
+use starlingplank_admin::metrics::Count;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
--- a/src/net/front/thrift.rs
+++ b/src/net/front/thrift.rs
@@ -7,7 +7,7 @@
 use crate::net::frame::Frame;
 use crate::net::front::{count_of, Asked, Client, ClientConnection, FrontendState};
 use crate::net::log;
-use starlingplank_admin::figures::Count;
+use starlingplank_admin::metrics::Count;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
--- a/src/net/hot_restart.rs
+++ b/src/net/hot_restart.rs
@@ -6,9 +6,9 @@
 use crate::interface::Milliseconds;
 use crate::limits::Limits;
 use crate::net::log;
-use starlingplank_admin::hand::{self, Hand, No};
-use starlingplank_admin::heard::{self, Heard};
-use starlingplank_admin::lives::{Other, Stage};
+use starlingplank_admin::inherited_membership::{self, InheritedMembership};
+use starlingplank_admin::operator_overrides::{self, OperatorOverrides, OverrideError};
+use starlingplank_admin::process_lifecycle::{PeerProcess, Stage};
 use starlingplank_persistence::deduplication_window::{Key, KeySend, KeySends};
 use starlingplank_persistence::idempotency_log::{self, Record};
 use starlingplank_persistence::recovery::{RestoredState, Rules};
@@ -50,7 +50,7 @@
 #[derive(Debug, Default)]
 pub struct Seen {
     /// Engines out by hand, where that changed.
-    pub hand: Option<Hand>,
+    pub hand: Option<OperatorOverrides>,
     /// Keys that others sent.
     pub keys: Vec<(Key, KeySends)>,
     /// Later processes that wait for what was learned.
@@ -72,7 +72,7 @@
     held: HashMap<Key, KeySends>,
     offset: Offset,
     peers: BTreeMap<u64, Peer>,
-    hand: Hand,
+    hand: OperatorOverrides,
     hand_bytes: Option<Vec<u8>>,
 }
 
@@ -136,7 +136,7 @@
             held: HashMap::new(),
             offset,
             peers: BTreeMap::new(),
-            hand: Hand::default(),
+            hand: OperatorOverrides::default(),
             hand_bytes: None,
         };
         hot_restart.say(Stage::Starting)?;
@@ -155,12 +155,12 @@
     }
 
     /// The others that live.
-    pub fn others(&self) -> Vec<Other> {
-        self.peers.iter().map(|(life, p)| Other { life: *life, stage: p.stage }).collect()
+    pub fn others(&self) -> Vec<PeerProcess> {
+        self.peers.iter().map(|(life, p)| PeerProcess { life: *life, stage: p.stage }).collect()
     }
 
     /// Engines out by hand.
-    pub fn hand(&self) -> &Hand {
+    pub fn hand(&self) -> &OperatorOverrides {
         &self.hand
     }
 
@@ -338,7 +338,7 @@
 
     /// Reads which engines are out by hand. True: that changed.
     fn read_hand(&mut self) -> bool {
-        let read = Files::new(&self.path).read("hand", hand::BYTES);
+        let read = Files::new(&self.path).read("hand", operator_overrides::BYTES);
         let bytes = match read {
             Ok(bytes) => bytes,
             Err(e) => {
@@ -349,7 +349,7 @@
         if bytes == self.hand_bytes {
             return false;
         }
-        let hand = bytes.as_deref().map_or(Ok(Hand::default()), Hand::decode);
+        let hand = bytes.as_deref().map_or(Ok(OperatorOverrides::default()), OperatorOverrides::decode);
         self.hand_bytes = bytes;
         match hand {
             Ok(hand) => {
@@ -371,16 +371,16 @@
     /// The call means nothing, or cannot be kept for a successor; the line says which.
     pub fn change(
         &mut self,
-        change: impl FnOnce(&mut Hand) -> Result<bool, No>,
-    ) -> Result<Option<Hand>, Refused> {
-        let _lock = lock(&self.path).map_err(Refused::Disk)?;
+        change: impl FnOnce(&mut OperatorOverrides) -> Result<bool, OverrideError>,
+    ) -> Result<Option<OperatorOverrides>, ChangeError> {
+        let _lock = lock(&self.path).map_err(ChangeError::NotStored)?;
         self.read_hand();
         let mut hand = self.hand.clone();
-        if !change(&mut hand).map_err(Refused::No)? {
+        if !change(&mut hand).map_err(ChangeError::Invalid)? {
             return Ok(None);
         }
-        let bytes = hand.encode().map_err(|e| Refused::Disk(io::Error::other(e)))?;
-        disk::replace(&mut Files::new(&self.path), "hand", &bytes).map_err(Refused::Disk)?;
+        let bytes = hand.encode().map_err(|e| ChangeError::NotStored(io::Error::other(e)))?;
+        disk::replace(&mut Files::new(&self.path), "hand", &bytes).map_err(ChangeError::NotStored)?;
         (self.hand, self.hand_bytes) = (hand.clone(), Some(bytes));
         Ok(Some(hand))
     }
@@ -448,16 +448,18 @@
 
     /// What the last of the earlier processes that has passed that on heard of the list service. One that is itself
     /// starting has not.
-    pub fn heard(&self) -> Option<Heard> {
+    pub fn heard(&self) -> Option<InheritedMembership> {
         self.peers.range(..self.own).rev().find_map(|(from, _)| self.heard_from(*from))
     }
 
-    fn heard_from(&self, from: u64) -> Option<Heard> {
+    fn heard_from(&self, from: u64) -> Option<InheritedMembership> {
         let file = format!("{}-for-{:016x}", named("heard", from), self.own);
-        let bytes = Files::new(&self.path).read(&file, heard::BYTES).map_err(|e| e.to_string());
+        let bytes =
+            Files::new(&self.path).read(&file, inherited_membership::BYTES).map_err(|e| e.to_string());
         let _ = std::fs::remove_file(self.path.join(&file));
-        let heard =
-            bytes.and_then(|bytes| bytes.map(|b| Heard::decode(&b)).transpose().map_err(|e| e.to_string()));
+        let heard = bytes.and_then(|bytes| {
+            bytes.map(|b| InheritedMembership::decode(&b)).transpose().map_err(|e| e.to_string())
+        });
         heard.inspect_err(|e| warn!("what the running version heard of the list cannot be used: {e}")).ok()?
     }
 
@@ -471,11 +473,11 @@
 
 /// Why a call is answered with no.
 #[derive(Debug)]
-pub enum Refused {
+pub enum ChangeError {
     /// It means nothing.
-    No(No),
+    Invalid(OverrideError),
     /// It cannot be kept for a successor.
-    Disk(io::Error),
+    NotStored(io::Error),
 }
 
 fn create(path: &Path) -> io::Result<File> {
--- a/src/net/runtime/calls.rs
+++ b/src/net/runtime/calls.rs
@@ -1,11 +1,11 @@
 //! Operators' calls, and what they change.
 
 use crate::core::Event;
-use crate::net::hot_restart::Refused;
+use crate::net::hot_restart::ChangeError;
 use crate::net::runtime::Runtime;
 use starlingplank_admin::calls::{Call, Reply};
-use starlingplank_admin::figures::Now;
-use starlingplank_admin::hand::{Hand, No};
+use starlingplank_admin::metrics::Now;
+use starlingplank_admin::operator_overrides::{OperatorOverrides, OverrideError};
 
 impl Runtime {
     /// Answers an operator's call. Changes that it makes are events for the reducer.
@@ -39,7 +39,7 @@
         id: &str,
         what: &str,
         events: &mut Vec<Event>,
-        change: impl FnOnce(&mut Hand) -> Result<bool, No>,
+        change: impl FnOnce(&mut OperatorOverrides) -> Result<bool, OverrideError>,
     ) -> Reply {
         let Some(hot_restart) = &mut self.hot_restart else {
             return Reply::line(503, "the call cannot be kept for the next version: no folder is open");
@@ -50,9 +50,11 @@
                 events.extend(changed.map(Event::OperatorOverrides));
                 Reply::line(200, format_args!("{id} is {what}"))
             }
-            Err(Refused::No(why @ No::Unknown)) => Reply::line(404, format_args!("{id}: {why}")),
-            Err(Refused::No(why)) => Reply::line(503, format_args!("{id}: {why}")),
-            Err(Refused::Disk(why)) => {
+            Err(ChangeError::Invalid(why @ OverrideError::Unknown)) => {
+                Reply::line(404, format_args!("{id}: {why}"))
+            }
+            Err(ChangeError::Invalid(why)) => Reply::line(503, format_args!("{id}: {why}")),
+            Err(ChangeError::NotStored(why)) => {
                 tracing::error!("by hand: {id} is not {what}: {why}");
                 Reply::line(503, format_args!("{id}: the call cannot be kept for the next version: {why}"))
             }
--- a/src/net/runtime/mod.rs
+++ b/src/net/runtime/mod.rs
@@ -33,7 +33,7 @@
 use inputs::{Inputs, Optional, Timers, Wake};
 use reload::PendingReload;
 pub use signals::Signals;
-use starlingplank_admin::lives::Stage;
+use starlingplank_admin::process_lifecycle::Stage;
 use starlingplank_service_discovery::discovery::Discovery;
 use startup::Started;
 use std::cell::{Cell, RefCell};
--- a/src/net/runtime/peers.rs
+++ b/src/net/runtime/peers.rs
@@ -4,14 +4,14 @@
 use crate::net::front::ShutdownPhase;
 use crate::net::log;
 use crate::net::runtime::Runtime;
-use starlingplank_admin::lives::{self, Stage};
+use starlingplank_admin::process_lifecycle::{self, Stage};
 use std::time::Duration;
 
 impl Runtime {
     /// Whether it may begin to listen to clients.
     pub fn may_listen(&self, waited: Duration) -> bool {
         let Some(hot_restart) = &self.hot_restart else { return true };
-        lives::may_listen(
+        process_lifecycle::may_listen(
             hot_restart.own(),
             &hot_restart.others(),
             self.list_received,
@@ -48,8 +48,10 @@
         if !seen.keys.is_empty() {
             events.push(Event::PeerKeys(seen.keys));
         }
-        self.share_limits(lives::processes(&others), &mut events);
-        if self.frontend.shutdown_phase() == ShutdownPhase::Alone && lives::hands_over(own, &others) {
+        self.share_limits(process_lifecycle::processes(&others), &mut events);
+        if self.frontend.shutdown_phase() == ShutdownPhase::Alone
+            && process_lifecycle::hands_over(own, &others)
+        {
             self.hand_over(&mut events);
         }
         events
--- a/src/net/runtime/shutdown.rs
+++ b/src/net/runtime/shutdown.rs
@@ -4,8 +4,8 @@
 use crate::net::front::ShutdownPhase;
 use crate::net::runtime::inputs::Inputs;
 use crate::net::runtime::Runtime;
-use starlingplank_admin::figures::Count;
-use starlingplank_admin::lives;
+use starlingplank_admin::metrics::Count;
+use starlingplank_admin::process_lifecycle;
 use starlingplank_decision::permission::process::{may_end, EndFacts};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -57,7 +57,7 @@
     /// Whether another process of this gateway may still begin to listen and take over.
     fn awaits_successor(&self, waited: Duration, window: Duration) -> bool {
         let Some(hot_restart) = &self.hot_restart else { return false };
-        lives::awaited(hot_restart.own(), &hot_restart.others(), waited, window)
+        process_lifecycle::awaited(hot_restart.own(), &hot_restart.others(), waited, window)
     }
 
     /// Ends the process: operators hear of it, what was done is reported, and the last snapshot is written.
--- a/src/net/runtime/startup.rs
+++ b/src/net/runtime/startup.rs
@@ -17,7 +17,7 @@
 use crate::net::runtime::{LoopStatistics, Runtime};
 use crate::net::tasks::{TaskName, Tasks};
 use crate::net::transient_errors;
-use starlingplank_admin::heard::Heard;
+use starlingplank_admin::inherited_membership::InheritedMembership;
 use starlingplank_persistence::cached_endpoints::CachedEndpoints;
 use starlingplank_persistence::recovery;
 use std::cell::{Cell, RefCell};
@@ -225,7 +225,7 @@
 }
 
 /// The engines that drain in a kept list, or were removed from it.
-fn out_of_service(kept: &CachedEndpoints) -> Heard {
+fn out_of_service(kept: &CachedEndpoints) -> InheritedMembership {
     let draining = kept.engines.iter().filter(|engine| !engine.live).map(|engine| engine.id.clone());
-    Heard::new(kept.heard, draining.chain(kept.gone.iter().cloned()))
+    InheritedMembership::new(kept.heard, draining.chain(kept.gone.iter().cloned()))
 }
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -10,8 +10,8 @@
 use starlingplank::interface::*;
 use starlingplank::limits::Limits;
 use starlingplank::wire::Fields;
-use starlingplank_admin::hand::Hand;
-use starlingplank_admin::heard::Heard;
+use starlingplank_admin::inherited_membership::InheritedMembership;
+use starlingplank_admin::operator_overrides::OperatorOverrides;
 use starlingplank_decision::permission::send::{SendPermit, SendRefusal};
 use starlingplank_persistence::deduplication_window::{self, DeduplicationWindow, Log};
 use starlingplank_persistence::recovery::{self, RestoredState};
@@ -162,7 +162,7 @@
     bed.now += 100.0;
     let late = bed.take(4, Some("k"));
     assert!(sent(&late).is_none() && matches!(answers(&late)[..], [Answer::Rejected(_)]), "engines may lag");
-    bed.now += gate::ARRIVES;
+    bed.now += deduplication_window::ARRIVES;
     assert!(sent(&bed.take(5, Some("k"))).is_some(), "past the window it is a load of its own");
 }
 
@@ -309,7 +309,7 @@
     let mut bed = Bed::new(settings());
     bed.list(1, &["a"]);
     assert!(sent(&bed.take(1, None)).is_some());
-    let mut hand = Hand::default();
+    let mut hand = OperatorOverrides::default();
     hand.exclude("a", true, bed.now).expect("listed");
     let effects = bed.step(Event::OperatorOverrides(hand.clone()));
     assert!(effects.iter().any(|e| matches!(e, Effect::DropQueued(engine) if &*engine.0 == "a")));
@@ -380,7 +380,7 @@
 fn engine_that_an_earlier_process_heard_to_drain_gets_nothing(#[case] speaks: bool) {
     let mut bed = Bed::new(settings());
     let now = bed.now;
-    bed.step(Event::InheritedMembership(Heard::new(now, ["b".to_owned()])));
+    bed.step(Event::InheritedMembership(InheritedMembership::new(now, ["b".to_owned()])));
     bed.list(1, &["a", "b"]);
     let live = |bed: &Bed| bed.core.engines();
     assert_eq!(live(&bed), (2, 1));
@@ -388,7 +388,7 @@
     bed.list(0, &["a", "b"]);
     assert_eq!(live(&bed), (2, 1));
     // It is passed on to the next successor as it came.
-    assert_eq!(bed.core.heard(), Some(Heard::new(now, ["b".to_owned()])));
+    assert_eq!(bed.core.heard(), Some(InheritedMembership::new(now, ["b".to_owned()])));
     if speaks {
         bed.list(1, &["a", "b"]);
     } else {
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,9 +1,9 @@
 //! The folder that the processes of a gateway share, with several of them in one test process: locks are by open file.
 
 use rstest::rstest;
-use starlingplank::net::hot_restart::{HotRestart, Refused};
-use starlingplank_admin::hand::No;
-use starlingplank_admin::lives::{Other, Stage};
+use starlingplank::net::hot_restart::{ChangeError, HotRestart};
+use starlingplank_admin::operator_overrides::OverrideError;
+use starlingplank_admin::process_lifecycle::{PeerProcess, Stage};
 use starlingplank_persistence::deduplication_window::{self, DeduplicationWindow, KeySend, KeySends};
 use std::path::Path;
 
@@ -30,15 +30,15 @@
     first.say(Stage::Listening).expect("written");
     let mut second = open(&path);
     second.look(NOW);
-    assert_eq!(second.others(), [Other { life: 1, stage: Stage::Listening }]);
+    assert_eq!(second.others(), [PeerProcess { life: 1, stage: Stage::Listening }]);
     assert_eq!(first.look(NOW).newcomers, [2], "it waits for what was learned");
     assert_eq!(first.look(NOW).newcomers, [0; 0], "it was told once");
     second.say(Stage::Listening).expect("written");
     first.look(NOW);
-    assert_eq!(first.others(), [Other { life: 2, stage: Stage::Listening }]);
+    assert_eq!(first.others(), [PeerProcess { life: 2, stage: Stage::Listening }]);
     first.say(Stage::Leaving).expect("written");
     second.look(NOW);
-    assert_eq!(second.others(), [Other { life: 1, stage: Stage::Leaving }]);
+    assert_eq!(second.others(), [PeerProcess { life: 1, stage: Stage::Leaving }]);
     drop(first);
     second.look(NOW);
     assert_eq!(second.others(), []);
@@ -119,7 +119,7 @@
     assert!(out.is_out("s-1"));
     assert!(first.change(|hand| hand.exclude("s-1", true, NOW)).expect("kept").is_none());
     let no = first.change(|hand| hand.exclude("s-9", false, NOW));
-    assert!(matches!(no, Err(Refused::No(No::Unknown))));
+    assert!(matches!(no, Err(ChangeError::Invalid(OverrideError::Unknown))));
     let mut second = open(&path);
     assert!(second.hand().is_out("s-1"));
     second.change(|hand| hand.exclude("s-2", true, NOW)).expect("kept");
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -238,7 +238,7 @@
 #[test]
 fn page_for_staff_tells_every_figure_its_unit_and_its_meaning() {
     let page = include_str!("../docs/operate/day-to-day.md");
-    for (name, unit, meaning) in starlingplank_admin::figures::TABLE {
+    for (name, unit, meaning) in starlingplank_admin::metrics::TABLE {
         let row = format!("| `{name}` | {unit} | {meaning} |");
         assert!(page.contains(&row), "{row}");
     }
@@ -791,7 +791,7 @@
     // Longer than a successor waits for the list where it knows engines.
     let begun = std::time::Instant::now();
     let mut asked = 0;
-    while begun.elapsed() < starlingplank_admin::lives::LIST_WAIT + Duration::from_millis(300) {
+    while begun.elapsed() < starlingplank_admin::process_lifecycle::LIST_WAIT + Duration::from_millis(300) {
         assert_eq!(ask_often(&old, asked, 5), 5, "all are served by the old one");
         asked += 5;
     }
