--- a/crates/pacing/src/poll_schedule.rs
+++ b/crates/pacing/src/poll_schedule.rs
@@ -17,7 +17,7 @@
 //! | with each question that goes unanswered | by half slower, up to the slowest; climbing by halves ends here |
 //! | then, with each answer | a question in 25 s more, down to the steady pace |
 
-use crate::start;
+use crate::startup;
 
 /// Milliseconds.
 pub type Milliseconds = f64;
@@ -72,7 +72,7 @@
 
 /// The pace of one gateway.
 #[derive(Debug, Clone)]
-pub struct ListPace {
+pub struct PollSchedule {
     silent: Milliseconds,
     slowest: Milliseconds,
     due: Milliseconds,
@@ -95,12 +95,12 @@
     rng: fastrand::Rng,
 }
 
-impl ListPace {
+impl PollSchedule {
     /// A gateway that starts now. Its number spreads the first questions evenly; without one chance does.
     pub fn new(rules: Rules, seed: u64, now: Milliseconds) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let all = rules.gateways.max(1) as f64;
-        let place = start::place(rules.gateways, rules.gateway_index, &mut rng);
+        let place = startup::place(rules.gateways, rules.gateway_index, &mut rng);
         let slowest = rules.slowest.max(STEADY);
         let least_silent = if slowest > STEADY { SILENT_LEAST } else { STEADY };
         let silent = (all / FLEET_SILENT * 1_000.0).clamp(least_silent, SILENT_MOST);
--- a/crates/pacing/src/poll_schedule/tests.rs
+++ b/crates/pacing/src/poll_schedule/tests.rs
@@ -14,10 +14,10 @@
     until: Milliseconds,
 ) -> (Vec<u32>, Vec<Option<Milliseconds>>) {
     let mut dice = fastrand::Rng::with_seed(gateways as u64 ^ 77);
-    let mut fleet: Vec<ListPace> = (0..gateways)
+    let mut fleet: Vec<PollSchedule> = (0..gateways)
         .map(|i| {
             let rules = rules(gateways, ranked.then_some(i as u64), slowest);
-            ListPace::new(rules, dice.u64(..), dice.f64() * spread)
+            PollSchedule::new(rules, dice.u64(..), dice.f64() * spread)
         })
         .collect();
     let (mut buckets, mut heard) = (vec![0; (until / 10.0) as usize], vec![None; gateways]);
@@ -63,7 +63,7 @@
 fn gateway_alone_and_a_fleet_of_three_ask_as_soon_and_as_often_as_ever() {
     for gateways in [1, 3] {
         for gateway_index in 0..gateways as u64 {
-            let mut pace = ListPace::new(rules(gateways, Some(gateway_index), SLOWEST), 1, 0.0);
+            let mut pace = PollSchedule::new(rules(gateways, Some(gateway_index), SLOWEST), 1, 0.0);
             assert!(pace.due() <= 3.0, "{}", pace.due());
             for _ in 0..50 {
                 let due = pace.due();
@@ -97,7 +97,7 @@
 fn service_silent_for_three_seconds_is_heard_before_the_rule_on_drains_binds() {
     for gateways in [1, 3, 30, 100, 300, 1_000, 10_000] {
         for seed in 0..50 {
-            let mut pace = ListPace::new(rules(gateways, None, STEADY), seed, 0.0);
+            let mut pace = PollSchedule::new(rules(gateways, None, STEADY), seed, 0.0);
             let mut unanswered = None;
             for _ in 0..2_000 {
                 let now = pace.due();
@@ -122,8 +122,8 @@
 /// lie as evenly as before.
 #[test]
 fn gateways_that_stood_still_together_ask_at_their_places_again() {
-    let mut fleet: Vec<ListPace> =
-        (0..300).map(|i| ListPace::new(rules(300, Some(i as u64), STEADY), i as u64, 0.0)).collect();
+    let mut fleet: Vec<PollSchedule> =
+        (0..300).map(|i| PollSchedule::new(rules(300, Some(i as u64), STEADY), i as u64, 0.0)).collect();
     let mut buckets = vec![0_u32; 2_000];
     for (step, bucket) in buckets.iter_mut().enumerate() {
         let now = step as f64 * 10.0;
@@ -144,7 +144,7 @@
 
 #[test]
 fn service_that_answers_nonsense_is_asked_no_harder_than_a_silent_one() {
-    let mut pace = ListPace::new(rules(300, Some(7), SLOWEST), 3, 0.0);
+    let mut pace = PollSchedule::new(rules(300, Some(7), SLOWEST), 3, 0.0);
     let mut asked = 0;
     while pace.due() < 30_000.0 {
         let due = pace.due();
@@ -178,7 +178,7 @@
 
 #[test]
 fn overload_that_has_passed_leaves_the_steady_pace() {
-    let mut pace = ListPace::new(rules(300, Some(0), SLOWEST), 5, 0.0);
+    let mut pace = PollSchedule::new(rules(300, Some(0), SLOWEST), 5, 0.0);
     let mut dice = fastrand::Rng::with_seed(9);
     let mut paces = Vec::new();
     while pace.due() < 120_000.0 {
@@ -198,13 +198,13 @@
 
 #[test]
 fn news_quickens_the_next_question_unless_questions_were_lost() {
-    let mut pace = ListPace::new(rules(300, Some(0), SLOWEST), 1, 0.0);
+    let mut pace = PollSchedule::new(rules(300, Some(0), SLOWEST), 1, 0.0);
     pace.asked(0.0);
     pace.answered(5.0);
     assert!(pace.due() > 700.0, "a fleet of 300 begins slowly: {}", pace.due());
     pace.changed(5.0);
     assert_eq!(pace.due(), 205.0);
-    let mut pace = ListPace::new(rules(300, Some(0), SLOWEST), 1, 0.0);
+    let mut pace = PollSchedule::new(rules(300, Some(0), SLOWEST), 1, 0.0);
     pace.asked(0.0);
     pace.answered(5.0);
     for _ in 0..2 {
@@ -222,7 +222,7 @@
 fn answers_that_get_lost_now_and_then_slow_little() {
     let (mut sum, mut all) = (0.0, 0.0);
     for seed in 0..20 {
-        let mut pace = ListPace::new(rules(3, None, SLOWEST), seed, 0.0);
+        let mut pace = PollSchedule::new(rules(3, None, SLOWEST), seed, 0.0);
         let mut dice = fastrand::Rng::with_seed(seed);
         while pace.due() < 120_000.0 {
             let now = pace.due();
@@ -244,7 +244,7 @@
     for gateways in [1, 5, 40, 100, 300, 1_000] {
         let steady = f64::max(STEADY, gateways as f64 / FLEET * 1_000.0);
         for seed in 0..20 {
-            let mut pace = ListPace::new(rules(gateways, None, STEADY), seed, 0.0);
+            let mut pace = PollSchedule::new(rules(gateways, None, STEADY), seed, 0.0);
             let first = pace.due();
             let mut before = first;
             while before < first + PATIENT - steady {
--- a/crates/pacing/src/retry_after.rs
+++ b/crates/pacing/src/retry_after.rs
@@ -4,19 +4,19 @@
 //! clients are told to keep away for once to twice that time, each another. So each asks some few times however long it
 //! takes, and those that came over a span come back over a span as long.
 
-use crate::list::Milliseconds;
+use crate::poll_schedule::Milliseconds;
 
 /// Nobody is told to come back sooner: a list that answers at all is there by then.
 pub const LEAST: Milliseconds = 100.0;
 
 /// The line of those who were turned away.
 #[derive(Debug, Clone)]
-pub struct ComeBack {
+pub struct RetryAfter {
     since: Milliseconds,
     rng: fastrand::Rng,
 }
 
-impl ComeBack {
+impl RetryAfter {
     /// From now on nothing can be served.
     pub fn new(seed: u64, now: Milliseconds) -> Self {
         Self { since: now, rng: fastrand::Rng::with_seed(seed) }
--- a/crates/pacing/src/retry_after/tests.rs
+++ b/crates/pacing/src/retry_after/tests.rs
@@ -8,7 +8,7 @@
     spread: impl Fn(Milliseconds) -> Milliseconds,
 ) -> (f64, usize) {
     const CLIENTS: usize = 5_000;
-    let (mut dice, mut back) = (fastrand::Rng::with_seed(1), ComeBack::new(7, 0.0));
+    let (mut dice, mut back) = (fastrand::Rng::with_seed(1), RetryAfter::new(7, 0.0));
     let (mut tries, mut late) = (0_usize, std::collections::BTreeMap::<u64, usize>::new());
     // Who is due when, in milliseconds.
     let mut due: std::collections::BTreeMap<(u64, usize), ()> =
@@ -36,7 +36,7 @@
 
 #[test]
 fn nobody_is_told_to_keep_away_for_longer_than_clients_heed() {
-    let mut back = ComeBack::new(3, 0.0);
+    let mut back = RetryAfter::new(3, 0.0);
     for now in [0.0, 10.0, 1_000.0, 1e6, 1e9] {
         for _ in 0..100 {
             let wait = back.wait(now, 1_000.0);
--- a/crates/pacing/src/startup.rs
+++ b/crates/pacing/src/startup.rs
@@ -4,7 +4,7 @@
 //! tenth of a second, before anybody has asked for anything. So what no client waits for leaves in turn, by rank or by
 //! chance, over a span that grows with the fleet; a request is never held up by it.
 
-use crate::list::{Milliseconds, FLEET};
+use crate::poll_schedule::{Milliseconds, FLEET};
 
 /// This gateway's place among the others, from 0 to 1.
 pub fn place(gateways: usize, gateway_index: Option<u64>, rng: &mut fastrand::Rng) -> f64 {
@@ -19,13 +19,13 @@
 
 /// Holds back a gateway's probes until its place in the span has come.
 #[derive(Debug, Clone)]
-pub struct FirstProbes<E> {
+pub struct InitialHealthChecks<E> {
     /// Until then.
     pub until: Milliseconds,
     held: Vec<E>,
 }
 
-impl<E: PartialEq> FirstProbes<E> {
+impl<E: PartialEq> InitialHealthChecks<E> {
     /// A gateway that starts now.
     pub fn new(gateways: usize, gateway_index: Option<u64>, seed: u64, now: Milliseconds) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
--- a/crates/pacing/src/startup/tests.rs
+++ b/crates/pacing/src/startup/tests.rs
@@ -6,7 +6,7 @@
     let mut dice = fastrand::Rng::with_seed(5);
     let mut asked = vec![std::collections::BTreeMap::<u64, usize>::new(); engines];
     for g in 0..gateways {
-        let mut first = FirstProbes::new(gateways, ranked.then_some(g as u64), g as u64, 0.0);
+        let mut first = InitialHealthChecks::new(gateways, ranked.then_some(g as u64), g as u64, 0.0);
         let engine = |n: usize| (g * 7 + n) % engines;
         let mut at_once = (0..10).filter_map(|n| first.ask(engine(n), 0.0)).collect::<Vec<_>>();
         assert!(first.due(first.until - 0.1).is_empty() || first.until == 0.0);
@@ -30,17 +30,17 @@
 
 #[test]
 fn gateway_alone_waits_for_nothing_and_a_fleet_of_three_hardly() {
-    let mut alone = FirstProbes::new(1, Some(0), 1, 5.0);
+    let mut alone = InitialHealthChecks::new(1, Some(0), 1, 5.0);
     assert_eq!(alone.ask("a", 5.0), Some("a"));
     for gateway_index in 0..3 {
-        assert!(FirstProbes::<u8>::new(3, Some(gateway_index), 1, 0.0).until <= 3.0);
+        assert!(InitialHealthChecks::<u8>::new(3, Some(gateway_index), 1, 0.0).until <= 3.0);
     }
-    assert!(FirstProbes::<u8>::new(100_000, None, 1, 0.0).until <= 2_000.0);
+    assert!(InitialHealthChecks::<u8>::new(100_000, None, 1, 0.0).until <= 2_000.0);
 }
 
 #[test]
 fn engine_that_is_wanted_twice_is_probed_once() {
-    let mut first = FirstProbes::new(300, Some(299), 1, 0.0);
+    let mut first = InitialHealthChecks::new(300, Some(299), 1, 0.0);
     assert!(first.ask("a", 0.0).is_none() && first.ask("a", 1.0).is_none() && first.ask("b", 1.0).is_none());
     assert_eq!(first.due(300.0), ["a", "b"]);
     assert_eq!(first.ask("c", 300.0), Some("c"));
--- a/crates/service-discovery/src/age/tests.rs
+++ b/crates/service-discovery/src/age/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use starlingplank_pacing::list::{SLOWEST, STEADY};
+use starlingplank_pacing::poll_schedule::{SLOWEST, STEADY};
 
 #[test]
 fn list_is_as_old_as_the_question_whose_answer_confirms_it() {
--- a/crates/service-discovery/src/discovery.rs
+++ b/crates/service-discovery/src/discovery.rs
@@ -10,14 +10,14 @@
 use crate::questions::{OpenQuestions, Question};
 use crate::versions::Versions;
 use crate::Milliseconds;
-use starlingplank_pacing::list::{self, ListPace};
+use starlingplank_pacing::poll_schedule::{self, PollSchedule};
 use std::net::SocketAddr;
 
 /// What a process begins with.
 #[derive(Debug, Clone, Copy)]
 pub struct Start {
     /// The pace of questions.
-    pub pace: list::Rules,
+    pub pace: poll_schedule::Rules,
     /// For what is drawn.
     pub seed: u64,
     /// The version of the list that the process begins with.
@@ -68,7 +68,7 @@
 #[derive(Debug)]
 pub struct Discovery {
     address: Option<SocketAddr>,
-    pace: ListPace,
+    pace: PollSchedule,
     questions: OpenQuestions,
     flows: Flows,
     versions: Versions,
@@ -87,10 +87,10 @@
     pub fn new(start: &Start, now: Milliseconds) -> Self {
         // Where the pace is the rules', lists that come late are usual, and a process that has just started must not fall
         // silent over the first of them.
-        let heeds_known = start.pace.slowest > list::STEADY;
+        let heeds_known = start.pace.slowest > poll_schedule::STEADY;
         Self {
             address: start.address,
-            pace: ListPace::new(start.pace, start.seed, now),
+            pace: PollSchedule::new(start.pace, start.seed, now),
             questions: OpenQuestions::default(),
             flows: Flows::new(start.most_flows),
             versions: Versions::new(start.known),
--- a/crates/service-discovery/src/discovery/tests.rs
+++ b/crates/service-discovery/src/discovery/tests.rs
@@ -32,7 +32,7 @@
 
 impl Bed {
     fn new(gateways: usize, seed: u64) -> Self {
-        let pace = list::Rules { gateways, gateway_index: Some(0), slowest: list::STEADY };
+        let pace = poll_schedule::Rules { gateways, gateway_index: Some(0), slowest: poll_schedule::STEADY };
         let start = Start {
             pace,
             seed,
@@ -130,8 +130,8 @@
         let now = bed.now;
         bed.discovery.relocate(Some(address(if moves { 1 + n as u16 % 2 } else { 1 })), now);
     }
-    assert_heard_within(&bed, 5_000.0, 300.0 + list::STEADY + 2.0 * STEP);
-    assert!(bed.longest_gap() <= list::STEADY + STEP, "{}", bed.longest_gap());
+    assert_heard_within(&bed, 5_000.0, 300.0 + poll_schedule::STEADY + 2.0 * STEP);
+    assert!(bed.longest_gap() <= poll_schedule::STEADY + STEP, "{}", bed.longest_gap());
 }
 
 #[rstest]
@@ -140,7 +140,7 @@
 ) {
     let mut bed = Bed::new(3, 2);
     bed.play(CHANGE + 5_000.0, |bed, _| Some((takes, bed.version(CHANGE))));
-    assert_heard_within(&bed, CHANGE, takes + list::STEADY + 2.0 * STEP);
+    assert_heard_within(&bed, CHANGE, takes + poll_schedule::STEADY + 2.0 * STEP);
     assert!(bed.most_flows <= MOST_FLOWS + 1, "{} flows", bed.most_flows);
     assert_eq!(bed.discovery.counts().of(AnswerKind::UnknownQuestion), 0, "no answer came for nothing");
 }
@@ -186,7 +186,7 @@
     bed.play(5_000.0, answer);
     bed.discovery.relocate(Some(address(2)), 5_000.0);
     bed.play(9_000.0, answer);
-    assert_heard_within(&bed, 5_200.0, list::STEADY + 2.0 * STEP);
+    assert_heard_within(&bed, 5_200.0, poll_schedule::STEADY + 2.0 * STEP);
 }
 
 /// The service moves at 5 s, the new one says nothing until 8 s, and then every second question is lost. Everything counts as
@@ -229,7 +229,7 @@
     for second in 1..60 {
         bed.play(f64::from(second) * 1_000.0, |_, _| Some((1.0, 1)));
         let left = bed.discovery.reliable_until() - bed.now;
-        assert!(left > TOLD_WITHIN + GRACE - 2.0 * list::STEADY, "{left}");
+        assert!(left > TOLD_WITHIN + GRACE - 2.0 * poll_schedule::STEADY, "{left}");
     }
     assert!(
         bed.questions.iter().all(|question| question.flow == bed.questions[0].flow),
@@ -334,16 +334,16 @@
 
 /// Where the pace may be slower than steady, lists that are older than what a start knows are no answers to it.
 #[rstest]
-#[case::platform(list::STEADY, 1, 140)]
-#[case::slower(list::SLOWEST, 1, 60)]
-#[case::slower_and_newer(list::SLOWEST, 5, 140)]
+#[case::platform(poll_schedule::STEADY, 1, 140)]
+#[case::slower(poll_schedule::SLOWEST, 1, 60)]
+#[case::slower_and_newer(poll_schedule::SLOWEST, 5, 140)]
 fn pace_follows_the_answers_that_count(
     #[case] slowest: Milliseconds,
     #[case] version: u64,
     #[case] questions: usize,
 ) {
     let mut bed = Bed::new(3, 15);
-    let pace = list::Rules { gateways: 3, gateway_index: Some(0), slowest };
+    let pace = poll_schedule::Rules { gateways: 3, gateway_index: Some(0), slowest };
     let start = Start {
         pace,
         seed: 15,
@@ -364,7 +364,8 @@
 fn news_quickens_the_next_question() {
     let gap = |version: u64| {
         let mut bed = Bed::new(300, 16);
-        let pace = list::Rules { gateways: 300, gateway_index: Some(0), slowest: list::SLOWEST };
+        let pace =
+            poll_schedule::Rules { gateways: 300, gateway_index: Some(0), slowest: poll_schedule::SLOWEST };
         let start = Start {
             pace,
             seed: 16,
@@ -378,8 +379,8 @@
         bed.play(8_000.0, |bed, _| Some((1.0, if bed.questions.len() == 1 { 1 } else { version })));
         bed.questions[2].asked_at - bed.questions[1].asked_at
     };
-    assert!(gap(2) <= list::STEADY + 2.0 * STEP, "{}", gap(2));
-    assert!(gap(1) > 2.0 * list::STEADY, "{}", gap(1));
+    assert!(gap(2) <= poll_schedule::STEADY + 2.0 * STEP, "{}", gap(2));
+    assert!(gap(1) > 2.0 * poll_schedule::STEADY, "{}", gap(1));
 }
 
 #[test]
--- a/src/core/membership.rs
+++ b/src/core/membership.rs
@@ -6,7 +6,7 @@
 use crate::interface::{Availability, EngineId, Event as DecisionEvent, Member, Milliseconds};
 use starlingplank_admin::inherited_membership::{InheritedMembership, RemovedEndpoints};
 use starlingplank_admin::operator_overrides::OperatorOverrides;
-use starlingplank_pacing::come_back::ComeBack;
+use starlingplank_pacing::retry_after::RetryAfter;
 use starlingplank_persistence::recovery::EndpointIdentity;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -52,7 +52,7 @@
     /// Rejects requests until the name service answers, unless a membership is known. For gateways with a name service.
     pub fn await_list(&mut self, now: Milliseconds) {
         if self.service_members.is_empty() && self.service_heard_at.is_none() {
-            self.membership_wait = Some(ComeBack::new(self.settings.seed, now));
+            self.membership_wait = Some(RetryAfter::new(self.settings.seed, now));
         }
     }
 
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -35,8 +35,8 @@
 use starlingplank_decision::permission::counters::RuleCounters;
 use starlingplank_decision::permission::list_lease::ListLease;
 use starlingplank_decision::start_times::StartTimes;
-use starlingplank_pacing::come_back::ComeBack;
-use starlingplank_pacing::start::FirstProbes;
+use starlingplank_pacing::retry_after::RetryAfter;
+use starlingplank_pacing::startup::InitialHealthChecks;
 use starlingplank_persistence::deduplication_window::DeduplicationWindow;
 use starlingplank_persistence::recovery::RestoredState;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -65,7 +65,7 @@
     /// When the name service last answered this process.
     service_heard_at: Option<Milliseconds>,
     /// Set while no membership is known: requests are rejected, each with another time to retry.
-    membership_wait: Option<ComeBack>,
+    membership_wait: Option<RetryAfter>,
     /// Until when the list of engines may be relied on.
     list_lease: ListLease,
     /// It may not be relied on now: no engine gets new work.
@@ -91,7 +91,7 @@
     /// Probes without an answer, by number.
     probes: BTreeMap<u64, Probe>,
     /// Spreads the first probes of a fleet that starts all at once.
-    first_probes: FirstProbes<EngineId>,
+    initial_health_checks: InitialHealthChecks<EngineId>,
     timers: BinaryHeap<Timer>,
     /// The last number given to a timer, a probe or a record.
     last_number: u64,
@@ -130,7 +130,12 @@
         Ok(Self {
             balancer: Balancer::new(settings.clone(), now)?,
             counts: vec![Counts::default(); settings.classes.len()],
-            first_probes: FirstProbes::new(settings.gateways, settings.gateway_index, settings.seed, now),
+            initial_health_checks: InitialHealthChecks::new(
+                settings.gateways,
+                settings.gateway_index,
+                settings.seed,
+                now,
+            ),
             settings,
             limits,
             serial: None,
--- a/src/core/probes.rs
+++ b/src/core/probes.rs
@@ -13,15 +13,15 @@
 impl Core {
     /// Probes an engine. First probes are held back, so that a fleet that starts at once spreads them.
     pub(super) fn ask_for_probe(&mut self, now: Milliseconds, engine: EngineId, effects: &mut Vec<Effect>) {
-        match self.first_probes.ask(engine, now) {
+        match self.initial_health_checks.ask(engine, now) {
             Some(engine) => self.probe(now, engine, effects),
-            None => self.set_timer(self.first_probes.until, Due::FirstProbes),
+            None => self.set_timer(self.initial_health_checks.until, Due::InitialHealthChecks),
         }
     }
 
     /// Sends the probes that were held back at the start.
     pub(super) fn send_first_probes(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
-        for engine in self.first_probes.due(now) {
+        for engine in self.initial_health_checks.due(now) {
             self.probe(now, engine, effects);
         }
     }
--- a/src/core/timers.rs
+++ b/src/core/timers.rs
@@ -31,7 +31,7 @@
     /// What former addresses of the name service have said no longer binds.
     FormerAddress,
     /// The time of the first probes.
-    FirstProbes,
+    InitialHealthChecks,
 }
 
 /// A timer. The earliest is the greatest, as the queue is a max-heap; among equals the one that was set first.
@@ -101,7 +101,7 @@
             Due::InheritedMembership => self.inherited_membership_expired(now, effects),
             Due::ListLease => self.list_lease_due(now, effects),
             Due::FormerAddress => self.former_address_expired(now, effects),
-            Due::FirstProbes => self.send_first_probes(now, effects),
+            Due::InitialHealthChecks => self.send_first_probes(now, effects),
         }
     }
 }
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -3,7 +3,7 @@
 use crate::interface::Milliseconds;
 use crate::wire::{Fields, WireError};
 use rustix::process::{getrlimit, Resource};
-use starlingplank_pacing::list;
+use starlingplank_pacing::poll_schedule;
 use starlingplank_service_discovery::flows::MOST_FLOWS;
 use std::time::Duration;
 
@@ -186,7 +186,7 @@
             turn_credit: 5.0,
             answer_margin: 20.0,
             gone_grace: 200.0,
-            names_slowest: f.number_or("pacing.list_slowest", list::STEADY)?,
+            names_slowest: f.number_or("pacing.list_slowest", poll_schedule::STEADY)?,
             names_flows: (sockets / SOCKETS_PER_FLOW).clamp(LEAST_FLOWS, MOST_FLOWS),
             names_bytes: MOST_DATAGRAM_BYTES,
             term_window: 800.0,
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -14,7 +14,7 @@
 use crate::net::log;
 use message::KnownAddresses;
 use sockets::{Datagram, Sockets};
-use starlingplank_pacing::list::Rules;
+use starlingplank_pacing::poll_schedule::Rules;
 use starlingplank_service_discovery::answers::AnswerKind;
 use starlingplank_service_discovery::discovery::{Discovery, Received, Start, Verdict};
 use starlingplank_service_discovery::questions::Question;
