--- a/src/bin/starlingplank-wirehost.rs
+++ b/src/bin/starlingplank-wirehost.rs
@@ -3,7 +3,7 @@
 
 use starlingplank::decide::Balancer;
 use starlingplank::interface::{Action, Event, Settings};
-use starlingplank::wire::{self, Entry, Front, Line, Registry};
+use starlingplank::simulator::{self, Entry, Front, Line, Registry};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -27,7 +27,7 @@
 impl Host {
     /// Takes one line; returns the reply when it closes a turn.
     fn line(&mut self, text: &str) -> Result<Option<String>, String> {
-        let line = wire::parse(text).map_err(|e| e.to_string())?;
+        let line = simulator::parse(text).map_err(|e| e.to_string())?;
         if let Some((bank, left)) = self.open_page {
             let Line::Entry(entry) = line else {
                 return Err(format!("list {bank}: {left} more ENTRY lines are due"));
@@ -76,7 +76,7 @@
                     Registry::List { bank, whole: complete } => {
                         let page = self.pages.get(&bank);
                         let page = page.ok_or(format!("REGISTRY: bank={bank} was never defined"))?;
-                        let to_member = |e| wire::member(e, &instance.settings);
+                        let to_member = |e| simulator::member(e, &instance.settings);
                         let members = page.iter().map(to_member).collect();
                         Event::Members { complete, members }
                     }
@@ -85,7 +85,7 @@
             }
             Line::Event(front, fields) => {
                 let instance = known(&mut self.instances, &front)?;
-                let event = wire::event(&fields, &instance.settings).map_err(|e| e.to_string())?;
+                let event = simulator::event(&fields, &instance.settings).map_err(|e| e.to_string())?;
                 instance.events.push(event);
             }
         }
@@ -98,7 +98,7 @@
         for (front, instance) in &mut self.instances {
             let events = std::mem::take(&mut instance.events);
             if let Some(text) = instance.bail.take() {
-                wire::write_bail_out(&mut out, front, &text);
+                simulator::write_bail_out(&mut out, front, &text);
             }
             let Some(gateway) = instance.gateway.as_mut().filter(|_| !events.is_empty()) else {
                 continue;
@@ -112,14 +112,14 @@
                     .or_else(|| panic.downcast_ref::<&str>().map(|s| (*s).to_owned()))
                     .unwrap_or_else(|| "panic".to_owned());
                 instance.gateway = None;
-                wire::write_bail_out(&mut out, front, &text);
+                simulator::write_bail_out(&mut out, front, &text);
                 continue;
             }
             for action in &actions {
-                wire::write(&mut out, front, action);
+                simulator::write(&mut out, front, action);
             }
         }
-        wire::write_yield(&mut out, turn);
+        simulator::write_yield(&mut out, turn);
         out
     }
 }
--- a/src/config/consistency.rs
+++ b/src/config/consistency.rs
@@ -1,7 +1,7 @@
 //! Settings that contradict each other. Each value is read by itself elsewhere; here they are held against one another, so
 //! that a gateway that could not do what it is told says so at its start, with the key, and serves nothing by half.
 
-use crate::wire::{Fields, WireError};
+use crate::simulator::{Fields, LineError};
 
 /// Lists that say something of each kind of machine, in the order of `skus`.
 const BY_KIND: [&str; 2] = ["specifics.cpu_of_kind", "specifics.memory_by_kind_mb"];
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 /// Names the first key that contradicts another, or itself.
-pub fn check(f: &Fields) -> Result<(), WireError> {
+pub fn check(f: &Fields) -> Result<(), LineError> {
     let classes = f.number_or("classes.count", 0.0)? as usize;
     lists(f, classes)?;
     names(f, classes)?;
@@ -44,7 +44,7 @@
 }
 
 /// A list that is there has an entry for each kind, or for each class.
-fn lists(f: &Fields, classes: usize) -> Result<(), WireError> {
+fn lists(f: &Fields, classes: usize) -> Result<(), LineError> {
     let kinds = f.list("skus").len();
     let other_length = |key: &&&str, length: usize| ![0, length].contains(&f.list(key).len());
     if let Some(key) = BY_KIND.iter().find(|key| other_length(key, kinds)) {
@@ -57,7 +57,7 @@
 }
 
 /// No two of a sort have one name, and this gateway's zone is one of the zones.
-fn names(f: &Fields, classes: usize) -> Result<(), WireError> {
+fn names(f: &Fields, classes: usize) -> Result<(), LineError> {
     for key in ["zones", "skus"] {
         distinct(f, &f.list(key), key)?;
     }
@@ -75,14 +75,14 @@
     }
 }
 
-fn distinct(f: &Fields, list: &[&str], key: &str) -> Result<(), WireError> {
+fn distinct(f: &Fields, list: &[&str], key: &str) -> Result<(), LineError> {
     match (0..list.len()).any(|i| list[..i].contains(&list[i])) {
         true => Err(f.bad(key, "names one twice")),
         false => Ok(()),
     }
 }
 
-fn figures(f: &Fields) -> Result<(), WireError> {
+fn figures(f: &Fields) -> Result<(), LineError> {
     for key in NOT_NEGATIVE {
         if f.number_or(key, 0.0)? < 0.0 {
             return Err(f.bad(key, "must not be below 0"));
@@ -102,7 +102,7 @@
 }
 
 /// What a retry budget allows is counted over a span of time.
-fn retry_budget(f: &Fields) -> Result<(), WireError> {
+fn retry_budget(f: &Fields) -> Result<(), LineError> {
     let allowed = ["rules.extra_free", "rules.extra_per_request"].into_iter().find(|k| f.opt(k).is_some());
     match (allowed, f.opt("rules.ratio_span")) {
         (Some(key), None) => Err(f.bad(key, "needs rules.ratio_span beside it")),
@@ -113,7 +113,7 @@
     }
 }
 
-fn class(f: &Fields, key: &dyn Fn(&str) -> String) -> Result<(), WireError> {
+fn class(f: &Fields, key: &dyn Fn(&str) -> String) -> Result<(), LineError> {
     for (allowed, all) in [("allowed_on", "skus"), ("allowed_in", "zones")] {
         let (allowed, known) = (key(allowed), f.list(all));
         let list = f.list(&allowed);
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,5 +1,5 @@
 //! The configuration. The platform's JSON and the operator's HCL are both flattened to the pairs that
-//! [`wire`](crate::wire) reads, so that the simulator's first message and the files at start are read by one reader
+//! [`wire`](crate::simulator) reads, so that the simulator's first message and the files at start are read by one reader
 //! into one [`Settings`].
 
 pub mod consistency;
@@ -10,7 +10,7 @@
 use crate::interface::{Availability, EngineId, KindId, Member, Milliseconds, Settings, SettingsError};
 use crate::limits::Limits;
 use crate::net::front::rules::ClassRules;
-use crate::wire::{self, Fields, WireError};
+use crate::simulator::{self, Fields, LineError};
 use miniserde::json::{self, Number, Value};
 use starlingplank_persistence::recovery;
 use std::collections::BTreeMap;
@@ -28,7 +28,7 @@
     Key(&'static str, &'static str),
     /// A setting cannot be read.
     #[error(transparent)]
-    Wire(#[from] WireError),
+    Wire(#[from] LineError),
     /// The settings contradict themselves.
     #[error(transparent)]
     Settings(#[from] SettingsError),
@@ -186,7 +186,7 @@
         let seed = u64::from_str_radix(&seed, 16).map_err(|_| ConfigError::Key("seed", "must be hex"))?;
         pairs.insert("entropy".into(), seed.to_string());
         let fields = Fields::new("settings", pairs);
-        let settings = wire::settings(&fields)?;
+        let settings = simulator::settings(&fields)?;
         consistency::check(&fields)?;
         settings.check()?;
         let longest = settings.classes.iter().map(|c| c.client_timeout).fold(0.0, f64::max);
@@ -235,7 +235,7 @@
 }
 
 impl KnowledgeSettings {
-    fn read(f: &Fields) -> Result<Option<Self>, WireError> {
+    fn read(f: &Fields) -> Result<Option<Self>, LineError> {
         let Some(folder) = f.opt("knowledge.folder") else { return Ok(None) };
         Ok(Some(Self {
             folder: folder.into(),
@@ -382,7 +382,7 @@
 ) -> Member {
     Member {
         engine: EngineId(id.into()),
-        zone: wire::zone_of(&settings.zones, zone),
+        zone: simulator::zone_of(&settings.zones, zone),
         kind: settings.kinds.iter().position(|k| k.name == kind).map(KindId),
         cell,
         availability,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod core;
 pub mod limits;
 pub mod net;
-pub mod wire;
+pub mod simulator;
 
 #[cfg(doctest)]
 #[doc = include_str!("../README.md")]
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -1,7 +1,7 @@
 //! Every size, count and time that the program keeps to, filled once at start and handed down.
 
 use crate::interface::Milliseconds;
-use crate::wire::{Fields, WireError};
+use crate::simulator::{Fields, LineError};
 use rustix::process::{getrlimit, Resource};
 use starlingplank_pacing::poll_schedule;
 use starlingplank_service_discovery::flows::MOST_FLOWS;
@@ -143,7 +143,7 @@
     ///
     /// # Errors
     /// Names the first value that cannot be read.
-    pub fn read(f: &Fields) -> Result<Self, WireError> {
+    pub fn read(f: &Fields) -> Result<Self, LineError> {
         // What the system lets this process have counts as well; what serves all is kept back from clients and engines.
         let system = getrlimit(Resource::Nofile).current.map_or(usize::MAX, |n| n as usize);
         let sockets =
--- a/src/net/front/rules.rs
+++ b/src/net/front/rules.rs
@@ -2,7 +2,7 @@
 
 use crate::interface::{ClassId, Settings};
 use crate::net::sql::first_word;
-use crate::wire::{Fields, WireError};
+use crate::simulator::{Fields, LineError};
 
 /// One rule: all that it names must hold.
 #[derive(Debug, Clone, PartialEq)]
@@ -21,7 +21,7 @@
     ///
     /// # Errors
     /// A rule names no class of the settings, or statements are left that no rule holds for.
-    pub fn read(f: &Fields, settings: &Settings) -> Result<Self, WireError> {
+    pub fn read(f: &Fields, settings: &Settings) -> Result<Self, LineError> {
         let count = f.number_or("clickhouse.rules.count", 0.0)? as usize;
         let mut rules = Vec::new();
         for i in 0..count {
--- a/src/wire.rs
+++ b/src/simulator.rs
@@ -10,7 +10,7 @@
 
 /// Why a line cannot be taken.
 #[derive(Debug, Error, PartialEq)]
-pub enum WireError {
+pub enum LineError {
     /// A message that the wire does not know.
     #[error("unknown message {0:?}")]
     Unknown(String),
@@ -116,22 +116,22 @@
         Self { message: message.to_owned(), pairs }
     }
 
-    fn parse(line: &str) -> Result<Self, WireError> {
+    fn parse(line: &str) -> Result<Self, LineError> {
         let mut parts = line.split('\t');
         let message = parts.next().unwrap_or_default().to_owned();
         let mut pairs = BTreeMap::new();
         for part in parts {
             let (name, value) = part
                 .split_once('=')
-                .ok_or_else(|| WireError::NotAPair { message: message.clone(), part: part.to_owned() })?;
+                .ok_or_else(|| LineError::NotAPair { message: message.clone(), part: part.to_owned() })?;
             pairs.insert(name.to_owned(), value.to_owned());
         }
         Ok(Self { message, pairs })
     }
 
     /// A field whose value cannot be used.
-    pub fn bad(&self, field: &str, why: &'static str) -> WireError {
-        WireError::Unreadable {
+    pub fn bad(&self, field: &str, why: &'static str) -> LineError {
+        LineError::Unreadable {
             message: self.message.clone(),
             field: field.to_owned(),
             value: self.pairs.get(field).cloned().unwrap_or_default(),
@@ -143,9 +143,9 @@
     ///
     /// # Errors
     /// The field is missing.
-    pub fn text(&self, field: &str) -> Result<&str, WireError> {
+    pub fn text(&self, field: &str) -> Result<&str, LineError> {
         self.opt(field)
-            .ok_or_else(|| WireError::Missing { message: self.message.clone(), field: field.to_owned() })
+            .ok_or_else(|| LineError::Missing { message: self.message.clone(), field: field.to_owned() })
     }
 
     /// A field that may be there.
@@ -153,15 +153,15 @@
         self.pairs.get(field).map(String::as_str)
     }
 
-    fn get<T: FromStr>(&self, field: &str) -> Result<T, WireError> {
+    fn get<T: FromStr>(&self, field: &str) -> Result<T, LineError> {
         self.text(field)?.parse().map_err(|_| self.bad(field, "is not a number of that form"))
     }
 
-    fn maybe<T: FromStr>(&self, field: &str) -> Result<Option<T>, WireError> {
+    fn maybe<T: FromStr>(&self, field: &str) -> Result<Option<T>, LineError> {
         self.opt(field).map(|_| self.get(field)).transpose()
     }
 
-    fn number(&self, field: &str) -> Result<f64, WireError> {
+    fn number(&self, field: &str) -> Result<f64, LineError> {
         let value: f64 = self.get(field)?;
         if value.is_finite() {
             Ok(value)
@@ -174,27 +174,27 @@
     ///
     /// # Errors
     /// The field is no such number.
-    pub fn number_or(&self, field: &str, default: f64) -> Result<f64, WireError> {
+    pub fn number_or(&self, field: &str, default: f64) -> Result<f64, LineError> {
         match self.opt(field) {
             Some(_) => self.number(field),
             None => Ok(default),
         }
     }
 
-    fn flag(&self, field: &str) -> Result<bool, WireError> {
+    fn flag(&self, field: &str) -> Result<bool, LineError> {
         self.opt(field).map_or(Some(false), flag).ok_or_else(|| self.bad(field, "is neither 0 nor 1"))
     }
 
-    fn flags(&self, field: &str) -> Result<Vec<bool>, WireError> {
+    fn flags(&self, field: &str) -> Result<Vec<bool>, LineError> {
         let all: Option<Vec<bool>> = self.list(field).into_iter().map(flag).collect();
         all.ok_or_else(|| self.bad(field, "holds what is neither 0 nor 1"))
     }
 
-    fn front(&self) -> Result<Front, WireError> {
+    fn front(&self) -> Result<Front, LineError> {
         self.text("front_id").map(Arc::from)
     }
 
-    fn engine(&self) -> Result<EngineId, WireError> {
+    fn engine(&self) -> Result<EngineId, LineError> {
         self.text("engine").map(|e| EngineId(Arc::from(e)))
     }
 
@@ -203,7 +203,7 @@
         self.opt(field).map(|v| v.split(',').filter(|s| !s.is_empty()).collect()).unwrap_or_default()
     }
 
-    fn report(&self) -> Result<Option<LoadReport>, WireError> {
+    fn report(&self) -> Result<Option<LoadReport>, LineError> {
         let Some(text) = self.opt("health_info").filter(|t| !t.is_empty()) else {
             return Ok(None);
         };
@@ -236,7 +236,7 @@
 }
 
 /// Reads one line.
-pub fn parse(line: &str) -> Result<Line, WireError> {
+pub fn parse(line: &str) -> Result<Line, LineError> {
     let f = Fields::parse(line)?;
     Ok(match f.message.as_str() {
         "TURN" => Line::Turn { wall: f.number("wall")?, turn: f.get("turn")? },
@@ -275,7 +275,7 @@
         }
         "INCOMING" | "TICK_DUE" | "PEER" | "SETTLED" | "HEARTBEAT" | "LAPSED" | "HEADERS"
         | "HEALTH_RESULT" => Line::Event(f.front()?, f),
-        other => return Err(WireError::Unknown(other.to_owned())),
+        other => return Err(LineError::Unknown(other.to_owned())),
     })
 }
 
@@ -296,7 +296,7 @@
     zones.iter().position(|z| z == name).map(ZoneId)
 }
 
-fn outcome(f: &Fields) -> Result<Outcome, WireError> {
+fn outcome(f: &Fields) -> Result<Outcome, LineError> {
     Ok(match f.text("disposition")? {
         "ok" => Outcome::Ok,
         "error" => Outcome::Error,
@@ -311,7 +311,7 @@
 }
 
 /// An event line in the terms of one instance's settings.
-pub fn event(f: &Fields, settings: &Settings) -> Result<Event, WireError> {
+pub fn event(f: &Fields, settings: &Settings) -> Result<Event, LineError> {
     let id = || f.get("ticket").map(RequestId);
     Ok(match f.message.as_str() {
         "INCOMING" => {
@@ -377,7 +377,7 @@
             took: f.number_or("duration", 0.0)?,
             report: f.report()?,
         },
-        other => return Err(WireError::Unknown(other.to_owned())),
+        other => return Err(LineError::Unknown(other.to_owned())),
     })
 }
 
@@ -385,10 +385,10 @@
 ///
 /// # Errors
 /// Names the first one that cannot be read.
-pub fn settings(f: &Fields) -> Result<Settings, WireError> {
+pub fn settings(f: &Fields) -> Result<Settings, LineError> {
     let zones: Vec<String> = f.list("zones").iter().map(|z| (*z).to_owned()).collect();
     let names = f.list("skus");
-    let numbers = |field: &str| -> Result<Vec<f64>, WireError> {
+    let numbers = |field: &str| -> Result<Vec<f64>, LineError> {
         f.list(field)
             .iter()
             .map(|v| v.parse().map_err(|_| f.bad(field, "is not a list of numbers")))
--- a/tests/client_retries.rs
+++ b/tests/client_retries.rs
@@ -12,7 +12,7 @@
 use starlingplank::limits::Limits;
 use starlingplank::net::front::rules::ClassRules;
 use starlingplank::net::front::{clickhouse, thrift, FrontendState};
-use starlingplank::wire::{self, Fields, Line};
+use starlingplank::simulator::{self, Fields, Line};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use tokio::io::AsyncWriteExt;
@@ -94,8 +94,8 @@
 #[case::unmarked("", false)]
 fn mark_on_the_simulator_s_wire_is_the_same(#[case] field: &str, #[case] repeat: bool) {
     let line = format!("INCOMING\tfront_id=f\tticket=1\tclass=append\tclient_deadline=9{field}");
-    let Ok(Line::Event(_, fields)) = wire::parse(&line) else { panic!("not read") };
-    let Ok(starlingplank::interface::Event::Request(asked)) = wire::event(&fields, &effects()) else {
+    let Ok(Line::Event(_, fields)) = simulator::parse(&line) else { panic!("not read") };
+    let Ok(starlingplank::interface::Event::Request(asked)) = simulator::event(&fields, &effects()) else {
         panic!("no request")
     };
     assert_eq!(asked.is_retry, repeat);
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -9,7 +9,7 @@
 };
 use starlingplank::interface::*;
 use starlingplank::limits::Limits;
-use starlingplank::wire::Fields;
+use starlingplank::simulator::Fields;
 use starlingplank_admin::inherited_membership::InheritedMembership;
 use starlingplank_admin::operator_overrides::OperatorOverrides;
 use starlingplank_decision::permission::send::{SendPermit, SendRefusal};
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -11,7 +11,7 @@
 use starlingplank::limits::Limits;
 use starlingplank::net::conn::SharedState;
 use starlingplank::net::engine::{pool::RespEngines, Engines};
-use starlingplank::wire::Fields;
+use starlingplank::simulator::Fields;
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::process::Command;
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -9,7 +9,7 @@
 use starlingplank::limits::Limits;
 use starlingplank::net::conn::{SharedState, WriteQueue};
 use starlingplank::net::frame::Frame;
-use starlingplank::wire::Fields;
+use starlingplank::simulator::Fields;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -7,7 +7,7 @@
 use starlingplank::core::{AttemptEnd, AttemptId, ClientRequest, Core, Effect, Endpoint, Event, Statement};
 use starlingplank::interface::*;
 use starlingplank::limits::Limits;
-use starlingplank::wire::Fields;
+use starlingplank::simulator::Fields;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
--- a/tests/full_queue.rs
+++ b/tests/full_queue.rs
@@ -9,7 +9,7 @@
 use starlingplank::net::engine::clickhouse::HttpEngines;
 use starlingplank::net::engine::pool::RespEngines;
 use starlingplank::net::engine::Engines;
-use starlingplank::wire::Fields;
+use starlingplank::simulator::Fields;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
--- a/tests/idle.rs
+++ b/tests/idle.rs
@@ -7,7 +7,7 @@
 use starlingplank::core::{Answer, AttemptEnd, ClientRequest, Core, Effect, Endpoint, Event, Statement};
 use starlingplank::interface::*;
 use starlingplank::limits::Limits;
-use starlingplank::wire::Fields;
+use starlingplank::simulator::Fields;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::rc::Rc;
 
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use starlingplank::limits::Limits;
-use starlingplank::wire::Fields;
+use starlingplank::simulator::Fields;
 use std::collections::BTreeMap;
 
 /// Descriptors that a process needs whatever comes: some 20 were counted, two sockets of the name service among them.
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -6,7 +6,7 @@
 use starlingplank::net::engine::resp::{self, Read};
 use starlingplank::net::front::thrift::{self, Message};
 use starlingplank::net::http;
-use starlingplank::wire::{self, Line};
+use starlingplank::simulator::{self, Line};
 
 #[rstest]
 #[case("*4\r\n$1\r\nq\r\n$6\r\nserved\r\n$7\r\npages=2\r\n$4\r\na\r\nb\r\nrest", "q served 2 4 rest")]
@@ -71,7 +71,7 @@
 
 fn settings() -> Settings {
     let text = "PROVISION\tfront_id=f\tentropy=1\tskus=std\tzones=east,west";
-    let Ok(Line::Provision(_, settings)) = wire::parse(text) else { panic!("not read") };
+    let Ok(Line::Provision(_, settings)) = simulator::parse(text) else { panic!("not read") };
     *settings
 }
 
--- a/tests/tenants.rs
+++ b/tests/tenants.rs
@@ -10,7 +10,7 @@
 use starlingplank::interface::*;
 use starlingplank::limits::Limits;
 use starlingplank::net::front::{thrift, FrontendState};
-use starlingplank::wire::Fields;
+use starlingplank::simulator::Fields;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use tokio::io::AsyncWriteExt;
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,7 +1,7 @@
 //! The wire: what is read, what is written, what is refused.
 
 use starlingplank::interface::*;
-use starlingplank::wire::{self, Line};
+use starlingplank::simulator::{self, Line};
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
@@ -37,7 +37,7 @@
 
 #[test]
 fn settings_are_read() {
-    let Ok(Line::Provision(front, s)) = wire::parse(PROVISION) else { panic!("not read") };
+    let Ok(Line::Provision(front, s)) = simulator::parse(PROVISION) else { panic!("not read") };
     assert_eq!(&*front, "front_3");
     assert_eq!((s.gateways, s.seed, s.zone), (3, 513, Some(ZoneId(1))));
     assert_eq!(s.kinds[1].cores, 4.0);
@@ -48,11 +48,11 @@
 
 #[test]
 fn outcome_with_cost_and_report() {
-    let Ok(Line::Provision(_, s)) = wire::parse(PROVISION) else { panic!("not read") };
+    let Ok(Line::Provision(_, s)) = simulator::parse(PROVISION) else { panic!("not read") };
     let text = "SETTLED\tfront_id=front_3\tticket=9\tdisposition=ok\tduration=18.5\tended=1\tengine=e:1\t\
                 stats=69728\tsend_no=0\thealth_info=load_share:0.62,concurrent:7,new:3,x0:nan";
-    let Ok(Line::Event(_, fields)) = wire::parse(text) else { panic!("not read") };
-    let Ok(Event::Outcome { work, report, over, .. }) = wire::event(&fields, &s) else {
+    let Ok(Line::Event(_, fields)) = simulator::parse(text) else { panic!("not read") };
+    let Ok(Event::Outcome { work, report, over, .. }) = simulator::event(&fields, &s) else {
         panic!("no outcome")
     };
     assert_eq!(work, Some(17.0));
@@ -74,7 +74,7 @@
         ("REGISTRY\tfront_id=f\tkind=new", "kind"),
         ("PROVISION\tfront_id=f\tentropy=-1", "entropy"),
     ] {
-        let error = wire::parse(line).expect_err(line).to_string();
+        let error = simulator::parse(line).expect_err(line).to_string();
         assert!(error.contains(names), "{line}: {error}");
     }
 }
@@ -198,7 +198,7 @@
         (Action::CheckHealth { engine }, "INSPECT\tfront_id=f\tengine=e:1\n"),
     ] {
         let mut out = String::new();
-        wire::write(&mut out, "f", &action);
+        simulator::write(&mut out, "f", &action);
         assert_eq!(out, line);
     }
 }
@@ -206,9 +206,9 @@
 /// Notes tell what an attempt waits for, and probes how long they took.
 #[test]
 fn waits_and_probe_times_are_read() {
-    let Ok(Line::Provision(_, s)) = wire::parse(PROVISION) else { panic!("not read") };
-    let event = |text: &str| match wire::parse(text) {
-        Ok(Line::Event(_, fields)) => wire::event(&fields, &s).expect("an event"),
+    let Ok(Line::Provision(_, s)) = simulator::parse(PROVISION) else { panic!("not read") };
+    let event = |text: &str| match simulator::parse(text) {
+        Ok(Line::Event(_, fields)) => simulator::event(&fields, &s).expect("an event"),
         other => panic!("{other:?}"),
     };
     let note = |amount: &str| {
