--- a/src/core/decisions.rs
+++ b/src/core/decisions.rs
@@ -27,14 +27,14 @@
         if now < self.next_decision_at && !at_once {
             return self.set_decision_timer();
         }
-        self.next_decision_at = now + self.limits.turn_gap;
+        self.next_decision_at = now + self.limits.decision_interval;
         self.decision_urgent = false;
         self.decide(now, effects);
     }
 
     fn accrue_credit(&mut self, now: Milliseconds) {
-        self.decision_credit += (now - self.credit_updated_at).max(0.0) * self.limits.turn_share;
-        self.decision_credit = self.decision_credit.min(self.limits.turn_credit);
+        self.decision_credit += (now - self.credit_updated_at).max(0.0) * self.limits.decision_time_share;
+        self.decision_credit = self.decision_credit.min(self.limits.max_decision_credit);
         self.credit_updated_at = now;
     }
 
--- a/src/core/membership.rs
+++ b/src/core/membership.rs
@@ -262,7 +262,7 @@
         }
         for (engine, _) in before {
             effects.push(Effect::DropQueued(engine.clone()));
-            self.set_timer(now + self.limits.gone_grace, Due::EngineRemoved(engine));
+            self.set_timer(now + self.limits.removed_engine_grace, Due::EngineRemoved(engine));
         }
     }
 
--- a/src/core/probes.rs
+++ b/src/core/probes.rs
@@ -31,7 +31,7 @@
         self.last_number += 1;
         let tag = self.last_number;
         self.probes.insert(tag, Probe { engine: engine.clone(), sent_at: now });
-        self.set_timer(now + self.limits.probe, Due::ProbeTimeout(tag));
+        self.set_timer(now + self.limits.health_check_timeout, Due::ProbeTimeout(tag));
         effects.push(Effect::CheckHealth(tag, engine, address));
     }
 
--- a/src/core/records.rs
+++ b/src/core/records.rs
@@ -46,7 +46,7 @@
             a.record = Some(record);
         }
         self.pending_records.insert(number, id);
-        self.set_timer(now + self.limits.record, Due::RecordTimeout(number));
+        self.set_timer(now + self.limits.record_timeout, Due::RecordTimeout(number));
         effects.push(Effect::WriteRecord(number, key, sent));
     }
 
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -91,8 +91,8 @@
 
     /// Bounds memory: past these limits a request is rejected without a decision.
     fn check_capacity(&self, request: &ClientRequest) -> Result<(), Rejection> {
-        let crowded = self.open_requests >= self.limits.max_open;
-        if crowded || self.held_bytes + request.statement.bytes() > self.limits.held_bytes {
+        let crowded = self.open_requests >= self.limits.max_open_requests;
+        if crowded || self.held_bytes + request.statement.bytes() > self.limits.max_buffered_bytes {
             return Err(self.rejection("limits"));
         }
         Ok(())
--- a/src/core/shutdown.rs
+++ b/src/core/shutdown.rs
@@ -18,14 +18,14 @@
             return;
         }
         self.terminating_since = Some(now);
-        self.set_timer(now + self.limits.term_window, Due::TerminationWindow);
-        self.set_answer_by(now + self.limits.term_answer);
+        self.set_timer(now + self.limits.shutdown_accept_window, Due::TerminationWindow);
+        self.set_answer_by(now + self.limits.shutdown_answer_deadline);
     }
 
     /// Extends the time for answers, as another process takes over.
     pub(super) fn hand_over(&mut self) {
         if let Some(since) = self.terminating_since {
-            self.set_answer_by(since + self.limits.leave_answer);
+            self.set_answer_by(since + self.limits.hot_restart_answer_deadline);
         }
     }
 
@@ -64,7 +64,7 @@
 
     /// Exits once the termination window is over and no request is open.
     pub(super) fn exit_when_done(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
-        let window = |from: Milliseconds| now >= from + self.limits.term_window;
+        let window = |from: Milliseconds| now >= from + self.limits.shutdown_accept_window;
         if self.open_requests == 0 && self.terminating_since.is_some_and(window) {
             effects.push(Effect::Exit);
         }
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -48,7 +48,7 @@
             }
         };
         callers.retain(|c| !c.is_finished());
-        while callers.len() >= limits.callers {
+        while callers.len() >= limits.max_admin_connections {
             let Some(caller) = callers.pop_front() else { break };
             caller.abort();
             // Its descriptor is free before the next one is taken.
@@ -86,7 +86,7 @@
     calls: mpsc::Sender<Asked>,
 ) {
     let mut read_buffer = ReadBuffer::new(shared);
-    let until = Instant::now() + limits.call_whole;
+    let until = Instant::now() + limits.admin_call_timeout;
     let read = match timeout_at(until, read(&stream, &mut read_buffer, &limits)).await {
         Ok(None) => return,
         Ok(Some(read)) => read,
@@ -122,7 +122,7 @@
             read_buffer.used(read_buffer.unread().len());
         }
     };
-    let _ = timeout(limits.call_rest, rest).await;
+    let _ = timeout(limits.admin_discard_timeout, rest).await;
 }
 
 /// Writes all bytes; a call that was interrupted is made again.
@@ -170,7 +170,7 @@
                 }
             }
             Read::Bad => return bad(400, "the call cannot be read as HTTP/1.1"),
-            Read::More if read_buffer.unread().len() > limits.head_bytes => {
+            Read::More if read_buffer.unread().len() > limits.max_head_bytes => {
                 return bad(431, "the head of the call is too long");
             }
             Read::More => {}
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -136,8 +136,8 @@
 pub async fn finish(mut stream: TcpStream, out: &WriteQueue, limits: &Limits) {
     let within = match out.closing.get() {
         // Another client waits for the room.
-        Some(Close::Now) => limits.front_grace,
-        _ => limits.close_rest,
+        Some(Close::Now) => limits.min_idle_before_eviction,
+        _ => limits.close_linger,
     };
     out.close(Close::AfterWrite);
     let end = async {
@@ -145,7 +145,7 @@
             out.write_all(&stream, limits).await?;
         }
         stream.shutdown().await?;
-        let (mut rest, mut left) = (vec![0; limits.read_bytes], limits.message_bytes);
+        let (mut rest, mut left) = (vec![0; limits.read_chunk_bytes], limits.max_message_bytes);
         loop {
             stream.readable().await?;
             match stream.try_read(&mut rest) {
@@ -199,8 +199,8 @@
             return;
         }
         let len = frame.len();
-        let most = self.shared.part(limits.held_bytes);
-        if self.bytes.get() + len > limits.write_queue_bytes || self.shared.held.get() + len > most {
+        let most = self.shared.part(limits.max_buffered_bytes);
+        if self.bytes.get() + len > limits.max_write_queue_bytes || self.shared.held.get() + len > most {
             log::seldom("a connection was closed: its reader is too slow");
             return self.close(Close::Now);
         }
@@ -264,7 +264,7 @@
     fn admit_frames(&self, limits: &Limits) {
         let begun = usize::from(self.begun.get() > 0);
         let mut at = begun;
-        while at < limits.gather.min(self.frames.borrow().len()) {
+        while at < limits.max_gathered_slices.min(self.frames.borrow().len()) {
             match self.admit(at) {
                 Ok(()) => at += 1,
                 Err(refusal) => self.take_back(at, refusal),
@@ -347,7 +347,7 @@
                     if from < bytes.len() {
                         slices.push(IoSlice::new(&bytes[from..]));
                     }
-                    if slices.len() == limits.gather {
+                    if slices.len() == limits.max_gathered_slices {
                         break;
                     }
                 }
@@ -437,15 +437,15 @@
         }
         loop {
             stream.readable().await?;
-            self.bytes.reserve(limits.read_bytes);
+            self.bytes.reserve(limits.read_chunk_bytes);
             match stream.try_read_buf(&mut self.bytes) {
                 Ok(n) => {
                     self.count();
                     self.filled = Instant::now();
                     self.since = self.since.or(Some(self.filled));
                     // Many long messages at once must not take the memory of all: the long ones go first.
-                    let most = self.shared.part(limits.held_bytes);
-                    if self.shared.held.get() > most && self.counted > 4 * limits.read_bytes {
+                    let most = self.shared.part(limits.max_buffered_bytes);
+                    if self.shared.held.get() > most && self.counted > 4 * limits.read_chunk_bytes {
                         return Err(io::ErrorKind::OutOfMemory.into());
                     }
                     return Ok(n > 0);
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -43,14 +43,14 @@
     let pace = Rules {
         gateways: settings.gateways,
         gateway_index: settings.gateway_index,
-        slowest: limits.names_slowest,
+        slowest: limits.slowest_poll_interval,
     };
     let start = Start {
         pace,
         seed: settings.seed,
         known,
         drain_grace: settings.drain_grace,
-        most_flows: limits.names_flows,
+        most_flows: limits.max_discovery_flows,
         address: at,
     };
     Discovery::new(&start, now)
--- a/src/net/engine/clickhouse.rs
+++ b/src/net/engine/clickhouse.rs
@@ -74,7 +74,8 @@
         let free = pool.iter().filter(|c| c.free()).max_by_key(|c| c.used.get()).cloned();
         let open = |p: &Vec<Rc<Conn>>| p.iter().filter(|c| !c.dead.get()).count();
         if free.is_none()
-            && self.pools.values().map(open).sum::<usize>() >= self.shared.part(self.limits.engine_conns)
+            && self.pools.values().map(open).sum::<usize>()
+                >= self.shared.part(self.limits.max_engine_connections)
         {
             return false;
         }
@@ -148,13 +149,13 @@
         // A probe that nobody answers would keep its connection for ever.
         let probes = |c: &Conn| matches!(&*c.job.borrow(), Some(Job::Probe(_)));
         for conn in self.pools.values().flatten().filter(|c| probes(c)) {
-            if conn.used.get().elapsed() >= self.limits.probe_over {
+            if conn.used.get().elapsed() >= self.limits.health_check_connection_timeout {
                 conn.out.close(Close::Now);
             }
         }
         for pool in self.pools.values_mut() {
             for conn in pool.iter().filter(|c| !c.dead.get() && c.job.borrow().is_none()) {
-                if conn.retired.get() || conn.used.get().elapsed() >= self.limits.idle {
+                if conn.retired.get() || conn.used.get().elapsed() >= self.limits.engine_idle_timeout {
                     conn.retired.set(true);
                     conn.out.close(Close::AfterWrite);
                 }
@@ -317,7 +318,7 @@
                 }
             }
             Read::Bad => return None,
-            Read::More if read_buffer.unread().len() > limits.head_bytes => return None,
+            Read::More if read_buffer.unread().len() > limits.max_head_bytes => return None,
             Read::More => fill(read_buffer, stream, limits).await?,
         }
     };
@@ -337,7 +338,7 @@
                 read_buffer.used(part.len());
                 part
             }
-            Length::Chunked => match http::read_chunk(read_buffer.unread(), 4 * limits.message_bytes) {
+            Length::Chunked => match http::read_chunk(read_buffer.unread(), 4 * limits.max_message_bytes) {
                 Read::Done([], used) => {
                     read_buffer.used(used);
                     break;
@@ -363,7 +364,7 @@
         let job = conn.job.borrow().clone()?;
         if let (Job::Attempt(_, Some(flow)), true) = (&job, begun) {
             // The engine is read no faster than the client reads.
-            flow.room(limits.result_bytes).await;
+            flow.room(limits.max_result_bytes).await;
         }
         let place = events.reserve().await.ok()?;
         let job = conn.job.borrow().clone()?;
@@ -373,10 +374,10 @@
             }
             Job::Attempt(id, flow) => {
                 rows.parts.push(part);
-                if status == 200 && bytes > limits.result_bytes && flow.is_some() {
+                if status == 200 && bytes > limits.max_result_bytes && flow.is_some() {
                     begun = true;
                     place.send(Event::ResponseStarted(id, std::mem::take(&mut rows)));
-                } else if bytes > limits.message_bytes {
+                } else if bytes > limits.max_message_bytes {
                     log::seldom("a result that is too large cannot be passed on whole");
                     conn.job.borrow_mut().take();
                     place.send(Event::AttemptEnded(id, AttemptEnd::plain(Outcome::Error)));
--- a/src/net/engine/connect.rs
+++ b/src/net/engine/connect.rs
@@ -41,7 +41,7 @@
 /// # Errors
 /// There is none by then.
 pub async fn connect(address: SocketAddr, limits: &Limits) -> Result<TcpStream, ConnectError> {
-    let until = Instant::now() + limits.connect;
+    let until = Instant::now() + limits.connect_timeout;
     let mut backoff = Backoff::default();
     loop {
         match timeout_at(until, TcpStream::connect(address)).await {
--- a/src/net/engine/connection.rs
+++ b/src/net/engine/connection.rs
@@ -32,7 +32,9 @@
 
     /// Whether its result has begun to arrive and then stopped.
     fn is_stalled(&self, limits: &Limits) -> bool {
-        self.result.as_ref().is_some_and(|result| result.last_page_at().elapsed() > limits.engine_silent)
+        self.result
+            .as_ref()
+            .is_some_and(|result| result.last_page_at().elapsed() > limits.engine_stall_timeout)
     }
 }
 
@@ -88,7 +90,7 @@
         !self.closed.get()
             && !self.retired.get()
             && !self.write_queue.closing()
-            && self.in_flight_count() < limits.streams
+            && self.in_flight_count() < limits.max_attempts_per_connection
             && !self.in_flight.borrow().contains_key(name)
             && !self.retired_ids.borrow().contains(name)
     }
@@ -114,7 +116,7 @@
     pub fn retire_id(&self, name: String, limits: &Limits) {
         let mut retired_ids = self.retired_ids.borrow_mut();
         retired_ids.insert(name);
-        if retired_ids.len() > limits.queue {
+        if retired_ids.len() > limits.event_queue_capacity {
             self.retired.set(true);
         }
     }
@@ -151,9 +153,9 @@
     /// Ends the wait for probes that have had no reply for too long.
     pub fn expire_probes(&self, limits: &Limits) {
         self.probes.borrow_mut().retain(|_, sent_at| {
-            let expired = sent_at.elapsed() >= limits.probe_over;
+            let expired = sent_at.elapsed() >= limits.health_check_connection_timeout;
             if expired {
-                self.retire_if_silent(*sent_at, limits.probe_over);
+                self.retire_if_silent(*sent_at, limits.health_check_connection_timeout);
             }
             !expired
         });
--- a/src/net/engine/driver.rs
+++ b/src/net/engine/driver.rs
@@ -75,11 +75,11 @@
     limits: &Limits,
     events: &Sender<Event>,
 ) -> ControlFlow<()> {
-    let longest = LONGEST_REPLY_IN_RESULTS * limits.result_bytes;
+    let longest = LONGEST_REPLY_IN_RESULTS * limits.max_result_bytes;
     loop {
         // The place of its event is there before a reply changes anything: this future may be dropped while it waits.
         let Ok(place) = events.reserve().await else { return ControlFlow::Break(()) };
-        let (effect, used) = match resp::read(read_buffer.unread(), limits.result_bytes) {
+        let (effect, used) = match resp::read(read_buffer.unread(), limits.max_result_bytes) {
             Read::Reply(reply, used) => (handle_reply(connection, &reply, limits), used),
             Read::More if read_buffer.unread().len() <= longest => return ControlFlow::Continue(()),
             Read::More | Read::Bad => (ReplyEffect::ProtocolError, 0),
@@ -104,7 +104,7 @@
     stream: &TcpStream,
     limits: &Limits,
 ) -> ControlFlow<()> {
-    let complete_by = read_buffer.since().map(|since| since + limits.engine_silent);
+    let complete_by = read_buffer.since().map(|since| since + limits.engine_stall_timeout);
     tokio::select! {
         filled = read_buffer.fill(stream, limits) => {
             if !matches!(filled, Ok(true)) {
--- a/src/net/engine/pool.rs
+++ b/src/net/engine/pool.rs
@@ -78,12 +78,12 @@
     fn wants_another(&self, engine: &EngineId, connection: &Connection) -> bool {
         let share = self.most_connections() / self.pools.len().max(1);
         let open = self.pools.get(engine).map_or(0, |pool| count_open(pool));
-        connection.in_flight_count() >= self.limits.streams_wanted && open < share / 2
+        connection.in_flight_count() >= self.limits.preferred_attempts_per_connection && open < share / 2
     }
 
     /// Connections that this process may have open at once.
     fn most_connections(&self) -> usize {
-        self.shared.part(self.limits.engine_conns)
+        self.shared.part(self.limits.max_engine_connections)
     }
 
     fn open_connections(&self) -> usize {
@@ -102,7 +102,9 @@
     fn close_unused(&self) {
         let connections = self.pools.values().flatten();
         for connection in connections.filter(|connection| !connection.closed.get() && connection.is_idle()) {
-            if connection.retired.get() || connection.last_used.get().elapsed() >= self.limits.idle {
+            if connection.retired.get()
+                || connection.last_used.get().elapsed() >= self.limits.engine_idle_timeout
+            {
                 connection.retired.set(true);
                 connection.write_queue.close(Close::AfterWrite);
             }
@@ -150,7 +152,7 @@
         }
         // An attempt that is out of time has waited long enough, however short its time was. Any other proves the
         // connection silent only after a silence that no live engine keeps.
-        let silence = if out_of_time { Duration::ZERO } else { self.limits.engine_silent };
+        let silence = if out_of_time { Duration::ZERO } else { self.limits.engine_stall_timeout };
         connection.retire_if_silent(attempt.sent_at, silence);
         let word = if attempt.result.is_some() { "shut" } else { "never_mind" };
         connection.write_queue.push(resp::command(&[word, &name]), &self.limits);
--- a/src/net/engine/results.rs
+++ b/src/net/engine/results.rs
@@ -36,7 +36,7 @@
     /// A result of which the first reply has come. None: the reply does not say how many pages there are, or says more
     /// than an engine sends.
     fn begin(reply: &Reply<'_>, limits: &Limits) -> Option<Self> {
-        let count = positive_integer(reply, "pages", limits.queue)?;
+        let count = positive_integer(reply, "pages", limits.event_queue_capacity)?;
         let end = AttemptEnd {
             work: reply.number("cost"),
             report: reply.report(),
@@ -57,7 +57,7 @@
             Some(Some(_)) => return PageEffect::Duplicate,
             Some(None) => {}
         }
-        if !resp::has_whole_rows(body) || self.bytes + body.len() > limits.result_bytes {
+        if !resp::has_whole_rows(body) || self.bytes + body.len() > limits.max_result_bytes {
             return PageEffect::Invalid;
         }
         self.last_page_at = Instant::now();
@@ -86,7 +86,8 @@
         request_further_pages(connection, reply.id, result.pages.len(), limits);
         attempt.result = Some(result);
     }
-    let number = if is_first { Some(0) } else { positive_integer(reply, "page", limits.queue) };
+    let number =
+        if is_first { Some(0) } else { positive_integer(reply, "page", limits.event_queue_capacity) };
     let (Some(result), Some(number)) = (attempt.result.as_mut(), number) else {
         return ReplyEffect::ProtocolError;
     };
--- a/src/net/front/clickhouse.rs
+++ b/src/net/front/clickhouse.rs
@@ -206,13 +206,13 @@
             tokio::select! {
                 () = session.answered.notified() => break,
                 // More than one message is not read ahead.
-                more = read_buffer.fill(stream, &session.limits), if read_buffer.unread().len() < session.limits.read_bytes => {
+                more = read_buffer.fill(stream, &session.limits), if read_buffer.unread().len() < session.limits.read_chunk_bytes => {
                     if !matches!(more, Ok(true)) {
                         return session.connection.has_gone();
                     }
                 }
                 // A client that has gone is heard behind what is not read yet.
-                () = closed(stream), if read_buffer.unread().len() >= session.limits.read_bytes => {
+                () = closed(stream), if read_buffer.unread().len() >= session.limits.read_chunk_bytes => {
                     return session.connection.has_gone();
                 }
             }
@@ -267,7 +267,7 @@
                 break (request, length);
             }
             Read::Bad => return bad(BAD_REQUEST, "The request cannot be read"),
-            Read::More if read_buffer.unread().len() > limits.head_bytes => {
+            Read::More if read_buffer.unread().len() > limits.max_head_bytes => {
                 return bad(BAD_REQUEST, "The head of the request is too long");
             }
             Read::More => {
@@ -280,7 +280,9 @@
     let mut body = Vec::new();
     loop {
         let whole = match length {
-            Length::Bytes(n) if n > limits.message_bytes => return bad(TOO_LARGE, "The body is too large"),
+            Length::Bytes(n) if n > limits.max_message_bytes => {
+                return bad(TOO_LARGE, "The body is too large")
+            }
             Length::Bytes(n) => {
                 let part = read_buffer.unread().len().min(n - body.len());
                 body.extend_from_slice(&read_buffer.unread()[..part]);
@@ -288,12 +290,12 @@
                 body.len() == n
             }
             Length::Chunked | Length::Stream => {
-                match http::read_chunk(read_buffer.unread(), limits.message_bytes) {
+                match http::read_chunk(read_buffer.unread(), limits.max_message_bytes) {
                     Read::Done(chunk, used) => {
                         let end = chunk.is_empty();
                         body.extend_from_slice(chunk);
                         read_buffer.used(used);
-                        if body.len() > limits.message_bytes {
+                        if body.len() > limits.max_message_bytes {
                             return bad(TOO_LARGE, "The body is too large");
                         }
                         if !end {
--- a/src/net/front/client_connection.rs
+++ b/src/net/front/client_connection.rs
@@ -103,7 +103,7 @@
                 return false;
             }
             let silent = self.silent_by(read_buffer, limits);
-            let until = silent.unwrap_or(self.active.get() + limits.front_idle);
+            let until = silent.unwrap_or(self.active.get() + limits.client_idle_timeout);
             // What is open is waited for, whatever else the client does.
             let until = match self.open.get() {
                 0 if until <= Instant::now() => match may_cut_off(&self.written_facts(read_buffer, stream)) {
@@ -113,10 +113,10 @@
                         return false;
                     }
                     // What has arrived may be the rest of a request, or a whole one.
-                    Err(_) => Instant::now() + limits.front_grace,
+                    Err(_) => Instant::now() + limits.min_idle_before_eviction,
                 },
                 0 => until,
-                _ => Instant::now() + limits.front_silent,
+                _ => Instant::now() + limits.client_silence_timeout,
             };
             tokio::select! {
                 filled = timeout_at(until, read_buffer.fill(stream, limits)) => {
@@ -136,10 +136,11 @@
     fn silent_by(&self, read_buffer: &ReadBuffer, limits: &Limits) -> Option<Instant> {
         let unanswered = || Some(self.opened).filter(|_| !self.answered.get());
         match read_buffer.since() {
-            Some(begun) => {
-                Some((read_buffer.last_filled() + limits.front_silent).min(begun + limits.front_message))
-            }
-            None => unanswered().map(|at| at + limits.front_silent),
+            Some(begun) => Some(
+                (read_buffer.last_filled() + limits.client_silence_timeout)
+                    .min(begun + limits.client_message_timeout),
+            ),
+            None => unanswered().map(|at| at + limits.client_silence_timeout),
         }
     }
 
--- a/src/net/front/mod.rs
+++ b/src/net/front/mod.rs
@@ -92,7 +92,7 @@
         Rc::new(Self {
             shared: SharedState::with_retry_budget(settings.classes.len(), settings.retry_budget),
             settings,
-            waiting_places: Arc::new(Semaphore::new(limits.front_waiting)),
+            waiting_places: Arc::new(Semaphore::new(limits.max_waiting_connections)),
             limits,
             clock: Clock::start(),
             pauses: PauseDetector::new(Instant::now()),
@@ -113,8 +113,8 @@
     /// way: a new one is likely to bring a request, and its client waits for the answer. None: all have
     /// something open, for as long as the client can be left waiting.
     pub async fn connect(&self) -> Option<Rc<ClientConnection>> {
-        let until = Instant::now() + self.limits.front_wait;
-        while self.connections.borrow().len() >= self.shared.part(self.limits.front_conns) {
+        let until = Instant::now() + self.limits.max_wait_for_slot;
+        while self.connections.borrow().len() >= self.shared.part(self.limits.max_client_connections) {
             let longest = self
                 .connections
                 .borrow()
@@ -123,14 +123,14 @@
                 .filter_map(|s| s.idle().map(|at| (at, s.clone())))
                 .min_by_key(|x| x.0);
             let again = match longest {
-                Some((at, connection)) if at.elapsed() >= self.limits.front_grace => {
+                Some((at, connection)) if at.elapsed() >= self.limits.min_idle_before_eviction => {
                     // It looks first whether something has arrived; if so another one is asked.
                     connection.ask_for_place();
-                    Instant::now() + self.limits.front_grace
+                    Instant::now() + self.limits.min_idle_before_eviction
                 }
-                Some((at, _)) => at + self.limits.front_grace,
+                Some((at, _)) => at + self.limits.min_idle_before_eviction,
                 // One may come to rest meanwhile.
-                None => Instant::now() + self.limits.front_grace,
+                None => Instant::now() + self.limits.min_idle_before_eviction,
             };
             if timeout_at(again.min(until), self.freed.notified()).await.is_err() && Instant::now() >= until {
                 return None;
--- a/src/net/front/thrift.rs
+++ b/src/net/front/thrift.rs
@@ -314,7 +314,7 @@
     let mut read_buffer = ReadBuffer::new(frontend.shared.clone());
     loop {
         while let Some(len) = frame_len(read_buffer.unread()) {
-            if len > limits.message_bytes {
+            if len > limits.max_message_bytes {
                 return log::seldom("a client's frame is too long; the connection was closed");
             }
             let Some(frame) = read_buffer.unread().get(4..len) else { break };
@@ -362,7 +362,7 @@
                 return false;
             }
             session.last.set(seq);
-            if session.open.borrow().len() >= session.limits.open_per_conn {
+            if session.open.borrow().len() >= session.limits.max_open_per_connection {
                 let frame = overloaded(seq, frontend.settings.max_retry_after);
                 say(counted(frame, class_of(&fields, frontend), Count::Deferred));
                 return true;
--- a/src/net/hot_restart.rs
+++ b/src/net/hot_restart.rs
@@ -397,7 +397,7 @@
             }
         }
         let learned = Snapshot::new(name, &core.learned(now), &core.addresses());
-        let bytes = snapshot::encode(&learned, limits.learned_bytes);
+        let bytes = snapshot::encode(&learned, limits.max_inherited_state_bytes);
         let file = format!("{}-for-{to:016x}", named("learned", self.own));
         let written = bytes
             .map_err(io::Error::other)
@@ -420,9 +420,9 @@
         let mut waited = Duration::ZERO;
         let step = Duration::from_millis(5);
         let bytes = loop {
-            match Files::new(&self.path).read(&file, limits.learned_bytes as u64) {
+            match Files::new(&self.path).read(&file, limits.max_inherited_state_bytes as u64) {
                 Ok(Some(bytes)) => break bytes,
-                Ok(None) if waited < limits.learned_wait => {}
+                Ok(None) if waited < limits.inherited_state_wait => {}
                 Ok(None) => {
                     info!("the running version has not passed on what it learned; starting without");
                     return None;
--- a/src/net/runtime/inputs.rs
+++ b/src/net/runtime/inputs.rs
@@ -45,12 +45,13 @@
 impl Timers {
     /// Starts all timers. All but the one for snapshots tick at once.
     pub fn start(limits: &Limits, knowledge: Option<&KnowledgeSettings>) -> Self {
-        let every = knowledge.map_or(limits.tend, |k| Duration::from_secs_f64(k.every / 1000.0));
+        let every =
+            knowledge.map_or(limits.log_maintenance_interval, |k| Duration::from_secs_f64(k.every / 1000.0));
         Self {
-            maintain_engines: delayed(interval(limits.sweep)),
-            maintain_knowledge: delayed(interval(limits.tend)),
+            maintain_engines: delayed(interval(limits.maintenance_interval)),
+            maintain_knowledge: delayed(interval(limits.log_maintenance_interval)),
             snapshots: delayed(interval_at(Instant::now() + every, every)),
-            observe_peers: delayed(interval(limits.look)),
+            observe_peers: delayed(interval(limits.peer_poll_interval)),
         }
     }
 }
--- a/src/net/runtime/listeners.rs
+++ b/src/net/runtime/listeners.rs
@@ -181,7 +181,7 @@
     /// Accepts what lies in the queue of the listener: as the listener is closed, it would be reset. The listener is
     /// closed in the call after the one that found the queue empty.
     async fn empty_backlog(&self, listener: TcpListener, arrived: Instant) {
-        let until = Instant::now() + self.frontend.limits.front_wait;
+        let until = Instant::now() + self.frontend.limits.max_wait_for_slot;
         let waiting = self.frontend.waiting_places.clone();
         let Ok(queue) = listener.into_std() else { return };
         let mut backoff = Backoff::default();
--- a/src/net/runtime/mod.rs
+++ b/src/net/runtime/mod.rs
@@ -146,7 +146,7 @@
             }
             let mut events = Vec::new();
             self.handle_wake(wake, reload, &mut events);
-            inputs.drain_events(&mut events, self.frontend.limits.queue);
+            inputs.drain_events(&mut events, self.frontend.limits.event_queue_capacity);
             let late = self.check_delay(due_at);
             while let Some((call, reply_to)) = inputs.next_waiting_call() {
                 drop(reply_to.send(self.answer_call(call, &mut events)));
@@ -171,7 +171,7 @@
     fn wake_by(&self, due_at: Option<Milliseconds>) -> Instant {
         let due: Instant = match due_at {
             Some(at) => self.frontend.clock.instant(at).into(),
-            None => Instant::now() + self.frontend.limits.sweep,
+            None => Instant::now() + self.frontend.limits.maintenance_interval,
         };
         self.pending_reload.map_or(due, |pending| pending.due().min(due))
     }
@@ -253,7 +253,7 @@
     /// decision, so the log tells of it.
     fn check_delay(&self, due_at: Option<Milliseconds>) -> Milliseconds {
         let late = due_at.map_or(0.0, |at| self.frontend.clock.now() - at);
-        if late > self.frontend.limits.stall {
+        if late > self.frontend.limits.pause_threshold {
             tracing::warn!("stood still for {late:.0} ms");
         }
         late
--- a/src/net/runtime/shutdown.rs
+++ b/src/net/runtime/shutdown.rs
@@ -27,7 +27,7 @@
             settled: self.settled,
             unconnected: closes_idle && self.frontend.empty(),
             // What clients sent while the process stood still is read before it ends.
-            overdue: waited >= window + self.frontend.limits.leave_close
+            overdue: waited >= window + self.frontend.limits.connection_close_wait
                 && !self.frontend.pauses.has_backlog(Instant::now()),
         })
     }
@@ -37,7 +37,8 @@
         let hands_over =
             matches!(self.frontend.shutdown_phase(), ShutdownPhase::AfterAnswer | ShutdownPhase::Idle);
         let limits = &self.frontend.limits;
-        let window = if hands_over { limits.leave_answer } else { limits.term_answer };
+        let window =
+            if hands_over { limits.hot_restart_answer_deadline } else { limits.shutdown_answer_deadline };
         Duration::from_secs_f64(window / 1000.0)
     }
 
@@ -47,7 +48,7 @@
             ShutdownPhase::Alone if self.settled && !self.awaits_successor(waited, window) => {
                 self.frontend.leave_by(ShutdownPhase::Last);
             }
-            ShutdownPhase::AfterAnswer if waited >= self.frontend.limits.leave_idle => {
+            ShutdownPhase::AfterAnswer if waited >= self.frontend.limits.hot_restart_idle_after => {
                 self.frontend.leave_by(ShutdownPhase::Idle);
             }
             _ => {}
@@ -65,7 +66,7 @@
         // Operators whose call is under way are told that it ends; one who says nothing is not waited for.
         drop(inputs.calls);
         if self.config.operator.is_some() {
-            let _ = timeout(self.frontend.limits.look, self.callers_end()).await;
+            let _ = timeout(self.frontend.limits.peer_poll_interval, self.callers_end()).await;
         }
         self.report_loop();
         // What the last answers taught is in the last snapshot, if the disk takes it in time.
@@ -76,7 +77,7 @@
             self.report_discovery();
         }
         if self.persistence.is_on() {
-            let _ = timeout(self.frontend.limits.term_snapshot, self.persistence.finish()).await;
+            let _ = timeout(self.frontend.limits.final_snapshot_timeout, self.persistence.finish()).await;
             self.persistence.say(self.core.deduplication().refused());
         }
     }
@@ -84,7 +85,7 @@
     /// Waits until no operator's connection is open.
     async fn callers_end(&self) {
         loop {
-            sleep(self.frontend.limits.look / CALLER_CHECKS).await;
+            sleep(self.frontend.limits.peer_poll_interval / CALLER_CHECKS).await;
             if self.callers.get() == 0 {
                 break;
             }
--- a/src/net/runtime/startup.rs
+++ b/src/net/runtime/startup.rs
@@ -48,14 +48,14 @@
 pub async fn start(config: Config) -> io::Result<Started> {
     let limits = Rc::new(config.limits.clone());
     let settings = Rc::new(config.settings.clone());
-    let (sender, events) = mpsc::channel(limits.queue);
+    let (sender, events) = mpsc::channel(limits.event_queue_capacity);
     let frontend = FrontendState::new(settings, limits.clone(), sender.clone());
     let core = Core::new(config.settings.clone(), config.limits.clone(), frontend.clock.now());
     let mut core = core.map_err(io::Error::other)?;
     core.count_refusals_in(frontend.shared.rules.clone());
     let persistence = Persistence::open(&config, &mut core, frontend.clock.now(), &sender)?;
     let engines = open_engines(config.engines, limits.clone(), frontend.shared.clone(), sender.clone());
-    let (call_sender, calls) = mpsc::channel(limits.callers);
+    let (call_sender, calls) = mpsc::channel(limits.max_admin_connections);
     let callers = Rc::new(Cell::new(0));
     let (tasks, failed_tasks) = Tasks::new();
     let now = frontend.clock.now();
@@ -217,7 +217,7 @@
             sockets: Sockets::default(),
             told_until: f64::INFINITY,
             addresses: discovery::addresses_of(&self.config.known),
-            buffer: vec![0; self.frontend.limits.names_bytes],
+            buffer: vec![0; self.frontend.limits.max_datagram_bytes],
         };
         let address = self.names.subscribe();
         self.tasks.spawn("name service", poller.run(address));
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -134,7 +134,15 @@
     let own = r#"{"send_cap":3,"retry_after":true,"max_retry_after":1000,"connect_timeout":250}"#;
     let l = Config::read(&changed(SETTINGS, own, limits)).expect("it can be used").limits;
     let ms = |d: Duration| d.as_millis() as u64;
-    assert_eq!((l.streams, ms(l.connect), ms(l.idle), l.max_open), expected);
+    assert_eq!(
+        (
+            l.max_attempts_per_connection,
+            ms(l.connect_timeout),
+            ms(l.engine_idle_timeout),
+            l.max_open_requests
+        ),
+        expected
+    );
 }
 
 /// Attempts that one connection may carry at once, as the stand-in counts them.
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -15,7 +15,10 @@
 ) {
     let set = BTreeMap::from([("machine.sockets".to_owned(), sockets.to_string())]);
     let l = Limits::read(&Fields::new("settings", set)).expect("a number");
-    let all = l.front_conns + l.front_waiting + l.engine_conns + l.callers;
+    let all = l.max_client_connections
+        + l.max_waiting_connections
+        + l.max_engine_connections
+        + l.max_admin_connections;
     assert!(all + OWN <= sockets, "{all} and {OWN} of {sockets}");
     assert!(all + OWN + sockets / 10 + 8 >= sockets, "and little is left over: {all} of {sockets}");
 }
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -108,10 +108,10 @@
 #[test]
 fn slowest_pace_of_the_list_is_the_steady_one_on_the_platform_and_slower_elsewhere() {
     let slowest = |platform, text: &str| {
-        Config::load(platform, Some(("o.hcl", text))).expect("it can be used").limits.names_slowest
+        Config::load(platform, Some(("o.hcl", text))).expect("it can be used").limits.slowest_poll_interval
     };
     let set = "pacing {\n  list_slowest = \"3s\"\n}\n";
-    assert_eq!(Config::read(PLATFORM).expect("it can be used").limits.names_slowest, 200.0);
+    assert_eq!(Config::read(PLATFORM).expect("it can be used").limits.slowest_poll_interval, 200.0);
     assert_eq!((slowest(Some(PLATFORM), ""), slowest(Some(PLATFORM), set)), (200.0, 3_000.0));
     assert_eq!((slowest(None, WHOLE), slowest(None, &format!("{WHOLE}{set}"))), (1_250.0, 3_000.0));
     let all = problems("pacing {\n  list_slowest = \"100ms\"\n}\n", Some(PLATFORM));
