--- a/crates/decision/src/aperture.rs
+++ b/crates/decision/src/aperture.rs
@@ -8,8 +8,8 @@
 //! Hundreds of gateways that each meet every engine meet each seldom: news is old, a cold engine's budget falls into
 //! parts smaller than a query, and connections add up to their product.
 
-use crate::interface::{Availability, EngineId};
 use crate::state::Engine;
+use crate::types::{Availability, EngineId};
 use std::collections::BTreeMap;
 
 /// Engines that a gateway meets, where there are more.
@@ -71,14 +71,15 @@
         let wide = self.shares(&ids, (width * self.widened).min(1.0));
         let base = self.shares(&ids, width);
         for (e, (wide, base)) in met.iter_mut().zip(wide.into_iter().zip(base)) {
-            (e.met, e.cold_part) = (wide, base / (self.gateways * width * self.processes));
+            (e.aperture_share, e.slow_start_share) = (wide, base / (self.gateways * width * self.processes));
         }
     }
 
     /// Of each engine, in the order given, the share that an arc of that width covers.
     fn shares(&self, engines: &[&EngineId], width: f64) -> Vec<f64> {
         let n = engines.len() as f64;
-        let mut ring: Vec<(u64, usize)> = engines.iter().enumerate().map(|(i, id)| (spread(id), i)).collect();
+        let mut ring: Vec<(u64, usize)> =
+            engines.iter().enumerate().map(|(i, id)| (id.stable_hash(), i)).collect();
         ring.sort_unstable_by(|a, b| a.0.cmp(&b.0).then_with(|| engines[a.1].cmp(engines[b.1])));
         let mut shares = vec![0.0; engines.len()];
         for (place, (_, i)) in ring.iter().enumerate() {
@@ -93,10 +94,5 @@
     }
 }
 
-/// The same number for the same id on every gateway.
-pub fn spread(id: &EngineId) -> u64 {
-    id.0.bytes().fold(0, |h: u64, b| fastrand::Rng::with_seed(h ^ u64::from(b)).u64(..))
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/decision/src/areas/tests.rs
+++ b/crates/decision/src/areas/tests.rs
@@ -1,9 +1,8 @@
 use super::*;
-use crate::aperture::spread;
-use crate::interface::EngineId;
+use crate::types::EngineId;
 
 fn engines(count: usize) -> Vec<u64> {
-    (0..count).map(|i| spread(&EngineId(format!("s-{i:05}").as_str().into()))).collect()
+    (0..count).map(|i| EngineId(format!("s-{i:05}").as_str().into()).stable_hash()).collect()
 }
 
 fn weights(area: u64, engines: &[u64], is_load: bool) -> Vec<f64> {
--- /dev/null
+++ b/crates/decision/src/checkpoint.rs
@@ -0,0 +1,200 @@
+//! Hands out what was learned, and restores it in the next incarnation of the gateway.
+//!
+//! Nothing is judged here, but figures that are not finite, lie out of range or do not fit the settings are left out.
+
+use crate::decide::{band, Balancer, ABSURD, EJECT_MOST, GRANT, LEVELS, SLOW_MOST, SLOW_PRIOR};
+use crate::learned::{BandLearned, ClassLearned, EngineLearned, FleetLearned, Learned};
+use crate::settings::Class;
+use crate::state::{ClassState, Engine, Fleet, LatencyStatistics, SentWork, ThreadTimes, NEVER};
+use crate::types::{ClassId, EngineId, Milliseconds, ZoneId};
+
+/// Bands with fewer samples than this are not handed out.
+const MIN_BAND_SAMPLES: f64 = 0.01;
+/// Work, in thread milliseconds, that uses up any slow start budget.
+const WORK_PAST_ANY_BUDGET: Milliseconds = 1e12;
+/// The most ejections in a row that are restored: more do not lengthen the next one.
+const MAX_RESTORED_EJECTIONS: u32 = 6;
+/// The longest health check, in milliseconds, that is restored as the shortest of a zone.
+const MAX_RESTORED_CHECK: Milliseconds = 60_000.0;
+
+impl Balancer {
+    /// What has been learned so far.
+    pub fn learned(&self) -> Learned {
+        let classes = self.classes.iter().zip(&self.settings.classes);
+        let engines = self.engines.iter();
+        Learned {
+            at: self.now,
+            bound: self.bound(),
+            fleet: self.fleet_learned(),
+            classes: classes.map(|(state, class)| class_learned(state, class)).collect(),
+            engines: engines.map(|(id, engine)| self.engine_learned(id, engine)).collect(),
+        }
+    }
+
+    fn fleet_learned(&self) -> FleetLearned {
+        let fleet = &self.fleet;
+        let zone_name = |zone: &Option<ZoneId>| {
+            zone.and_then(|zone| self.settings.zones.get(zone.0)).cloned().unwrap_or_default()
+        };
+        FleetLearned {
+            own_seen: fleet.mean_own_threads,
+            all_seen: fleet.mean_all_threads,
+            width: fleet.threads_per_query,
+            usual_load: fleet.usual_load,
+            jammed: fleet.overloaded_share,
+            usual_slow: fleet.median_slowdown,
+            speed: 1.0 / fleet.slowdown.clamp(1.0, SLOW_MOST),
+            floors: fleet.shortest_checks.iter().map(|(zone, took)| (zone_name(zone), *took)).collect(),
+        }
+    }
+
+    fn engine_learned(&self, id: &EngineId, engine: &Engine) -> EngineLearned {
+        let ejection_ended_at = engine.ejection_ended_at;
+        EngineLearned {
+            id: id.0.to_string(),
+            started: engine.member.started,
+            confirmed: engine.confirmed_at,
+            heard: engine.last_report_at,
+            slow: engine.slowdown,
+            errors: engine.error_rate,
+            others: engine.other_threads,
+            ejected: engine.ejected_until,
+            ejections: engine.ejections,
+            back: (ejection_ended_at > NEVER).then_some(ejection_ended_at),
+            lost: engine.connections_refused_at,
+            cold: self.warmth(engine) < 1.0,
+            perhaps_cold: engine.start_suspected,
+            spent: false,
+        }
+    }
+
+    /// Restores records. Classes and engines that are not known are left out.
+    pub(crate) fn restore(&mut self, learned: &Learned) {
+        for class_learned in &learned.classes {
+            let classes = &self.settings.classes;
+            let Some(index) = classes.iter().position(|class| class.name == class_learned.name) else {
+                continue;
+            };
+            if classes[index].threads == class_learned.threads {
+                self.restore_class(ClassId(index), class_learned);
+            }
+        }
+        if let Some(bound) = within(learned.bound, LEVELS[0], LEVELS[LEVELS.len() - 1]) {
+            self.bound = band(bound);
+            self.restore_fleet(&learned.fleet);
+        }
+        for engine_learned in &learned.engines {
+            self.restore_engine(engine_learned);
+        }
+    }
+
+    fn restore_class(&mut self, class: ClassId, from: &ClassLearned) {
+        let max_latency = self.settings.classes[class.0].client_timeout.max(1.0);
+        let state = &mut self.classes[class.0];
+        for learned in &from.bands {
+            if let Some(statistics) = restored_band(learned, max_latency) {
+                state.bands[band(learned.level)] = statistics;
+            }
+        }
+        restore_figure(&mut state.best_latency, from.best, 1e-6, max_latency);
+        restore_figure(&mut state.unloaded_latency, from.usual, 0.0, max_latency);
+        restore_figure(&mut state.learned_steps, from.steps, 0.0, 1e9);
+        restore_figure(&mut state.usual_time_left, from.time_left, 0.0, 1e9);
+        restore_figure(&mut state.mean_work, from.size, 0.0, 1e12);
+        restore_figure(&mut state.arrivals, from.arrivals, 0.0, 1e9);
+        restore_figure(&mut state.runtime, from.runtime, 0.0, 1e12);
+        restore_figure(&mut state.grant_factor, from.grant, GRANT, 2.0 * GRANT);
+        state.confirmed_at = from.confirmed;
+    }
+
+    fn restore_fleet(&mut self, from: &FleetLearned) {
+        let fleet: &mut Fleet = &mut self.fleet;
+        restore_figure(&mut fleet.mean_own_threads, from.own_seen, 0.0, 1e9);
+        restore_figure(&mut fleet.mean_all_threads, from.all_seen, 0.0, 1e9);
+        restore_figure(&mut fleet.threads_per_query, from.width, 0.01, 1e4);
+        restore_figure(&mut fleet.usual_load, from.usual_load, 0.0, ABSURD);
+        restore_figure(&mut fleet.overloaded_share, from.jammed, 0.0, 1.0);
+        restore_figure(&mut fleet.median_slowdown, from.usual_slow, 1.0, SLOW_MOST);
+        for (name, shortest) in &from.floors {
+            let zone = self.settings.zones.iter().position(|zone| zone == name).map(ZoneId);
+            let is_known = zone.is_some() || name.is_empty();
+            if let Some(shortest) = within(*shortest, 0.0, MAX_RESTORED_CHECK).filter(|_| is_known) {
+                fleet.shortest_checks.insert(zone, shortest);
+            }
+        }
+    }
+
+    fn restore_engine(&mut self, from: &EngineLearned) {
+        let now = self.now;
+        let Some(engine) = self.engines.get_mut(&EngineId(from.id.as_str().into())) else { return };
+        // What was learned in this incarnation is newer than any record.
+        if engine.confirmed_at.is_some() {
+            return;
+        }
+        let past = |time: Option<Milliseconds>| time.filter(|time| time.is_finite() && *time <= now);
+        engine.slowdown = within(from.slow, 0.1, SLOW_MOST).unwrap_or(1.0);
+        engine.thread_times = thread_times_of(engine.slowdown);
+        engine.error_rate = within(from.errors, 0.0, 1.0).unwrap_or(engine.error_rate);
+        engine.other_threads =
+            within(from.others, 0.0, ABSURD * engine.cores).unwrap_or(engine.other_threads);
+        engine.last_report_at = past(from.heard);
+        engine.ejections = from.ejections.min(MAX_RESTORED_EJECTIONS);
+        let ejected_until = from.ejected.filter(|until| until.is_finite());
+        engine.ejected_until = ejected_until.map(|until| until.min(now + EJECT_MOST));
+        engine.ejection_ended_at = past(from.back).unwrap_or(NEVER);
+        engine.connections_refused_at = past(from.lost);
+        if from.perhaps_cold {
+            (engine.started_at, engine.start_suspected) = (Some(now), true);
+        }
+        if from.spent {
+            engine.recent_sends.push_back(SentWork { sent_at: now, work: WORK_PAST_ANY_BUDGET });
+            engine.recent_work += WORK_PAST_ANY_BUDGET;
+        }
+    }
+}
+
+/// A figure that is finite and within those limits.
+fn within(figure: f64, min: f64, max: f64) -> Option<f64> {
+    (figure.is_finite() && figure >= min && figure <= max).then_some(figure)
+}
+
+/// Replaces a figure by a restored one that is finite and within those limits.
+fn restore_figure(figure: &mut f64, restored: f64, min: f64, max: f64) {
+    *figure = within(restored, min, max).unwrap_or(*figure);
+}
+
+fn restored_band(learned: &BandLearned, max_latency: Milliseconds) -> Option<LatencyStatistics> {
+    Some(LatencyStatistics {
+        count: within(learned.n, 0.0, 1e6)?,
+        mean: within(learned.mean, 0.0, 10.0 * max_latency)?,
+        variance: within(learned.var, 0.0, 100.0 * max_latency * max_latency)?,
+    })
+}
+
+/// Thread times that show that slowdown, of twice the prior's weight: attempts from now on soon outweigh them.
+fn thread_times_of(slowdown: f64) -> ThreadTimes {
+    let alone = 2.0 * SLOW_PRIOR;
+    ThreadTimes { taken: (slowdown * (alone + SLOW_PRIOR) - SLOW_PRIOR).max(0.0), alone }
+}
+
+fn class_learned(state: &ClassState, class: &Class) -> ClassLearned {
+    let bands = state.bands.iter().zip(LEVELS).filter(|(band, _)| band.count > MIN_BAND_SAMPLES);
+    ClassLearned {
+        name: class.name.clone(),
+        threads: class.threads,
+        confirmed: state.confirmed_at,
+        bands: bands.map(|(band, level)| band_learned(band, level)).collect(),
+        best: state.best_latency,
+        usual: state.unloaded_latency,
+        steps: state.learned_steps,
+        time_left: state.usual_time_left,
+        size: state.mean_work,
+        arrivals: state.arrivals,
+        runtime: state.runtime,
+        grant: state.grant_factor,
+    }
+}
+
+fn band_learned(band: &LatencyStatistics, level: f64) -> BandLearned {
+    BandLearned { level, n: band.count, mean: band.mean, var: band.variance }
+}
--- a/crates/decision/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -1,390 +1,79 @@
-//! What goes into the decision module and what comes out of it: settings, events, actions, ids.
-//! No decision is taken here. All times and durations are milliseconds.
-
-use std::sync::Arc;
-use thiserror::Error;
-
-/// A point in time or a duration, in milliseconds.
-pub type Milliseconds = f64;
-
-/// A client's request; never reused.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct RequestId(pub u64);
-
-/// An engine. The text means nothing but identity.
-#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct EngineId(pub Arc<str>);
-
-/// Index into [`Settings::classes`].
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ClassId(pub usize);
-
-/// Index into [`Settings::kinds`].
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct KindId(pub usize);
-
-/// Index into [`Settings::zones`].
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ZoneId(pub usize);
-
-/// Index into [`Settings::tenants`].
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct TenantId(pub usize);
-
-/// The key by which ordered requests follow each other.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct OrderKey(pub u64);
-
-/// A group of tables that a request reads.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct DataSet(pub u64);
-
-/// Which engines recognise a repeat of a keyed request.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Scope {
-    /// Every engine.
-    All,
-    /// Engines of one zone.
-    Zone,
-    /// Engines of one cell.
-    Cell,
-}
-
-impl Scope {
-    /// Whether an engine in the second zone and cell recognises what one in the first was sent.
-    pub fn covers(self, first: (Option<ZoneId>, u64), second: (Option<ZoneId>, u64)) -> bool {
-        match self {
-            Scope::All => true,
-            Scope::Zone => first.0 == second.0,
-            Scope::Cell => first.1 == second.1,
-        }
-    }
-}
-
-/// What a second execution of a request would do.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Idempotency {
-    /// No harm.
-    Idempotent,
-    /// Repeats are dropped by the engines in scope, for so long after the first send.
-    Keyed {
-        /// Where repeats are dropped.
-        scope: Scope,
-        /// For how long.
-        window: Milliseconds,
-    },
-    /// Harm: it must not run twice.
-    NotIdempotent,
-}
-
-impl Idempotency {
-    /// Whether a client may repeat a request that may have run, whichever engine takes the repeat.
-    pub fn allows_retry_anywhere(self) -> bool {
-        matches!(self, Idempotency::Idempotent | Idempotency::Keyed { scope: Scope::All, .. })
-    }
-}
-
-/// One class of requests.
-#[derive(Debug, Clone, PartialEq)]
-pub struct Class {
-    /// Label.
-    pub name: String,
-    /// Full worth is earned by answering within this ...
-    pub latency_objective: Milliseconds,
-    /// ... plus this times the true work over the threads.
-    pub latency_objective_stretch: f64,
-    /// Clients give up after this, over all their tries.
-    pub client_timeout: Milliseconds,
-    /// Worth of an answer in time.
-    pub priority_weight: f64,
-    /// Share of the worth that a late answer keeps.
-    pub late_weight_share: f64,
-    /// Whether it may run again.
-    pub idempotency: Idempotency,
-    /// Requests with one key run in turn.
-    pub ordered: bool,
-    /// The only kinds it may go to; none given: any.
-    pub kinds: Option<Vec<KindId>>,
-    /// The only zones it may go to; none given: any.
-    pub zones: Option<Vec<ZoneId>>,
-    /// Threads that one query runs on.
-    pub threads: f64,
-    /// It holds its data set on its engine while it runs.
-    pub is_load: bool,
-    /// It stands still while a load holds its data set.
-    pub waits_for_loads: bool,
-}
-
-impl Class {
-    /// Whether its placement allows that engine.
-    pub fn may_run_on(&self, engine: &Member) -> bool {
-        let among_kinds = self.kinds.as_ref().is_none_or(|k| engine.kind.is_some_and(|x| k.contains(&x)));
-        let among_zones = self.zones.as_ref().is_none_or(|z| engine.zone.is_some_and(|x| z.contains(&x)));
-        among_kinds && among_zones
-    }
-}
-
-/// One kind of machine.
-#[derive(Debug, Clone, PartialEq)]
-pub struct Kind {
-    /// Label.
-    pub name: String,
-    /// Cores.
-    pub cores: f64,
-    /// Memory in MB.
-    pub memory_mb: f64,
-}
-
-/// One tenant.
-#[derive(Debug, Clone, PartialEq)]
-pub struct Tenant {
-    /// Label.
-    pub name: String,
-    /// Requests a second, over all gateways, that lie within its share; 0: unlimited.
-    pub quota_per_s: f64,
-}
-
-/// How load reports come.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reporting {
-    /// With answers and probe results.
-    Answers,
-    /// With probe results alone.
-    Probes,
-    /// Not at all.
-    Never,
-}
-
-/// The limit on attempts past each request's first.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RetryBudgetSettings {
-    /// Allowed whatever the traffic.
-    pub free: f64,
-    /// Allowed for each request taken.
-    pub per_request: f64,
-    /// Length of the window.
-    pub span: Milliseconds,
-}
-
-/// All that a gateway is told at its start.
-#[derive(Debug, Clone, PartialEq)]
-pub struct Settings {
-    /// Seed of this gateway's randomness.
-    pub seed: u64,
-    /// Number of gateways before these engines.
-    pub gateways: usize,
-    /// This gateway's own number among them, from 0; none: not told.
-    pub gateway_index: Option<u64>,
-    /// The zone this gateway is in.
-    pub zone: Option<ZoneId>,
-    /// Request classes.
-    pub classes: Vec<Class>,
-    /// Machine kinds.
-    pub kinds: Vec<Kind>,
-    /// Zone names.
-    pub zones: Vec<String>,
-    /// Tenants; may be empty.
-    pub tenants: Vec<Tenant>,
-    /// The engine list must be subscribed to.
-    pub subscribes_to_endpoints: bool,
-    /// An attempt may be cancelled.
-    pub may_cancel: bool,
-    /// Two attempts of a request may be out at once.
-    pub may_hedge: bool,
-    /// Engines may be probed.
-    pub may_check_health: bool,
-    /// What a probe costs, as a share of a request's worth.
-    pub health_check_price: f64,
-    /// Clients hear advice on when to come back, and heed it up to this.
-    pub max_retry_after: Milliseconds,
-    /// Attempts for one request at most.
-    pub max_attempts: u32,
-    /// How load reports come.
-    pub reporting: Reporting,
-    /// Grace after the client's deadline within which a final answer still counts.
-    pub answer_grace: Milliseconds,
-    /// Without a subscription the list must be asked for at least this often.
-    pub max_poll_interval: Milliseconds,
-    /// Grace after news of a drain.
-    pub drain_grace: Milliseconds,
-    /// An engine starts with this share of its capacity.
-    pub slow_start_from: f64,
-    /// And is warm after this.
-    pub slow_start_duration: Milliseconds,
-    /// A cold engine falls over beyond this multiple of its capacity ...
-    pub overload_collapse_multiple: f64,
-    /// ... kept up for this long.
-    pub overload_collapse_after: Milliseconds,
-    /// The ration of further attempts, if any.
-    pub retry_budget: Option<RetryBudgetSettings>,
-    /// Rest of an ordered key after an attempt that may still run.
-    pub ordered_key_pause: Milliseconds,
-    /// Memory grants are heeded.
-    pub grants: bool,
-    /// Share of an engine's memory that one query may get.
-    pub max_grant_share: f64,
-    /// Priorities 0 to 3 are heeded.
-    pub priorities: bool,
-    /// Shortest time between turns.
-    pub tick: Milliseconds,
-}
-
-impl Settings {
-    /// Whether a gateway can work by these settings.
-    ///
-    /// # Errors
-    /// Names the first setting that is missing or contradicts itself.
-    pub fn check(&self) -> Result<(), SettingsError> {
-        let bad = |name, why| Err(SettingsError::Bad { name, why });
-        if self.gateways == 0 {
-            return bad("balancers", "at least one gateway is needed");
-        }
-        if self.classes.is_empty() {
-            return bad("classes", "at least one class is needed");
-        }
-        let positive = |x: f64| x > 0.0 && x.is_finite();
-        if self.classes.iter().any(|c| {
-            !positive(c.latency_objective)
-                || !positive(c.client_timeout)
-                || c.latency_objective > c.client_timeout
-        }) {
-            return bad("classes.on_time", "must lie above 0 and not past give_up");
-        }
-        if self.classes.iter().any(|c| !positive(c.threads)) {
-            return bad("specifics.width_by_class", "must lie above 0");
-        }
-        if self.kinds.is_empty() || self.kinds.iter().any(|k| !positive(k.cores)) {
-            return bad("specifics.cpu_of_kind", "every kind needs cores");
-        }
-        if !(positive(self.slow_start_from) && self.slow_start_from <= 1.0) {
-            return bad("rules.cold_from", "must lie above 0 and not past 1");
-        }
-        let figures = [
-            ("rules.drain_grace", self.drain_grace),
-            ("rules.warm_within", self.slow_start_duration),
-            ("rules.fall_multiple", self.overload_collapse_multiple),
-            ("rules.tip_after", self.overload_collapse_after),
-            ("rules.order_pause", self.ordered_key_pause),
-            ("rules.extra_free", self.retry_budget.map_or(0.0, |r| r.free)),
-            ("rules.extra_per_request", self.retry_budget.map_or(0.0, |r| r.per_request)),
-            ("rules.ratio_span", self.retry_budget.map_or(0.0, |r| r.span)),
-        ];
-        if let Some((name, _)) = figures.iter().find(|(_, x)| *x < 0.0 || !x.is_finite()) {
-            return bad(name, "must be finite and not below 0");
-        }
-        if self.max_attempts == 0 {
-            return bad("limits.send_cap", "must allow one attempt");
-        }
-        Ok(())
-    }
-}
-
-/// Why a gateway cannot start.
-#[derive(Debug, Error, PartialEq)]
-pub enum SettingsError {
-    /// A setting is missing or makes no sense.
-    #[error("setting {name}: {why}")]
-    Bad {
-        /// Which one.
-        name: &'static str,
-        /// What is wrong with it.
-        why: &'static str,
-    },
-}
-
-/// What an engine says of its load. Figures may be late, noisy or absurd.
+//! What goes into the decision module and what comes out of it: events and actions, with their types.
+//! No decision is taken here. All points in time and durations are milliseconds.
+
+pub use crate::settings::{
+    Class, Idempotency, Kind, Reporting, RetryBudgetSettings, Scope, Settings, SettingsError, Tenant,
+};
+pub use crate::types::{
+    Availability, ClassId, DataSet, EngineId, KindId, Member, Milliseconds, OrderKey, Placement, RequestId,
+    TenantId, ZoneId,
+};
+
+/// The load that an engine reports. Figures may be late, noisy or absurd; each may be missing.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LoadReport {
-    /// Queries it holds.
+    /// Queries that run or wait there.
     pub inflight: Option<f64>,
     /// Queries waiting for memory.
     pub queue: Option<f64>,
-    /// Share of cores in use.
+    /// Share of cores in use, from 0 to 1.
     pub util: Option<f64>,
-    /// Share of memory granted.
+    /// Share of memory granted, from 0 to 1.
     pub memory: Option<f64>,
-    /// Share of disks busy.
+    /// Share of disk time in use, from 0 to 1.
     pub disks: Option<f64>,
 }
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The engine answered with a result.
     Ok,
-    /// The engine answered with an error; it may have run.
+    /// The engine answered with an error; the attempt may have run.
     Error,
-    /// Turned away unseen.
+    /// The engine was full and rejected the attempt without running it.
     Full,
-    /// No answer in time; it may be running still.
+    /// No answer in time; the attempt may still be running.
     Timeout,
-    /// No connection; it did not run.
+    /// The connection was refused; the attempt did not run.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the attempt may have run.
     Reset,
-    /// Withdrawn; it may have run.
+    /// The gateway cancelled it; the attempt may have run.
     Cancelled,
-    /// Never sent.
+    /// It was never sent.
     NotExecuted,
 }
 
-/// State of an engine in the list.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Availability {
-    /// Takes work.
-    Live,
-    /// Finishing; takes nothing new.
-    Draining,
-    /// Removed from the list.
-    Removed,
-}
-
-/// An entry of the engine list.
-#[derive(Debug, Clone, PartialEq)]
-pub struct Member {
-    /// Which engine.
-    pub engine: EngineId,
-    /// Its zone, if among those of the settings.
-    pub zone: Option<ZoneId>,
-    /// Its kind, if among those of the settings.
-    pub kind: Option<KindId>,
-    /// Its cell.
-    pub cell: u64,
-    /// Its state.
-    pub availability: Availability,
-    /// When it last started, if lately.
-    pub started: Option<Milliseconds>,
-}
-
-/// A request as taken.
+/// A request as received.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RequestDetails {
-    /// Its id.
+    /// Its identifier.
     pub id: RequestId,
     /// Its class.
     pub class: ClassId,
     /// Its tenant.
     pub tenant: Option<TenantId>,
-    /// Its key, in ordered classes.
+    /// The key that orders it, in ordered classes.
     pub key: Option<OrderKey>,
-    /// When the client gives up.
+    /// The deadline: when the client stops waiting.
     pub deadline: Milliseconds,
-    /// Guess of its work, if any.
+    /// The estimate of its work, if any.
     pub work: Option<Milliseconds>,
-    /// Guess of its memory, if any.
+    /// The estimate of its memory in MB, if any.
     pub memory_mb: Option<f64>,
-    /// What it reads.
+    /// The data set that it reads or loads.
     pub data: Option<DataSet>,
-    /// The client says that it is a repeat.
+    /// The client marked it as a retry.
     pub is_retry: bool,
 }
 
-/// News of a running attempt.
+/// The state of a running attempt, as its engine reports it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ProgressUpdate {
-    /// Share done.
+    /// The share of the work that is done, from 0 to 1.
     Progress(f64),
-    /// It spills; so many MB are missing.
+    /// It spills to disk for want of so many MB of memory.
     Spill(f64),
     /// It waits for memory.
     WaitsForMemory,
@@ -392,21 +81,21 @@
     WaitsForLoad,
 }
 
-/// What happened.
+/// What happened: the input of a decision cycle.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// The engine list, whole or the changes.
+    /// The endpoint list arrived, complete or as changes.
     Members {
         /// Whether the list is complete: engines that it does not name were removed.
         complete: bool,
         /// The entries.
         members: Vec<Member>,
     },
-    /// Asking for the list failed, or the subscription broke.
+    /// A poll of the endpoint list failed, or the subscription broke.
     ListFailed,
-    /// A request was taken.
+    /// A request was received.
     Request(RequestDetails),
-    /// A timer came due.
+    /// A timer expired; it carries the token of its [`Action::Timer`].
     Timer(u64),
     /// An attempt ended.
     Outcome {
@@ -414,17 +103,17 @@
         id: RequestId,
         /// Its number, from 0.
         attempt: u32,
-        /// Where it ran.
+        /// The engine that it was sent to.
         engine: EngineId,
         /// How it ended.
         outcome: Outcome,
         /// Time since the send.
         took: Milliseconds,
-        /// The request is over.
+        /// The request has its final answer.
         over: bool,
-        /// Its true work, where told.
+        /// Its true work, where the engine reports it.
         work: Option<Milliseconds>,
-        /// The engine's load report, if one came along.
+        /// The engine's load report, if one came with the outcome.
         report: Option<LoadReport>,
     },
     /// An engine sent a progress update of a running attempt.
@@ -436,7 +125,7 @@
         /// The update.
         update: ProgressUpdate,
     },
-    /// A streamed answer began: time-outs no longer count.
+    /// A streamed answer began: timeouts no longer apply.
     Streaming {
         /// Its request.
         id: RequestId,
@@ -445,9 +134,9 @@
     HealthChecked {
         /// The engine.
         engine: EngineId,
-        /// Whether it answered.
+        /// Whether the engine answered.
         ok: bool,
-        /// Time since the probe.
+        /// Time since the health check was sent.
         took: Milliseconds,
         /// Its load report.
         report: Option<LoadReport>,
@@ -456,131 +145,132 @@
     ClientDisconnected(RequestId),
     /// Bytes from another gateway.
     Peer(Vec<u8>),
-    /// So many processes of this gateway run now.
+    /// The number of processes of this gateway that run now.
     ProcessCount(u32),
-    /// What an earlier life learned, as far as it still holds; engines in it are on the list already.
+    /// What an earlier incarnation learned, as far as it still holds; its engines are in the list already.
     Restored(Box<crate::learned::Learned>),
 }
 
-/// What keeps a request from being sent now: of all engines, the guard that the furthest of them came to.
+/// Why a request cannot be sent now. Of all engines, the one that came furthest in the order of these
+/// reasons decides.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum BlockReason {
-    /// No engine is in the list.
+    /// The endpoint list is empty.
     NoEngine,
-    /// All are ejected, or have just said that they are full.
-    Away,
-    /// The rules: placement, repeats, one attempt at a time, the cap on sends, the deadline, the ration, the order of
-    /// a key.
+    /// The engine is ejected, has just rejected an attempt as full, or failed this request before.
+    Unavailable,
+    /// A rule: placement, retries, one attempt in flight, the maximum of attempts, the deadline, the retry
+    /// budget, the order of a key.
     Rules,
-    /// A cold engine's budget.
-    Cold,
-    /// An engine says that it is busy, and the bound is reached.
+    /// The engine is in slow start, and its budget is spent.
+    SlowStart,
+    /// The engine reports that it is busy, and the concurrency limit is reached.
     Busy,
-    /// The estimate of an engine's load says that it is crowded, and the bound is reached.
+    /// The estimated load of the engine is high, and the concurrency limit is reached.
     Crowded,
-    /// An engine is slow, and the bound is reached.
+    /// The engine is slow, and the concurrency limit is reached.
     Slow,
-    /// This gateway's part of the fleet's bound.
-    Part,
-    /// News of the engines' load, which is due.
-    News,
-    /// The client's time, which is over.
+    /// This gateway's share of the concurrency limit over all engines is used up.
+    FleetShare,
+    /// A load report is awaited.
+    AwaitingReport,
+    /// The client's deadline has passed.
     Deadline,
-    /// Its aim is past while it runs, and nothing or too little is earned any more.
+    /// The latency objective passed while the request ran, and a late answer earns nothing or too little.
     Late,
 }
 
 impl BlockReason {
-    /// How many there are.
+    /// The number of reasons.
     pub const COUNT: usize = BlockReason::Late as usize + 1;
 
-    /// All, in their order.
+    /// All reasons, in their order.
     pub const ALL: [BlockReason; BlockReason::COUNT] = [
         BlockReason::NoEngine,
-        BlockReason::Away,
+        BlockReason::Unavailable,
         BlockReason::Rules,
-        BlockReason::Cold,
+        BlockReason::SlowStart,
         BlockReason::Busy,
         BlockReason::Crowded,
         BlockReason::Slow,
-        BlockReason::Part,
-        BlockReason::News,
+        BlockReason::FleetShare,
+        BlockReason::AwaitingReport,
         BlockReason::Deadline,
         BlockReason::Late,
     ];
 
-    /// Its name in counts and logs.
+    /// The name in counts and logs.
     pub fn name(self) -> &'static str {
         match self {
             BlockReason::NoEngine => "no engine",
-            BlockReason::Away => "away",
+            BlockReason::Unavailable => "away",
             BlockReason::Rules => "rules",
-            BlockReason::Cold => "cold",
+            BlockReason::SlowStart => "cold",
             BlockReason::Busy => "busy",
             BlockReason::Crowded => "crowded",
             BlockReason::Slow => "slow",
-            BlockReason::Part => "part",
-            BlockReason::News => "news",
+            BlockReason::FleetShare => "part",
+            BlockReason::AwaitingReport => "news",
             BlockReason::Deadline => "deadline",
             BlockReason::Late => "late",
         }
     }
 }
 
-/// What the gateway does.
+/// What the gateway is to do: the output of a decision cycle.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Sends a request to an engine.
     Send {
-        /// Which.
+        /// The request.
         id: RequestId,
-        /// Where to.
+        /// The engine.
         engine: EngineId,
-        /// Time-out; 0: until the client gives up.
+        /// The timeout of the attempt; 0: the client's deadline.
         timeout: Milliseconds,
     },
-    /// Rejects a request; a retry is harmless.
+    /// Rejects a request; the client may retry it without harm.
     Reject {
-        /// Which.
+        /// The request.
         id: RequestId,
-        /// After how long the client should retry; 0: no advice.
+        /// How long the client should wait before it retries; 0: not stated.
         retry_after: Milliseconds,
-        /// What kept it from being sent.
+        /// Why it was not sent.
         reason: BlockReason,
     },
-    /// Fails a request, with no promise.
+    /// Fails a request; whether it ran is not known.
     Fail {
-        /// Which.
+        /// The request.
         id: RequestId,
     },
-    /// Withdraws an attempt.
+    /// Cancels an attempt.
     Cancel {
-        /// Of which request.
+        /// Its request.
         id: RequestId,
-        /// Which attempt.
+        /// Its number, from 0.
         attempt: u32,
     },
-    /// Sets memory and priority, before a send or of what is out.
+    /// Sets the memory grant and the priority of a request, for its next attempt and those in flight.
     Terms {
-        /// Of which request.
+        /// Its request.
         id: RequestId,
-        /// Memory for further sends; 0: the engine's choice.
+        /// Memory grant for further attempts; 0: the engine chooses.
         memory_mb: f64,
-        /// 0 to 3.
+        /// From 0, the lowest, to 3.
         priority: u8,
     },
-    /// Asks for [`Event::Timer`].
+    /// Starts a timer that ends in an [`Event::Timer`].
     Timer {
-        /// From now.
+        /// How long from now.
         after: Milliseconds,
-        /// Returned with it.
+        /// Returned with the event.
         token: u64,
     },
-    /// Subscribes to changes of the list.
+    /// Subscribes to changes of the endpoint list.
     Watch,
     /// Checks the health of an engine.
     CheckHealth {
-        /// Which.
+        /// The engine.
         engine: EngineId,
     },
 }
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -8,11 +8,13 @@
 
 mod aperture;
 mod areas;
+mod checkpoint;
 pub mod decide;
 pub mod interface;
+pub mod learned;
 pub mod permission;
 pub mod retry_budget;
+pub mod settings;
 pub mod start_times;
 mod state;
-
-pub use decide::learned;
+pub mod types;
--- a/crates/decision/src/permission/send.rs
+++ b/crates/decision/src/permission/send.rs
@@ -1,13 +1,10 @@
 //! Whether an attempt may be sent, and whether a request may be refused.
 
 use super::list_lease::ListLease;
-use crate::interface::{Idempotency, Milliseconds, Outcome, ZoneId};
+use crate::interface::{Idempotency, Milliseconds, Outcome, Placement};
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Zone and cell of an engine: what a key's scope is compared by.
-pub type Place = (Option<ZoneId>, u64);
-
 /// Why an attempt may not be sent now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SendRefusal {
@@ -80,8 +77,8 @@
 pub struct EarlierAttempt {
     /// When it was sent.
     pub sent_at: Milliseconds,
-    /// Where its engine stands.
-    pub place: Place,
+    /// The zone and the cell of its engine.
+    pub placement: Placement,
 }
 
 /// Whether a request may be sent to an engine after these attempts, which may have run. A keyed request is sent again only
@@ -89,20 +86,19 @@
 pub fn may_repeat(
     idempotency: Idempotency,
     mut earlier: impl Iterator<Item = EarlierAttempt>,
-    place: Place,
+    placement: Placement,
     now: Milliseconds,
 ) -> bool {
     match idempotency {
         Idempotency::Idempotent => true,
         Idempotency::NotIdempotent => earlier.next().is_none(),
-        Idempotency::Keyed { scope, window } => {
-            earlier.all(|attempt| scope.covers(attempt.place, place) && now < attempt.sent_at + window)
-        }
+        Idempotency::Keyed { scope, window } => earlier
+            .all(|attempt| scope.covers(attempt.placement, placement) && now < attempt.sent_at + window),
     }
 }
 
 /// Whether a refusal, which tells the client that a retry is harmless, is true of a request.
-pub fn may_refuse(idempotency: Idempotency, may_have_run: bool) -> bool {
+pub fn may_reject(idempotency: Idempotency, may_have_run: bool) -> bool {
     idempotency.allows_retry_anywhere() || !may_have_run
 }
 
--- a/crates/decision/src/permission/tests.rs
+++ b/crates/decision/src/permission/tests.rs
@@ -3,7 +3,7 @@
 use super::list_lease::ListLease;
 use super::process::*;
 use super::send::*;
-use crate::interface::{Idempotency, Outcome, Scope};
+use crate::interface::{Idempotency, Outcome, Placement, Scope};
 use rstest::rstest;
 
 const FACTS: SendFacts = SendFacts {
@@ -20,6 +20,11 @@
     max_attempts: 3,
 };
 
+/// An engine of no known zone in that cell.
+fn cell(cell: u64) -> Placement {
+    Placement { zone: None, cell }
+}
+
 #[test]
 fn attempt_with_nothing_against_it_is_sent() {
     assert_eq!(may_send(&FACTS), Ok(()));
@@ -39,20 +44,20 @@
 }
 
 #[rstest]
-#[case::safe(Idempotency::Idempotent, (None, 2), 9_999.0, true)]
-#[case::must_not_run_twice(Idempotency::NotIdempotent, (None, 1), 1_001.0, false)]
-#[case::same_cell(Idempotency::Keyed { scope: Scope::Cell, window: 500.0 }, (None, 1), 1_499.0, true)]
-#[case::other_cell(Idempotency::Keyed { scope: Scope::Cell, window: 500.0 }, (None, 2), 1_001.0, false)]
-#[case::past_the_window(Idempotency::Keyed { scope: Scope::All, window: 500.0 }, (None, 1), 1_500.0, false)]
+#[case::safe(Idempotency::Idempotent, cell(2), 9_999.0, true)]
+#[case::must_not_run_twice(Idempotency::NotIdempotent, cell(1), 1_001.0, false)]
+#[case::same_cell(Idempotency::Keyed { scope: Scope::Cell, window: 500.0 }, cell(1), 1_499.0, true)]
+#[case::other_cell(Idempotency::Keyed { scope: Scope::Cell, window: 500.0 }, cell(2), 1_001.0, false)]
+#[case::past_the_window(Idempotency::Keyed { scope: Scope::All, window: 500.0 }, cell(1), 1_500.0, false)]
 fn what_may_have_run_is_sent_again_where_the_class_allows_it(
     #[case] idempotency: Idempotency,
-    #[case] place: Place,
+    #[case] placement: Placement,
     #[case] now: f64,
     #[case] allowed: bool,
 ) {
-    let earlier = EarlierAttempt { sent_at: 1_000.0, place: (None, 1) };
-    assert_eq!(may_repeat(idempotency, [earlier].into_iter(), place, now), allowed);
-    assert!(may_repeat(idempotency, std::iter::empty(), place, now), "nothing has run");
+    let earlier = EarlierAttempt { sent_at: 1_000.0, placement: cell(1) };
+    assert_eq!(may_repeat(idempotency, [earlier].into_iter(), placement, now), allowed);
+    assert!(may_repeat(idempotency, std::iter::empty(), placement, now), "nothing has run");
 }
 
 #[test]
@@ -64,10 +69,10 @@
 
 #[test]
 fn refusal_of_what_may_have_run_is_for_classes_that_any_engine_recognises() {
-    assert!(may_refuse(Idempotency::NotIdempotent, false) && !may_refuse(Idempotency::NotIdempotent, true));
-    assert!(may_refuse(Idempotency::Idempotent, true));
-    assert!(may_refuse(Idempotency::Keyed { scope: Scope::All, window: 1.0 }, true));
-    assert!(!may_refuse(Idempotency::Keyed { scope: Scope::Zone, window: 1.0 }, true));
+    assert!(may_reject(Idempotency::NotIdempotent, false) && !may_reject(Idempotency::NotIdempotent, true));
+    assert!(may_reject(Idempotency::Idempotent, true));
+    assert!(may_reject(Idempotency::Keyed { scope: Scope::All, window: 1.0 }, true));
+    assert!(!may_reject(Idempotency::Keyed { scope: Scope::Zone, window: 1.0 }, true));
 }
 
 #[rstest]
--- /dev/null
+++ b/crates/decision/src/state/mod.rs
@@ -0,0 +1,12 @@
+//! What the decision module remembers, as plain records: engines, requests, classes and the fleet as a whole.
+//! No decision is taken here, and no constant here tunes one.
+
+mod class;
+mod engine;
+mod fleet;
+mod request;
+
+pub(crate) use class::{ClassState, LatencyStatistics};
+pub(crate) use engine::{Engine, SentWork, ThreadTimes, NEVER};
+pub(crate) use fleet::Fleet;
+pub(crate) use request::{Attempt, OrderedKey, Request};
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -4,9 +4,11 @@
 use super::requests::{Request, RequestKey, Terms};
 use super::timers::Due;
 use super::{Answer, AttemptEnd, AttemptId, Core, Effect, EngineError, ResultRows, Send};
-use crate::interface::{EngineId, Event as DecisionEvent, Milliseconds, Outcome, ProgressUpdate, RequestId};
+use crate::interface::{
+    EngineId, Event as DecisionEvent, Milliseconds, Outcome, Placement, ProgressUpdate, RequestId,
+};
 use starlingplank_decision::permission::send::{
-    may_repeat, may_send, never_ran, EarlierAttempt, Place, SendFacts, SendPermit,
+    may_repeat, may_send, never_ran, EarlierAttempt, SendFacts, SendPermit,
 };
 use starlingplank_persistence::deduplication_window::Leave;
 
@@ -18,7 +20,7 @@
     /// The record that must be durable before it is transmitted.
     pub(super) record: Option<PendingRecord>,
     /// Zone and cell of its engine.
-    place: Place,
+    placement: Placement,
     /// How it ended.
     outcome: Option<Outcome>,
     /// Ends with it: its message is not written afterwards.
@@ -26,8 +28,8 @@
 }
 
 impl Attempt {
-    fn new(engine: EngineId, place: Place, now: Milliseconds, permit: SendPermit) -> Self {
-        Self { engine, sent_at: now, in_flight: true, record: None, place, outcome: None, permit }
+    fn new(engine: EngineId, placement: Placement, now: Milliseconds, permit: SendPermit) -> Self {
+        Self { engine, sent_at: now, in_flight: true, record: None, placement, outcome: None, permit }
     }
 
     /// Whether it may have run, or may run still.
@@ -97,10 +99,10 @@
         timeout: Milliseconds,
         effects: &mut Vec<Effect>,
     ) {
-        let place = self.place(&engine);
+        let placement = self.placement(&engine);
         let Some(r) = self.requests.get_mut(&id) else { return };
         let attempt = (id, r.attempts.len() as u32);
-        r.attempts.push(Attempt::new(engine, place, now, SendPermit::new(self.list_lease.clone())));
+        r.attempts.push(Attempt::new(engine, placement, now, SendPermit::new(self.list_lease.clone())));
         let deadline = r.attempt_deadline(now, timeout, self.limits.answer_margin);
         let may = self.may_send(now, attempt, deadline, effects);
         let Some(r) = self.requests.get(&id) else { return };
@@ -140,7 +142,7 @@
         let own = r.attempts.get(id.1 as usize)?;
         let others = || r.numbered().filter(|(n, _)| *n != id.1).map(|(_, a)| a);
         let may_have_run = others().filter(|a| a.may_have_run());
-        let earlier = may_have_run.map(|a| EarlierAttempt { sent_at: a.sent_at, place: a.place });
+        let earlier = may_have_run.map(|a| EarlierAttempt { sent_at: a.sent_at, placement: a.placement });
         let idempotency = self.settings.classes[r.class.0].idempotency;
         Some(SendFacts {
             request_open: !r.closed,
@@ -151,15 +153,16 @@
             send_by: r.send_by,
             in_flight: others().filter(|a| a.in_flight).count(),
             may_hedge: self.settings.may_hedge,
-            may_repeat: may_repeat(idempotency, earlier, own.place, now),
+            may_repeat: may_repeat(idempotency, earlier, own.placement, now),
             attempts: id.1 as usize,
             max_attempts: self.settings.max_attempts as usize,
         })
     }
 
     /// Zone and cell of an engine.
-    fn place(&self, engine: &EngineId) -> Place {
-        self.engines.get(engine).map_or((None, 0), |endpoint| (endpoint.member.zone, endpoint.member.cell))
+    fn placement(&self, engine: &EngineId) -> Placement {
+        let unknown = Placement { zone: None, cell: 0 };
+        self.engines.get(engine).map_or(unknown, |endpoint| endpoint.member.placement())
     }
 
     /// Transmits an attempt, if it may still be sent.
--- a/src/core/shutdown.rs
+++ b/src/core/shutdown.rs
@@ -4,7 +4,7 @@
 use super::timers::Due;
 use super::{Answer, Core, Effect};
 use crate::interface::{Event as DecisionEvent, Milliseconds, Outcome};
-use starlingplank_decision::permission::send::may_refuse;
+use starlingplank_decision::permission::send::may_reject;
 
 impl Core {
     /// Whether the shutdown was requested.
@@ -59,7 +59,7 @@
     /// Whether the client can send the request again without harm.
     fn may_be_repeated(&self, request: &Request) -> bool {
         let may_have_run = request.attempts.iter().any(|a| a.may_have_run());
-        may_refuse(self.settings.classes[request.class.0].idempotency, may_have_run)
+        may_reject(self.settings.classes[request.class.0].idempotency, may_have_run)
     }
 
     /// Exits once the termination window is over and no request is open.
--- a/tests/recall.rs
+++ b/tests/recall.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::{engine, fleet, incoming, outcome, sends, settings};
-use starlingplank::decide::learned::{ClassLearned, EngineLearned, Learned};
 use starlingplank::decide::Balancer;
 use starlingplank::interface::*;
+use starlingplank_decision::learned::{ClassLearned, EngineLearned, Learned};
 
 fn turn(balancer: &mut Balancer, now: Milliseconds, events: &[Event]) -> Vec<Action> {
     let mut actions = Vec::new();
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -184,7 +184,7 @@
             "ASSIGN\tfront_id=f\tticket=9\ttry_for=80.000\tengine=e:1\n",
         ),
         (
-            Action::Reject { id, retry_after: 250.0, reason: BlockReason::Part },
+            Action::Reject { id, retry_after: 250.0, reason: BlockReason::FleetShare },
             "OVERLOAD_REPLY\tfront_id=f\tticket=9\tretry_in=250.000\n",
         ),
         (Action::Fail { id }, "ABORT\tfront_id=f\tticket=9\n"),
