--- a/crates/decision/src/aperture.rs
+++ b/crates/decision/src/aperture.rs
@@ -1,94 +1,108 @@
-//! Which part of a large fleet each gateway meets. In: the engines that take work, this gateway's number, how many
-//! gateways there are, and its share of the traffic. Out: for each engine the share, from 0 to 1, in which this gateway
-//! meets it, and its part of that engine's budget while cold. Rule: at their base width the shares of all gateways add
-//! up to the same for every engine, and so do the parts, to one.
+//! The aperture: which part of a large fleet each gateway sends to. In: the engines that accept work, this gateway's
+//! index, the number of gateways, and this gateway's share of the traffic. Out: for each engine the share, from 0 to 1,
+//! in which it lies in the aperture, and this gateway's share of the engine's slow start budget. At the base width the
+//! shares of all gateways add up to the same for every engine, and the budget shares add up to one.
 //!
-//! Engines lie evenly on a ring, in an order that every gateway finds by itself; gateways do so too, by number, and
-//! each meets what its arc covers, the engines at its ends in part (deterministic aperture, as Finagle describes it).
-//! Hundreds of gateways that each meet every engine meet each seldom: news is old, a cold engine's budget falls into
-//! parts smaller than a query, and connections add up to their product.
+//! Engines lie evenly on a ring, in an order that every gateway finds by itself; gateways do so too, by index. Each
+//! gateway sends to the engines that its arc covers, to those at its ends in part (deterministic aperture, as Finagle
+//! describes it). Were every one of hundreds of gateways to send to every engine, it would send to each seldom: load
+//! reports would be old, a slow start budget would fall into shares smaller than a query, and connections would add up
+//! to the product of both numbers.
 
 use crate::state::Engine;
 use crate::types::{Availability, EngineId};
 use std::collections::BTreeMap;
 
-/// Engines that a gateway meets, where there are more.
-pub const MET: f64 = 10.0;
-/// Gateways that meet an engine, at least: with few gateways each meets more engines.
-pub const MEETING: f64 = 4.0;
-/// Times the even share of the traffic past which a gateway meets more engines, in proportion.
-const WIDEN: f64 = 3.0;
+/// The number of engines that a gateway sends to, where there are more: enough to balance load among them.
+const ENGINES_PER_GATEWAY: f64 = 10.0;
+/// The least number of gateways that send to an engine: with few gateways each sends to more engines.
+const MIN_GATEWAYS_PER_ENGINE: f64 = 4.0;
+/// The multiple of an even share of the traffic past which the arc of a gateway widens, in proportion.
+const WIDENING_THRESHOLD: f64 = 3.0;
+/// The arc is left as it is while the wanted width lies within these multiples of the current one.
+const NARROWING_HYSTERESIS: f64 = 2.0;
+const WIDENING_HYSTERESIS: f64 = 1.5;
+/// Shares below this are left over from rounding, and count as none.
+const MIN_SHARE: f64 = 1e-9;
 
-/// A gateway's place on the ring.
+/// A gateway's arc on the ring.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Aperture {
-    /// Where its arc begins, from 0 to 1.
-    at: f64,
-    /// Gateways in all.
+pub(crate) struct Aperture {
+    /// Where the arc begins, from 0 to 1.
+    start: f64,
+    /// The number of gateways.
     gateways: f64,
-    /// How many times its base width the arc has now.
-    widened: f64,
-    /// Processes of this gateway that run now, and share its part of cold engines' budgets.
+    /// The width of the arc now, as a multiple of its base width.
+    widening: f64,
+    /// The number of processes of this gateway that run now and divide its budget shares among them.
     processes: f64,
 }
 
 impl Aperture {
-    /// By its number, or by chance where it has none.
-    pub fn new(gateway_index: Option<u64>, gateways: usize, seed: u64) -> Self {
-        let all = gateways.max(1) as f64;
-        let chance = || fastrand::Rng::with_seed(seed).f64();
-        Self {
-            at: gateway_index.map_or_else(chance, |r| (r as f64 / all).fract()),
-            gateways: all,
-            widened: 1.0,
-            processes: 1.0,
-        }
+    /// An arc that begins at the gateway's index, or at random if it has none.
+    pub(crate) fn new(gateway_index: Option<u64>, gateways: usize, seed: u64) -> Self {
+        let gateways = gateways.max(1) as f64;
+        let random_start = || fastrand::Rng::with_seed(seed).f64();
+        let start = gateway_index.map_or_else(random_start, |index| (index as f64 / gateways).fract());
+        Self { start, gateways, widening: 1.0, processes: 1.0 }
     }
 
-    /// So many processes of this gateway run now: one that takes over and the one that it takes over from.
-    pub fn share(&mut self, processes: u32, engines: &mut BTreeMap<EngineId, Engine>, share: f64) {
+    /// Sets the number of processes of this gateway that run now: during a hot restart, the old one and the new one.
+    pub(crate) fn set_process_count(
+        &mut self,
+        processes: u32,
+        engines: &mut BTreeMap<EngineId, Engine>,
+        traffic_share: f64,
+    ) {
         self.processes = f64::from(processes.max(1));
-        self.focus(engines, share, true);
+        self.update(engines, traffic_share, true);
     }
 
-    /// The share of the ring that each gateway covers before so many engines.
-    pub fn width(&self, engines: usize) -> f64 {
-        (MET / engines.max(1) as f64).max(MEETING / self.gateways).min(1.0)
+    /// The share of the ring that each gateway's arc covers, before it is widened, with so many engines.
+    fn base_width(&self, engines: usize) -> f64 {
+        let width = ENGINES_PER_GATEWAY / engines.max(1) as f64;
+        width.max(MIN_GATEWAYS_PER_ENGINE / self.gateways).min(1.0)
     }
 
-    /// Meets engines anew after their list has changed, or where this gateway's share of the traffic has become far
-    /// more or less than its arc was made for.
-    pub fn focus(&mut self, engines: &mut BTreeMap<EngineId, Engine>, share: f64, changed: bool) {
-        let wanted = (share * self.gateways / WIDEN).max(1.0);
-        if !changed && (self.widened / 2.0..=self.widened * 1.5).contains(&wanted) {
+    /// Recomputes the shares of all engines, if the endpoint list has changed or this gateway's share of the traffic has
+    /// become far more or less than its arc was made for.
+    pub(crate) fn update(
+        &mut self,
+        engines: &mut BTreeMap<EngineId, Engine>,
+        traffic_share: f64,
+        list_changed: bool,
+    ) {
+        let wanted = (traffic_share * self.gateways / WIDENING_THRESHOLD).max(1.0);
+        let tolerated = self.widening / NARROWING_HYSTERESIS..=self.widening * WIDENING_HYSTERESIS;
+        if !list_changed && tolerated.contains(&wanted) {
             return;
         }
-        self.widened = wanted;
-        let live = |e: &&mut Engine| e.member.availability == Availability::Live;
-        let mut met: Vec<&mut Engine> = engines.values_mut().filter(live).collect();
-        let width = self.width(met.len());
-        let ids: Vec<&EngineId> = met.iter().map(|e| &e.member.engine).collect();
-        let wide = self.shares(&ids, (width * self.widened).min(1.0));
-        let base = self.shares(&ids, width);
-        for (e, (wide, base)) in met.iter_mut().zip(wide.into_iter().zip(base)) {
-            (e.aperture_share, e.slow_start_share) = (wide, base / (self.gateways * width * self.processes));
+        self.widening = wanted;
+        let is_live = |engine: &&mut Engine| engine.member.availability == Availability::Live;
+        let mut live: Vec<&mut Engine> = engines.values_mut().filter(is_live).collect();
+        let width = self.base_width(live.len());
+        let ids: Vec<&EngineId> = live.iter().map(|engine| &engine.member.engine).collect();
+        let widened_shares = self.shares(&ids, (width * self.widening).min(1.0));
+        let base_shares = self.shares(&ids, width);
+        for (engine, (widened, base)) in live.iter_mut().zip(widened_shares.into_iter().zip(base_shares)) {
+            engine.aperture_share = widened;
+            engine.slow_start_share = base / (self.gateways * width * self.processes);
         }
     }
 
-    /// Of each engine, in the order given, the share that an arc of that width covers.
+    /// The share of each engine, in the order given, that an arc of that width covers.
     fn shares(&self, engines: &[&EngineId], width: f64) -> Vec<f64> {
-        let n = engines.len() as f64;
-        let mut ring: Vec<(u64, usize)> =
-            engines.iter().enumerate().map(|(i, id)| (id.stable_hash(), i)).collect();
+        let count = engines.len() as f64;
+        let hashes = engines.iter().map(|id| id.stable_hash());
+        let mut ring: Vec<(u64, usize)> = hashes.zip(0..).collect();
         ring.sort_unstable_by(|a, b| a.0.cmp(&b.0).then_with(|| engines[a.1].cmp(engines[b.1])));
         let mut shares = vec![0.0; engines.len()];
-        for (place, (_, i)) in ring.iter().enumerate() {
-            let (from, to) = (place as f64 / n, (place + 1) as f64 / n);
-            // The arc may pass the ring's end once.
-            let covered = |arc: f64| (to.min(arc + width) - from.max(arc)).max(0.0);
-            let share = (covered(self.at) + covered(self.at - 1.0)) * n;
-            // What is left of rounding is no share.
-            shares[*i] = if share > 1e-9 { share.min(1.0) } else { 0.0 };
+        for (position, (_, index)) in ring.iter().enumerate() {
+            let (from, to) = (position as f64 / count, (position + 1) as f64 / count);
+            let covered = |start: f64| (to.min(start + width) - from.max(start)).max(0.0);
+            // The arc may pass the end of the ring once.
+            let share = (covered(self.start) + covered(self.start - 1.0)) * count;
+            shares[*index] = if share > MIN_SHARE { share.min(1.0) } else { 0.0 };
         }
         shares
     }
--- a/crates/decision/src/aperture/tests.rs
+++ b/crates/decision/src/aperture/tests.rs
@@ -10,7 +10,7 @@
     let (mut by_engine, mut by_gateway) = (vec![0.0; engines], Vec::new());
     for gateway_index in 0..gateways {
         let a = Aperture::new(Some(gateway_index as u64), gateways, 0);
-        let shares = a.shares(&ids, a.width(engines));
+        let shares = a.shares(&ids, a.base_width(engines));
         by_gateway.push(shares.iter().sum());
         by_engine.iter_mut().zip(&shares).for_each(|(sum, s)| *sum += s);
     }
@@ -28,7 +28,7 @@
         );
         let met = by_gateway[0];
         assert!(by_gateway.iter().all(|s| (s - met).abs() < 1e-6), "{gateways}x{engines}: {by_gateway:?}");
-        assert!(met + 1e-6 >= MET.min(engines as f64), "{gateways}x{engines}: {met}");
+        assert!(met + 1e-6 >= ENGINES_PER_GATEWAY.min(engines as f64), "{gateways}x{engines}: {met}");
     }
 }
 
@@ -47,8 +47,8 @@
     let mut lost = 0;
     for gateway_index in 0..100 {
         let a = Aperture::new(Some(gateway_index), 100, 0);
-        let before = a.shares(&all, a.width(60));
-        let after = a.shares(&less, a.width(59));
+        let before = a.shares(&all, a.base_width(60));
+        let after = a.shares(&less, a.base_width(59));
         lost += before[1..].iter().zip(&after).filter(|(b, a)| **b > 0.0 && **a == 0.0).count();
     }
     assert!(lost <= 100, "{lost} of some 1,000 engines met were dropped");
@@ -56,7 +56,7 @@
 
 #[test]
 fn without_a_number_the_place_is_drawn() {
-    let places: Vec<f64> = (0..50).map(|seed| Aperture::new(None, 50, seed).at).collect();
+    let places: Vec<f64> = (0..50).map(|seed| Aperture::new(None, 50, seed).start).collect();
     assert!(places.iter().all(|p| (0.0..1.0).contains(p)));
     assert!(places.iter().filter(|p| **p < 0.5).count().abs_diff(25) < 15, "{places:?}");
 }
--- a/crates/decision/src/checkpoint.rs
+++ b/crates/decision/src/checkpoint.rs
@@ -2,8 +2,12 @@
 //!
 //! Nothing is judged here, but figures that are not finite, lie out of range or do not fit the settings are left out.
 
-use crate::decide::{band, Balancer, ABSURD, EJECT_MOST, GRANT, LEVELS, SLOW_MOST, SLOW_PRIOR};
+use crate::balancer::Balancer;
+use crate::execution_terms::{MAX_GRANT_FACTOR, MIN_GRANT_FACTOR};
 use crate::learned::{BandLearned, ClassLearned, EngineLearned, FleetLearned, Learned};
+use crate::load_levels::{level_index, LEVELS, MAX_LEVEL, MIN_LEVEL};
+use crate::load_reports::MAX_BELIEVED_LOAD;
+use crate::outlier_ejection::{MAX_EJECTION, MAX_SLOWDOWN, MIN_SLOWDOWN, SLOWDOWN_PRIOR};
 use crate::settings::Class;
 use crate::state::{ClassState, Engine, Fleet, LatencyStatistics, SentWork, ThreadTimes, NEVER};
 use crate::types::{ClassId, EngineId, Milliseconds, ZoneId};
@@ -24,7 +28,7 @@
         let engines = self.engines.iter();
         Learned {
             at: self.now,
-            bound: self.bound(),
+            bound: self.concurrency_limit(),
             fleet: self.fleet_learned(),
             classes: classes.map(|(state, class)| class_learned(state, class)).collect(),
             engines: engines.map(|(id, engine)| self.engine_learned(id, engine)).collect(),
@@ -43,7 +47,7 @@
             usual_load: fleet.usual_load,
             jammed: fleet.overloaded_share,
             usual_slow: fleet.median_slowdown,
-            speed: 1.0 / fleet.slowdown.clamp(1.0, SLOW_MOST),
+            speed: 1.0 / fleet.slowdown.clamp(1.0, MAX_SLOWDOWN),
             floors: fleet.shortest_checks.iter().map(|(zone, took)| (zone_name(zone), *took)).collect(),
         }
     }
@@ -79,8 +83,8 @@
                 self.restore_class(ClassId(index), class_learned);
             }
         }
-        if let Some(bound) = within(learned.bound, LEVELS[0], LEVELS[LEVELS.len() - 1]) {
-            self.bound = band(bound);
+        if let Some(limit) = within(learned.bound, MIN_LEVEL, MAX_LEVEL) {
+            self.limit_level = level_index(limit);
             self.restore_fleet(&learned.fleet);
         }
         for engine_learned in &learned.engines {
@@ -93,7 +97,7 @@
         let state = &mut self.classes[class.0];
         for learned in &from.bands {
             if let Some(statistics) = restored_band(learned, max_latency) {
-                state.bands[band(learned.level)] = statistics;
+                state.bands[level_index(learned.level)] = statistics;
             }
         }
         restore_figure(&mut state.best_latency, from.best, 1e-6, max_latency);
@@ -103,7 +107,7 @@
         restore_figure(&mut state.mean_work, from.size, 0.0, 1e12);
         restore_figure(&mut state.arrivals, from.arrivals, 0.0, 1e9);
         restore_figure(&mut state.runtime, from.runtime, 0.0, 1e12);
-        restore_figure(&mut state.grant_factor, from.grant, GRANT, 2.0 * GRANT);
+        restore_figure(&mut state.grant_factor, from.grant, MIN_GRANT_FACTOR, MAX_GRANT_FACTOR);
         state.confirmed_at = from.confirmed;
     }
 
@@ -112,9 +116,9 @@
         restore_figure(&mut fleet.mean_own_threads, from.own_seen, 0.0, 1e9);
         restore_figure(&mut fleet.mean_all_threads, from.all_seen, 0.0, 1e9);
         restore_figure(&mut fleet.threads_per_query, from.width, 0.01, 1e4);
-        restore_figure(&mut fleet.usual_load, from.usual_load, 0.0, ABSURD);
+        restore_figure(&mut fleet.usual_load, from.usual_load, 0.0, MAX_BELIEVED_LOAD);
         restore_figure(&mut fleet.overloaded_share, from.jammed, 0.0, 1.0);
-        restore_figure(&mut fleet.median_slowdown, from.usual_slow, 1.0, SLOW_MOST);
+        restore_figure(&mut fleet.median_slowdown, from.usual_slow, 1.0, MAX_SLOWDOWN);
         for (name, shortest) in &from.floors {
             let zone = self.settings.zones.iter().position(|zone| zone == name).map(ZoneId);
             let is_known = zone.is_some() || name.is_empty();
@@ -132,15 +136,15 @@
             return;
         }
         let past = |time: Option<Milliseconds>| time.filter(|time| time.is_finite() && *time <= now);
-        engine.slowdown = within(from.slow, 0.1, SLOW_MOST).unwrap_or(1.0);
+        engine.slowdown = within(from.slow, MIN_SLOWDOWN, MAX_SLOWDOWN).unwrap_or(1.0);
         engine.thread_times = thread_times_of(engine.slowdown);
         engine.error_rate = within(from.errors, 0.0, 1.0).unwrap_or(engine.error_rate);
         engine.other_threads =
-            within(from.others, 0.0, ABSURD * engine.cores).unwrap_or(engine.other_threads);
+            within(from.others, 0.0, MAX_BELIEVED_LOAD * engine.cores).unwrap_or(engine.other_threads);
         engine.last_report_at = past(from.heard);
         engine.ejections = from.ejections.min(MAX_RESTORED_EJECTIONS);
         let ejected_until = from.ejected.filter(|until| until.is_finite());
-        engine.ejected_until = ejected_until.map(|until| until.min(now + EJECT_MOST));
+        engine.ejected_until = ejected_until.map(|until| until.min(now + MAX_EJECTION));
         engine.ejection_ended_at = past(from.back).unwrap_or(NEVER);
         engine.connections_refused_at = past(from.lost);
         if from.perhaps_cold {
@@ -173,8 +177,8 @@
 
 /// Thread times that show that slowdown, of twice the prior's weight: attempts from now on soon outweigh them.
 fn thread_times_of(slowdown: f64) -> ThreadTimes {
-    let alone = 2.0 * SLOW_PRIOR;
-    ThreadTimes { taken: (slowdown * (alone + SLOW_PRIOR) - SLOW_PRIOR).max(0.0), alone }
+    let alone = 2.0 * SLOWDOWN_PRIOR;
+    ThreadTimes { taken: (slowdown * (alone + SLOWDOWN_PRIOR) - SLOWDOWN_PRIOR).max(0.0), alone }
 }
 
 fn class_learned(state: &ClassState, class: &Class) -> ClassLearned {
--- a/crates/decision/src/areas/tests.rs
+++ b/crates/decision/src/data_set_areas/tests.rs
@@ -48,6 +48,6 @@
     let engines = engines(500);
     for is_load in [false, true] {
         let weights = weights(7, &engines, is_load);
-        assert!(weights.iter().all(|weight| (LEAST..=1.0).contains(weight)));
+        assert!(weights.iter().all(|weight| (MIN_WEIGHT..=1.0).contains(weight)));
     }
 }
--- /dev/null
+++ b/crates/decision/src/dispatch.rs
@@ -0,0 +1,95 @@
+//! Dispatch: the rules that every attempt keeps, and the one place that sends.
+
+use crate::balancer::Balancer;
+use crate::interface::Action;
+use crate::permission::send::{may_repeat, EarlierAttempt};
+use crate::retries_and_hedging::MIN_PATIENCE;
+use crate::state::{Attempt, Engine, Request, SentWork};
+use crate::types::{Availability, ClassId, DataSet, EngineId, RequestId};
+
+/// An attempt is sent only while this many cycles remain until its deadline.
+const CYCLES_BEFORE_DEADLINE: f64 = 2.0;
+/// Deviations past the mean latency at which an attempt is overdue.
+const PATIENCE_DEVIATIONS: f64 = 2.0;
+/// The least relative size that patience is scaled by: estimates of small queries are inexact.
+const MIN_PATIENCE_SIZE: f64 = 0.5;
+
+impl Balancer {
+    /// Whether the rules allow to send the request to that engine now.
+    pub(crate) fn rules_allow(&self, request: &Request, engine: &Engine) -> bool {
+        let class = self.class_of(request);
+        let member = &engine.member;
+        let is_retry = !request.attempts.is_empty();
+        !request.closed
+            && member.availability == Availability::Live
+            && class.may_run_on(member)
+            && self.may_repeat_on(request, engine)
+            && (self.settings.may_hedge || request.in_flight() == 0)
+            && request.attempts.len() < self.settings.max_attempts as usize
+            && self.now + CYCLES_BEFORE_DEADLINE * self.settings.tick < request.details.deadline
+            && (!is_retry || self.retry_budget_allows())
+            && self.is_first_of_key(request)
+            && self.slow_start_budget_allows(request, engine)
+    }
+
+    /// Whether the idempotency of the class allows the engine after the attempts so far.
+    fn may_repeat_on(&self, request: &Request, engine: &Engine) -> bool {
+        let earlier = request
+            .may_have_run()
+            .map(|attempt| EarlierAttempt { sent_at: attempt.sent_at, placement: attempt.placement });
+        let sent_by = self.now + self.settings.tick;
+        may_repeat(self.class_of(request).idempotency, earlier, engine.member.placement(), sent_by)
+    }
+
+    /// Sends a request to an engine, if the rules allow it.
+    pub(crate) fn send(&mut self, id: RequestId, engine_id: &EngineId, actions: &mut Vec<Action>) {
+        let (Some(request), Some(engine)) = (self.requests.get(&id), self.engines.get(engine_id)) else {
+            return;
+        };
+        if !self.rules_allow(request, engine) {
+            return;
+        }
+        let (class, data) = (request.details.class, request.details.data);
+        let is_retry = !request.attempts.is_empty();
+        let timeout = request.details.deadline - self.now;
+        let attempt = self.new_attempt(request, engine);
+        let memory_grant_mb = self.memory_grant_mb(request, engine);
+        let priority = self.priority(request);
+        self.set_terms(id, memory_grant_mb, priority, actions);
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.attempts.push(attempt);
+        }
+        self.lower_grant_factor(class);
+        self.occupy_engine(engine_id, class, data);
+        if is_retry {
+            self.retry_budget.retry(self.now);
+        }
+        actions.push(Action::Send { id, engine: engine_id.clone(), timeout });
+    }
+
+    fn new_attempt(&self, request: &Request, engine: &Engine) -> Attempt {
+        let class = request.details.class;
+        let threads = self.settings.classes[class.0].threads;
+        let load_level = (engine.own_threads + engine.other_threads + threads) / engine.cores;
+        let latency = self.latency_at(class, load_level);
+        let patience = (latency.mean + PATIENCE_DEVIATIONS * latency.deviation).max(MIN_PATIENCE)
+            * request.relative_size.max(MIN_PATIENCE_SIZE);
+        let placement = engine.member.placement();
+        Attempt::new(engine.member.engine.clone(), placement, self.now, load_level, patience)
+    }
+
+    /// Counts a new attempt in the load of its engine.
+    fn occupy_engine(&mut self, engine: &EngineId, class: ClassId, data: Option<DataSet>) {
+        let work = self.usual_work(class);
+        let of = &self.settings.classes[class.0];
+        let Some(engine) = self.engines.get_mut(engine) else { return };
+        engine.own_threads += of.threads;
+        self.fleet.own_threads += of.threads;
+        engine.in_flight += 1.0;
+        engine.recent_sends.push_back(SentWork { sent_at: self.now, work });
+        engine.recent_work += work;
+        if let Some(data) = data.filter(|_| of.is_load) {
+            *engine.own_loads.entry(data).or_default() += 1;
+        }
+    }
+}
--- /dev/null
+++ b/crates/decision/src/endpoints.rs
@@ -0,0 +1,72 @@
+//! Updates of the endpoint list: engines that join, restart, drain and leave.
+
+use crate::balancer::Balancer;
+use crate::interface::Action;
+use crate::outlier_ejection::RECOVERY_RAMP;
+use crate::state::Engine;
+use crate::types::{Availability, Member, Milliseconds};
+
+/// The mean delay of a new subscription after a failure, as a share of the maximum poll interval: well before the list
+/// counts as not polled.
+const RESUBSCRIBE_SHARE: f64 = 1.0 / 8.0;
+
+impl Balancer {
+    /// Applies the endpoint list, or changes of it. Engines that a complete list does not name were removed.
+    pub(crate) fn learn_members(&mut self, complete: bool, members: &[Member]) {
+        if complete {
+            for engine in self.engines.values_mut() {
+                engine.member.availability = Availability::Removed;
+            }
+        }
+        for member in members {
+            self.learn_member(member);
+        }
+        self.aperture.update(&mut self.engines, self.fleet.share, true);
+    }
+
+    fn learn_member(&mut self, member: &Member) {
+        let kinds = &self.settings.kinds;
+        let kind = member.kind.and_then(|kind| kinds.get(kind.0)).unwrap_or(&kinds[0]);
+        let (now, rng) = (self.now, &mut self.rng);
+        let unknown_engine = || Engine::new(member.clone(), kind, now, rng.f64());
+        let engine = self.engines.entry(member.engine.clone()).or_insert_with(unknown_engine);
+        if let Some(started_at) = new_start(engine, member, now) {
+            engine.restart(started_at);
+        }
+        engine.member = member.clone();
+        engine.cores = kind.cores;
+        engine.memory_mb = kind.memory_mb.max(1.0);
+    }
+
+    /// Plans a new subscription after a failure. The delay is drawn, so that gateways do not all subscribe at once.
+    pub(crate) fn resubscribe_soon(&mut self) {
+        let draw = 0.5 + self.rng.f64();
+        self.subscribe_at = self.now + draw * self.settings.max_poll_interval * RESUBSCRIBE_SHARE;
+    }
+
+    /// Subscribes to the endpoint list at its start and after a failure.
+    pub(crate) fn subscribe_if_due(&mut self, actions: &mut Vec<Action>) {
+        if self.now >= self.subscribe_at {
+            self.subscribe_at = f64::INFINITY;
+            actions.push(Action::Watch);
+        }
+    }
+
+    /// Forgets engines that were removed, have no attempt in flight, and have been silent so long that nothing about
+    /// them would still hold if they came back.
+    pub(crate) fn forget_removed_engines(&mut self) {
+        let silent_since = self.now - self.settings.slow_start_duration - RECOVERY_RAMP;
+        self.engines.retain(|_, engine| {
+            let is_removed = engine.member.availability == Availability::Removed && engine.in_flight <= 0.0;
+            !is_removed || engine.last_answer_at.max(engine.checked_at) > silent_since
+        });
+    }
+}
+
+/// When the engine's process started, if the list states a start that is new and later than the known one.
+fn new_start(engine: &Engine, member: &Member, now: Milliseconds) -> Option<Milliseconds> {
+    let started_at = member.started.filter(|time| time.is_finite()).map(|time| time.min(now))?;
+    let is_known = engine.started_at.is_some() && engine.member.started == member.started;
+    let is_later = engine.started_at.is_none_or(|known| started_at > known);
+    (!is_known && is_later).then_some(started_at)
+}
--- /dev/null
+++ b/crates/decision/src/queueing.rs
@@ -0,0 +1,206 @@
+//! Queueing: which waiting request is placed first, how long one may wait, which group of classes waits behind the
+//! other, and the order of requests with the same key.
+
+use crate::admission::MIN_RETRY_AFTER;
+use crate::balancer::Balancer;
+use crate::interface::{Action, Outcome, RequestDetails};
+use crate::load_levels::LEVELS;
+use crate::state::{EndedAttempt, Request, RuntimeGroup};
+use crate::types::{Milliseconds, RequestId};
+
+/// The longest wait is at least a Retry-After of the least length ...
+const MIN_LONGEST_WAIT: Milliseconds = MIN_RETRY_AFTER;
+/// ... or this share of the expected latency ...
+const LONGEST_WAIT_LATENCY_SHARE: f64 = 0.1;
+/// ... or of the latency objective: capacity comes free sooner than a rejected client comes back.
+const LONGEST_WAIT_OBJECTIVE_SHARE: f64 = 0.25;
+/// The ratio of runtime to arrivals, over that of the other group, past which a group is deferred.
+const DEFERRAL_RATIO: f64 = 1.5;
+/// Recent arrivals from which the ratio of a group is computed.
+const MIN_GROUP_ARRIVALS: f64 = 0.5;
+/// The number of waiting requests past which going through all of them each cycle costs too much CPU ...
+const MAX_PLACED_EACH_CYCLE: usize = 64;
+/// ... and they are gone through at this interval.
+const PLACEMENT_INTERVAL: Milliseconds = 4.0;
+/// Requests are ordered by their relative size in steps of one over this.
+const SIZE_STEPS: f64 = 4.0;
+/// Cycles that may pass before a request is looked at again.
+const CYCLES_TO_NEXT_LOOK: f64 = 3.0;
+
+/// What waiting requests are ordered by; the lowest is placed first.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct QueuePriority {
+    /// It is late already, or past its tenant's quota.
+    is_last: bool,
+    /// Its group is deferred.
+    is_deferred: bool,
+    /// Its relative size, in steps: short requests first.
+    size_step: u64,
+}
+
+/// A waiting request.
+struct WaitingRequest {
+    id: RequestId,
+    priority: QueuePriority,
+    received_at: Milliseconds,
+}
+
+impl Balancer {
+    /// Sends each waiting request, rejects it, or lets it wait on.
+    pub(crate) fn place_waiting_requests(&mut self, actions: &mut Vec<Action>) {
+        if self.now < self.next_placement {
+            return;
+        }
+        let queue = self.waiting_requests();
+        let is_long = queue.len() > MAX_PLACED_EACH_CYCLE;
+        self.next_placement = self.now + if is_long { PLACEMENT_INTERVAL } else { 0.0 };
+        for waiting in queue {
+            self.place_or_hold(waiting.id, actions);
+        }
+    }
+
+    /// The requests without an answer or an attempt in flight, in the order in which they are placed: by priority,
+    /// then by arrival.
+    fn waiting_requests(&self) -> Vec<WaitingRequest> {
+        let is_waiting = |request: &&Request| !request.closed && request.in_flight() == 0;
+        let waiting = self.requests.values().filter(is_waiting).map(|request| WaitingRequest {
+            id: request.details.id,
+            priority: self.queue_priority(request),
+            received_at: request.received_at,
+        });
+        let mut queue: Vec<WaitingRequest> = waiting.collect();
+        queue.sort_by(|a, b| {
+            let by_priority = a.priority.cmp(&b.priority);
+            by_priority.then(a.received_at.total_cmp(&b.received_at)).then(a.id.cmp(&b.id))
+        });
+        queue
+    }
+
+    fn queue_priority(&self, request: &Request) -> QueuePriority {
+        QueuePriority {
+            is_last: request.over_quota || self.is_late(request),
+            is_deferred: self.deferred_group == Some(self.class_state_of(request).group),
+            size_step: (request.relative_size * SIZE_STEPS).round() as u64,
+        }
+    }
+
+    fn place_or_hold(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let reason = match self.select_engine(request) {
+            Ok(engine) => return self.send(id, &engine, actions),
+            Err(reason) => reason,
+        };
+        let class = request.details.class;
+        if request.waiting_since == self.now {
+            self.waits[class.0][reason as usize] += 1;
+        }
+        let expected_latency = self.latency_at(class, LEVELS[self.limit_level]).mean * request.relative_size;
+        let is_first_of_key = self.is_first_of_key(request);
+        if self.waits_in_vain(request, expected_latency, is_first_of_key) {
+            self.answer(id, expected_latency, reason, actions);
+        } else if !is_first_of_key {
+            // Waiting for earlier requests of a key is no queueing: that begins when they have ended.
+            if let Some(request) = self.requests.get_mut(&id) {
+                request.waiting_since = self.now;
+            }
+        }
+    }
+
+    /// Whether a waiting request should be rejected: it cannot end in time, no rule allows it an engine, or it has
+    /// waited long enough.
+    fn waits_in_vain(
+        &self,
+        request: &Request,
+        expected_latency: Milliseconds,
+        is_first_of_key: bool,
+    ) -> bool {
+        // What stands too far back in the order of its key to end in time is answered now.
+        let earlier = if is_first_of_key { 0 } else { self.earlier_requests_of_key(request) };
+        // A pause of the process may pass the deadline.
+        let next_look = self.now + CYCLES_TO_NEXT_LOOK * self.settings.tick + self.longest_recent_pause;
+        if next_look + earlier as f64 * expected_latency >= request.details.deadline {
+            return true;
+        }
+        let is_retry = !request.attempts.is_empty();
+        if is_retry && !self.engines.values().any(|engine| self.rules_allow(request, engine)) {
+            return true;
+        }
+        is_first_of_key && self.now - request.waiting_since >= self.longest_wait(request, expected_latency)
+    }
+
+    fn longest_wait(&self, request: &Request, expected_latency: Milliseconds) -> Milliseconds {
+        MIN_LONGEST_WAIT
+            .max(LONGEST_WAIT_LATENCY_SHARE * expected_latency)
+            .max(LONGEST_WAIT_OBJECTIVE_SHARE * self.class_of(request).latency_objective)
+    }
+
+    /// Splits the classes into two groups by runtime, and defers the one whose ratio of runtime to arrivals is far over
+    /// the other's. The split is the geometric mean: a mean minus one deviation lies below every class wherever short
+    /// ones are many.
+    pub(crate) fn choose_deferred_group(&mut self) {
+        let shortest = self.classes.iter().map(|state| state.best_latency).fold(f64::INFINITY, f64::min);
+        let longest = self.classes.iter().map(|state| state.best_latency).fold(0.0, f64::max);
+        let split = (shortest * longest).sqrt();
+        for state in &mut self.classes {
+            state.group = if state.best_latency > split { RuntimeGroup::Long } else { RuntimeGroup::Short };
+        }
+        let (short, long) = (self.runtime_ratio(RuntimeGroup::Short), self.runtime_ratio(RuntimeGroup::Long));
+        let exceeds = |ratio: f64, other: f64| ratio > DEFERRAL_RATIO * other && other > 0.0;
+        self.deferred_group = if exceeds(long, short) {
+            Some(RuntimeGroup::Long)
+        } else {
+            exceeds(short, long).then_some(RuntimeGroup::Short)
+        };
+    }
+
+    /// The recent runtime of a group for each of its arrivals; 0: too few arrivals.
+    fn runtime_ratio(&self, group: RuntimeGroup) -> f64 {
+        let (mut runtime, mut arrivals) = (0.0, 0.0);
+        for state in self.classes.iter().filter(|state| state.group == group) {
+            runtime += state.runtime;
+            arrivals += state.arrivals;
+        }
+        if arrivals > MIN_GROUP_ARRIVALS {
+            runtime / arrivals
+        } else {
+            0.0
+        }
+    }
+
+    /// Adds a request of an ordered class to the queue of its key.
+    pub(crate) fn enqueue_for_key(&mut self, details: &RequestDetails) {
+        let is_ordered = self.settings.classes[details.class.0].ordered;
+        if let Some(key) = details.key.filter(|_| is_ordered) {
+            self.ordered_keys.entry(key).or_default().queue.push_back(details.id);
+        }
+    }
+
+    /// Whether a request is the next of its key, or has none. A first attempt waits for the pause of its key.
+    pub(crate) fn is_first_of_key(&self, request: &Request) -> bool {
+        let Some(key) = request.details.key.and_then(|key| self.ordered_keys.get(&key)) else { return true };
+        let is_first = key.queue.front() == Some(&request.details.id);
+        let is_paused = self.now < key.paused_until;
+        !self.class_of(request).ordered || is_first && (!request.attempts.is_empty() || !is_paused)
+    }
+
+    fn earlier_requests_of_key(&self, request: &Request) -> usize {
+        let key = request.details.key.and_then(|key| self.ordered_keys.get(&key));
+        key.map_or(0, |key| key.queue.iter().take_while(|id| **id != request.details.id).count())
+    }
+
+    /// Pauses an ordered key after an attempt that may still be running.
+    pub(crate) fn pause_key(&mut self, ended: &EndedAttempt) {
+        let may_run = matches!(ended.outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled);
+        let is_ordered = self.settings.classes[ended.class.0].ordered;
+        if let Some(key) = ended.key.filter(|_| may_run && is_ordered) {
+            let key = self.ordered_keys.entry(key).or_default();
+            key.paused_until = key.paused_until.max(self.now + self.settings.ordered_key_pause);
+        }
+    }
+
+    /// Forgets keys that have neither requests nor a pause.
+    pub(crate) fn forget_idle_keys(&mut self) {
+        let now = self.now;
+        self.ordered_keys.retain(|_, key| !key.queue.is_empty() || key.paused_until > now);
+    }
+}
--- a/crates/decision/src/state/class.rs
+++ b/crates/decision/src/state/class.rs
@@ -24,10 +24,30 @@
     }
 }
 
+/// The two groups that classes are split into by their runtime.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(crate) enum RuntimeGroup {
+    /// Classes with short runtimes.
+    #[default]
+    Short,
+    /// Classes with long runtimes.
+    Long,
+}
+
+impl RuntimeGroup {
+    /// The other group.
+    pub(crate) fn other(self) -> Self {
+        match self {
+            Self::Short => Self::Long,
+            Self::Long => Self::Short,
+        }
+    }
+}
+
 /// What was learned of a class.
 #[derive(Default)]
 pub(crate) struct ClassState {
-    /// Latencies by band of load, see [`concurrency_limit::LEVELS`](crate::concurrency_limit::LEVELS).
+    /// Latencies by band of load, see [`load_levels::LEVELS`](crate::load_levels::LEVELS).
     pub(crate) bands: Vec<LatencyStatistics>,
     /// The lowest mean latency of late.
     pub(crate) best_latency: Milliseconds,
@@ -47,6 +67,6 @@
     pub(crate) grant_factor: f64,
     /// When the last latency sample was taken.
     pub(crate) confirmed_at: Option<Milliseconds>,
-    /// Whether the class belongs to the group with long runtimes, of the two groups.
-    pub(crate) is_long: bool,
+    /// The group that the class belongs to.
+    pub(crate) group: RuntimeGroup,
 }
--- a/crates/decision/src/state/engine.rs
+++ b/crates/decision/src/state/engine.rs
@@ -165,6 +165,19 @@
         self.own_loads.contains_key(&data) || self.locked_until.get(&data).is_some_and(|until| now < *until)
     }
 
+    /// Ends one of this gateway's loads of that data set.
+    pub(crate) fn release_load(&mut self, data: DataSet) {
+        if let Some(loads) = self.own_loads.get_mut(&data) {
+            *loads -= 1;
+            self.own_loads.retain(|_, loads| *loads > 0);
+        }
+    }
+
+    /// Forgets locks of other gateways' loads that have expired.
+    pub(crate) fn expire_locks(&mut self, now: Milliseconds) {
+        self.locked_until.retain(|_, until| now < *until);
+    }
+
     /// Whether the engine accepts work and lies in this gateway's aperture.
     pub(crate) fn is_in_aperture(&self) -> bool {
         self.member.availability == Availability::Live && self.aperture_share > 0.0
--- a/crates/decision/src/state/mod.rs
+++ b/crates/decision/src/state/mod.rs
@@ -6,7 +6,7 @@
 mod fleet;
 mod request;
 
-pub(crate) use class::{ClassState, LatencyStatistics};
+pub(crate) use class::{ClassState, LatencyStatistics, RuntimeGroup};
 pub(crate) use engine::{Engine, SentWork, ThreadTimes, NEVER};
 pub(crate) use fleet::Fleet;
-pub(crate) use request::{Attempt, OrderedKey, Request};
+pub(crate) use request::{Attempt, EndedAttempt, OrderedKey, Request};
--- a/crates/decision/src/state/request.rs
+++ b/crates/decision/src/state/request.rs
@@ -1,7 +1,7 @@
 //! Requests, their attempts, and the order of keyed requests.
 
-use crate::interface::RequestDetails;
-use crate::types::{EngineId, Milliseconds, Placement, RequestId};
+use crate::interface::{Outcome, RequestDetails};
+use crate::types::{ClassId, DataSet, EngineId, Milliseconds, OrderKey, Placement, RequestId};
 use std::collections::VecDeque;
 
 /// One attempt of a request.
@@ -49,6 +49,29 @@
     }
 }
 
+/// An attempt that has just ended, with what the decisions learn from it.
+pub(crate) struct EndedAttempt {
+    pub(crate) request: RequestId,
+    pub(crate) class: ClassId,
+    pub(crate) key: Option<OrderKey>,
+    pub(crate) data: Option<DataSet>,
+    /// The size of the request, see [`Request::relative_size`].
+    pub(crate) relative_size: f64,
+    pub(crate) engine: EngineId,
+    pub(crate) sent_at: Milliseconds,
+    /// Threads a core on the engine when it was sent, with its own.
+    pub(crate) load_level: f64,
+    /// Its time was counted as latency while it ran.
+    pub(crate) counted: bool,
+    /// The outcome proves that it did not run.
+    pub(crate) never_ran: bool,
+    pub(crate) outcome: Outcome,
+    /// Time since the send.
+    pub(crate) took: Milliseconds,
+    /// Its true work, where the engine reports it.
+    pub(crate) work: Option<Milliseconds>,
+}
+
 /// A request, from its arrival until no event of it can follow.
 pub(crate) struct Request {
     /// What was received.
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -76,21 +76,21 @@
     s.classes[0].latency_objective_stretch = 0.0;
     s.gateways = 1;
     let mut bed = Bed::new(s, 4);
-    assert_eq!(bed.balancer.bound(), 1.5);
+    assert_eq!(bed.balancer.concurrency_limit(), 1.5);
     // 50 ms is far within the aim of 500 ms at every candidate, but only low bands were seen: no leap.
     bed.serve(100, 0, 50.0);
-    assert_eq!(bed.balancer.bound(), 1.5);
+    assert_eq!(bed.balancer.concurrency_limit(), 1.5);
     // Once answers come from busier engines in the same time, the bound follows, a candidate past what was seen.
     bed.crowd(40, 60, 50.0);
-    assert!(bed.balancer.bound() > 1.5, "{}", bed.balancer.bound());
+    assert!(bed.balancer.concurrency_limit() > 1.5, "{}", bed.balancer.concurrency_limit());
     // Where latency passes the aim at all candidates nothing fits: down to one thread a core.
     for took in [200.0, 400.0, 800.0, 1_600.0, 2_500.0] {
         bed.crowd(30, 10, took);
     }
-    assert_eq!(bed.balancer.bound(), 1.0);
+    assert_eq!(bed.balancer.concurrency_limit(), 1.0);
     // It recovers after the trouble, within a minute of ordinary answers, to a candidate of its start.
     bed.serve(1_000, 0, 50.0);
-    assert!(bed.balancer.bound() >= 1.25, "{}", bed.balancer.bound());
+    assert!(bed.balancer.concurrency_limit() >= 1.25, "{}", bed.balancer.concurrency_limit());
 }
 
 #[test]
@@ -408,7 +408,7 @@
     s.reporting = Reporting::Never;
     let mut bed = Bed::new(s, 2);
     bed.serve(60, 0, 50.0);
-    let bound = bed.balancer.bound();
+    let bound = bed.balancer.concurrency_limit();
     let sent: Vec<_> = (0..12).map(|_| bed.ask(0)).collect();
     bed.now += 1_900.0;
     let late = sent.iter().map(|(id, to)| outcome(*id, 0, to.as_ref().expect("sent"), Outcome::Ok, 1_900.0));
@@ -416,7 +416,7 @@
     bed.turn(&late[..6]);
     bed.now += 150.0;
     bed.turn(&late[6..]);
-    assert_eq!(bed.balancer.bound(), bound);
+    assert_eq!(bed.balancer.concurrency_limit(), bound);
     let used: std::collections::BTreeSet<_> = (0..12).filter_map(|_| bed.ask(0).1).collect();
     assert_eq!(used.len(), 2, "both engines are still used");
 }
