--- a/crates/decision/src/checkpoint.rs
+++ b/crates/decision/src/checkpoint.rs
@@ -1,6 +1,6 @@
 //! Hands out what was learned, and restores it in the next incarnation of the gateway.
 //!
-//! Nothing is judged here, but figures that are not finite, lie out of range or do not fit the settings are left out.
+//! Nothing is judged here, but values that are not finite, lie out of range or do not fit the settings are left out.
 
 use crate::balancer::Balancer;
 use crate::execution_terms::{MAX_GRANT_FACTOR, MIN_GRANT_FACTOR};
@@ -100,25 +100,25 @@
                 state.bands[level_index(learned.level)] = statistics;
             }
         }
-        restore_figure(&mut state.best_latency, from.best, 1e-6, max_latency);
-        restore_figure(&mut state.unloaded_latency, from.usual, 0.0, max_latency);
-        restore_figure(&mut state.learned_steps, from.steps, 0.0, 1e9);
-        restore_figure(&mut state.usual_time_left, from.time_left, 0.0, 1e9);
-        restore_figure(&mut state.mean_work, from.size, 0.0, 1e12);
-        restore_figure(&mut state.arrivals, from.arrivals, 0.0, 1e9);
-        restore_figure(&mut state.runtime, from.runtime, 0.0, 1e12);
-        restore_figure(&mut state.grant_factor, from.grant, MIN_GRANT_FACTOR, MAX_GRANT_FACTOR);
+        restore_value(&mut state.best_latency, from.best, 1e-6, max_latency);
+        restore_value(&mut state.unloaded_latency, from.usual, 0.0, max_latency);
+        restore_value(&mut state.learned_steps, from.steps, 0.0, 1e9);
+        restore_value(&mut state.usual_time_left, from.time_left, 0.0, 1e9);
+        restore_value(&mut state.mean_work, from.size, 0.0, 1e12);
+        restore_value(&mut state.arrivals, from.arrivals, 0.0, 1e9);
+        restore_value(&mut state.runtime, from.runtime, 0.0, 1e12);
+        restore_value(&mut state.grant_factor, from.grant, MIN_GRANT_FACTOR, MAX_GRANT_FACTOR);
         state.confirmed_at = from.confirmed;
     }
 
     fn restore_fleet(&mut self, from: &FleetLearned) {
         let fleet: &mut Fleet = &mut self.fleet;
-        restore_figure(&mut fleet.mean_own_threads, from.own_seen, 0.0, 1e9);
-        restore_figure(&mut fleet.mean_all_threads, from.all_seen, 0.0, 1e9);
-        restore_figure(&mut fleet.threads_per_query, from.width, 0.01, 1e4);
-        restore_figure(&mut fleet.usual_load, from.usual_load, 0.0, MAX_BELIEVED_LOAD);
-        restore_figure(&mut fleet.overloaded_share, from.jammed, 0.0, 1.0);
-        restore_figure(&mut fleet.median_slowdown, from.usual_slow, 1.0, MAX_SLOWDOWN);
+        restore_value(&mut fleet.mean_own_threads, from.own_seen, 0.0, 1e9);
+        restore_value(&mut fleet.mean_all_threads, from.all_seen, 0.0, 1e9);
+        restore_value(&mut fleet.threads_per_query, from.width, 0.01, 1e4);
+        restore_value(&mut fleet.usual_load, from.usual_load, 0.0, MAX_BELIEVED_LOAD);
+        restore_value(&mut fleet.overloaded_share, from.jammed, 0.0, 1.0);
+        restore_value(&mut fleet.median_slowdown, from.usual_slow, 1.0, MAX_SLOWDOWN);
         for (name, shortest) in &from.floors {
             let zone = self.settings.zones.iter().position(|zone| zone == name).map(ZoneId);
             let is_known = zone.is_some() || name.is_empty();
@@ -157,14 +157,14 @@
     }
 }
 
-/// A figure that is finite and within those limits.
-fn within(figure: f64, min: f64, max: f64) -> Option<f64> {
-    (figure.is_finite() && figure >= min && figure <= max).then_some(figure)
+/// A value that is finite and within those limits.
+fn within(value: f64, min: f64, max: f64) -> Option<f64> {
+    (value.is_finite() && value >= min && value <= max).then_some(value)
 }
 
-/// Replaces a figure by a restored one that is finite and within those limits.
-fn restore_figure(figure: &mut f64, restored: f64, min: f64, max: f64) {
-    *figure = within(restored, min, max).unwrap_or(*figure);
+/// Replaces a value by a restored one that is finite and within those limits.
+fn restore_value(value: &mut f64, restored: f64, min: f64, max: f64) {
+    *value = within(restored, min, max).unwrap_or(*value);
 }
 
 fn restored_band(learned: &BandLearned, max_latency: Milliseconds) -> Option<LatencyStatistics> {
--- a/crates/decision/src/decide.rs
+++ b/crates/decision/src/decide.rs
@@ -144,7 +144,7 @@
         self.refill_quotas();
         let load = self.sum_fleet_load();
         self.renew_engine_averages();
-        self.decay_load_without_news(load.own_threads);
+        self.decay_unreported_load(load.own_threads);
         self.update_fleet_share(&load);
         self.aperture.update(&mut self.engines, self.fleet.share, false);
         self.update_fleet_averages(&load);
--- a/crates/decision/src/latency_model.rs
+++ b/crates/decision/src/latency_model.rs
@@ -3,7 +3,6 @@
 use crate::balancer::Balancer;
 use crate::interface::Outcome;
 use crate::load_levels::{level_index, LEVELS};
-use crate::outlier_ejection::is_outlier;
 use crate::state::{ClassState, EndedAttempt, Request};
 use crate::types::{ClassId, Milliseconds};
 
@@ -123,29 +122,8 @@
         }
     }
 
-    /// Counts attempts that are overdue as latency before they end, except on engines that are outliers.
-    pub(crate) fn count_overdue_attempts(&mut self) {
-        let mut samples = Vec::new();
-        for request in self.requests.values_mut() {
-            for attempt in &mut request.attempts {
-                let age = self.now - attempt.sent_at;
-                if !attempt.in_flight || attempt.counted || age <= attempt.patience {
-                    continue;
-                }
-                if self.engines.get(&attempt.engine).is_none_or(is_outlier) {
-                    continue;
-                }
-                attempt.counted = true;
-                samples.push((request.details.class, attempt.load_level, age / request.relative_size));
-            }
-        }
-        for (class, load, latency) in samples {
-            self.add_sample(class, load, latency);
-        }
-    }
-
     /// Adds a latency, at the size of a usual query of its class, at a load in threads a core.
-    fn add_sample(&mut self, class: ClassId, load: f64, latency: Milliseconds) {
+    pub(crate) fn add_sample(&mut self, class: ClassId, load: f64, latency: Milliseconds) {
         let state = &mut self.classes[class.0];
         state.confirmed_at = Some(self.now);
         let band = &mut state.bands[level_index(load)];
--- a/crates/decision/src/load_reports.rs
+++ b/crates/decision/src/load_reports.rs
@@ -79,7 +79,7 @@
 
     /// Lets the load of the fleet fall while this gateway sends nothing and so hears nothing: it must not stay shut
     /// out by the last reports that it received.
-    pub(crate) fn decay_load_without_news(&mut self, own_threads: f64) {
+    pub(crate) fn decay_unreported_load(&mut self, own_threads: f64) {
         let now = self.now;
         if own_threads == 0.0 && self.engines.values().all(|engine| engine.is_report_stale(now)) {
             self.fleet.overloaded_share *= UNREPORTED_LOAD_DECAY;
@@ -109,9 +109,9 @@
     }
 }
 
-/// A figure that is finite and not negative.
-fn plausible(figure: Option<f64>) -> Option<f64> {
-    figure.filter(|figure| figure.is_finite() && *figure >= 0.0)
+/// A value that is finite and not negative.
+fn plausible(value: Option<f64>) -> Option<f64> {
+    value.filter(|value| value.is_finite() && *value >= 0.0)
 }
 
 fn is_saturated(report: &LoadReport) -> bool {
--- a/crates/decision/src/permission/close.rs
+++ b/crates/decision/src/permission/close.rs
@@ -1,43 +1,44 @@
-//! Whether this side may close a client's connection.
+//! Whether this gateway may close a client's connection.
 
-/// What is so of a connection.
+/// The state of a connection.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ConnectionFacts {
-    /// Requests of it that are not answered.
+    /// The number of its requests that have no final answer.
     pub open_requests: usize,
-    /// Bytes that wait to be written.
+    /// The number of bytes in the write queue.
     pub unwritten: usize,
-    /// Bytes that were read and belong to no whole message yet.
+    /// The number of bytes that were read and belong to an incomplete message.
     pub incomplete: usize,
-    /// Bytes that lie in the socket.
+    /// The number of bytes in the socket that were not read.
     pub unread: usize,
 }
 
 /// Why a connection stays open.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeepReason {
-    /// A request is not answered.
+    /// A request has no final answer.
     RequestOpen,
-    /// An answer is not written.
+    /// An answer is not written completely.
     Unwritten,
-    /// A message has begun.
+    /// A message was read in part.
     Incomplete,
-    /// Something has arrived that nobody has looked at: it may be a request.
+    /// Bytes were received and not read: they may be a request.
     Unread,
 }
 
-/// Whether a connection that has rested may be closed.
+/// Whether an idle connection may be closed.
 ///
 /// # Errors
 /// The first reason against it.
 pub fn may_close(facts: &ConnectionFacts) -> Result<(), KeepReason> {
-    may_cut_off(facts).and(match facts.incomplete {
-        0 => Ok(()),
-        _ => Err(KeepReason::Incomplete),
-    })
+    may_cut_off(facts)?;
+    if facts.incomplete > 0 {
+        return Err(KeepReason::Incomplete);
+    }
+    Ok(())
 }
 
-/// Whether a connection may be closed whose client has stopped inside a message.
+/// Whether a connection may be closed whose client stopped sending within a message.
 ///
 /// # Errors
 /// The first reason against it.
--- a/crates/decision/src/permission/list_lease.rs
+++ b/crates/decision/src/permission/list_lease.rs
@@ -1,11 +1,12 @@
-//! Until when the list of engines may be relied on. Whoever sends new work looks at it at that moment.
+//! The lease of the endpoint list: until when the list counts as recent enough to send new work by it. It is checked at
+//! each send.
 
 use crate::interface::Milliseconds;
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The time until which the list may be relied on, shared by the reducer and the writers. A gateway whose list needs no
-/// confirmation has one without end.
+/// The end of the lease, shared by the reducer, which sets it, and the writers. A gateway whose list needs no confirmation
+/// has a lease without end.
 #[derive(Debug, Clone)]
 pub struct ListLease(Rc<Cell<Milliseconds>>);
 
@@ -16,17 +17,17 @@
 }
 
 impl ListLease {
-    /// The list may be relied on until then.
+    /// Sets the end of the lease.
     pub fn set(&self, until: Milliseconds) {
         self.0.set(until);
     }
 
-    /// Its end.
+    /// The end of the lease.
     pub fn until(&self) -> Milliseconds {
         self.0.get()
     }
 
-    /// Whether the list may be relied on.
+    /// Whether the lease holds at that time.
     pub fn holds(&self, now: Milliseconds) -> bool {
         now < self.0.get()
     }
--- a/crates/decision/src/permission/mod.rs
+++ b/crates/decision/src/permission/mod.rs
@@ -1,9 +1,9 @@
-//! Whether something may be done now, one place for each question: may this attempt be sent (`send`), may this connection be
-//! closed (`close`), may this process end or hand over (`process`). Every path asks here, the reducer when an attempt starts
-//! and the writer again as its first byte leaves.
+//! Whether something may be done now, with one module for each question: may this attempt be sent ([`send`]), may this
+//! connection be closed ([`close`]), may this process exit ([`process`]). Every code path calls these functions: the
+//! reducer when an attempt starts, and the writer again when its first byte leaves.
 //!
-//! Pure functions of plain facts. [`counters`] counts what was refused, and apart from that what should never be asked for:
-//! a violation is a fault of this program that the second question caught.
+//! All are pure functions of plain facts. [`counters`] counts refusals, and among them violations: attempts that the
+//! reducer should not have started, and that the second check caught.
 
 pub mod close;
 pub mod counters;
--- a/crates/decision/src/permission/process.rs
+++ b/crates/decision/src/permission/process.rs
@@ -1,17 +1,17 @@
-//! Whether a process that was told to end may do so.
+//! Whether a process that is shutting down may exit.
 
-/// What is so of a process that was told to end.
+/// The state of a process that is shutting down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EndFacts {
-    /// The time in which new requests are still taken is over, and every request is answered.
+    /// The window for new requests is over, and every request has its final answer.
     pub settled: bool,
-    /// No client is connected, and no connection waits or can come.
+    /// No client is connected, and no connection is pending or can arrive.
     pub unconnected: bool,
-    /// The time for connections to be closed is over as well.
+    /// The window for closing connections is over as well.
     pub overdue: bool,
 }
 
-/// Whether the process may end. An open request keeps it in any case: it has a deadline of its own.
+/// Whether the process may exit. It never exits with an open request, which has a deadline of its own.
 pub fn may_end(facts: &EndFacts) -> bool {
     facts.settled && (facts.unconnected || facts.overdue)
 }
--- a/crates/decision/src/permission/send.rs
+++ b/crates/decision/src/permission/send.rs
@@ -1,4 +1,4 @@
-//! Whether an attempt may be sent, and whether a request may be refused.
+//! Whether an attempt may be sent, and whether a request may be rejected.
 
 use super::list_lease::ListLease;
 use crate::interface::{Idempotency, Milliseconds, Outcome, Placement};
@@ -10,28 +10,28 @@
 pub enum SendRefusal {
     /// The request is answered, or its client has disconnected or cancelled it.
     RequestOver,
-    /// The list of engines is older than the rule on drains allows: the engine may drain by now.
+    /// The endpoint list is older than the rule on drains allows: the engine may be draining by now.
     ListExpired,
-    /// The engine drains, was removed, or has no address.
+    /// The engine is draining, was removed, or has no address.
     EngineNotLive,
-    /// Its time is over.
+    /// The deadline of the attempt has passed.
     DeadlineOver,
-    /// The engines may have forgotten its key by now.
+    /// The engines may have forgotten the idempotency key by now.
     WindowOver,
     /// Another attempt is in flight.
     AnotherInFlight,
     /// An earlier attempt may have run, and the class does not allow another.
     MayNotRepeat,
-    /// The request has had as many attempts as it may have.
+    /// The request has used its maximum of attempts.
     AttemptsSpent,
-    /// The retry budget of this gateway is spent.
+    /// The retry budget of this gateway is used up.
     RetryBudgetSpent,
-    /// The attempt has ended already, and was still about to be written.
+    /// The attempt has ended already, but was still in the write queue.
     Revoked,
 }
 
 impl SendRefusal {
-    /// All reasons, in the order of their numbers.
+    /// All reasons, in the order of their discriminants.
     pub const ALL: [Self; 10] = [
         Self::RequestOver,
         Self::ListExpired,
@@ -61,7 +61,8 @@
         }
     }
 
-    /// Whether nothing that happens outside explains it: the caller should have known.
+    /// Whether the refusal shows a fault of this program: no outside event explains it, so the caller should not have
+    /// tried to send.
     pub fn is_violation(self) -> bool {
         matches!(self, Self::AnotherInFlight | Self::MayNotRepeat | Self::AttemptsSpent | Self::Revoked)
     }
@@ -81,8 +82,8 @@
     pub placement: Placement,
 }
 
-/// Whether a request may be sent to an engine after these attempts, which may have run. A keyed request is sent again only
-/// where engines recognise it, and only until shortly before the window's end.
+/// Whether a request may be sent to an engine at `placement` after these attempts, which may have run. A request with an
+/// idempotency key is sent again only to engines in the scope of the key, and only within its window.
 pub fn may_repeat(
     idempotency: Idempotency,
     mut earlier: impl Iterator<Item = EarlierAttempt>,
@@ -97,35 +98,36 @@
     }
 }
 
-/// Whether a refusal, which tells the client that a retry is harmless, is true of a request.
+/// Whether a request may be rejected. A rejection states that a retry is harmless, so it must not be used where the request
+/// may have run and must not run twice.
 pub fn may_reject(idempotency: Idempotency, may_have_run: bool) -> bool {
     idempotency.allows_retry_anywhere() || !may_have_run
 }
 
-/// What is so of an attempt as it is about to be sent.
+/// The state of an attempt that is about to be sent.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SendFacts {
-    /// The request waits for its answer, and its client is there.
+    /// The request has no final answer yet, and its client is connected.
     pub request_open: bool,
-    /// The list of engines may be relied on.
+    /// The endpoint list is recent enough.
     pub list_reliable: bool,
-    /// The engine is in the list, takes new work and has an address.
+    /// The engine is in the list, accepts new work and has an address.
     pub engine_live: bool,
-    /// Now.
+    /// The current time.
     pub now: Milliseconds,
     /// The attempt's deadline.
     pub deadline: Milliseconds,
-    /// The time by which a keyed request leaves.
+    /// The time by which a request with an idempotency key must be sent.
     pub send_by: Milliseconds,
-    /// Further attempts of the request in flight.
+    /// The number of other attempts of the request in flight.
     pub in_flight: usize,
-    /// The settings allow several at once.
+    /// The settings allow several attempts in flight at once.
     pub may_hedge: bool,
-    /// The class allows it after the earlier attempts, see [`may_repeat`].
+    /// The class allows this attempt after the earlier ones, see [`may_repeat`].
     pub may_repeat: bool,
-    /// Attempts of the request before this one.
+    /// The number of attempts of the request before this one.
     pub attempts: usize,
-    /// Attempts that a request may have.
+    /// The maximum of attempts of a request.
     pub max_attempts: usize,
 }
 
@@ -134,7 +136,7 @@
 /// # Errors
 /// The first reason against it.
 pub fn may_send(facts: &SendFacts) -> Result<(), SendRefusal> {
-    let against = [
+    let refusals = [
         (!facts.request_open, SendRefusal::RequestOver),
         (!facts.list_reliable, SendRefusal::ListExpired),
         (!facts.engine_live, SendRefusal::EngineNotLive),
@@ -144,24 +146,24 @@
         (!facts.may_repeat, SendRefusal::MayNotRepeat),
         (facts.attempts >= facts.max_attempts, SendRefusal::AttemptsSpent),
     ];
-    against.iter().find(|(holds, _)| *holds).map_or(Ok(()), |(_, refusal)| Err(*refusal))
+    refusals.iter().find(|(holds, _)| *holds).map_or(Ok(()), |(_, refusal)| Err(*refusal))
 }
 
-/// Permission for one attempt to be written, which ends with the attempt, and pauses while the list of engines may not be relied
-/// on. The writer looks at it as the first byte leaves.
+/// Permission to write one attempt. It ends with the attempt, and is suspended while the endpoint list is not recent
+/// enough. The writer checks it when the first byte leaves.
 #[derive(Debug, Clone, Default)]
 pub struct SendPermit {
     revoked: Rc<Cell<bool>>,
-    list: ListLease,
+    list_lease: ListLease,
 }
 
 impl SendPermit {
-    /// For an attempt on an engine of that list.
-    pub fn new(list: ListLease) -> Self {
-        Self { revoked: Rc::default(), list }
+    /// A permit for an attempt on an engine of the endpoint list with that lease.
+    pub fn new(list_lease: ListLease) -> Self {
+        Self { revoked: Rc::default(), list_lease }
     }
 
-    /// The attempt has ended: nothing of it is written any more.
+    /// Revokes the permit: the attempt has ended, and nothing of it may be written any more.
     pub fn revoke(&self) {
         self.revoked.set(true);
     }
@@ -174,9 +176,9 @@
         if self.revoked.get() {
             return Err(SendRefusal::Revoked);
         }
-        match self.list.holds(now) {
-            true => Ok(()),
-            false => Err(SendRefusal::ListExpired),
+        if !self.list_lease.holds(now) {
+            return Err(SendRefusal::ListExpired);
         }
+        Ok(())
     }
 }
--- a/crates/decision/src/retry_budget/tests.rs
+++ b/crates/decision/src/retry_budget/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn without_a_ration_nothing_is_bounded_and_nothing_remembered() {
+fn without_a_retry_budget_nothing_is_bounded_and_nothing_remembered() {
     let mut budget = RetryBudget::new(None);
     (0..100).for_each(|_| budget.retry(0.0));
     assert!(budget.allows(0.0, 0.0) && budget.retries.is_empty());
@@ -34,8 +34,8 @@
 #[test]
 fn memory_is_bounded() {
     let mut budget = budget();
-    (0..REMEMBERED + 10).for_each(|_| budget.receive(0.0));
-    assert_eq!(budget.received.len(), REMEMBERED);
+    (0..MAX_REMEMBERED + 10).for_each(|_| budget.receive(0.0));
+    assert_eq!(budget.received.len(), MAX_REMEMBERED);
     budget.forget(5_000.0, 0.0);
     assert!(budget.received.is_empty());
 }
--- a/crates/decision/src/running_attempts.rs
+++ b/crates/decision/src/running_attempts.rs
@@ -3,14 +3,24 @@
 use crate::admission::MIN_RETRY_AFTER;
 use crate::balancer::Balancer;
 use crate::interface::{Action, BlockReason};
+use crate::outlier_ejection::is_outlier;
 use crate::state::Request;
-use crate::types::{Milliseconds, RequestId};
+use crate::types::{ClassId, Milliseconds, RequestId};
 
 /// The number of requests with attempts in flight past which going through all of them each cycle costs too much CPU ...
 const MAX_CHECKED_EACH_CYCLE: usize = 64;
 /// ... and they are gone through at this interval.
 const CHECK_INTERVAL: Milliseconds = 20.0;
 
+/// The latency so far of an attempt that is overdue.
+struct OverdueSample {
+    class: ClassId,
+    /// Threads a core on the engine when the attempt was sent.
+    load_level: f64,
+    /// At the size of a usual query of the class.
+    latency: Milliseconds,
+}
+
 impl Balancer {
     /// Cancels, answers or hedges requests with attempts in flight, and updates their priority.
     pub(crate) fn manage_running_attempts(&mut self, actions: &mut Vec<Action>) {
@@ -47,4 +57,29 @@
     fn is_past_deadline(&self, request: &Request) -> bool {
         self.now >= request.details.deadline + self.settings.answer_grace / 2.0
     }
+
+    /// Counts attempts that are overdue as latency before they end, except on engines that are outliers.
+    pub(crate) fn count_overdue_attempts(&mut self) {
+        let mut samples = Vec::new();
+        for request in self.requests.values_mut() {
+            for attempt in &mut request.attempts {
+                let age = self.now - attempt.sent_at;
+                if !attempt.in_flight || attempt.counted || age <= attempt.patience {
+                    continue;
+                }
+                if self.engines.get(&attempt.engine).is_none_or(is_outlier) {
+                    continue;
+                }
+                attempt.counted = true;
+                samples.push(OverdueSample {
+                    class: request.details.class,
+                    load_level: attempt.load_level,
+                    latency: age / request.relative_size,
+                });
+            }
+        }
+        for sample in samples {
+            self.add_sample(sample.class, sample.load_level, sample.latency);
+        }
+    }
 }
--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -220,7 +220,7 @@
         if !(is_positive(self.slow_start_from) && self.slow_start_from <= 1.0) {
             return bad("rules.cold_from", "must lie above 0 and not past 1");
         }
-        let figures = [
+        let durations_and_factors = [
             ("rules.drain_grace", self.drain_grace),
             ("rules.warm_within", self.slow_start_duration),
             ("rules.fall_multiple", self.overload_collapse_multiple),
@@ -230,7 +230,9 @@
             ("rules.extra_per_request", self.retry_budget.map_or(0.0, |budget| budget.per_request)),
             ("rules.ratio_span", self.retry_budget.map_or(0.0, |budget| budget.span)),
         ];
-        if let Some((name, _)) = figures.iter().find(|(_, figure)| *figure < 0.0 || !figure.is_finite()) {
+        if let Some((name, _)) =
+            durations_and_factors.iter().find(|(_, value)| *value < 0.0 || !value.is_finite())
+        {
             return bad(name, "must be finite and not below 0");
         }
         if self.max_attempts == 0 {
@@ -240,8 +242,8 @@
     }
 }
 
-fn is_positive(figure: f64) -> bool {
-    figure > 0.0 && figure.is_finite()
+fn is_positive(value: f64) -> bool {
+    value > 0.0 && value.is_finite()
 }
 
 /// Whether both times are positive, and the objective lies not past the client's timeout.
--- a/crates/decision/src/start_times/tests.rs
+++ b/crates/decision/src/start_times/tests.rs
@@ -4,9 +4,9 @@
     EngineId(id.into())
 }
 
-fn receive(starts: &mut StartTimes, told: Milliseconds, now: Milliseconds) -> Milliseconds {
-    starts.receive(&[(engine("s-1"), Some(told))], now);
-    starts.local(&engine("s-1"), Some(told)).expect("it has one")
+fn receive(starts: &mut StartTimes, stated: Milliseconds, now: Milliseconds) -> Milliseconds {
+    starts.receive(&[(engine("s-1"), Some(stated))], now);
+    starts.local(&engine("s-1"), Some(stated)).expect("it has one")
 }
 
 #[test]
@@ -55,8 +55,8 @@
 #[test]
 fn no_more_starts_are_remembered_than_the_bound_and_the_list() {
     let mut starts = StartTimes::default();
-    for i in 0..REMEMBERED + 10 {
+    for i in 0..MAX_REMEMBERED + 10 {
         starts.receive(&[(engine(&format!("s-{i}")), Some(1.0))], 1_000.0);
     }
-    assert!(starts.starts.len() <= REMEMBERED + 1);
+    assert!(starts.starts.len() <= MAX_REMEMBERED + 1);
 }
