--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -1,68 +1,16 @@
 //! Attempts of requests: transmission, streamed results, outcomes, aborts.
 
-use super::records::PendingRecord;
-use super::requests::{Request, RequestKey, Terms};
+use super::messages::{Effect, Send};
+use super::request_state::{Attempt, PendingRecord, RequestKey, ResponsePhase, Terms};
 use super::timers::Due;
-use super::{Answer, AttemptEnd, AttemptId, Core, Effect, EngineError, ResultRows, Send};
+use super::types::{Answer, AttemptEnd, AttemptId, EngineError, ResultRows};
+use super::Core;
 use crate::interface::{EngineId, Event as DecisionEvent, Milliseconds, Outcome, ProgressUpdate, RequestId};
 use starlingplank_decision::permission::send::{
-    may_repeat, may_send, never_ran, EarlierAttempt, Place, SendFacts, SendPermit,
+    may_repeat, may_send, EarlierAttempt, Place, SendFacts, SendPermit,
 };
 use starlingplank_persistence::deduplication_window::Leave;
 
-/// One attempt to execute a request on an engine.
-pub(super) struct Attempt {
-    pub(super) engine: EngineId,
-    pub(super) sent_at: Milliseconds,
-    pub(super) in_flight: bool,
-    /// The record that must be durable before it is transmitted.
-    pub(super) record: Option<PendingRecord>,
-    /// Zone and cell of its engine.
-    place: Place,
-    /// How it ended.
-    outcome: Option<Outcome>,
-    /// Ends with it: its message is not written afterwards.
-    permit: SendPermit,
-}
-
-impl Attempt {
-    fn new(engine: EngineId, place: Place, now: Milliseconds, permit: SendPermit) -> Self {
-        Self { engine, sent_at: now, in_flight: true, record: None, place, outcome: None, permit }
-    }
-
-    /// Whether it may have run, or may run still.
-    pub(super) fn may_have_run(&self) -> bool {
-        !self.outcome.is_some_and(never_ran)
-    }
-
-    /// Whether it was sent as far as anybody knows.
-    fn was_sent(&self) -> bool {
-        self.outcome != Some(Outcome::NotExecuted)
-    }
-}
-
-impl Request {
-    /// The deadline of an attempt that starts now. A timeout of 0 stands for no timeout of its own.
-    fn attempt_deadline(
-        &self,
-        now: Milliseconds,
-        timeout: Milliseconds,
-        margin: Milliseconds,
-    ) -> Milliseconds {
-        let last = self.deadline - margin;
-        if timeout > 0.0 {
-            last.min(now + timeout)
-        } else {
-            last
-        }
-    }
-
-    /// The attempts with their numbers.
-    fn numbered(&self) -> impl Iterator<Item = (u32, &Attempt)> {
-        (0..).zip(&self.attempts)
-    }
-}
-
 /// The final answer that follows from the end of an attempt; otherwise the error to keep for a later answer.
 fn final_answer(
     outcome: Outcome,
@@ -85,7 +33,11 @@
 impl Core {
     /// An attempt by its id.
     pub(super) fn find_attempt(&self, id: AttemptId) -> Option<&Attempt> {
-        self.requests.get(&id.0).and_then(|r| r.attempts.get(id.1 as usize))
+        self.requests.get(&id.request)?.attempt(id.number)
+    }
+
+    fn is_in_flight(&self, id: AttemptId) -> bool {
+        self.find_attempt(id).is_some_and(Attempt::is_in_flight)
     }
 
     /// Starts an attempt. It ends at once as not executed if it may not be transmitted.
@@ -98,18 +50,11 @@
         effects: &mut Vec<Effect>,
     ) {
         let place = self.place(&engine);
-        let Some(r) = self.requests.get_mut(&id) else { return };
-        let attempt = (id, r.attempts.len() as u32);
-        r.attempts.push(Attempt::new(engine, place, now, SendPermit::new(self.list_lease.clone())));
-        let deadline = r.attempt_deadline(now, timeout, self.limits.answer_margin);
-        let may = self.may_send(now, attempt, deadline, effects);
-        let Some(r) = self.requests.get(&id) else { return };
-        let leave = match r.key.filter(|_| may) {
-            Some(RequestKey { key, window }) => self.deduplication.leave(&key, window, now),
-            None if may => Leave::Now,
-            None => Leave::No,
-        };
-        match leave {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let attempt = AttemptId { request: id, number: request.attempts.len() as u32 };
+        request.attempts.push(Attempt::new(engine, place, now, SendPermit::new(self.list_lease.clone())));
+        let deadline = request.attempt_deadline(now, timeout, self.limits.answer_margin);
+        match self.permission_to_leave(now, attempt, deadline, effects) {
             Leave::No => self.end_attempt(now, attempt, AttemptEnd::plain(Outcome::NotExecuted), effects),
             Leave::Now => self.transmit(now, attempt, deadline, effects),
             Leave::AfterRecord(sent) => {
@@ -118,7 +63,24 @@
         }
     }
 
-    /// Whether an attempt may be sent now. What is refused is counted; what should not have been asked for is logged.
+    /// Whether a new attempt may be transmitted: now, once its key is recorded, or not at all.
+    fn permission_to_leave(
+        &mut self,
+        now: Milliseconds,
+        id: AttemptId,
+        deadline: Milliseconds,
+        effects: &mut Vec<Effect>,
+    ) -> Leave {
+        if !self.may_send(now, id, deadline, effects) {
+            return Leave::No;
+        }
+        match self.requests.get(&id.request).and_then(|request| request.key) {
+            Some(RequestKey { key, window }) => self.deduplication.leave(&key, window, now),
+            None => Leave::Now,
+        }
+    }
+
+    /// Whether an attempt may be sent now. Refusals are counted; attempts that break a rule are logged.
     fn may_send(
         &self,
         now: Milliseconds,
@@ -130,29 +92,33 @@
         let Err(refusal) = may_send(&facts) else { return true };
         self.rules.count(refusal);
         if refusal.is_violation() {
-            effects.push(Effect::LogViolation(id, refusal));
+            effects.push(Effect::LogViolation { attempt: id, refusal });
         }
         false
     }
 
     fn send_facts(&self, now: Milliseconds, id: AttemptId, deadline: Milliseconds) -> Option<SendFacts> {
-        let r = self.requests.get(&id.0)?;
-        let own = r.attempts.get(id.1 as usize)?;
-        let others = || r.numbered().filter(|(n, _)| *n != id.1).map(|(_, a)| a);
-        let may_have_run = others().filter(|a| a.may_have_run());
-        let earlier = may_have_run.map(|a| EarlierAttempt { sent_at: a.sent_at, place: a.place });
-        let idempotency = self.settings.classes[r.class.0].idempotency;
+        let request = self.requests.get(&id.request)?;
+        let own = request.attempt(id.number)?;
+        let others = || {
+            let numbered = request.numbered_attempts().filter(|(number, _)| *number != id.number);
+            numbered.map(|(_, attempt)| attempt)
+        };
+        let earlier = others()
+            .filter(|other| other.may_have_run())
+            .map(|other| EarlierAttempt { sent_at: other.sent_at, place: other.place });
+        let idempotency = self.settings.classes[request.class.0].idempotency;
         Some(SendFacts {
-            request_open: !r.closed,
+            request_open: !request.is_closed(),
             list_reliable: self.list_lease.holds(now),
             engine_live: self.live_address(&own.engine).is_some(),
             now,
             deadline,
-            send_by: r.send_by,
-            in_flight: others().filter(|a| a.in_flight).count(),
+            send_by: request.send_by,
+            in_flight: others().filter(|other| other.is_in_flight()).count(),
             may_hedge: self.settings.may_hedge,
             may_repeat: may_repeat(idempotency, earlier, own.place, now),
-            attempts: id.1 as usize,
+            attempts: id.number as usize,
             max_attempts: self.settings.max_attempts as usize,
         })
     }
@@ -173,25 +139,30 @@
         if !self.may_send(now, id, deadline, effects) {
             return self.end_attempt(now, id, AttemptEnd::plain(Outcome::NotExecuted), effects);
         }
-        let Some(r) = self.requests.get(&id.0) else { return };
-        let Some(attempt) = r.attempts.get(id.1 as usize) else { return };
-        let engine = attempt.engine.clone();
-        let Some(address) = self.live_address(&engine) else { return };
-        effects.push(Effect::Send(Send {
+        let Some(send) = self.send_message(now, id, deadline) else { return };
+        effects.push(Effect::Send(send));
+        self.set_timer(deadline, Due::AttemptTimeout(id));
+    }
+
+    fn send_message(&self, now: Milliseconds, id: AttemptId, deadline: Milliseconds) -> Option<Send> {
+        let request = self.requests.get(&id.request)?;
+        let attempt = request.attempt(id.number)?;
+        let is_earlier_send =
+            |(number, attempt): (u32, &Attempt)| number < id.number && attempt.was_transmitted();
+        Some(Send {
             id,
-            engine,
-            address,
-            class: r.class,
-            statement: r.statement.clone(),
+            engine: attempt.engine.clone(),
+            address: self.live_address(&attempt.engine)?,
+            class: request.class,
+            statement: request.statement.clone(),
             budget: deadline - now,
-            leave_within: Some(r.send_by - now).filter(|t| t.is_finite()),
-            memory_mb: r.terms.memory_mb,
-            priority: r.terms.priority,
-            is_retry: r.numbered().any(|(n, a)| n < id.1 && a.was_sent()),
+            leave_within: Some(request.send_by - now).filter(|time| time.is_finite()),
+            memory_mb: request.terms.memory_mb,
+            priority: request.terms.priority,
+            is_retry: request.numbered_attempts().any(is_earlier_send),
             permit: attempt.permit.clone(),
             at: now,
-        }));
-        self.set_timer(deadline, Due::AttemptTimeout(id));
+        })
     }
 
     /// Starts to stream a result to the client.
@@ -202,19 +173,22 @@
         rows: ResultRows,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(r) = self.requests.get_mut(&id.0).filter(|r| !r.closed && !r.streaming) else { return };
-        if !r.attempts.get(id.1 as usize).is_some_and(|a| a.in_flight) || now >= r.deadline {
+        if !self.is_in_flight(id) {
+            return;
+        }
+        let Some(request) = self.requests.get_mut(&id.request) else { return };
+        if request.phase != ResponsePhase::Pending || now >= request.deadline {
             return;
         }
-        r.streaming = true;
-        self.pending_events.push(DecisionEvent::Streaming { id: id.0 });
-        effects.push(Effect::StartResponse(id.0, rows));
+        request.phase = ResponsePhase::Streaming;
+        self.pending_events.push(DecisionEvent::Streaming { id: id.request });
+        effects.push(Effect::StartResponse(id.request, rows));
     }
 
     /// Streams a further part of a result.
-    pub(super) fn forward_part(&mut self, id: AttemptId, part: Vec<u8>, effects: &mut Vec<Effect>) {
-        if self.find_attempt(id).is_some_and(|a| a.in_flight) {
-            effects.push(Effect::ResponseChunk(id.0, part));
+    pub(super) fn forward_chunk(&mut self, id: AttemptId, chunk: Vec<u8>, effects: &mut Vec<Effect>) {
+        if self.is_in_flight(id) {
+            effects.push(Effect::ResponseChunk(id.request, chunk));
         }
     }
 
@@ -226,24 +200,23 @@
         end: AttemptEnd,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(r) = self.requests.get_mut(&id.0) else { return };
-        let Some(a) = r.attempts.get_mut(id.1 as usize).filter(|a| a.in_flight) else { return };
-        a.in_flight = false;
-        a.outcome = Some(end.outcome);
-        a.permit.revoke();
-        let (engine, took) = (a.engine.clone(), now - a.sent_at);
+        let Some(request) = self.requests.get_mut(&id.request) else { return };
+        let Some(attempt) = request.attempt_mut(id.number).filter(|attempt| attempt.is_in_flight()) else {
+            return;
+        };
         let AttemptEnd { outcome, work, report, rows, error } = end;
-        self.counts[r.class.0].outcomes[outcome as usize] += 1;
-        match final_answer(outcome, r.streaming, rows, error) {
-            Ok(answer) => self.answer(id.0, answer, effects),
-            Err(error) => r.last_error = error,
+        attempt.end(outcome);
+        let (engine, took) = (attempt.engine.clone(), now - attempt.sent_at);
+        self.counts[request.class.0].outcomes[outcome as usize] += 1;
+        match final_answer(outcome, request.has_streamed(), rows, error) {
+            Ok(answer) => self.answer(id.request, answer, effects),
+            Err(error) => request.last_error = error,
         }
-        let over = self.requests.get(&id.0).is_none_or(|r| r.closed);
+        let over = !self.is_open(id.request);
         self.decision_urgent |= !over;
-        let (id, attempt) = id;
         self.pending_events.push(DecisionEvent::Outcome {
-            id,
-            attempt,
+            id: id.request,
+            attempt: id.number,
             engine,
             outcome,
             took,
@@ -251,14 +224,19 @@
             work,
             report,
         });
-        self.remove_if_done(id);
+        self.remove_if_done(id.request);
     }
 
-    /// Takes a progress update. It is ignored for attempts that ended and for results that are streamed.
-    pub(super) fn progress_update(&mut self, id: AttemptId, note: ProgressUpdate) {
-        let running = self.requests.get(&id.0).is_some_and(|r| !r.closed && !r.streaming);
-        if running && self.find_attempt(id).is_some_and(|a| a.in_flight) {
-            self.pending_events.push(DecisionEvent::ProgressUpdate { id: id.0, attempt: id.1, update: note });
+    /// Passes a progress update on. It is ignored for attempts that ended and for results that are streamed.
+    pub(super) fn progress_update(&mut self, id: AttemptId, update: ProgressUpdate) {
+        let request = self.requests.get(&id.request);
+        let is_pending = request.is_some_and(|request| request.phase == ResponsePhase::Pending);
+        if is_pending && self.is_in_flight(id) {
+            self.pending_events.push(DecisionEvent::ProgressUpdate {
+                id: id.request,
+                attempt: id.number,
+                update,
+            });
         }
     }
 
@@ -270,10 +248,8 @@
         outcome: Outcome,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(engine) = self.find_attempt(id).filter(|a| a.in_flight).map(|a| a.engine.clone()) else {
-            return;
-        };
-        effects.push(Effect::AbortAttempt(id, engine, outcome));
+        let Some(attempt) = self.find_attempt(id).filter(|attempt| attempt.is_in_flight()) else { return };
+        effects.push(Effect::AbortAttempt { attempt: id, engine: attempt.engine.clone(), outcome });
         self.end_attempt(now, id, AttemptEnd::plain(outcome), effects);
     }
 
@@ -281,17 +257,19 @@
     pub(super) fn abort_attempts(
         &mut self,
         now: Milliseconds,
-        id: RequestId,
+        request: RequestId,
         outcome: Outcome,
         effects: &mut Vec<Effect>,
     ) {
-        let attempts = self.requests.get(&id).map_or(0, |r| r.attempts.len() as u32);
-        (0..attempts).for_each(|n| self.abort_attempt(now, (id, n), outcome, effects));
+        let attempts = self.requests.get(&request).map_or(0, |request| request.attempts.len() as u32);
+        for number in 0..attempts {
+            self.abort_attempt(now, AttemptId { request, number }, outcome, effects);
+        }
     }
 
     /// Aborts an attempt at its deadline. A streamed result has no deadline.
     pub(super) fn attempt_timed_out(&mut self, now: Milliseconds, id: AttemptId, effects: &mut Vec<Effect>) {
-        if self.requests.get(&id.0).is_some_and(|r| !r.streaming) {
+        if self.requests.get(&id.request).is_some_and(|request| !request.has_streamed()) {
             self.abort_attempt(now, id, Outcome::Timeout, effects);
         }
     }
@@ -307,17 +285,24 @@
     }
 
     fn in_flight_on(&self, engine: &EngineId) -> Vec<AttemptId> {
-        let all = self.requests.iter().flat_map(|(id, r)| r.numbered().map(|(n, a)| ((*id, n), a)));
-        all.filter(|(_, a)| a.in_flight && a.engine == *engine).map(|(id, _)| id).collect()
+        let in_flight = self.requests.iter().flat_map(|(id, request)| request.attempts_in_flight(*id));
+        in_flight.filter(|(_, attempt)| attempt.engine == *engine).map(|(id, _)| id).collect()
     }
 
     /// Sets what engines grant the request's attempts, those in flight included.
     pub(super) fn set_terms(&mut self, id: RequestId, terms: Terms, effects: &mut Vec<Effect>) {
-        let Some(r) = self.requests.get_mut(&id) else { return };
-        let changed = r.terms.priority != terms.priority;
-        r.terms = terms;
-        for (n, a) in r.numbered().filter(|(_, a)| a.in_flight && changed) {
-            effects.push(Effect::SetPriority((id, n), a.engine.clone(), terms.priority));
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let changed = request.terms.priority != terms.priority;
+        request.terms = terms;
+        if !changed {
+            return;
+        }
+        for (attempt, state) in request.attempts_in_flight(id) {
+            effects.push(Effect::SetPriority {
+                attempt,
+                engine: state.engine.clone(),
+                priority: terms.priority,
+            });
         }
     }
 }
--- a/src/core/decisions.rs
+++ b/src/core/decisions.rs
@@ -1,8 +1,8 @@
 //! Decision cycles: when the decision module runs, and what is done for its actions.
 
-use super::requests::Terms;
+use super::request_state::Terms;
 use super::timers::Due;
-use super::{Core, Effect};
+use super::{AttemptId, Core, Effect};
 use crate::interface::{Action, BlockReason, Milliseconds, Outcome};
 
 impl Core {
@@ -12,7 +12,7 @@
     }
 
     /// Deducts the processing time of decision cycles.
-    pub fn spent(&mut self, time: Milliseconds) {
+    pub fn deduct_decision_time(&mut self, time: Milliseconds) {
         self.decision_credit -= time;
     }
 
@@ -67,7 +67,8 @@
             }
             Action::Fail { id } => self.fail(now, id, effects),
             Action::Cancel { id, attempt } => {
-                self.abort_attempt(now, (id, attempt), Outcome::Cancelled, effects)
+                let attempt = AttemptId { request: id, number: attempt };
+                self.abort_attempt(now, attempt, Outcome::Cancelled, effects);
             }
             Action::Terms { id, memory_mb, priority } => {
                 self.set_terms(id, Terms { memory_mb, priority }, effects);
@@ -75,7 +76,7 @@
             Action::Timer { after, token } => self.set_timer(now + after, Due::DecisionTimer(token)),
             // The name service is polled continuously; there is nothing to subscribe to.
             Action::Watch => {}
-            Action::CheckHealth { engine } => self.ask_for_probe(now, engine, effects),
+            Action::CheckHealth { engine } => self.request_health_check(now, engine, effects),
         }
     }
 }
--- a/src/core/membership.rs
+++ b/src/core/membership.rs
@@ -1,5 +1,5 @@
-//! The engines in use: the name service's list, merged with the operator override and with what an earlier process of
-//! this gateway heard of the name service.
+//! The engines in use: the name service's list, merged with the operator override, the membership inherited from an
+//! earlier process of this gateway, and what previous addresses of the name service reported.
 
 use super::timers::Due;
 use super::{Core, Effect, Endpoint};
@@ -11,17 +11,32 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What former addresses of the name service have said since it moved, where the present address says an older version.
+/// The last list from previous addresses of the name service, where the present address sends an older version.
 #[derive(Debug, Clone)]
-pub(super) struct FormerAddress {
-    /// The version that they said.
+pub(super) struct PreviousAddress {
+    /// The version of that list.
     version: u64,
     /// The engines that drain or were removed in it.
-    heard: InheritedMembership,
+    membership: InheritedMembership,
+}
+
+/// The membership as the name service reported it to this process.
+#[derive(Debug, Clone, Copy)]
+pub struct ServiceMembership<'a> {
+    /// When the name service last answered.
+    pub confirmed_at: Milliseconds,
+    /// Its members.
+    pub members: &'a [Endpoint],
+    /// The engines that it removed.
+    pub removed: &'a RemovedEndpoints,
+}
+
+fn is_live(endpoint: &Endpoint) -> bool {
+    endpoint.member.availability == Availability::Live
 }
 
 /// A member in the form in which learned state is matched to it.
-fn named(endpoint: &Endpoint) -> EndpointIdentity {
+fn identity(endpoint: &Endpoint) -> EndpointIdentity {
     EndpointIdentity {
         id: endpoint.member.engine.0.to_string(),
         address: endpoint.address.to_string(),
@@ -32,26 +47,28 @@
 impl Core {
     /// The addresses of the members, by id.
     pub fn addresses(&self) -> BTreeMap<String, String> {
-        self.engines.iter().map(|(id, l)| (id.0.to_string(), l.address.to_string())).collect()
+        let addresses =
+            self.engines.iter().map(|(id, endpoint)| (id.0.to_string(), endpoint.address.to_string()));
+        addresses.collect()
     }
 
     /// The number of members, and how many of them get no new work: draining, excluded by operators, or avoided by the
     /// decision module.
     pub fn engines(&self) -> (usize, usize) {
-        let live = |l: &&Endpoint| l.member.availability == Availability::Live;
-        let used = self.engines.values().filter(live).filter(|l| !self.balancer.avoids(&l.member.engine));
+        let live = self.engines.values().filter(|endpoint| is_live(endpoint));
+        let used = live.filter(|endpoint| !self.balancer.avoids(&endpoint.member.engine));
         (self.engines.len(), self.engines.len() - used.count())
     }
 
     /// The ids of the members that drain.
     pub fn draining(&self) -> Vec<&str> {
-        let drains = |(_, l): &(&EngineId, &Endpoint)| l.member.availability != Availability::Live;
-        self.engines.iter().filter(drains).map(|(id, _)| &*id.0).collect()
+        let draining = self.engines.iter().filter(|(_, endpoint)| !is_live(endpoint));
+        draining.map(|(id, _)| &*id.0).collect()
     }
 
     /// Rejects requests until the name service answers, unless a membership is known. For gateways with a name service.
     pub fn await_list(&mut self, now: Milliseconds) {
-        if self.service_members.is_empty() && self.service_heard_at.is_none() {
+        if self.service_members.is_empty() && self.service_confirmed_at.is_none() {
             self.membership_wait = Some(RetryAfter::new(self.settings.seed, now));
         }
     }
@@ -62,55 +79,57 @@
     }
 
     /// Whether the name service lists that engine.
-    pub fn lists(&self, id: &str) -> bool {
-        self.service_members.iter().any(|l| &*l.member.engine.0 == id)
+    pub fn is_member(&self, id: &str) -> bool {
+        self.service_members.iter().any(|endpoint| &*endpoint.member.engine.0 == id)
     }
 
     /// The version of the membership.
-    pub fn serial(&self) -> Option<u64> {
-        self.serial
+    pub fn membership_version(&self) -> Option<u64> {
+        self.membership_version
     }
 
-    /// When the name service last answered, its members, and the engines that it removed; none before its first answer.
-    pub fn service_list(&self) -> Option<(Milliseconds, &[Endpoint], &RemovedEndpoints)> {
-        self.service_heard_at.map(|at| (at, &*self.service_members, &self.removed_engines))
+    /// The membership as the name service reported it; none before its first answer.
+    pub fn service_membership(&self) -> Option<ServiceMembership<'_>> {
+        let (members, removed) = (&*self.service_members, &self.removed_engines);
+        self.service_confirmed_at.map(|confirmed_at| ServiceMembership { confirmed_at, members, removed })
     }
 
-    /// What a successor inherits: what this process heard of the name service, or else what it inherited itself.
-    pub fn heard(&self) -> Option<InheritedMembership> {
-        let drains = |l: &&Endpoint| l.member.availability != Availability::Live;
-        let drained = self.service_members.iter().filter(drains).map(|l| l.member.engine.0.to_string());
-        let out = || drained.chain(self.removed_engines.ids().map(str::to_owned));
-        self.service_heard_at
-            .map(|at| InheritedMembership::new(at, out()))
-            .or_else(|| self.inherited_membership.clone())
+    /// What a successor inherits: what the name service reported to this process, or else what it inherited itself.
+    pub fn membership_for_successor(&self) -> Option<InheritedMembership> {
+        let Some(confirmed_at) = self.service_confirmed_at else { return self.inherited_membership.clone() };
+        let draining = self.service_members.iter().filter(|endpoint| !is_live(endpoint));
+        let draining = draining.map(|endpoint| endpoint.member.engine.0.to_string());
+        let removed = self.removed_engines.ids().map(str::to_owned);
+        Some(InheritedMembership::new(confirmed_at, draining.chain(removed)))
     }
 
     /// Replaces the membership by the name service's list.
     pub(super) fn update_membership(
         &mut self,
         now: Milliseconds,
-        serial: u64,
-        list: Vec<Endpoint>,
+        version: u64,
+        endpoints: Vec<Endpoint>,
         effects: &mut Vec<Effect>,
     ) {
-        if !self.is_news(now, serial) {
+        if !self.is_update(now, version) {
             return;
         }
-        self.serial = Some(serial);
-        self.former_address = self.former_address.take().filter(|former| serial < former.version);
-        let ids = list.iter().map(|l| &*l.member.engine.0).collect();
-        self.removed_engines.follow(self.service_members.iter().map(|l| &*l.member.engine.0), &ids);
-        self.learn_starts(now, &list);
-        self.service_members = list;
+        self.membership_version = Some(version);
+        self.previous_address = self.previous_address.take().filter(|previous| version < previous.version);
+        let ids = endpoints.iter().map(|endpoint| &*endpoint.member.engine.0).collect();
+        let ids_before = self.service_members.iter().map(|endpoint| &*endpoint.member.engine.0);
+        self.removed_engines.follow(ids_before, &ids);
+        self.learn_starts(now, &endpoints);
+        self.service_members = endpoints;
         self.membership_wait = None;
         self.rebuild_engines(now, effects);
     }
 
-    /// Learns when the members started. An empty list tells nothing: a process that begins without members has not been
-    /// told that none has started.
-    fn learn_starts(&mut self, now: Milliseconds, list: &[Endpoint]) {
-        let starts: Vec<_> = list.iter().map(|l| (l.member.engine.clone(), l.member.started)).collect();
+    /// Learns when the members started. An empty list is ignored: a process that begins without members would otherwise
+    /// take every start in the next list for no earlier than its own.
+    fn learn_starts(&mut self, now: Milliseconds, endpoints: &[Endpoint]) {
+        let members = endpoints.iter().map(|endpoint| &endpoint.member);
+        let starts: Vec<_> = members.map(|member| (member.engine.clone(), member.started)).collect();
         if !starts.is_empty() {
             self.start_times.receive(&starts, now);
         }
@@ -118,49 +137,49 @@
 
     /// Whether a list of this version changes anything. An older version is a late answer. The known version confirms
     /// the membership, which matters only while an inherited one holds or none is known.
-    fn is_news(&mut self, now: Milliseconds, serial: u64) -> bool {
-        let Some(known) = self.serial else { return true };
-        if serial < known {
+    fn is_update(&mut self, now: Milliseconds, version: u64) -> bool {
+        let Some(known) = self.membership_version else { return true };
+        if version < known {
             return false;
         }
-        self.service_heard_at = Some(now);
-        if serial == known && !self.service_members.is_empty() {
+        self.service_confirmed_at = Some(now);
+        if version == known && !self.service_members.is_empty() {
             self.start_times.confirm(now);
         }
         // An answer to this process ends the inherited membership.
         let inherited = self.inherited_membership.take().is_some();
-        inherited || self.membership_wait.is_some() || serial != known
+        inherited || self.membership_wait.is_some() || version != known
     }
 
     /// Replaces the operator override.
     pub(super) fn override_membership(
         &mut self,
         now: Milliseconds,
-        hand: OperatorOverrides,
+        overrides: OperatorOverrides,
         effects: &mut Vec<Effect>,
     ) {
-        self.operator_override = hand.not_after(now);
+        self.operator_override = overrides.not_after(now);
         self.rebuild_engines(now, effects);
     }
 
-    /// Takes over what an earlier process heard, unless the name service has answered this one.
+    /// Takes over the membership of an earlier process, unless the name service has answered this one.
     pub(super) fn inherit_membership(
         &mut self,
         now: Milliseconds,
-        heard: InheritedMembership,
+        inherited: InheritedMembership,
         effects: &mut Vec<Effect>,
     ) {
-        if self.service_heard_at.is_some() {
+        if self.service_confirmed_at.is_some() {
             return;
         }
-        self.set_timer(heard.until(), Due::InheritedMembership);
-        self.inherited_membership = Some(heard);
+        self.set_timer(inherited.until(), Due::InheritedMembership);
+        self.inherited_membership = Some(inherited);
         self.rebuild_engines(now, effects);
     }
 
     /// Drops the inherited membership once its time is over.
     pub(super) fn inherited_membership_expired(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
-        if self.inherited_membership.take_if(|e| now >= e.until()).is_some() {
+        if self.inherited_membership.take_if(|inherited| now >= inherited.until()).is_some() {
             self.rebuild_engines(now, effects);
         }
     }
@@ -170,48 +189,50 @@
     /// that operators included again counts as just started.
     fn rebuild_engines(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
         self.operator_override.forget(now, self.settings.slow_start_duration);
-        let list: Vec<Endpoint> = self.service_members.iter().map(|l| self.merge(l, now)).collect();
-        self.replace_engines(now, &list, effects);
-        self.report_members(now, list);
+        let merged = self.service_members.iter().map(|endpoint| self.merge(endpoint, now));
+        let merged: Vec<Endpoint> = merged.collect();
+        self.replace_engines(now, &merged, effects);
+        self.report_members(now, merged);
     }
 
     /// A member after everything that may keep it out is applied.
     fn merge(&self, endpoint: &Endpoint, now: Milliseconds) -> Endpoint {
         let mut endpoint = endpoint.clone();
-        let m = &mut endpoint.member;
-        let id = m.engine.clone();
-        m.started = self.operator_override.started(&id.0, m.started);
-        let out = self.list_expired || self.is_kept_out(&id, now);
-        if out && m.availability == Availability::Live {
-            m.availability = Availability::Draining;
+        let member = &mut endpoint.member;
+        member.started = self.operator_override.started(&member.engine.0, member.started);
+        let is_out = self.list_expired || self.is_excluded(&member.engine, now);
+        if is_out && member.availability == Availability::Live {
+            member.availability = Availability::Draining;
         }
         endpoint
     }
 
-    /// Whether operators, an earlier process or a former address of the name service keep an engine out.
-    fn is_kept_out(&self, engine: &EngineId, now: Milliseconds) -> bool {
-        let former = self.former_address.as_ref().map(|former| &former.heard);
-        let mut heard = self.inherited_membership.iter().chain(former);
-        self.operator_override.is_out(&engine.0) || heard.any(|heard| heard.keeps_out(&engine.0, now))
+    /// Whether operators, the inherited membership or a previous address of the name service exclude an engine.
+    fn is_excluded(&self, engine: &EngineId, now: Milliseconds) -> bool {
+        let previous = self.previous_address.as_ref().map(|previous| &previous.membership);
+        let mut memberships = self.inherited_membership.iter().chain(previous);
+        self.operator_override.is_out(&engine.0)
+            || memberships.any(|membership| membership.keeps_out(&engine.0, now))
     }
 
-    /// The name service's present address takes over from a former one, whose word on drains and removals holds until the
-    /// present one says as much.
-    pub(super) fn supersede_former_address(&mut self, now: Milliseconds) {
-        let (Some(version), Some(heard)) = (self.serial.take(), self.heard()) else { return };
-        let heard = heard.taken_over(now);
-        self.set_timer(heard.until(), Due::FormerAddress);
-        self.former_address = Some(FormerAddress { version, heard });
+    /// The present address of the name service takes over from a previous one, whose drains and removals hold until the
+    /// present one sends a list as new.
+    pub(super) fn supersede_previous_address(&mut self, now: Milliseconds) {
+        let version = self.membership_version.take();
+        let (Some(version), Some(membership)) = (version, self.membership_for_successor()) else { return };
+        let membership = membership.taken_over(now);
+        self.set_timer(membership.until(), Due::PreviousAddress);
+        self.previous_address = Some(PreviousAddress { version, membership });
     }
 
-    /// Drops what former addresses have said once its time is over.
-    pub(super) fn former_address_expired(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
-        if self.former_address.take_if(|former| now >= former.heard.until()).is_some() {
+    /// Drops the drains and removals of previous addresses once their time is over.
+    pub(super) fn previous_address_expired(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
+        if self.previous_address.take_if(|previous| now >= previous.membership.until()).is_some() {
             self.rebuild_engines(now, effects);
         }
     }
 
-    /// The list may be relied on until then. While it may not, all engines are treated as draining.
+    /// Renews the lease on the list. Without a lease all engines are treated as draining.
     pub(super) fn renew_list_lease(
         &mut self,
         now: Milliseconds,
@@ -223,14 +244,14 @@
         self.set_list_timer();
     }
 
-    /// The timer of the lease: it may have been renewed since the timer was set.
+    /// Handles the timer of the lease, which may have been renewed since the timer was set.
     pub(super) fn list_lease_due(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
         self.list_timer_set = false;
         self.apply_list_lease(now, effects);
         self.set_list_timer();
     }
 
-    /// Has one timer set for the end of the lease, while it holds.
+    /// Sets one timer for the end of the lease, while it holds.
     fn set_list_timer(&mut self) {
         let until = self.list_lease.until();
         if !self.list_timer_set && !self.list_expired && until.is_finite() {
@@ -249,13 +270,13 @@
 
     /// Replaces the engines in use. Queued work for draining and removed engines is dropped; attempts on removed ones
     /// end after a grace period.
-    fn replace_engines(&mut self, now: Milliseconds, list: &[Endpoint], effects: &mut Vec<Effect>) {
+    fn replace_engines(&mut self, now: Milliseconds, endpoints: &[Endpoint], effects: &mut Vec<Effect>) {
         let mut before = std::mem::take(&mut self.engines);
-        for endpoint in list {
+        for endpoint in endpoints {
             let engine = &endpoint.member.engine;
             before.remove(engine);
-            // While the list is too old the writers keep new work back; connections to engines that are well stay.
-            if endpoint.member.availability != Availability::Live && !self.list_expired {
+            // While the list is too old the writers hold new work back; connections to healthy engines stay open.
+            if !is_live(endpoint) && !self.list_expired {
                 effects.push(Effect::DropQueued(engine.clone()));
             }
             self.engines.insert(engine.clone(), endpoint.clone());
@@ -266,23 +287,28 @@
         }
     }
 
-    /// Tells the decision module its engines, and what an earlier incarnation learned of them.
-    fn report_members(&mut self, now: Milliseconds, list: Vec<Endpoint>) {
-        let named: Vec<EndpointIdentity> = list.iter().map(named).collect();
-        let recalled =
-            self.restored_state.as_mut().and_then(|restored_state| restored_state.list(&named, now));
-        // Merging keeps the order of the service's members, which hold the starts as they were told.
-        let told = self.service_members.iter().map(|l| l.member.started);
-        let members = list.into_iter().zip(told).map(|(l, told)| self.with_local_start(now, l.member, told));
+    /// Reports the engines to the decision module, and what an earlier incarnation learned of them.
+    fn report_members(&mut self, now: Milliseconds, endpoints: Vec<Endpoint>) {
+        let identities: Vec<EndpointIdentity> = endpoints.iter().map(identity).collect();
+        let restored = self.restored_state.as_mut().and_then(|state| state.list(&identities, now));
+        // Merging keeps the order of the service's members, which hold the starts as the service reported them.
+        let reported_starts = self.service_members.iter().map(|endpoint| endpoint.member.started);
+        let members = endpoints.into_iter().zip(reported_starts);
+        let members = members.map(|(endpoint, start)| self.with_local_start(now, endpoint.member, start));
         let members = members.collect();
         self.pending_events.push(DecisionEvent::Members { complete: true, members });
-        self.pending_events.extend(recalled.map(|learned| DecisionEvent::Restored(Box::new(learned))));
-        self.restored_state.take_if(|restored_state| restored_state.over(now));
+        self.pending_events.extend(restored.map(|learned| DecisionEvent::Restored(Box::new(learned))));
+        self.restored_state.take_if(|state| state.over(now));
     }
 
-    /// A member as the decision module is told of it: its start is a time of this gateway's clock, and not in the future.
-    fn with_local_start(&self, now: Milliseconds, member: Member, told: Option<Milliseconds>) -> Member {
-        let local = self.start_times.local(&member.engine, told);
+    /// A member as the decision module receives it: its start is a time of this gateway's clock, and not in the future.
+    fn with_local_start(
+        &self,
+        now: Milliseconds,
+        member: Member,
+        reported_start: Option<Milliseconds>,
+    ) -> Member {
+        let local = self.start_times.local(&member.engine, reported_start);
         let started = self.operator_override.started(&member.engine.0, local);
         Member { started: started.map(|at| at.min(now)), ..member }
     }
@@ -290,6 +316,6 @@
     /// The address of an engine, if it takes new work.
     pub(super) fn live_address(&self, engine: &EngineId) -> Option<SocketAddr> {
         let endpoint = self.engines.get(engine)?;
-        (endpoint.member.availability == Availability::Live).then_some(endpoint.address)
+        is_live(endpoint).then_some(endpoint.address)
     }
 }
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -12,12 +12,17 @@
 /// Input of the reducer.
 #[derive(Debug)]
 pub enum Event {
-    /// The name service's whole list, with its version.
-    EndpointList(u64, Vec<Endpoint>),
-    /// The name service's present address has spoken: the list that follows replaces what a former address has said since
-    /// the move, though its version may be lower.
+    /// The name service's complete list.
+    EndpointList {
+        /// Rises with each change of the list.
+        version: u64,
+        /// All members.
+        endpoints: Vec<Endpoint>,
+    },
+    /// The present address of the name service has answered: the list that follows replaces those that a previous address
+    /// has sent since the change of address, though its version may be lower.
     PreviousAddressSuperseded,
-    /// Until when the list may be relied on.
+    /// The lease on the list of engines is renewed until this time.
     EndpointListLease(Milliseconds),
     /// A front received a request.
     RequestReceived(ClientRequest),
@@ -31,7 +36,7 @@
     AttemptEnded(AttemptId, AttemptEnd),
     /// An engine sent a progress update of an attempt.
     ProgressUpdate(AttemptId, ProgressUpdate),
-    /// A probe ended: its number, whether it succeeded, the engine's load.
+    /// A health check ended: its number, whether it succeeded, the engine's load.
     HealthChecked(u64, bool, Option<LoadReport>),
     /// The time of a timer has come.
     TimersDue,
@@ -51,7 +56,7 @@
     SuccessorListens,
     /// The operator override: engines that operators have excluded.
     OperatorOverrides(OperatorOverrides),
-    /// What an earlier process of this gateway heard of the name service.
+    /// What an earlier process of this gateway knew of the membership.
     InheritedMembership(InheritedMembership),
     /// Another process of this gateway sent requests with these keys.
     PeerKeys(Vec<(Key, KeySends)>),
@@ -93,12 +98,33 @@
 pub enum Effect {
     /// Transmit an attempt.
     Send(Send),
-    /// Abort an attempt. The outcome gives the reason: a timeout, a cancellation or a reset.
-    AbortAttempt(AttemptId, EngineId, Outcome),
+    /// Abort an attempt.
+    AbortAttempt {
+        /// The attempt.
+        attempt: AttemptId,
+        /// Its engine.
+        engine: EngineId,
+        /// The reason: a timeout, a cancellation or a reset.
+        outcome: Outcome,
+    },
     /// Change the priority of an attempt in flight.
-    SetPriority(AttemptId, EngineId, u8),
-    /// Probe an engine under this number.
-    CheckHealth(u64, EngineId, SocketAddr),
+    SetPriority {
+        /// The attempt.
+        attempt: AttemptId,
+        /// Its engine.
+        engine: EngineId,
+        /// The new priority, 0 to 3.
+        priority: u8,
+    },
+    /// Check the health of an engine.
+    CheckHealth {
+        /// The number that [`Event::HealthChecked`] repeats.
+        number: u64,
+        /// The engine.
+        engine: EngineId,
+        /// Where it listens.
+        address: SocketAddr,
+    },
     /// Drop what is queued for an engine that drains or was removed.
     DropQueued(EngineId),
     /// Stream the first part of an answer to the client.
@@ -107,14 +133,40 @@
     ResponseChunk(RequestId, Vec<u8>),
     /// Send the final answer.
     Answer(RequestId, Answer),
-    /// Log why a request was rejected, and how long it had waited.
-    LogRejection(RequestId, ClassId, &'static str, Milliseconds),
-    /// Log that an attempt was asked for which the rules do not allow. It was not sent.
-    LogViolation(AttemptId, SendRefusal),
-    /// Write a record of a keyed send; [`Event::RecordsDurable`] reports its number.
-    WriteRecord(u64, Key, KeySend),
-    /// Write a mark that the log is complete: the time, and until when no keyed request may be transmitted.
-    WriteMark(Milliseconds, Milliseconds),
+    /// Log why a request was rejected.
+    LogRejection {
+        /// The request.
+        request: RequestId,
+        /// Its class.
+        class: ClassId,
+        /// Why it was rejected.
+        reason: &'static str,
+        /// How long it had waited.
+        waited: Milliseconds,
+    },
+    /// Log that the decision module requested an attempt that the rules do not allow. It was not sent.
+    LogViolation {
+        /// The attempt.
+        attempt: AttemptId,
+        /// The rule that it breaks.
+        refusal: SendRefusal,
+    },
+    /// Write a record of a keyed send.
+    WriteRecord {
+        /// The number that [`Event::RecordsDurable`] or [`Event::RecordsFailed`] reports.
+        number: u64,
+        /// The idempotency key.
+        key: Key,
+        /// The send.
+        sent: KeySend,
+    },
+    /// Write a mark that the log is complete.
+    WriteMark {
+        /// The time as of which it is complete.
+        at: Milliseconds,
+        /// No keyed request may be transmitted until then.
+        no_sends_until: Milliseconds,
+    },
     /// Rewrite the log.
     RewriteLog(Rewrite),
     /// Log whether the list of engines may be relied on from now on.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -8,16 +8,18 @@
 //! - `membership`: the engines in use;
 //! - `requests`: admission, rejection, the one final answer;
 //! - `decisions`: decision cycles, and the actions that come out of them;
-//! - `attempts`, `records`, `probes`: what is sent to engines, and what they answer;
+//! - `request_state`: a request and its attempts, as the parts share them;
+//! - `attempts`, `records`, `health_checks`: what is sent to engines, and what they answer;
 //! - `timers`: the timer queue;
 //! - `shutdown`: the last answers, and the exit.
 
 mod attempts;
 mod decisions;
+mod health_checks;
 mod membership;
 mod messages;
-mod probes;
 mod records;
+mod request_state;
 mod requests;
 mod shutdown;
 mod timers;
@@ -26,9 +28,9 @@
 use crate::decide::Balancer;
 use crate::interface::{EngineId, Event as DecisionEvent, Milliseconds, RequestId, Settings, SettingsError};
 use crate::limits::Limits;
-use membership::FormerAddress;
-use probes::Probe;
-use requests::Request;
+use health_checks::HealthCheck;
+use membership::PreviousAddress;
+use request_state::Request;
 use starlingplank_admin::inherited_membership::{InheritedMembership, RemovedEndpoints};
 use starlingplank_admin::operator_overrides::OperatorOverrides;
 use starlingplank_decision::learned::Learned;
@@ -43,6 +45,7 @@
 use std::rc::Rc;
 use timers::Timer;
 
+pub use membership::ServiceMembership;
 pub use messages::{Effect, Event, Send};
 pub use types::{
     Answer, AttemptEnd, AttemptId, ClientRequest, Counts, Endpoint, EngineError, FlowControl, ResultRows,
@@ -55,7 +58,7 @@
     settings: Settings,
     limits: Limits,
     /// The version of the membership.
-    serial: Option<u64>,
+    membership_version: Option<u64>,
     /// The membership as the name service last sent it.
     service_members: Vec<Endpoint>,
     /// When members started, by this gateway's clock.
@@ -63,40 +66,40 @@
     /// Engines that were members before and are not any more.
     removed_engines: RemovedEndpoints,
     /// When the name service last answered this process.
-    service_heard_at: Option<Milliseconds>,
+    service_confirmed_at: Option<Milliseconds>,
     /// Set while no membership is known: requests are rejected, each with another time to retry.
     membership_wait: Option<RetryAfter>,
-    /// Until when the list of engines may be relied on.
+    /// Until when the list of engines may be relied on. Shared with the permits of all attempts.
     list_lease: ListLease,
-    /// It may not be relied on now: no engine gets new work.
+    /// The lease has expired: no engine gets new work.
     list_expired: bool,
     /// Whether a timer is set for the end of the lease.
     list_timer_set: bool,
-    /// What former addresses of the name service have said, since the service moved; it holds until the present address
-    /// has said as much.
-    former_address: Option<FormerAddress>,
-    /// What an earlier process heard of the name service; it holds until the service answers this one.
+    /// Drains and removals learned from previous addresses of the name service. They hold until the present address sends a
+    /// list as new.
+    previous_address: Option<PreviousAddress>,
+    /// What an earlier process knew of the membership; it holds until the name service answers this one.
     inherited_membership: Option<InheritedMembership>,
     /// Engines that operators have excluded.
     operator_override: OperatorOverrides,
-    /// The three merged: the engines in use.
+    /// The engines in use: the name service's list with the above applied.
     engines: BTreeMap<EngineId, Endpoint>,
     requests: BTreeMap<RequestId, Request>,
     /// The deduplication window: sends by idempotency key.
     deduplication: DeduplicationWindow,
     /// Records of keyed sends that are being written, by number.
     pending_records: BTreeMap<u64, AttemptId>,
-    /// What an earlier incarnation learned, until the membership has named its engines.
+    /// What an earlier incarnation learned, until the membership has listed its engines.
     restored_state: Option<RestoredState>,
-    /// Probes without an answer, by number.
-    probes: BTreeMap<u64, Probe>,
-    /// Spreads the first probes of a fleet that starts all at once.
+    /// Health checks without an answer, by number.
+    health_checks: BTreeMap<u64, HealthCheck>,
+    /// Spreads the initial health checks of a fleet that starts all at once.
     initial_health_checks: InitialHealthChecks<EngineId>,
     timers: BinaryHeap<Timer>,
-    /// The last number given to a timer, a probe or a record.
+    /// The last number given to a timer, a health check or a record.
     last_number: u64,
     /// Bytes of the statements of all requests.
-    held_bytes: usize,
+    buffered_bytes: usize,
     /// Requests without a final answer.
     open_requests: usize,
     /// What the rules refused.
@@ -138,17 +141,17 @@
             ),
             settings,
             limits,
-            serial: None,
+            membership_version: None,
             service_members: Vec::new(),
             start_times: StartTimes::default(),
             rules: Rc::default(),
             removed_engines: RemovedEndpoints::default(),
-            service_heard_at: None,
+            service_confirmed_at: None,
             membership_wait: None,
             list_lease: ListLease::default(),
             list_expired: false,
             list_timer_set: false,
-            former_address: None,
+            previous_address: None,
             inherited_membership: None,
             operator_override: OperatorOverrides::default(),
             engines: BTreeMap::new(),
@@ -156,10 +159,10 @@
             deduplication: DeduplicationWindow::off(),
             pending_records: BTreeMap::new(),
             restored_state: None,
-            probes: BTreeMap::new(),
+            health_checks: BTreeMap::new(),
             timers: BinaryHeap::new(),
             last_number: 0,
-            held_bytes: 0,
+            buffered_bytes: 0,
             open_requests: 0,
             pending_events: Vec::new(),
             next_decision_at: now,
@@ -177,7 +180,7 @@
         (self.deduplication, self.restored_state) = (deduplication, restored_state);
     }
 
-    /// Has what the rules refuse counted there. To be called before the first event.
+    /// Counts refusals of the rules in these counters. To be called before the first event.
     pub fn count_refusals_in(&mut self, rules: Rc<RuleCounters>) {
         self.rules = rules;
     }
@@ -188,7 +191,7 @@
     }
 
     /// Sets what an earlier incarnation learned, unless that is set already.
-    pub fn remember(&mut self, restored_state: RestoredState) {
+    pub fn set_restored_state(&mut self, restored_state: RestoredState) {
         self.restored_state.get_or_insert(restored_state);
     }
 
@@ -200,28 +203,30 @@
     /// Handles one event.
     pub fn handle(&mut self, now: Milliseconds, event: Event, effects: &mut Vec<Effect>) {
         match event {
-            Event::EndpointList(serial, list) => self.update_membership(now, serial, list, effects),
-            Event::PreviousAddressSuperseded => self.supersede_former_address(now),
+            Event::EndpointList { version, endpoints } => {
+                self.update_membership(now, version, endpoints, effects)
+            }
+            Event::PreviousAddressSuperseded => self.supersede_previous_address(now),
             Event::EndpointListLease(until) => self.renew_list_lease(now, until, effects),
-            Event::OperatorOverrides(hand) => self.override_membership(now, hand, effects),
-            Event::InheritedMembership(heard) => self.inherit_membership(now, heard, effects),
-            Event::ProcessCount(n) => self.pending_events.push(DecisionEvent::ProcessCount(n as u32)),
+            Event::OperatorOverrides(overrides) => self.override_membership(now, overrides, effects),
+            Event::InheritedMembership(inherited) => self.inherit_membership(now, inherited, effects),
+            Event::ProcessCount(count) => self.pending_events.push(DecisionEvent::ProcessCount(count as u32)),
             Event::RequestReceived(request) => self.receive(now, request, effects),
             Event::ClientDisconnected(id) => self.client_disconnected(now, id, effects),
             Event::ResponseStarted(id, rows) => self.start_streaming(now, id, rows, effects),
-            Event::ResponseChunk(id, part) => self.forward_part(id, part, effects),
+            Event::ResponseChunk(id, chunk) => self.forward_chunk(id, chunk, effects),
             Event::AttemptEnded(id, end) => self.end_attempt(now, id, end, effects),
-            Event::ProgressUpdate(id, note) => self.progress_update(id, note),
+            Event::ProgressUpdate(id, update) => self.progress_update(id, update),
             Event::RecordsDurable(numbers) => self.records_durable(now, numbers, effects),
             Event::RecordsFailed(numbers) => self.records_failed(now, numbers, effects),
-            Event::LogRewritten(keys) => self.log_begun(now, &keys, effects),
+            Event::LogRewritten(keys) => self.log_rewritten(now, &keys, effects),
             Event::MaintenanceTick => self.maintain_log(now, effects),
-            Event::PeerKeys(keys) => self.hear_keys(now, keys),
-            Event::HealthChecked(tag, ok, report) => self.probed(now, tag, ok, report),
+            Event::PeerKeys(keys) => self.add_peer_keys(now, keys),
+            Event::HealthChecked(number, ok, report) => self.end_health_check(now, number, ok, report),
             Event::TimersDue => self.fire_due_timers(now, effects),
             Event::RunDecisionCycle => self.decision_cycle(now, effects),
             Event::Terminate => self.terminate(now),
-            Event::SuccessorListens => self.hand_over(),
+            Event::SuccessorListens => self.extend_shutdown(),
         }
         self.exit_when_done(now, effects);
     }
--- a/src/core/records.rs
+++ b/src/core/records.rs
@@ -1,16 +1,17 @@
 //! Records of keyed sends, and maintenance of the log that holds them.
 
-use super::requests::RequestKey;
+use super::request_state::{Attempt, PendingRecord, RequestKey};
 use super::timers::Due;
 use super::{AttemptEnd, AttemptId, Core, Effect};
 use crate::interface::{Milliseconds, Outcome};
-use starlingplank_persistence::deduplication_window::{DeduplicationWindow, Key, KeySend, KeySends};
+use starlingplank_persistence::deduplication_window::{DeduplicationWindow, Key, KeySends};
 
-/// A record that is being written.
-pub(super) struct PendingRecord {
-    pub(super) sent: KeySend,
-    /// The deadline of the attempt that waits for it.
-    pub(super) deadline: Milliseconds,
+/// How the writing of a record ended.
+#[derive(Debug, Clone, Copy, PartialEq)]
+enum RecordOutcome {
+    Durable,
+    /// It may not be durable.
+    Failed,
 }
 
 impl Core {
@@ -20,7 +21,7 @@
     }
 
     /// Takes over the log of a process that has ended.
-    pub fn take_log(
+    pub fn adopt_log(
         &mut self,
         required: bool,
         trusted: Option<(Vec<(Key, KeySends)>, Milliseconds)>,
@@ -37,17 +38,17 @@
         record: PendingRecord,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(r) = self.requests.get_mut(&id.0) else { return };
-        let Some(RequestKey { key, .. }) = r.key else { return };
+        let Some(request) = self.requests.get_mut(&id.request) else { return };
+        let Some(RequestKey { key, .. }) = request.key else { return };
         self.last_number += 1;
         let number = self.last_number;
         let sent = record.sent;
-        if let Some(a) = r.attempts.get_mut(id.1 as usize) {
-            a.record = Some(record);
+        if let Some(attempt) = request.attempt_mut(id.number) {
+            attempt.pending_record = Some(record);
         }
         self.pending_records.insert(number, id);
         self.set_timer(now + self.limits.record_timeout, Due::RecordTimeout(number));
-        effects.push(Effect::WriteRecord(number, key, sent));
+        effects.push(Effect::WriteRecord { number, key, sent });
     }
 
     /// Transmits the attempts whose records are durable.
@@ -58,7 +59,7 @@
         effects: &mut Vec<Effect>,
     ) {
         for number in numbers {
-            self.recorded(now, number, true, effects);
+            self.end_record(now, number, RecordOutcome::Durable, effects);
         }
     }
 
@@ -66,7 +67,7 @@
     pub(super) fn records_failed(&mut self, now: Milliseconds, numbers: Vec<u64>, effects: &mut Vec<Effect>) {
         self.deduplication.failed();
         for number in numbers {
-            self.recorded(now, number, false, effects);
+            self.end_record(now, number, RecordOutcome::Failed, effects);
         }
     }
 
@@ -78,17 +79,23 @@
     }
 
     /// Ends the wait for a record. It changes nothing for an attempt that was aborted meanwhile.
-    fn recorded(&mut self, now: Milliseconds, number: u64, durable: bool, effects: &mut Vec<Effect>) {
+    fn end_record(
+        &mut self,
+        now: Milliseconds,
+        number: u64,
+        outcome: RecordOutcome,
+        effects: &mut Vec<Effect>,
+    ) {
         let Some(id) = self.pending_records.remove(&number) else { return };
-        let Some(r) = self.requests.get_mut(&id.0) else { return };
-        let Some(RequestKey { key, .. }) = r.key else { return };
-        let Some(a) = r.attempts.get_mut(id.1 as usize) else { return };
-        let Some(PendingRecord { sent, deadline }) = a.record.take() else { return };
-        let in_time = durable && self.deduplication.recorded(&key, sent, now);
-        if !a.in_flight {
+        let Some(request) = self.requests.get_mut(&id.request) else { return };
+        let Some(RequestKey { key, .. }) = request.key else { return };
+        let Some(attempt) = request.attempt_mut(id.number) else { return };
+        let Some(PendingRecord { sent, deadline }) = attempt.pending_record.take() else { return };
+        let is_recorded = outcome == RecordOutcome::Durable && self.deduplication.recorded(&key, sent, now);
+        if !self.find_attempt(id).is_some_and(Attempt::is_in_flight) {
             return;
         }
-        if in_time {
+        if is_recorded {
             self.transmit(now, id, deadline, effects);
         } else {
             self.end_attempt(now, id, AttemptEnd::plain(Outcome::NotExecuted), effects);
@@ -96,7 +103,7 @@
     }
 
     /// The log was rewritten with these keys.
-    pub(super) fn log_begun(
+    pub(super) fn log_rewritten(
         &mut self,
         now: Milliseconds,
         keys: &[(Key, KeySends)],
@@ -108,7 +115,7 @@
     }
 
     /// Another process of this gateway sent requests with these keys.
-    pub(super) fn hear_keys(&mut self, now: Milliseconds, keys: Vec<(Key, KeySends)>) {
+    pub(super) fn add_peer_keys(&mut self, now: Milliseconds, keys: Vec<(Key, KeySends)>) {
         for (key, sends) in keys {
             self.deduplication.hear(key, sends, now);
         }
@@ -123,7 +130,8 @@
     }
 
     fn mark_log(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
-        effects
-            .extend(self.deduplication.mark(now).map(|(at, shut_until)| Effect::WriteMark(at, shut_until)));
+        if let Some((at, no_sends_until)) = self.deduplication.mark(now) {
+            effects.push(Effect::WriteMark { at, no_sends_until });
+        }
     }
 }
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -1,38 +1,12 @@
 //! Requests from their arrival to their one final answer: admission, rejection, client disconnects, removal.
 
-use super::attempts::Attempt;
+use super::request_state::{Attempt, Request, RequestKey, ResponsePhase, Terms};
 use super::timers::Due;
-use super::{Answer, ClientRequest, Core, Effect, EngineError, Statement};
+use super::{Answer, ClientRequest, Core, Effect};
 use crate::interface::{
     ClassId, Event as DecisionEvent, Idempotency, Milliseconds, Outcome, RequestDetails, RequestId,
 };
-use starlingplank_persistence::deduplication_window::{self, Admission, Key};
-use std::rc::Rc;
-
-/// The priority of a request until the decision module sets another.
-const DEFAULT_PRIORITY: u8 = 1;
-
-/// An idempotency key, and how long engines remember it.
-#[derive(Clone, Copy)]
-pub(super) struct RequestKey {
-    pub(super) key: Key,
-    pub(super) window: Milliseconds,
-}
-
-/// What an engine grants the attempts of a request.
-#[derive(Clone, Copy)]
-pub(super) struct Terms {
-    /// 0 leaves it to the engine.
-    pub(super) memory_mb: f64,
-    /// 0 to 3.
-    pub(super) priority: u8,
-}
-
-impl Default for Terms {
-    fn default() -> Self {
-        Self { memory_mb: 0.0, priority: DEFAULT_PRIORITY }
-    }
-}
+use starlingplank_persistence::deduplication_window::{self, Admission};
 
 /// The result of admission.
 struct Admitted {
@@ -47,35 +21,20 @@
     retry_after: Milliseconds,
 }
 
-/// A request that is open, or that is closed and has attempts in flight.
-pub(super) struct Request {
-    pub(super) statement: Rc<Statement>,
-    pub(super) class: ClassId,
-    pub(super) received_at: Milliseconds,
-    pub(super) key: Option<RequestKey>,
-    pub(super) deadline: Milliseconds,
-    /// A keyed statement is not transmitted later than this, as an engine that saw its key before forgets it then.
-    pub(super) send_by: Milliseconds,
-    pub(super) attempts: Vec<Attempt>,
-    /// The first part of its answer was sent to the client.
-    pub(super) streaming: bool,
-    /// It is answered, or its client disconnected.
-    pub(super) closed: bool,
-    pub(super) terms: Terms,
-    /// The engine's error of its last attempt.
-    pub(super) last_error: Option<EngineError>,
-}
-
 impl Core {
-    /// The number of open requests.
-    pub fn open(&self) -> usize {
-        self.open_requests
+    /// Whether a request still waits for its final answer.
+    pub(super) fn is_open(&self, id: RequestId) -> bool {
+        self.requests.get(&id).is_some_and(|request| !request.is_closed())
+    }
+
+    fn open_request(&mut self, id: RequestId) -> Option<&mut Request> {
+        self.requests.get_mut(&id).filter(|request| !request.is_closed())
     }
 
     /// Accepts or rejects a request.
     pub(super) fn receive(&mut self, now: Milliseconds, request: ClientRequest, effects: &mut Vec<Effect>) {
         let (id, class) = (request.details.id, request.details.class);
-        self.counts[class.0].taken += 1;
+        self.counts[class.0].received += 1;
         match self.admit(now, &request) {
             Ok(admitted) => self.accept(now, request, admitted),
             Err(rejection) => self.reject(id, class, rejection, effects),
@@ -91,8 +50,8 @@
 
     /// Bounds memory: past these limits a request is rejected without a decision.
     fn check_capacity(&self, request: &ClientRequest) -> Result<(), Rejection> {
-        let crowded = self.open_requests >= self.limits.max_open_requests;
-        if crowded || self.held_bytes + request.statement.bytes() > self.limits.max_buffered_bytes {
+        let is_full = self.open_requests >= self.limits.max_open_requests;
+        if is_full || self.buffered_bytes + request.statement.bytes() > self.limits.max_buffered_bytes {
             return Err(self.rejection("limits"));
         }
         Ok(())
@@ -121,9 +80,11 @@
         now: Milliseconds,
         request: &ClientRequest,
     ) -> Result<Admitted, Rejection> {
-        let text = request.statement.key.as_ref().zip(self.window(request.details.class));
-        let Some((text, window)) = text else { return Ok(Admitted { key: None, send_by: f64::INFINITY }) };
-        let key = RequestKey { key: deduplication_window::key(text), window };
+        let keyed = request.statement.key.as_ref().zip(self.deduplication_time(request.details.class));
+        let Some((key_text, window)) = keyed else {
+            return Ok(Admitted { key: None, send_by: f64::INFINITY });
+        };
+        let key = RequestKey { key: deduplication_window::key(key_text), window };
         match self.deduplication.admit(&key.key, window, now, self.limits.answer_margin) {
             Admission::Until(send_by) => Ok(Admitted { key: Some(key), send_by }),
             Admission::Later(wait) => {
@@ -140,7 +101,7 @@
         let ClientRequest { details, statement } = request;
         let RequestDetails { id, class, deadline, .. } = details;
         self.open_requests += 1;
-        self.held_bytes += statement.bytes();
+        self.buffered_bytes += statement.bytes();
         let request = Request {
             statement,
             class,
@@ -149,10 +110,9 @@
             deadline,
             send_by: admitted.send_by,
             attempts: Vec::new(),
-            streaming: false,
-            closed: false,
             terms: Terms::default(),
             last_error: None,
+            phase: ResponsePhase::Pending,
         };
         self.requests.insert(id, request);
         self.set_timer(deadline - self.limits.answer_margin / 2.0, Due::RequestDeadline(id));
@@ -166,8 +126,8 @@
     /// Rejects a request that was not accepted.
     fn reject(&mut self, id: RequestId, class: ClassId, rejection: Rejection, effects: &mut Vec<Effect>) {
         let Rejection { reason, retry_after } = rejection;
-        *self.counts[class.0].refusals.entry(reason).or_default() += 1;
-        effects.push(Effect::LogRejection(id, class, reason, 0.0));
+        *self.counts[class.0].rejections.entry(reason).or_default() += 1;
+        effects.push(Effect::LogRejection { request: id, class, reason, waited: 0.0 });
         effects.push(Effect::Answer(id, Answer::Rejected(retry_after)));
     }
 
@@ -176,29 +136,30 @@
         &mut self,
         now: Milliseconds,
         id: RequestId,
-        wait: Milliseconds,
-        why: &'static str,
+        retry_after: Milliseconds,
+        reason: &'static str,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(r) = self.requests.get(&id).filter(|r| !r.closed) else { return };
-        let (class, waited, streaming) = (r.class, now - r.received_at, r.streaming);
+        let Some(request) = self.requests.get(&id).filter(|request| !request.is_closed()) else { return };
+        let (class, waited) = (request.class, now - request.received_at);
+        let has_streamed = request.has_streamed();
         self.abort_attempts(now, id, Outcome::Cancelled, effects);
-        if !streaming && self.requests.get(&id).is_some_and(|r| !r.closed) {
-            *self.counts[class.0].refusals.entry(why).or_default() += 1;
-            effects.push(Effect::LogRejection(id, class, why, waited));
+        if !has_streamed && self.is_open(id) {
+            *self.counts[class.0].rejections.entry(reason).or_default() += 1;
+            effects.push(Effect::LogRejection { request: id, class, reason, waited });
         }
-        self.answer(id, Answer::Rejected(wait), effects);
+        self.answer(id, Answer::Rejected(retry_after), effects);
     }
 
     /// Fails a request with the engine's last error.
     pub(super) fn fail(&mut self, now: Milliseconds, id: RequestId, effects: &mut Vec<Effect>) {
-        let error = self.requests.get_mut(&id).and_then(|r| r.last_error.take());
+        let error = self.requests.get_mut(&id).and_then(|request| request.last_error.take());
         self.abort_attempts(now, id, Outcome::Cancelled, effects);
         self.answer(id, Answer::Failed(error), effects);
     }
 
     /// How long engines remember the keys of a class; none for classes without keys.
-    fn window(&self, class: ClassId) -> Option<Milliseconds> {
+    fn deduplication_time(&self, class: ClassId) -> Option<Milliseconds> {
         match self.settings.classes[class.0].idempotency {
             Idempotency::Keyed { window, .. } => Some(window),
             _ => None,
@@ -207,7 +168,8 @@
 
     /// Answers a request whose deadline is close. The decision module answers earlier; this holds whatever it does.
     pub(super) fn deadline_passed(&mut self, now: Milliseconds, id: RequestId, effects: &mut Vec<Effect>) {
-        if self.requests.get(&id).is_some_and(|r| !r.closed && !r.streaming) {
+        let request = self.requests.get(&id);
+        if request.is_some_and(|request| request.phase == ResponsePhase::Pending) {
             self.abort_attempts(now, id, Outcome::Timeout, effects);
             self.answer(id, Answer::Expired, effects);
             self.pending_events.push(DecisionEvent::ClientDisconnected(id));
@@ -221,10 +183,11 @@
         id: RequestId,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.closed) else { return };
-        r.closed = true;
+        let Some(request) = self.open_request(id) else { return };
+        let class = request.class;
+        request.close();
         self.open_requests -= 1;
-        self.counts[r.class.0].left += 1;
+        self.counts[class.0].disconnected += 1;
         self.pending_events.push(DecisionEvent::ClientDisconnected(id));
         self.abort_attempts(now, id, Outcome::Cancelled, effects);
         self.remove_if_done(id);
@@ -232,20 +195,21 @@
 
     /// Removes a request that is closed and has no attempt in flight.
     pub(super) fn remove_if_done(&mut self, id: RequestId) {
-        let Some(r) = self.requests.get(&id).filter(|r| r.closed && r.attempts.iter().all(|a| !a.in_flight))
-        else {
+        let Some(request) = self.requests.get(&id) else { return };
+        if !request.is_closed() || request.attempts.iter().any(Attempt::is_in_flight) {
             return;
-        };
-        self.held_bytes -= r.statement.bytes();
+        }
+        self.buffered_bytes -= request.statement.bytes();
         self.requests.remove(&id);
     }
 
     /// Sends the final answer. Every final answer to an accepted request is sent from here.
     pub(super) fn answer(&mut self, id: RequestId, answer: Answer, effects: &mut Vec<Effect>) {
-        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.closed) else { return };
-        r.closed = true;
+        let Some(request) = self.open_request(id) else { return };
+        let has_streamed = request.has_streamed();
+        request.close();
         self.open_requests -= 1;
-        let answer = if r.streaming && !matches!(answer, Answer::Finished) { Answer::Cut } else { answer };
+        let answer = if has_streamed && !matches!(answer, Answer::Finished) { Answer::Cut } else { answer };
         effects.push(Effect::Answer(id, answer));
         self.remove_if_done(id);
     }
--- a/src/core/shutdown.rs
+++ b/src/core/shutdown.rs
@@ -1,6 +1,6 @@
 //! Shutdown: open requests are answered in time, then the program exits.
 
-use super::requests::Request;
+use super::request_state::{Attempt, Request};
 use super::timers::Due;
 use super::{Answer, Core, Effect};
 use crate::interface::{Event as DecisionEvent, Milliseconds, Outcome};
@@ -23,7 +23,7 @@
     }
 
     /// Extends the time for answers, as another process takes over.
-    pub(super) fn hand_over(&mut self) {
+    pub(super) fn extend_shutdown(&mut self) {
         if let Some(since) = self.terminating_since {
             self.set_answer_by(since + self.limits.hot_restart_answer_deadline);
         }
@@ -43,10 +43,11 @@
 
     /// Answers all open requests before the process is killed.
     fn answer_all(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
-        let open: Vec<_> = self.requests.iter().filter(|(_, r)| !r.closed).map(|(id, _)| *id).collect();
+        let open = self.requests.iter().filter(|(_, request)| !request.is_closed());
+        let open: Vec<_> = open.map(|(id, _)| *id).collect();
         for id in open {
-            let Some(r) = self.requests.get(&id) else { continue };
-            if self.may_be_repeated(r) {
+            let Some(request) = self.requests.get(&id) else { continue };
+            if self.may_be_repeated(request) {
                 self.shed(now, id, self.settings.max_retry_after, "ending", effects);
             } else {
                 self.abort_attempts(now, id, Outcome::Cancelled, effects);
@@ -58,14 +59,14 @@
 
     /// Whether the client can send the request again without harm.
     fn may_be_repeated(&self, request: &Request) -> bool {
-        let may_have_run = request.attempts.iter().any(|a| a.may_have_run());
+        let may_have_run = request.attempts.iter().any(Attempt::may_have_run);
         may_refuse(self.settings.classes[request.class.0].idempotency, may_have_run)
     }
 
     /// Exits once the termination window is over and no request is open.
     pub(super) fn exit_when_done(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
-        let window = |from: Milliseconds| now >= from + self.limits.shutdown_accept_window;
-        if self.open_requests == 0 && self.terminating_since.is_some_and(window) {
+        let Some(since) = self.terminating_since else { return };
+        if self.open_requests == 0 && now >= since + self.limits.shutdown_accept_window {
             effects.push(Effect::Exit);
         }
     }
--- a/src/core/timers.rs
+++ b/src/core/timers.rs
@@ -12,8 +12,8 @@
     AttemptTimeout(AttemptId),
     /// Just before the deadline of a request.
     RequestDeadline(RequestId),
-    /// The deadline of a probe.
-    ProbeTimeout(u64),
+    /// The deadline of a health check, by its number.
+    HealthCheckTimeout(u64),
     /// The grace period of an engine that was removed from the membership.
     EngineRemoved(EngineId),
     /// The earliest exit after a shutdown was requested.
@@ -22,15 +22,15 @@
     DecisionCycle,
     /// The time by which every open request is answered for the shutdown.
     AnswerDeadline,
-    /// The deadline of a record of a keyed send.
+    /// The deadline of a record of a keyed send, by its number.
     RecordTimeout(u64),
-    /// The end of what an earlier process heard of the name service.
+    /// The expiry of the membership inherited from an earlier process.
     InheritedMembership,
-    /// The end of the time for which the list of engines may be relied on.
+    /// The end of the lease on the list of engines.
     ListLease,
-    /// What former addresses of the name service have said no longer binds.
-    FormerAddress,
-    /// The time of the first probes.
+    /// The expiry of the drains and removals learned from previous addresses of the name service.
+    PreviousAddress,
+    /// The time of the initial health checks.
     InitialHealthChecks,
 }
 
@@ -90,7 +90,7 @@
             Due::DecisionTimer(token) => self.pending_events.push(DecisionEvent::Timer(token)),
             Due::AttemptTimeout(id) => self.attempt_timed_out(now, id, effects),
             Due::RequestDeadline(id) => self.deadline_passed(now, id, effects),
-            Due::ProbeTimeout(tag) => self.probed(now, tag, false, None),
+            Due::HealthCheckTimeout(number) => self.end_health_check(now, number, false, None),
             Due::EngineRemoved(engine) => self.engine_removed(now, &engine, effects),
             // `exit_when_done` runs after every event.
             Due::TerminationWindow => {}
@@ -100,8 +100,8 @@
             Due::RecordTimeout(number) => self.record_timed_out(now, number, effects),
             Due::InheritedMembership => self.inherited_membership_expired(now, effects),
             Due::ListLease => self.list_lease_due(now, effects),
-            Due::FormerAddress => self.former_address_expired(now, effects),
-            Due::InitialHealthChecks => self.send_first_probes(now, effects),
+            Due::PreviousAddress => self.previous_address_expired(now, effects),
+            Due::InitialHealthChecks => self.send_initial_health_checks(now, effects),
         }
     }
 }
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -17,8 +17,8 @@
     pub address: SocketAddr,
 }
 
-/// Flow control of a streamed answer. A front implements it; an engine wire waits for room before it reads on, so that
-/// a slow client slows its own engine and memory stays bounded.
+/// Flow control of a streamed answer. A front implements it; an engine wire waits for it before it reads on, so that a
+/// slow client slows down its own engine and memory stays bounded.
 pub trait FlowControl: Debug {
     /// Waits until at most this many bytes are queued for the client, or the client has disconnected.
     fn room(&self, bytes: usize) -> Pin<Box<dyn Future<Output = ()> + '_>>;
@@ -39,7 +39,7 @@
     pub data: Vec<u8>,
     /// Further parameters and credentials, where the engines' interface has them.
     pub params: Vec<(String, String)>,
-    /// Flow control where the answer can be streamed; without it the answer is sent whole.
+    /// Flow control where the answer can be streamed; without it the answer is sent once it is complete.
     pub flow: Option<Rc<dyn FlowControl>>,
 }
 
@@ -95,8 +95,14 @@
     Expired,
 }
 
-/// Identifies an attempt: its request, and its number within the request.
-pub type AttemptId = (RequestId, u32);
+/// Identifies an attempt.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct AttemptId {
+    /// Its request.
+    pub request: RequestId,
+    /// Its number within the request, from 0.
+    pub number: u32,
+}
 
 /// How an attempt ended, as an engine wire saw it.
 #[derive(Debug)]
@@ -124,11 +130,11 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Counts {
     /// Requests received.
-    pub taken: u64,
+    pub received: u64,
     /// Ended attempts, in the order of [`Outcome`].
     pub outcomes: [u64; 8],
     /// Requests whose clients disconnected or withdrew them.
-    pub left: u64,
+    pub disconnected: u64,
     /// Rejected requests by reason.
-    pub refusals: BTreeMap<&'static str, u64>,
+    pub rejections: BTreeMap<&'static str, u64>,
 }
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -288,7 +288,7 @@
         let Some(frame) = self.frames.borrow_mut().remove(at) else { return };
         self.count(0, frame.len());
         self.shared.rules.count(refusal);
-        if let Some((request, number)) = frame.attempt {
+        if let Some(AttemptId { request, number }) = frame.attempt {
             tracing::debug!("attempt {}.{number} is not written: {}", request.0, refusal.name());
         }
         if refusal.is_violation() {
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -165,7 +165,7 @@
             if verdict.supersedes {
                 self.events.send(Event::PreviousAddressSuperseded).await?;
             }
-            self.events.send(Event::EndpointList(answer.serial, answer.list)).await?;
+            self.events.send(Event::EndpointList { version: answer.serial, endpoints: answer.list }).await?;
         }
         self.report().await
     }
--- a/src/net/engine/clickhouse.rs
+++ b/src/net/engine/clickhouse.rs
@@ -170,7 +170,7 @@
 fn encode_request(send: &Send) -> Vec<Part> {
     let s = &send.statement;
     // A second attempt must not meet the name of the first where that may run still.
-    let name = if send.id.1 == 0 { s.name.clone() } else { format!("{}-{}", s.name, send.id.1) };
+    let name = if send.id.number == 0 { s.name.clone() } else { format!("{}-{}", s.name, send.id.number) };
     let mut target = format!("/?query_id={}", http::encode(&name));
     let _ = write!(target, "&max_execution_time={}", execution_time(send.budget));
     // 0 is no priority at all, 1 the highest.
--- a/src/net/hot_restart.rs
+++ b/src/net/hot_restart.rs
@@ -388,7 +388,7 @@
     /// Writes what was learned for a later process.
     pub fn pass_on(&self, to: u64, name: &str, core: &Core, now: Milliseconds, limits: &Limits) {
         // Before what was learned, which is what the other waits for.
-        if let Some(heard) = core.heard() {
+        if let Some(heard) = core.membership_for_successor() {
             let file = format!("{}-for-{to:016x}", named("heard", self.own));
             let written = heard.encode().map_err(io::Error::other);
             let written = written.and_then(|bytes| disk::replace(&mut Files::new(&self.path), &file, &bytes));
--- a/src/net/persistence.rs
+++ b/src/net/persistence.rs
@@ -356,7 +356,7 @@
                 info!("the other process has ended: {} is this one's", settings.folder.display());
                 if let Some(log) = log {
                     log.say(window(config));
-                    core.take_log(settings.required, log.trusted, now);
+                    core.adopt_log(settings.required, log.trusted, now);
                 }
                 (self.folder, self.waits) = (Some(folder), false);
                 true
@@ -437,7 +437,8 @@
 
     /// Has the list kept as the service last told it. One that does not fit is said again with the next snapshot.
     pub fn list(&self, core: &Core, settings: &Settings) {
-        let (Some(keeper), Some((heard, told, gone))) = (&self.lists, core.service_list()) else { return };
+        let (Some(keeper), Some(membership)) = (&self.lists, core.service_membership()) else { return };
+        let (heard, told, gone) = (membership.confirmed_at, membership.members, membership.removed);
         let engine = |l: &Endpoint| cached_endpoints::Engine {
             id: l.member.engine.0.to_string(),
             address: l.address.to_string(),
--- a/src/net/runtime/calls.rs
+++ b/src/net/runtime/calls.rs
@@ -23,11 +23,11 @@
                 Reply { status: 200, text: self.frontend.shared.figures.text(&names, now) }
             }
             Call::Exclude(id) => {
-                let (listed, now) = (self.core.lists(&id), self.frontend.clock.now());
+                let (listed, now) = (self.core.is_member(&id), self.frontend.clock.now());
                 self.change_exclusion(&id, "out", events, |hand| hand.exclude(&id, listed, now))
             }
             Call::Include(id) => {
-                let (listed, now) = (self.core.lists(&id), self.frontend.clock.now());
+                let (listed, now) = (self.core.is_member(&id), self.frontend.clock.now());
                 self.change_exclusion(&id, "in use", events, |hand| hand.include(&id, listed, now))
             }
         }
--- a/src/net/runtime/cycle.rs
+++ b/src/net/runtime/cycle.rs
@@ -1,7 +1,7 @@
 //! The decision cycle: events go to the reducer, its effects are performed, and the events that arise from them start the
 //! next cycle.
 
-use crate::core::{Effect, Event};
+use crate::core::{AttemptId, Effect, Event};
 use crate::interface::Milliseconds;
 use crate::net::runtime::Runtime;
 
@@ -11,7 +11,7 @@
 impl Runtime {
     /// Hands events to the reducer and performs its effects, until no further events arise from them.
     pub fn run_decision_cycles(&mut self, events: impl IntoIterator<Item = Event>) {
-        let serial = self.core.serial();
+        let serial = self.core.membership_version();
         let mut effects = Vec::new();
         let mut new_events: Vec<Event> = events.into_iter().collect();
         loop {
@@ -24,7 +24,7 @@
             }
         }
         // The next process starts from the list as this one has last received it.
-        if self.core.serial() != serial {
+        if self.core.membership_version() != serial {
             self.log_members();
             self.persistence.list(&self.core, &self.frontend.settings);
         }
@@ -32,7 +32,7 @@
 
     /// Logs the list of engines that is in use from now on.
     fn log_members(&self) {
-        let (version, draining) = (self.core.serial().unwrap_or(0), self.core.draining());
+        let (version, draining) = (self.core.membership_version().unwrap_or(0), self.core.draining());
         let named = draining.iter().take(LOGGED_ENGINES).collect::<Vec<_>>();
         let (engines, drain) = (self.core.engines().0, draining.len());
         tracing::info!("list of engines: version {version}, {engines} engines, {drain} drain {named:?}");
@@ -46,14 +46,14 @@
             self.prepare(now, &event, effects);
             self.core.handle(now, event, effects);
         }
-        self.core.spent(self.frontend.clock.now() - now);
+        self.core.deduct_decision_time(self.frontend.clock.now() - now);
         self.frontend.awaits_list.set(self.core.awaits_list());
     }
 
     /// Does what has to be done before the reducer takes an event.
     fn prepare(&mut self, now: Milliseconds, event: &Event, effects: &mut Vec<Effect>) {
         match event {
-            Event::EndpointList(..) => self.list_received = true,
+            Event::EndpointList { .. } => self.list_received = true,
             Event::RequestReceived(request) if request.statement.key.is_some() => {
                 self.read_peer_keys(now, effects)
             }
@@ -74,11 +74,13 @@
 /// Logs an event in one line at the level `trace`; where that is off, it costs a test of one flag.
 fn trace_event(event: &Event) {
     match event {
-        Event::AttemptEnded((id, n), end) => {
+        Event::AttemptEnded(AttemptId { request: id, number: n }, end) => {
             tracing::trace!("end {}.{n} {:?} work {:?} {:?}", id.0, end.outcome, end.work, end.report);
         }
         Event::HealthChecked(tag, ok, report) => tracing::trace!("probed {tag} {ok} {report:?}"),
-        Event::EndpointList(serial, list) => tracing::trace!("list {serial} of {}", list.len()),
+        Event::EndpointList { version, endpoints } => {
+            tracing::trace!("list {version} of {}", endpoints.len())
+        }
         Event::RequestReceived(request) => {
             tracing::trace!(
                 "taken {} class {} work {:?}",
--- a/src/net/runtime/effects.rs
+++ b/src/net/runtime/effects.rs
@@ -1,6 +1,6 @@
 //! Performs the effects that the reducer asks for.
 
-use crate::core::{Answer, AttemptEnd, Effect, Event, Send};
+use crate::core::{Answer, AttemptEnd, AttemptId, Effect, Event, Send};
 use crate::interface::{Idempotency, Outcome};
 use crate::net::log;
 use crate::net::runtime::Runtime;
@@ -13,29 +13,29 @@
         match effect {
             Effect::Send(send) if self.record_for_peers(&send) => self.engines.send(send, new_events),
             Effect::Send(send) => new_events.push(Event::AttemptEnded(send.id, AttemptEnd::plain(Outcome::NotExecuted))),
-            Effect::AbortAttempt(id, _, outcome) => self.engines.abort_attempt(id, outcome == Outcome::Timeout),
-            Effect::SetPriority(id, _, priority) => self.engines.hurry(id, priority),
-            Effect::CheckHealth(tag, engine, address) => self.engines.probe(tag, &engine, address, new_events),
+            Effect::AbortAttempt { attempt: id, outcome, .. } => self.engines.abort_attempt(id, outcome == Outcome::Timeout),
+            Effect::SetPriority { attempt: id, priority, .. } => self.engines.hurry(id, priority),
+            Effect::CheckHealth { number: tag, engine, address } => self.engines.probe(tag, &engine, address, new_events),
             Effect::DropQueued(engine) => self.engines.shut(&engine, new_events),
             Effect::StartResponse(id, rows) => self.frontend.begin(id, rows),
             Effect::ResponseChunk(id, bytes) => self.frontend.part(id, bytes),
             Effect::Answer(id, answer) => self.frontend.answer(id, answer),
-            Effect::LogRejection(id, class, why, waited) => tracing::debug!(
+            Effect::LogRejection { request: id, class, reason: why, waited } => tracing::debug!(
                 "request {} of {} was refused after {waited:.1} ms: {why}",
                 id.0,
                 self.frontend.settings.classes[class.0].name
             ),
-            Effect::LogViolation((id, n), refusal) => log::seldom_error(
+            Effect::LogViolation { attempt: AttemptId { request: id, number: n }, refusal } => log::seldom_error(
                 "an attempt was asked for against the rules",
                 format_args!("{}.{n}: {}", id.0, refusal.name()),
             ),
-            Effect::WriteRecord(number, key, sent) => {
+            Effect::WriteRecord { number, key, sent } => {
                 if !self.persistence.record(number, key, sent) {
                     new_events.push(Event::RecordsFailed(vec![number]));
                 }
             }
             // A mark that cannot be queued is left out: the log is then trusted for a shorter time.
-            Effect::WriteMark(at, shut_until) => drop(self.persistence.mark((at, shut_until))),
+            Effect::WriteMark { at, no_sends_until } => drop(self.persistence.mark((at, no_sends_until))),
             Effect::RewriteLog(rewrite) => {
                 if !self.persistence.rewrite(rewrite) {
                     new_events.push(Event::RecordsFailed(Vec::new()));
@@ -72,12 +72,25 @@
     match effect {
         Effect::Send(s) => {
             if s.is_retry {
-                tracing::debug!("request {} goes out again, attempt {} to {}", s.id.0 .0, s.id.1, s.engine.0);
+                tracing::debug!(
+                    "request {} goes out again, attempt {} to {}",
+                    s.id.request.0,
+                    s.id.number,
+                    s.engine.0
+                );
             }
-            tracing::trace!("send {}.{} to {} for {:.0} ms", s.id.0 .0, s.id.1, s.engine.0, s.budget)
+            tracing::trace!(
+                "send {}.{} to {} for {:.0} ms",
+                s.id.request.0,
+                s.id.number,
+                s.engine.0,
+                s.budget
+            )
         }
-        Effect::AbortAttempt((id, n), engine, _) => tracing::trace!("give up {}.{n} on {}", id.0, engine.0),
-        Effect::CheckHealth(tag, engine, _) => tracing::trace!("probe {tag} to {}", engine.0),
+        Effect::AbortAttempt { attempt: AttemptId { request: id, number: n }, engine, .. } => {
+            tracing::trace!("give up {}.{n} on {}", id.0, engine.0)
+        }
+        Effect::CheckHealth { number: tag, engine, .. } => tracing::trace!("probe {tag} to {}", engine.0),
         Effect::DropQueued(engine) => tracing::trace!("shut {}", engine.0),
         Effect::Answer(id, answer) => {
             let kind = match answer {
--- a/src/net/runtime/shutdown.rs
+++ b/src/net/runtime/shutdown.rs
@@ -120,15 +120,20 @@
             tracing::info!(
                 "{}: {} taken, {} attempts, ended {:?}, answered {:?}",
                 class.name,
-                counts.taken,
+                counts.received,
                 figure(Count::Sends),
                 counts.outcomes,
-                [figure(Count::Answered), figure(Count::Deferred), figure(Count::Errored), counts.left]
+                [
+                    figure(Count::Answered),
+                    figure(Count::Deferred),
+                    figure(Count::Errored),
+                    counts.disconnected
+                ]
             );
             let waits =
                 BlockReason::ALL.iter().map(|why| (why.name(), waits[*why as usize])).filter(|(_, n)| *n > 0);
             let waits: BTreeMap<_, _> = waits.collect();
-            tracing::info!("{}: refused for {:?}, waited for {waits:?}", class.name, counts.refusals);
+            tracing::info!("{}: refused for {:?}, waited for {waits:?}", class.name, counts.rejections);
         }
     }
 }
--- a/src/net/runtime/startup.rs
+++ b/src/net/runtime/startup.rs
@@ -160,7 +160,7 @@
             ..recovery::DEFAULT
         };
         if let Some(recall) = hot_restart.learned(clock.now(), rules, limits).await {
-            self.core.remember(recall);
+            self.core.set_restored_state(recall);
         }
         // Without a list service the list at the start is the list.
         let heard = hot_restart.heard().filter(|_| config.names.is_some());
@@ -181,7 +181,8 @@
     fn begin(&mut self, mut inherited: Vec<Event>) {
         let observed = self.observe_peers();
         let known = self.initial_list(&mut inherited);
-        let first = [Event::EndpointList(self.config.serial, known), Event::MaintenanceTick];
+        let first =
+            [Event::EndpointList { version: self.config.serial, endpoints: known }, Event::MaintenanceTick];
         self.run_decision_cycles(inherited.into_iter().chain(first).chain(observed));
         if self.config.names.is_some() {
             self.core.await_list(self.frontend.clock.now());
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -39,9 +39,9 @@
         effects
     }
 
-    fn list(&mut self, serial: u64, engines: &[&str]) -> Vec<Effect> {
+    fn list(&mut self, version: u64, engines: &[&str]) -> Vec<Effect> {
         let live = |id: &&str| endpoint(id, Availability::Live);
-        self.step(Event::EndpointList(serial, engines.iter().map(live).collect()))
+        self.step(Event::EndpointList { version, endpoints: engines.iter().map(live).collect() })
     }
 
     fn take(&mut self, id: u64, key: Option<&str>) -> Vec<Effect> {
@@ -90,7 +90,7 @@
     let first = sent(&bed.take(1, None)).expect("sent");
     let effects = bed.step(Event::AttemptEnded(first, AttemptEnd::plain(Outcome::ConnectFailed)));
     let second = sent(&effects).expect("sent again");
-    assert_eq!(second, (first.0, 1));
+    assert_eq!(second, AttemptId { request: first.request, number: 1 });
     assert!(answers(&bed.step(Event::AttemptEnded(first, AttemptEnd::plain(Outcome::Ok)))).is_empty());
     assert_eq!(answers(&bed.step(Event::AttemptEnded(second, AttemptEnd::plain(Outcome::Ok)))).len(), 1);
     assert!(
@@ -109,7 +109,7 @@
     // What ran there can end no more: it is given up soon, not at its deadline.
     bed.now += 300.0;
     let effects = bed.step(Event::TimersDue);
-    assert!(effects.iter().any(|e| matches!(e, Effect::AbortAttempt(id, ..) if *id == first)));
+    assert!(effects.iter().any(|e| matches!(e, Effect::AbortAttempt { attempt, .. } if *attempt == first)));
 }
 
 #[test]
@@ -119,7 +119,7 @@
     let first = sent(&bed.take(1, None)).expect("sent");
     let mut effects = Vec::new();
     bed.core.handle(bed.now, Event::ClientDisconnected(RequestId(1)), &mut effects);
-    assert!(effects.iter().any(|e| matches!(e, Effect::AbortAttempt(id, ..) if *id == first)));
+    assert!(effects.iter().any(|e| matches!(e, Effect::AbortAttempt { attempt, .. } if *attempt == first)));
 }
 
 #[test]
@@ -176,12 +176,12 @@
     bed.core.resume(gate, None);
     bed.list(1, &["a", "b"]);
     assert!(bed.step(Event::MaintenanceTick).iter().any(|e| matches!(e, Effect::RewriteLog(_))));
-    assert!(bed.step(Event::LogRewritten(Vec::new())).iter().any(|e| matches!(e, Effect::WriteMark(..))));
+    assert!(bed.step(Event::LogRewritten(Vec::new())).iter().any(|e| matches!(e, Effect::WriteMark { .. })));
     bed
 }
 
 fn record(effects: &[Effect]) -> Option<u64> {
-    effects.iter().find_map(|e| if let Effect::WriteRecord(n, ..) = e { Some(*n) } else { None })
+    effects.iter().find_map(|e| if let Effect::WriteRecord { number, .. } = e { Some(*number) } else { None })
 }
 
 #[test]
@@ -191,7 +191,10 @@
     let number = record(&effects).expect("a record");
     assert_eq!(sent(&effects), None);
     assert!(sent(&bed.take(2, None)).is_some(), "what has no key waits for no record");
-    assert_eq!(sent(&bed.step(Event::RecordsDurable(vec![number]))), Some((RequestId(1), 0)));
+    assert_eq!(
+        sent(&bed.step(Event::RecordsDurable(vec![number]))),
+        Some(AttemptId { request: RequestId(1), number: 0 })
+    );
     assert_eq!(sent(&bed.step(Event::RecordsDurable(vec![number]))), None, "once");
 }
 
@@ -233,7 +236,7 @@
     // One that stays is sent then.
     bed.list(3, &[]);
     assert_eq!(sent(&bed.take(2, None)), None);
-    assert_eq!(sent(&bed.list(4, &["a"])), Some((RequestId(2), 0)));
+    assert_eq!(sent(&bed.list(4, &["a"])), Some(AttemptId { request: RequestId(2), number: 0 }));
 }
 
 #[test]
@@ -388,7 +391,7 @@
     bed.list(0, &["a", "b"]);
     assert_eq!(live(&bed), (2, 1));
     // It is passed on to the next successor as it came.
-    assert_eq!(bed.core.heard(), Some(InheritedMembership::new(now, ["b".to_owned()])));
+    assert_eq!(bed.core.membership_for_successor(), Some(InheritedMembership::new(now, ["b".to_owned()])));
     if speaks {
         bed.list(1, &["a", "b"]);
     } else {
@@ -396,7 +399,7 @@
         bed.step(Event::TimersDue);
     }
     assert_eq!(live(&bed), (2, 0));
-    assert_eq!(bed.core.heard().is_some(), speaks);
+    assert_eq!(bed.core.membership_for_successor().is_some(), speaks);
 }
 
 /// Nothing is known and the list is awaited: what comes is turned away at once, each to come back at another time,
@@ -426,7 +429,8 @@
     let mut bed =
         Bed::new(Settings { gateways: 300, gateway_index: Some(150), may_check_health: true, ..settings() });
     let begun = bed.now;
-    let probed = |effects: &[Effect]| effects.iter().filter(|e| matches!(e, Effect::CheckHealth(..))).count();
+    let probed =
+        |effects: &[Effect]| effects.iter().filter(|e| matches!(e, Effect::CheckHealth { .. })).count();
     let mut early = probed(&bed.list(1, &["a", "b", "c"]));
     let effects = bed.take(1, None);
     assert!(sent(&effects).is_some(), "a request does not wait for its gateway's place");
@@ -502,16 +506,16 @@
     let drains = |id| endpoint(id, Availability::Draining);
     let live = |id| endpoint(id, Availability::Live);
     bed.list(1, &["a", "b"]);
-    bed.step(Event::EndpointList(9, vec![drains("a"), live("b")]));
+    bed.step(Event::EndpointList { version: 9, endpoints: vec![drains("a"), live("b")] });
     bed.list(9, &["a", "b"]);
     bed.step(Event::PreviousAddressSuperseded);
     bed.list(2, &["a", "b", "c"]);
-    assert_eq!((bed.core.serial(), bed.core.draining()), (Some(2), vec!["a"]));
+    assert_eq!((bed.core.membership_version(), bed.core.draining()), (Some(2), vec!["a"]));
     bed.list(8, &["a", "c"]);
     assert_eq!(bed.core.draining(), ["a"]);
     bed.list(9, &["a", "c"]);
     assert!(bed.core.draining().is_empty());
-    bed.step(Event::EndpointList(10, vec![drains("a"), live("b")]));
+    bed.step(Event::EndpointList { version: 10, endpoints: vec![drains("a"), live("b")] });
     bed.step(Event::PreviousAddressSuperseded);
     bed.list(9, &["a"]);
     assert_eq!(bed.core.draining(), ["a"]);
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -264,7 +264,7 @@
         };
         let statement = Statement { name: ID.into(), class: "lookup".into(), ..Statement::default() };
         let send = Send {
-            id: (RequestId(1), 0),
+            id: starlingplank::core::AttemptId { request: RequestId(1), number: 0 },
             engine,
             address: at,
             class: ClassId(0),
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -353,7 +353,8 @@
         let stream = tokio::net::TcpStream::connect(listener.local_addr().expect("bound")).await.expect("up");
         let (mut engine, _) = listener.accept().await.expect("one");
         let out = Rc::new(WriteQueue::new(SharedState::new(1)));
-        let late = (starlingplank::interface::RequestId(7), 0);
+        let late =
+            starlingplank::core::AttemptId { request: starlingplank::interface::RequestId(7), number: 0 };
         let over = tokio::time::Instant::now();
         out.push(Frame { attempt: Some(late), by: Some(over), ..Frame::plain(b"late".to_vec()) }, &limits);
         out.push(Frame::plain(b"next".to_vec()), &limits);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -85,7 +85,7 @@
         let limits = Limits::read(&Fields::new("settings", BTreeMap::new())).expect("defaults");
         let core = Core::new(s, limits, now).expect("sound");
         let heard = told.iter().filter(|t| **t <= now).count();
-        let events = vec![Event::EndpointList(1 + heard as u64, list(heard))];
+        let events = vec![Event::EndpointList { version: 1 + heard as u64, endpoints: list(heard) }];
         let (requests, taken, extras) = (BTreeMap::new(), Vec::new(), Vec::new());
         Self { core, life: 0, events, requests, told, heard, taken, extras }
     }
@@ -147,7 +147,7 @@
                 let end = AttemptEnd { work: Some(work), report: util, ..AttemptEnd::plain(Outcome::Ok) };
                 if gateways[g].life == life {
                     gateways[g].events.push(Event::AttemptEnded(attempt, end));
-                    gateways[g].requests.entry(attempt.0).and_modify(|r| r.out -= 1);
+                    gateways[g].requests.entry(attempt.request).and_modify(|r| r.out -= 1);
                 }
             }
         }
@@ -157,8 +157,8 @@
         for (g, gateway) in gateways.iter_mut().enumerate() {
             while gateway.heard < 2 && now >= gateway.told[gateway.heard] {
                 gateway.heard += 1;
-                let serial = 1 + gateway.heard as u64;
-                gateway.events.push(Event::EndpointList(serial, list(gateway.heard)));
+                let version = 1 + gateway.heard as u64;
+                gateway.events.push(Event::EndpointList { version, endpoints: list(gateway.heard) });
             }
             // Three queries a second each, one in ten of them long, are 0.6 of the fleet's capacity; 1.5 at first.
             let rate = if now < BEGIN + 3_000.0 { 7.5 } else { 3.0 };
@@ -199,14 +199,14 @@
                     Effect::Send(s) => {
                         let late = gateway.told[0] + 2_000.0;
                         assert!(s.engine != id(0) || now <= late, "{now}: sent to an engine that drains");
-                        let r = gateway.requests.get_mut(&s.id.0).expect("taken");
+                        let r = gateway.requests.get_mut(&s.id.request).expect("taken");
                         r.out += 1;
                         assert_eq!(
                             (r.out, r.answered),
                             (1, 0),
                             "{now}: two attempts, or one after the answer"
                         );
-                        if s.id.1 > 0 {
+                        if s.id.number > 0 {
                             gateway.extras.push(now);
                         }
                         if s.engine == id(ENGINES) {
@@ -220,10 +220,10 @@
                             .running
                             .insert(key, (r.threads, r.work, r.work));
                     }
-                    Effect::AbortAttempt(attempt, engine, _) => {
+                    Effect::AbortAttempt { attempt, engine, .. } => {
                         let e = engines.get_mut(&engine).expect("listed");
                         if e.running.remove(&(g, gateway.life, attempt)).is_some() {
-                            gateway.requests.entry(attempt.0).and_modify(|r| r.out -= 1);
+                            gateway.requests.entry(attempt.request).and_modify(|r| r.out -= 1);
                         }
                     }
                     Effect::Answer(request, answer) => {
@@ -232,7 +232,7 @@
                         assert!(now <= r.deadline + 20.0, "answered {} ms late", now - r.deadline);
                         served += u64::from(matches!(answer, starlingplank::core::Answer::Served(_)));
                     }
-                    Effect::CheckHealth(tag, engine, _) => {
+                    Effect::CheckHealth { number: tag, engine, .. } => {
                         let silent = engine == id(3) && (SILENT.0..SILENT.1).contains(&now);
                         let util = engines[&engine].util;
                         let report = Some(LoadReport { util: Some(util), ..LoadReport::default() });
--- a/tests/full_queue.rs
+++ b/tests/full_queue.rs
@@ -47,7 +47,7 @@
     let statement =
         Statement { name: format!("{number:016x}"), class: "lookup".into(), ..Statement::default() };
     Send {
-        id: (RequestId(number), 0),
+        id: AttemptId { request: RequestId(number), number: 0 },
         engine: EngineId("s-0".into()),
         address: at,
         class: ClassId(0),
@@ -117,7 +117,7 @@
         for _ in 0..TURNS {
             sleep(Duration::from_millis(1)).await;
         }
-        let of = |number| (RequestId(number), 0);
+        let of = |request| AttemptId { request: RequestId(request), number: 0 };
         assert!(at_once.is_empty(), "{at_once:?}");
         assert_eq!(ended(&mut events).await, [of(1), of(2)]);
     }));
--- a/tests/idle.rs
+++ b/tests/idle.rs
@@ -4,7 +4,9 @@
 
 use common::settings;
 use rstest::rstest;
-use starlingplank::core::{Answer, AttemptEnd, ClientRequest, Core, Effect, Endpoint, Event, Statement};
+use starlingplank::core::{
+    Answer, AttemptEnd, AttemptId, ClientRequest, Core, Effect, Endpoint, Event, Statement,
+};
 use starlingplank::interface::*;
 use starlingplank::limits::Limits;
 use starlingplank::simulator::Fields;
@@ -58,14 +60,14 @@
             self.core.handle(now, event, &mut effects);
         }
         // A turn takes 20 us of the thread.
-        self.core.spent(0.02);
+        self.core.deduct_decision_time(0.02);
         for effect in effects {
             match effect {
                 Effect::Send(send) => {
                     let after = self.answer_time();
-                    self.at(after, Next::End(send.id.0 .0, send.id.1));
+                    self.at(after, Next::End(send.id.request.0, send.id.number));
                 }
-                Effect::CheckHealth(tag, ..) => {
+                Effect::CheckHealth { number: tag, .. } => {
                     let after = self.answer_time();
                     self.at(after, Next::Probed(tag));
                 }
@@ -125,7 +127,7 @@
                         .reports
                         .then(|| LoadReport { util: Some(self.rng.f64() * 0.2), ..LoadReport::default() });
                     self.step(Event::AttemptEnded(
-                        (RequestId(id), attempt),
+                        AttemptId { request: RequestId(id), number: attempt },
                         AttemptEnd { report, ..AttemptEnd::plain(Outcome::Ok) },
                     ));
                 }
@@ -174,11 +176,11 @@
         },
         address: "127.0.0.1:1".parse().expect("an address"),
     };
-    world.step(Event::EndpointList(1, (0..engines).map(endpoint).collect()));
+    world.step(Event::EndpointList { version: 1, endpoints: (0..engines).map(endpoint).collect() });
     (0..clients).for_each(|c| world.at(10_000, Next::Ask(c)));
     world.run();
     let all = queries + clients as u64;
-    assert_eq!((world.served, world.refused), (all, 0), "{:?}", world.core.counts()[0].refusals);
+    assert_eq!((world.served, world.refused), (all, 0), "{:?}", world.core.counts()[0].rejections);
     // An answer takes half a millisecond at most; what is more was waited for here.
     let waited = world.core.waits()[0];
     assert!(world.longest <= 30_000_000, "{} ns, waits {waited:?}", world.longest);
