--- a/crates/service-discovery/src/age.rs
+++ b/crates/service-discovery/src/age.rs
@@ -1,62 +1,63 @@
-//! How old the list of engines is, and until when it may be relied on.
+//! The age of the list of engines, and the lease until when it may be relied on.
 //!
-//! An answer proves the list as of when its question was sent, not as of when the answer arrives: what has changed since
-//! may be missing in it. The list's age therefore counts from the question.
+//! A response proves the list as of when its poll was sent, not as of when the response arrives: later changes may be missing
+//! in it. The age of the list therefore counts from the poll.
 //!
-//! New work may go to an engine for `drain_grace` after the gateway was told that it drains. What happened right after the
-//! list was last confirmed counts as told, at the earliest,
+//! New work may be sent to an engine for `drain_grace` after the gateway was notified that it drains. A change right after
+//! the last confirmation of the list counts as propagated to the gateway, at the earliest,
 //!
-//! | where | after |
+//! | case | after |
 //! | --- | --- |
-//! | questions are answered, or nothing was asked for that long (the process stood still), whatever is asked later | [`TOLD_WITHIN`], from the confirmation |
-//! | questions go unanswered: the service is silent, or what it says gets lost | [`TOLD_WITHIN`], from the last question; at the latest [`TOLD_BY_ALL_MEANS`], from the confirmation |
-//! | ... and an answer came that cannot be used: a good one in its place would have counted | [`TOLD_WITHIN`], from that answer |
-//! | ... and the service has moved within that time before | [`TOLD_AFTER_MOVE`], from the change of its address |
+//! | polls get responses, or there was no poll for that long as the process was paused, whatever is polled later | [`PROPAGATION_DELAY`], from the confirmation |
+//! | polls get no response: the service is silent, or its responses are lost | [`PROPAGATION_DELAY`], from the last poll; at the latest [`MAX_PROPAGATION_DELAY`], from the confirmation |
+//! | ... and an invalid response was received: a valid one in its place would have counted | [`PROPAGATION_DELAY`], from that response |
+//! | ... and the service was relocated within that time before | [`RELOCATION_PROPAGATION_DELAY`], from the change of its address |
 //!
-//! The list may be relied on until then and the grace. Where questions may be further apart than the steady pace,
-//! [`TOLD_WITHIN`] is as long as four of them.
+//! The lease ends `drain_grace` after that. Where the interval of polls may be longer than the steady one,
+//! [`PROPAGATION_DELAY`] is replaced by four intervals if that is longer.
 
 use crate::Milliseconds;
 use std::collections::VecDeque;
 use std::fmt;
 
-/// A list that was not confirmed for longer is late: several answers in a row are missing.
+/// A list that was not confirmed for longer is late: several responses in a row are missing.
 pub const LATE_AFTER: Milliseconds = 1_000.0;
-/// A list that was not confirmed for longer comes from a service that is silent.
+/// A list that was not confirmed for longer is from a service that is silent.
 pub const SILENT_AFTER: Milliseconds = 4_000.0;
-/// A change counts as told so long after it happened, or after an answer that would have held it was lost.
-pub const TOLD_WITHIN: Milliseconds = 1_500.0;
-/// A change counts as told so long after it happened, whether the service can be heard or not.
-pub const TOLD_BY_ALL_MEANS: Milliseconds = 7_000.0;
-/// All changes count as told so long after the service has moved.
-pub const TOLD_AFTER_MOVE: Milliseconds = 4_000.0;
-/// A change is asked for so often before it counts as told.
-const QUESTIONS_WITHIN: f64 = 4.0;
-/// Changes of the address that are remembered at most; further ones bind later than these.
-const MOST_MOVES: usize = 64;
-/// Questions without an answer, besides the last one, that tell a silent service from a single lost answer.
-const UNANSWERED: u64 = 2;
+/// A change counts as propagated so long after it happened, or after a response that would have held it was lost.
+pub const PROPAGATION_DELAY: Milliseconds = 1_500.0;
+/// A change counts as propagated so long after it happened, whether the service responds or not.
+pub const MAX_PROPAGATION_DELAY: Milliseconds = 7_000.0;
+/// All earlier changes count as propagated so long after the service was relocated.
+pub const RELOCATION_PROPAGATION_DELAY: Milliseconds = 4_000.0;
+/// The number of polls that are sent before a change counts as propagated.
+const POLLS_BEFORE_PROPAGATION: f64 = 4.0;
+/// The number of relocations that are remembered; further ones end the lease later than these.
+const MAX_RELOCATIONS: usize = 64;
+/// The number of polls without a response, besides the last one, up to which a single lost response is assumed. With more the
+/// service is taken for silent.
+const MAX_LOST_RESPONSES: u64 = 2;
 
 /// How far the list can be relied on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Freshness {
     /// It was confirmed a short time ago.
     Fresh,
-    /// Answers are missing.
+    /// Responses are missing.
     Late,
-    /// No answer has confirmed it for long.
+    /// No response has confirmed it for long.
     Silent,
-    /// The service is at another address since, and has not answered there.
-    Moved,
+    /// The service was relocated since, and has not responded at its present address.
+    Relocated,
 }
 
 impl fmt::Display for Freshness {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
             Self::Fresh => "fresh",
             Self::Late => "late",
             Self::Silent => "silent",
-            Self::Moved => "moved",
+            Self::Relocated => "moved",
         })
     }
 }
@@ -64,100 +65,101 @@
 /// The age of the list.
 #[derive(Debug, Clone)]
 pub struct ListAge {
-    /// The list is known to hold as of then.
+    /// The list was valid at this time.
     as_of: Milliseconds,
-    /// [`TOLD_WITHIN`], or more where questions are far apart.
-    told_within: Milliseconds,
-    /// The first change of the service's address since.
-    moved_at: Option<Milliseconds>,
-    /// Changes of the address after which not everything counted as told when the list was confirmed.
-    moves: VecDeque<Milliseconds>,
-    /// The first answer since that could not be used.
-    spoilt_at: Option<Milliseconds>,
-    /// When the last question was sent.
-    asked_at: Milliseconds,
-    /// Questions sent since the one that confirmed the list.
+    /// [`PROPAGATION_DELAY`], or more where the interval of polls is long.
+    propagation_delay: Milliseconds,
+    /// The first relocation of the service since `as_of`.
+    relocated_at: Option<Milliseconds>,
+    /// The relocations after which not all changes counted as propagated when the list was confirmed.
+    relocations: VecDeque<Milliseconds>,
+    /// When the first invalid response since `as_of` was received.
+    invalid_response_at: Option<Milliseconds>,
+    /// When the last poll was sent.
+    last_poll_at: Milliseconds,
+    /// The number of polls since the one that confirmed the list.
     unanswered: u64,
-    /// The first question after a span in which nothing was asked of a service that may have been well: what happened in that
-    /// span may have been told, also where the service is silent since.
-    unwatched_until: Option<Milliseconds>,
-    /// What was last reported.
+    /// The first poll after a span without polls, in which the service may have been healthy. Changes in that span may count
+    /// as propagated, also where the service is silent since.
+    paused_until: Option<Milliseconds>,
+    /// The freshness that was reported last.
     reported: Freshness,
 }
 
 impl ListAge {
-    /// A list that a process begins with holds as of its start. Questions are no further apart than that while answers come.
-    pub fn new(now: Milliseconds, slowest_pace: Milliseconds) -> Self {
+    /// The list that a process begins with is valid as of its start. `max_interval` is the longest interval of polls while
+    /// the service responds.
+    pub fn new(now: Milliseconds, max_interval: Milliseconds) -> Self {
         Self {
             as_of: now,
-            told_within: TOLD_WITHIN.max(QUESTIONS_WITHIN * slowest_pace),
-            moved_at: None,
-            moves: VecDeque::new(),
-            spoilt_at: None,
-            asked_at: now,
+            propagation_delay: PROPAGATION_DELAY.max(POLLS_BEFORE_PROPAGATION * max_interval),
+            relocated_at: None,
+            relocations: VecDeque::new(),
+            invalid_response_at: None,
+            last_poll_at: now,
             unanswered: 0,
-            unwatched_until: None,
+            paused_until: None,
             reported: Freshness::Fresh,
         }
     }
 
-    /// A question is sent.
-    pub fn ask(&mut self, now: Milliseconds) {
-        let seen_silent = self.unanswered > UNANSWERED;
-        if now - self.asked_at > self.told_within && !seen_silent {
-            self.unwatched_until.get_or_insert(now);
+    /// Notes that a poll is sent.
+    pub fn poll_sent(&mut self, now: Milliseconds) {
+        let was_silent = self.unanswered > MAX_LOST_RESPONSES;
+        if now - self.last_poll_at > self.propagation_delay && !was_silent {
+            self.paused_until.get_or_insert(now);
         }
-        self.asked_at = now;
+        self.last_poll_at = now;
         self.unanswered += 1;
     }
 
-    /// An answer to a question sent at that time holds the newest list that is known, or a newer one. So many questions were
-    /// sent after that one.
-    pub fn confirm(&mut self, asked_at: Milliseconds, later_questions: u64) {
-        if asked_at < self.as_of {
+    /// Notes a response that holds the newest known list, or a newer one: when its poll was sent, and how many were sent
+    /// after that one.
+    pub fn confirm(&mut self, sent_at: Milliseconds, later_polls: u64) {
+        if sent_at < self.as_of {
             return;
         }
-        self.as_of = asked_at;
-        self.unanswered = self.unanswered.min(later_questions);
-        self.moved_at = self.moved_at.filter(|moved| asked_at < *moved);
-        self.moves.retain(|moved| asked_at < moved + TOLD_AFTER_MOVE);
-        self.unwatched_until = self.unwatched_until.filter(|until| asked_at < *until);
-        self.spoilt_at = self.spoilt_at.filter(|spoilt| asked_at < *spoilt);
+        self.as_of = sent_at;
+        self.unanswered = self.unanswered.min(later_polls);
+        self.relocated_at = self.relocated_at.filter(|relocated_at| sent_at < *relocated_at);
+        self.relocations.retain(|relocated_at| sent_at < relocated_at + RELOCATION_PROPAGATION_DELAY);
+        self.paused_until = self.paused_until.filter(|until| sent_at < *until);
+        self.invalid_response_at = self.invalid_response_at.filter(|received_at| sent_at < *received_at);
     }
 
-    /// An answer came that cannot be used.
-    pub fn hear_spoilt(&mut self, now: Milliseconds) {
-        self.spoilt_at.get_or_insert(now);
+    /// Notes an invalid response of the service.
+    pub fn receive_invalid(&mut self, now: Milliseconds) {
+        self.invalid_response_at.get_or_insert(now);
     }
 
-    /// The service's address changes.
+    /// Notes that the service's address changes.
     pub fn relocate(&mut self, now: Milliseconds) {
-        self.moved_at.get_or_insert(now);
-        if self.moves.len() < MOST_MOVES {
-            self.moves.push_back(now);
+        self.relocated_at.get_or_insert(now);
+        if self.relocations.len() < MAX_RELOCATIONS {
+            self.relocations.push_back(now);
         }
     }
 
-    /// Time since the list was last known to hold.
+    /// The time since the list was last known to be valid.
     pub fn age(&self, now: Milliseconds) -> Milliseconds {
         now - self.as_of
     }
 
-    /// Until when the list may be relied on, where new work may go to a draining engine for that long.
-    pub fn reliable_until(&self, drain_grace: Milliseconds) -> Milliseconds {
-        self.told_at().max(self.as_of + self.told_within) + drain_grace
+    /// The end of the lease on the list, where new work may be sent to a draining engine for `drain_grace`.
+    pub fn lease_end(&self, drain_grace: Milliseconds) -> Milliseconds {
+        self.propagated_at().max(self.as_of + self.propagation_delay) + drain_grace
     }
 
-    /// The earliest time at which a change since the last confirmation may count as told.
-    fn told_at(&self) -> Milliseconds {
-        if self.unanswered <= UNANSWERED || self.unwatched_until.is_some() {
-            return self.as_of + self.told_within;
+    /// The earliest time at which a change since the last confirmation may count as propagated.
+    fn propagated_at(&self) -> Milliseconds {
+        if self.unanswered <= MAX_LOST_RESPONSES || self.paused_until.is_some() {
+            return self.as_of + self.propagation_delay;
         }
         let bounds = [
-            Some(self.as_of + TOLD_BY_ALL_MEANS),
-            Some(self.asked_at + self.told_within),
-            self.spoilt_at.map(|at| at + self.told_within),
-            self.moves.front().map(|at| at + TOLD_AFTER_MOVE),
+            Some(self.as_of + MAX_PROPAGATION_DELAY),
+            Some(self.last_poll_at + self.propagation_delay),
+            self.invalid_response_at.map(|received_at| received_at + self.propagation_delay),
+            self.relocations.front().map(|relocated_at| relocated_at + RELOCATION_PROPAGATION_DELAY),
         ];
         bounds.into_iter().flatten().fold(f64::INFINITY, f64::min)
     }
@@ -166,14 +168,14 @@
     pub fn freshness(&self, now: Milliseconds) -> Freshness {
         match self.age(now) {
             age if age > SILENT_AFTER => Freshness::Silent,
-            _ if self.moved_at.is_some() => Freshness::Moved,
+            _ if self.relocated_at.is_some() => Freshness::Relocated,
             age if age > LATE_AFTER => Freshness::Late,
             _ => Freshness::Fresh,
         }
     }
 
-    /// The freshness, if it has changed since this was last asked.
-    pub fn change(&mut self, now: Milliseconds) -> Option<Freshness> {
+    /// The freshness, if it has changed since the last call.
+    pub fn freshness_change(&mut self, now: Milliseconds) -> Option<Freshness> {
         let freshness = self.freshness(now);
         let before = std::mem::replace(&mut self.reported, freshness);
         (before != freshness).then_some(freshness)
--- a/crates/service-discovery/src/discovery.rs
+++ b/crates/service-discovery/src/discovery.rs
@@ -1,66 +1,67 @@
-//! Service discovery of one process, as a state machine: when the next question leaves, from which flow and to whom, what
-//! each answer is worth, and until when the list may be relied on.
+//! Service discovery of one process, as a state machine: when the next poll is sent, from which flow and to which address, how
+//! each response counts, and until when the list may be relied on.
 //!
-//! A change of the service's address is an input among others: the next question goes to the new address, while the answers
-//! to those that are out are still awaited. Nothing that happens to one flow touches the questions of another.
+//! A change of the service's address is an input among others: the next poll goes to the present address, while responses to
+//! outstanding polls are still awaited. A flow that fails does not affect the polls of another one.
 
 use crate::age::{Freshness, ListAge};
-use crate::answers::{AnswerCounts, AnswerKind};
-use crate::flows::{FlowId, Flows};
-use crate::questions::{OpenQuestions, Question};
+use crate::flows::Flows;
+use crate::outstanding_polls::OutstandingPolls;
+use crate::poll::{FlowId, Poll};
+use crate::responses::{PollCounts, ResponseKind};
 use crate::versions::Versions;
 use crate::Milliseconds;
 use starlingplank_pacing::poll_schedule::{self, PollSchedule};
 use std::net::SocketAddr;
 
-/// What a process begins with.
+/// The configuration of service discovery, and what a process knows at its start.
 #[derive(Debug, Clone, Copy)]
-pub struct Start {
-    /// The pace of questions.
-    pub pace: poll_schedule::Rules,
-    /// For what is drawn.
+pub struct DiscoveryConfig {
+    /// When polls are sent.
+    pub schedule: poll_schedule::Rules,
+    /// The seed of random draws.
     pub seed: u64,
     /// The version of the list that the process begins with.
-    pub known: u64,
-    /// How long new work may go to an engine after it was told that it drains.
+    pub known_version: u64,
+    /// How long new work may be sent to an engine after the notification that it drains; 0 where no rule limits that.
     pub drain_grace: Milliseconds,
-    /// Flows at once at most.
-    pub most_flows: usize,
-    /// Where the service is; none: there is no service.
+    /// The number of flows that may be open.
+    pub max_flows: usize,
+    /// The address of the service; none where there is no service.
     pub address: Option<SocketAddr>,
 }
 
-/// What was received.
+/// The content of a datagram that was received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Received {
-    /// A list with this version, in answer to the question with this id.
+pub enum Response {
+    /// A list.
     List {
-        /// The id of the question.
+        /// The message id of the poll.
         id: u16,
         /// The version of the list.
         version: u64,
     },
-    /// What cannot be read, or reports a failure.
-    Unreadable,
-    /// What says of itself that it is truncated.
+    /// A message that cannot be parsed, or that reports a failure.
+    Malformed,
+    /// A message whose truncation flag is set.
     Truncated,
 }
 
-/// What an answer is worth.
+/// How a response counts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Verdict {
     /// Its kind.
-    pub kind: AnswerKind,
-    /// It replaces the list in use though its version is lower: the service has moved, and the one in use is the word of a
-    /// former address.
+    pub kind: ResponseKind,
+    /// Its list replaces the one in use though its version is lower: the service was relocated, and the list in use is from a
+    /// previous address.
     pub supersedes: bool,
-    /// How long ago its question was sent.
-    pub took: Option<Milliseconds>,
+    /// The time since its poll was sent; none for a response that belongs to no poll.
+    pub round_trip: Option<Milliseconds>,
 }
 
 impl Verdict {
-    fn of(kind: AnswerKind) -> Self {
-        Self { kind, supersedes: false, took: None }
+    fn of(kind: ResponseKind) -> Self {
+        Self { kind, supersedes: false, round_trip: None }
     }
 }
 
@@ -68,47 +69,47 @@
 #[derive(Debug)]
 pub struct Discovery {
     address: Option<SocketAddr>,
-    pace: PollSchedule,
-    questions: OpenQuestions,
+    schedule: PollSchedule,
+    outstanding: OutstandingPolls,
     flows: Flows,
     versions: Versions,
     age: ListAge,
-    counts: AnswerCounts,
+    counts: PollCounts,
     drain_grace: Milliseconds,
-    /// Lists with a lower version tell the pace nothing.
-    least_version: u64,
-    /// A list was heard.
-    has_heard: bool,
+    /// Lists with a lower version are no responses to the schedule.
+    min_version: u64,
+    /// Whether a list was received that counts for the schedule.
+    has_received: bool,
     rng: fastrand::Rng,
 }
 
 impl Discovery {
     /// A process that starts now.
-    pub fn new(start: &Start, now: Milliseconds) -> Self {
-        // Where the pace is the rules', lists that come late are usual, and a process that has just started must not fall
-        // silent over the first of them.
-        let heeds_known = start.pace.slowest > poll_schedule::STEADY;
+    pub fn new(config: &DiscoveryConfig, now: Milliseconds) -> Self {
+        // At the steady interval outdated lists are usual, and a process that has just started must not back off because of
+        // the first of them.
+        let ignores_outdated = config.schedule.slowest > poll_schedule::STEADY;
         Self {
-            address: start.address,
-            pace: PollSchedule::new(start.pace, start.seed, now),
-            questions: OpenQuestions::default(),
-            flows: Flows::new(start.most_flows),
-            versions: Versions::new(start.known),
-            age: ListAge::new(now, start.pace.slowest),
-            counts: AnswerCounts::default(),
-            drain_grace: start.drain_grace,
-            least_version: if heeds_known { start.known } else { 0 },
-            has_heard: false,
-            rng: fastrand::Rng::with_seed(start.seed),
+            address: config.address,
+            schedule: PollSchedule::new(config.schedule, config.seed, now),
+            outstanding: OutstandingPolls::default(),
+            flows: Flows::new(config.max_flows),
+            versions: Versions::new(config.known_version),
+            age: ListAge::new(now, config.schedule.slowest),
+            counts: PollCounts::default(),
+            drain_grace: config.drain_grace,
+            min_version: if ignores_outdated { config.known_version } else { 0 },
+            has_received: false,
+            rng: fastrand::Rng::with_seed(config.seed),
         }
     }
 
-    /// When the next question is due; none: there is no service.
-    pub fn due(&self) -> Option<Milliseconds> {
-        self.address.map(|_| self.pace.due())
+    /// When the next poll is due; none without a service.
+    pub fn next_poll_at(&self) -> Option<Milliseconds> {
+        self.address.map(|_| self.schedule.due())
     }
 
-    /// The service is at another address, or at none. The present one is no news.
+    /// Changes the service's address. An unchanged address has no effect.
     pub fn relocate(&mut self, address: Option<SocketAddr>, now: Milliseconds) {
         if address == self.address {
             return;
@@ -116,63 +117,63 @@
         self.address = address;
         self.versions.relocate();
         self.age.relocate(now);
-        self.pace.relocated(now);
+        self.schedule.relocated(now);
     }
 
-    /// Whether the next question should leave from a fresh flow.
-    pub fn wants_fresh_flow(&self, now: Milliseconds) -> bool {
-        self.flows.wants_fresh(now)
+    /// Whether the next poll should be sent from a new flow.
+    pub fn needs_new_flow(&self, now: Milliseconds) -> bool {
+        self.flows.needs_renewal(now)
     }
 
-    /// A fresh flow was opened: the next questions leave from it.
+    /// Adds a flow that was opened: the next polls are sent from it.
     pub fn open_flow(&mut self, now: Milliseconds) -> FlowId {
         self.flows.open(now)
     }
 
-    /// A flow does not work: the next question leaves from a fresh one.
+    /// Notes that a flow has failed: the next poll is sent from a new one.
     pub fn fail_flow(&mut self, id: FlowId) {
         self.flows.fail(id);
     }
 
-    /// The flows that end now.
+    /// Removes and returns the flows that are to be closed now.
     pub fn close_flows(&mut self, now: Milliseconds) -> Vec<FlowId> {
         self.flows.close(now)
     }
 
-    /// The question that leaves now; none without a service or a flow.
-    pub fn ask(&mut self, now: Milliseconds) -> Option<Question> {
+    /// The poll that is sent now; none without a service or a flow.
+    pub fn start_poll(&mut self, now: Milliseconds) -> Option<Poll> {
         let (to, flow) = (self.address?, self.flows.current()?);
         let rng = &mut self.rng;
-        let question = self.questions.ask(flow, to, now, || rng.u16(..));
-        self.flows.ask(&question);
-        self.pace.asked(now);
-        self.age.ask(now);
-        self.counts.count_question();
-        Some(question)
+        let poll = self.outstanding.add(flow, to, now, || rng.u16(..));
+        self.flows.poll_sent(&poll);
+        self.schedule.asked(now);
+        self.age.poll_sent(now);
+        self.counts.count_poll();
+        Some(poll)
     }
 
-    /// Something was received on a flow.
+    /// Handles a response that was received on a flow.
     pub fn receive(
         &mut self,
-        received: Received,
+        response: Response,
         from: SocketAddr,
         flow: FlowId,
         now: Milliseconds,
     ) -> Verdict {
-        let verdict = match received {
-            Received::List { id, version } => self.receive_list(id, version, from, flow, now),
-            Received::Unreadable => Verdict::of(AnswerKind::Unreadable),
-            Received::Truncated => Verdict::of(AnswerKind::Truncated),
+        let verdict = match response {
+            Response::List { id, version } => self.receive_list(id, version, from, flow, now),
+            Response::Malformed => Verdict::of(ResponseKind::Malformed),
+            Response::Truncated => Verdict::of(ResponseKind::Truncated),
         };
-        self.counts.count(verdict.kind);
-        if verdict.kind.is_spoilt() && self.is_asked(from) {
-            self.age.hear_spoilt(now);
+        self.counts.count_response(verdict.kind);
+        if verdict.kind.is_invalid() && self.is_polled(from) {
+            self.age.receive_invalid(now);
         }
         verdict
     }
 
-    fn is_asked(&self, address: SocketAddr) -> bool {
-        self.address == Some(address) || self.questions.any_to(address)
+    fn is_polled(&self, address: SocketAddr) -> bool {
+        self.address == Some(address) || self.outstanding.any_to(address)
     }
 
     fn receive_list(
@@ -183,57 +184,57 @@
         flow: FlowId,
         now: Milliseconds,
     ) -> Verdict {
-        let Some(question) = self.questions.answer(id, from, flow, now) else {
-            return Verdict::of(AnswerKind::UnknownQuestion);
+        let Some(poll) = self.outstanding.complete(id, from, flow, now) else {
+            return Verdict::of(ResponseKind::Unsolicited);
         };
         let in_use = self.versions.newest();
         let kind = match self.address == Some(from) {
-            true => self.versions.hear_present(version),
-            false => self.versions.hear_former(version),
+            true => self.versions.receive_from_present(version),
+            false => self.versions.receive_from_previous(version),
         };
         let supersedes = kind.confirms() && version < in_use;
         if kind.confirms() {
-            self.flows.confirm(&question, &self.questions);
-            self.age.confirm(question.asked_at, self.questions.last_number() - question.number);
+            self.flows.confirm(&poll, &self.outstanding);
+            self.age.confirm(poll.sent_at, self.outstanding.last_number() - poll.number);
         }
-        if kind != AnswerKind::FormerAddress {
-            self.tell_pace(version, supersedes, now);
+        if kind != ResponseKind::PreviousAddress {
+            self.update_schedule(version, supersedes, now);
         }
-        Verdict { kind, supersedes, took: Some(now - question.asked_at) }
+        Verdict { kind, supersedes, round_trip: Some(now - poll.sent_at) }
     }
 
-    fn tell_pace(&mut self, version: u64, supersedes: bool, now: Milliseconds) {
-        if version < self.least_version && !supersedes {
+    fn update_schedule(&mut self, version: u64, supersedes: bool, now: Milliseconds) {
+        if version < self.min_version && !supersedes {
             return;
         }
-        self.pace.answered(now);
-        // What a start knows is older than the service's word as a rule: the first is no change.
-        if self.has_heard && version > self.least_version {
-            self.pace.changed(now);
+        self.schedule.answered(now);
+        // The list that a process begins with is usually older than the service's: the first response is no change.
+        if self.has_received && version > self.min_version {
+            self.schedule.changed(now);
         }
-        (self.least_version, self.has_heard) = (version, true);
+        (self.min_version, self.has_received) = (version, true);
     }
 
-    /// Until when the list may be relied on; without a service, or a rule on drains, for ever.
-    pub fn reliable_until(&self) -> Milliseconds {
+    /// The end of the lease on the list; infinite without a service or a rule on drains.
+    pub fn lease_end(&self) -> Milliseconds {
         if self.address.is_none() || self.drain_grace <= 0.0 {
             return f64::INFINITY;
         }
-        self.age.reliable_until(self.drain_grace)
+        self.age.lease_end(self.drain_grace)
     }
 
-    /// Time since the list was last known to hold.
+    /// The time since the list was last known to be valid.
     pub fn age(&self, now: Milliseconds) -> Milliseconds {
         self.age.age(now)
     }
 
-    /// The list's freshness, if it has changed since this was last asked.
+    /// The freshness of the list, if it has changed since the last call; none without a service.
     pub fn freshness_change(&mut self, now: Milliseconds) -> Option<Freshness> {
-        self.address.and_then(|_| self.age.change(now))
+        self.address.and_then(|_| self.age.freshness_change(now))
     }
 
-    /// Counts since the start.
-    pub fn counts(&self) -> &AnswerCounts {
+    /// Counts since the start of the process.
+    pub fn counts(&self) -> &PollCounts {
         &self.counts
     }
 }
--- a/crates/service-discovery/src/flows/tests.rs
+++ b/crates/service-discovery/src/flows/tests.rs
@@ -1,76 +1,76 @@
 use super::*;
 use std::net::SocketAddr;
 
-struct Bed {
+struct Harness {
     flows: Flows,
-    open: OpenQuestions,
+    outstanding: OutstandingPolls,
 }
 
-impl Bed {
+impl Harness {
     fn new() -> Self {
-        Self { flows: Flows::new(MOST_FLOWS), open: OpenQuestions::default() }
+        Self { flows: Flows::new(MAX_FLOWS), outstanding: OutstandingPolls::default() }
     }
 
-    fn ask(&mut self, now: Milliseconds) -> Question {
+    fn poll(&mut self, now: Milliseconds) -> Poll {
         let flow = self.flows.current().expect("a flow");
-        let question = self.open.ask(flow, SocketAddr::from(([127, 0, 0, 1], 53)), now, || now as u16);
-        self.flows.ask(&question);
-        question
+        let poll = self.outstanding.add(flow, SocketAddr::from(([127, 0, 0, 1], 53)), now, || now as u16);
+        self.flows.poll_sent(&poll);
+        poll
     }
 }
 
 #[test]
 fn first_flow_is_wanted_and_a_confirmed_one_is_kept() {
-    let mut bed = Bed::new();
-    assert!(bed.flows.wants_fresh(0.0));
-    let flow = bed.flows.open(0.0);
-    assert_eq!(bed.flows.current(), Some(flow));
-    assert!(!bed.flows.wants_fresh(10_000.0), "nothing was asked from it");
-    let question = bed.ask(0.0);
-    assert!(!bed.flows.wants_fresh(RENEW_AFTER - 1.0));
-    assert!(bed.flows.wants_fresh(RENEW_AFTER));
-    bed.flows.confirm(&question, &bed.open);
-    assert!(!bed.flows.wants_fresh(RENEW_AFTER));
+    let mut harness = Harness::new();
+    assert!(harness.flows.needs_renewal(0.0));
+    let flow = harness.flows.open(0.0);
+    assert_eq!(harness.flows.current(), Some(flow));
+    assert!(!harness.flows.needs_renewal(10_000.0), "no poll was sent from it");
+    let poll = harness.poll(0.0);
+    assert!(!harness.flows.needs_renewal(RENEW_AFTER - 1.0));
+    assert!(harness.flows.needs_renewal(RENEW_AFTER));
+    harness.flows.confirm(&poll, &harness.outstanding);
+    assert!(!harness.flows.needs_renewal(RENEW_AFTER));
 }
 
 #[test]
 fn confirmation_leaves_later_questions_unconfirmed() {
-    let mut bed = Bed::new();
-    bed.flows.open(0.0);
-    let first = bed.ask(0.0);
-    bed.ask(200.0);
-    bed.flows.confirm(&first, &bed.open);
-    assert!(!bed.flows.wants_fresh(199.0 + RENEW_AFTER));
-    assert!(bed.flows.wants_fresh(200.0 + RENEW_AFTER));
+    let mut harness = Harness::new();
+    harness.flows.open(0.0);
+    let first = harness.poll(0.0);
+    harness.poll(200.0);
+    harness.flows.confirm(&first, &harness.outstanding);
+    assert!(!harness.flows.needs_renewal(199.0 + RENEW_AFTER));
+    assert!(harness.flows.needs_renewal(200.0 + RENEW_AFTER));
 }
 
 #[test]
 fn flow_that_fails_is_left_at_once() {
-    let mut bed = Bed::new();
-    let flow = bed.flows.open(0.0);
-    bed.flows.fail(flow);
-    assert!(bed.flows.wants_fresh(0.0));
+    let mut harness = Harness::new();
+    let flow = harness.flows.open(0.0);
+    harness.flows.fail(flow);
+    assert!(harness.flows.needs_renewal(0.0));
 }
 
 #[test]
 fn former_flow_lives_as_long_as_its_last_question() {
-    let mut bed = Bed::new();
-    let former = bed.flows.open(0.0);
-    bed.ask(100.0);
-    bed.flows.open(700.0);
-    assert_eq!(bed.flows.close(100.0 + ANSWERABLE), []);
-    assert_eq!(bed.flows.close(101.0 + ANSWERABLE), [former]);
-    assert_eq!(bed.flows.close(1e9), [], "the current flow stays");
+    let mut harness = Harness::new();
+    let previous = harness.flows.open(0.0);
+    harness.poll(100.0);
+    harness.flows.open(700.0);
+    assert_eq!(harness.flows.close(100.0 + RESPONSE_TIMEOUT), []);
+    assert_eq!(harness.flows.close(101.0 + RESPONSE_TIMEOUT), [previous]);
+    assert_eq!(harness.flows.close(1e9), [], "the current flow stays");
 }
 
 #[test]
 fn flows_are_bounded_and_the_oldest_gives_way() {
-    let mut bed = Bed::new();
-    let first = bed.flows.open(0.0);
-    for _ in 1..MOST_FLOWS {
-        bed.flows.open(0.0);
-        assert_eq!(bed.flows.close(0.0), []);
+    let mut harness = Harness::new();
+    let first = harness.flows.open(0.0);
+    for _ in 1..MAX_FLOWS {
+        harness.flows.open(0.0);
+        assert_eq!(harness.flows.close(0.0), []);
     }
-    bed.flows.open(0.0);
-    assert_eq!(bed.flows.close(0.0), [first]);
+    harness.flows.open(0.0);
+    assert_eq!(harness.flows.close(0.0), [first]);
 }
--- a/crates/service-discovery/src/versions.rs
+++ b/crates/service-discovery/src/versions.rs
@@ -1,26 +1,26 @@
-//! The newest version of the list, and who said it.
+//! The newest version of the list, and which address of the service sent it.
 //!
-//! Versions rise, also from one address of the service to the next. What a former address still says is used until the
-//! present one has spoken: it may be the only word for seconds. From then on the present address alone counts, and what a
-//! former one said since the change gives way to it, whatever its version.
+//! Versions rise, also from one address of the service to the next. Lists from a previous address are used until the present
+//! one has responded, as there may be no other source for seconds. From then on the present address alone counts, and its
+//! list replaces those that a previous one has sent since the change, whatever their version.
 
-use crate::answers::AnswerKind;
+use crate::responses::ResponseKind;
 
-/// Versions that were heard.
+/// The versions that were received.
 #[derive(Debug, Clone)]
 pub struct Versions {
-    /// The newest that was known before the last change of address, or that the present address has said.
+    /// The newest that was known before the last change of address, or that the present address has sent.
     settled: u64,
-    /// The newest that a former address has said since the change.
+    /// The newest that a previous address has sent since the change.
     provisional: Option<u64>,
-    /// The present address has spoken.
-    present_has_spoken: bool,
+    /// Whether the present address has responded.
+    present_has_responded: bool,
 }
 
 impl Versions {
     /// A process that begins with this version.
     pub fn new(known: u64) -> Self {
-        Self { settled: known, provisional: None, present_has_spoken: false }
+        Self { settled: known, provisional: None, present_has_responded: false }
     }
 
     /// The version in use.
@@ -28,36 +28,35 @@
         self.provisional.unwrap_or(self.settled)
     }
 
-    /// The service is at another address.
+    /// Notes that the service is at another address.
     pub fn relocate(&mut self) {
         self.settled = self.newest();
         self.provisional = None;
-        self.present_has_spoken = false;
+        self.present_has_responded = false;
     }
 
-    /// The present address says this version.
-    pub fn hear_present(&mut self, version: u64) -> AnswerKind {
-        let kind = AnswerKind::of_version(version, self.settled);
-        if kind == AnswerKind::Older {
+    /// Takes a list of this version from the present address.
+    pub fn receive_from_present(&mut self, version: u64) -> ResponseKind {
+        let kind = ResponseKind::of_version(version, self.settled);
+        if kind == ResponseKind::Older {
             return kind;
         }
-        self.present_has_spoken = true;
+        self.present_has_responded = true;
         self.settled = version;
-        let differs = |provisional: u64| provisional != version;
         match self.provisional.take() {
-            Some(provisional) if differs(provisional) => AnswerKind::News,
-            Some(_) => AnswerKind::Confirmation,
+            Some(provisional) if provisional != version => ResponseKind::Update,
+            Some(_) => ResponseKind::Confirmation,
             None => kind,
         }
     }
 
-    /// A former address says this version.
-    pub fn hear_former(&mut self, version: u64) -> AnswerKind {
-        if self.present_has_spoken {
-            return AnswerKind::FormerAddress;
+    /// Takes a list of this version from a previous address.
+    pub fn receive_from_previous(&mut self, version: u64) -> ResponseKind {
+        if self.present_has_responded {
+            return ResponseKind::PreviousAddress;
         }
-        let kind = AnswerKind::of_version(version, self.newest());
-        if kind == AnswerKind::News {
+        let kind = ResponseKind::of_version(version, self.newest());
+        if kind == ResponseKind::Update {
             self.provisional = Some(version);
         }
         kind
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -4,7 +4,7 @@
 use crate::simulator::{Fields, LineError};
 use rustix::process::{getrlimit, Resource};
 use starlingplank_pacing::poll_schedule;
-use starlingplank_service_discovery::flows::MOST_FLOWS;
+use starlingplank_service_discovery::flows::MAX_FLOWS;
 use std::time::Duration;
 
 /// The limits of one gateway.
@@ -187,7 +187,7 @@
             answer_margin: 20.0,
             removed_engine_grace: 200.0,
             slowest_poll_interval: f.number_or("pacing.list_slowest", poll_schedule::STEADY)?,
-            max_discovery_flows: (sockets / SOCKETS_PER_FLOW).clamp(LEAST_FLOWS, MOST_FLOWS),
+            max_discovery_flows: (sockets / SOCKETS_PER_FLOW).clamp(LEAST_FLOWS, MAX_FLOWS),
             max_datagram_bytes: MOST_DATAGRAM_BYTES,
             shutdown_accept_window: 800.0,
             shutdown_answer_deadline: 3_300.0,
--- a/src/net/discovery/message.rs
+++ b/src/net/discovery/message.rs
@@ -1,4 +1,4 @@
-//! The messages of service discovery: DNS over UDP (RFC 1035), a question for SRV records and the list in its answer.
+//! The messages of service discovery: DNS over UDP (RFC 1035), a query for SRV records and the list in the response.
 
 use crate::config::describe;
 use crate::core::Endpoint;
@@ -10,159 +10,224 @@
 use winnow::prelude::*;
 use winnow::token::take;
 
-/// What is asked for.
+/// The name that is queried.
 pub const SERVICE: &str = "_work._tcp.fleet.local";
-const A: u16 = 1;
-const SOA: u16 = 6;
-const TXT: u16 = 16;
-const SRV: u16 = 33;
-const IN: u16 = 1;
-/// Labels of one name at most, pointers counted: loops end.
-const LABELS: usize = 128;
-
-type Res<T> = Result<T, EmptyError>;
-
-/// A question with that id.
-pub fn question(id: u16) -> Vec<u8> {
-    let mut out = Vec::new();
+/// Record types and the class of RFC 1035, and SRV of RFC 2782.
+const TYPE_A: u16 = 1;
+const TYPE_SOA: u16 = 6;
+const TYPE_TXT: u16 = 16;
+const TYPE_SRV: u16 = 33;
+const CLASS_IN: u16 = 1;
+/// The bits of the flags of a response that are checked: response, opcode, truncated, response code ...
+const CHECKED_FLAGS: u16 = 0xfa0f;
+/// ... and their value in a complete response to a standard query, without error.
+const COMPLETE_RESPONSE: u16 = 0x8000;
+/// The truncation flag, in the third byte of a message.
+const TRUNCATED_FLAG: u8 = 0x02;
+/// The length from which a length byte and its successor are a compression pointer.
+const FIRST_POINTER: u8 = 192;
+/// The bits of the length byte of a pointer that belong to its offset.
+const POINTER_OFFSET_BITS: u8 = 63;
+/// The number of labels of one name, pointers counted, so that a loop of pointers ends.
+const MAX_LABELS: usize = 128;
+
+type ParseResult<T> = Result<T, EmptyError>;
+
+/// Why a message holds no list.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+pub enum MessageError {
+    /// Its truncation flag is set.
+    #[error("the message is truncated by the sender")]
+    Truncated,
+    /// It is damaged, cut short, no response, or reports an error.
+    #[error("the message is malformed, or reports an error")]
+    Malformed,
+}
+
+/// The addresses of the engines in the list in use, by id.
+pub type KnownAddresses = BTreeMap<String, SocketAddr>;
+
+/// A response that holds a list.
+#[derive(Debug, PartialEq)]
+pub struct ListResponse {
+    /// The id of its query.
+    pub id: u16,
+    /// The version of the list: the number of the last event.
+    pub version: u64,
+    /// All members.
+    pub endpoints: Vec<Endpoint>,
+}
+
+/// A query with that id.
+pub fn encode_query(id: u16) -> Vec<u8> {
+    let mut message = Vec::new();
     for word in [id, 0, 1, 0, 0, 0] {
-        out.extend(word.to_be_bytes());
+        message.extend(word.to_be_bytes());
     }
     for label in SERVICE.split('.') {
-        out.push(label.len() as u8);
-        out.extend(label.as_bytes());
+        message.push(label.len() as u8);
+        message.extend(label.as_bytes());
     }
-    out.push(0);
-    out.extend(SRV.to_be_bytes());
-    out.extend(IN.to_be_bytes());
-    out
+    message.push(0);
+    message.extend(TYPE_SRV.to_be_bytes());
+    message.extend(CLASS_IN.to_be_bytes());
+    message
 }
 
-/// Reads a name, following pointers into the whole message.
-fn name<'a>(whole: &'a [u8], i: &mut &'a [u8]) -> Res<String> {
-    let mut out = String::new();
-    let mut far: Option<&'a [u8]> = None;
-    for _ in 0..LABELS {
-        let rest = far.as_mut().unwrap_or(i);
-        let len = u8.parse_next(rest)?;
-        match len {
-            0 => return Ok(out),
-            1..=63 => {
-                let label = take(len).verify_map(|b| std::str::from_utf8(b).ok()).parse_next(rest)?;
-                if !out.is_empty() {
-                    out.push('.');
-                }
-                out.push_str(label);
-            }
-            192.. => {
-                let low = u8.parse_next(rest)?;
-                let at = usize::from(len & 63) << 8 | usize::from(low);
-                far = Some(whole.get(at..).ok_or(EmptyError)?);
-            }
-            _ => return Err(EmptyError),
-        }
-    }
-    Err(EmptyError)
+/// Parses a response. An engine whose address is missing in it keeps the known address. Without a known one it is left out, as
+/// nothing can be sent to it, and the other engines are taken.
+///
+/// # Errors
+/// The message holds no list: the list in use stays.
+pub fn parse(
+    bytes: &[u8],
+    settings: &Settings,
+    known: &KnownAddresses,
+) -> Result<ListResponse, MessageError> {
+    parse_list(bytes, settings, known).ok_or_else(|| match is_truncated(bytes) {
+        true => MessageError::Truncated,
+        false => MessageError::Malformed,
+    })
+}
+
+fn is_truncated(bytes: &[u8]) -> bool {
+    bytes.get(2).is_some_and(|flags| flags & TRUNCATED_FLAG != 0)
+}
+
+fn parse_list(bytes: &[u8], settings: &Settings, known: &KnownAddresses) -> Option<ListResponse> {
+    let (id, records) = parse_message(bytes).ok()?;
+    let version = records.serial?;
+    let services = records.services.iter();
+    let endpoints = services.filter_map(|service| records.endpoint(service, settings, known)).collect();
+    Some(ListResponse { id, version, endpoints })
+}
+
+/// An SRV record.
+struct Service {
+    /// 0 for an engine that takes new work.
+    priority: u16,
+    port: u16,
+    target: String,
 }
 
+/// The records of a response.
 #[derive(Default)]
 struct Records<'a> {
     serial: Option<u64>,
-    targets: Vec<(u16, u16, String)>,
-    /// By names in lower case, as names are the same whatever their case (RFC 4343).
+    services: Vec<Service>,
+    /// By names in lower case, as the case of names does not matter (RFC 4343).
     addresses: BTreeMap<String, Ipv4Addr>,
     texts: BTreeMap<String, Vec<&'a str>>,
 }
 
-fn record<'a>(whole: &'a [u8], i: &mut &'a [u8], records: &mut Records<'a>) -> Res<()> {
-    let owner = name(whole, i)?;
-    let (kind, class, _ttl) = (be_u16, be_u16, be_u32).parse_next(i)?;
-    let mut data: &[u8] = length_take(be_u16).parse_next(i)?;
-    let d = &mut data;
-    match (class, kind) {
-        (IN, SRV) if owner.eq_ignore_ascii_case(SERVICE) => {
-            let (priority, _weight, port) = (be_u16, be_u16, be_u16).parse_next(d)?;
-            records.targets.push((priority, port, name(whole, d)?));
-        }
-        (IN, A) => {
-            let address = be_u32.parse_next(d)?;
-            records.addresses.insert(owner.to_ascii_lowercase(), Ipv4Addr::from(address));
-        }
-        (IN, TXT) => {
-            let texts = records.texts.entry(owner.to_ascii_lowercase()).or_default();
-            while !d.is_empty() {
-                let text: &[u8] = length_take(u8).parse_next(d)?;
-                texts.extend(std::str::from_utf8(text).ok());
-            }
-        }
-        (IN, SOA) => {
-            name(whole, d)?;
-            name(whole, d)?;
-            records.serial = Some(be_u32.parse_next(d)?.into());
-        }
-        _ => {}
+impl Records<'_> {
+    /// The engine of an SRV record; none if its address is not known.
+    fn endpoint(&self, service: &Service, settings: &Settings, known: &KnownAddresses) -> Option<Endpoint> {
+        let Service { priority, port, target } = service;
+        let mut labels = target.split('.');
+        let (engine, zone) = (labels.next().unwrap_or_default(), labels.next().unwrap_or_default());
+        let owner = target.to_ascii_lowercase();
+        let listed = self.addresses.get(&owner).map(|ip| SocketAddr::new(IpAddr::V4(*ip), *port));
+        let address = listed.or_else(|| known.get(engine).copied())?;
+        let kind = self.text(&owner, "kind").unwrap_or("");
+        let cell = self.number(&owner, "cell") as u64;
+        let started = self.number(&owner, "started");
+        let availability = if *priority == 0 { Availability::Live } else { Availability::Draining };
+        let member = describe(settings, engine, zone, kind, cell, availability, started);
+        Some(Endpoint { member, address })
     }
-    Ok(())
-}
 
-/// The addresses of the engines in the list that is in use, by id.
-pub type KnownAddresses = BTreeMap<String, SocketAddr>;
+    /// The value of the first TXT attribute `key=value` of a name.
+    fn text(&self, owner: &str, key: &str) -> Option<&str> {
+        let mut attributes = self.texts.get(owner)?.iter().filter_map(|text| text.split_once('='));
+        attributes.find(|(name, _)| *name == key).map(|(_, value)| value)
+    }
 
-/// An answer: the id of its question, the number of the last event, and the whole list.
-#[derive(Debug, PartialEq)]
-pub struct Answered {
-    /// Of the question.
-    pub id: u16,
-    /// Of the last event.
-    pub serial: u64,
-    /// The engines.
-    pub list: Vec<Endpoint>,
+    /// A numeric TXT attribute; 0 where it is missing or no number.
+    fn number(&self, owner: &str, key: &str) -> f64 {
+        self.text(owner, key).and_then(|value| value.parse().ok()).unwrap_or(0.0)
+    }
 }
 
-fn message<'a>(whole: &'a [u8]) -> Res<(u16, Records<'a>)> {
-    let mut i = whole;
-    let (id, flags, asked, answers, authorities, more) =
-        (be_u16, be_u16, be_u16, be_u16, be_u16, be_u16).parse_next(&mut i)?;
-    // A response, whole, to a plain question, without error.
-    if flags & 0xfa0f != 0x8000 {
+fn parse_message(message: &[u8]) -> ParseResult<(u16, Records<'_>)> {
+    let mut input = message;
+    let (id, flags) = (be_u16, be_u16).parse_next(&mut input)?;
+    let (queries, answers, authorities, additional) =
+        (be_u16, be_u16, be_u16, be_u16).parse_next(&mut input)?;
+    if flags & CHECKED_FLAGS != COMPLETE_RESPONSE {
         return Err(EmptyError);
     }
-    for _ in 0..asked {
-        name(whole, &mut i)?;
-        (be_u16, be_u16).parse_next(&mut i)?;
+    for _ in 0..queries {
+        parse_name(message, &mut input)?;
+        (be_u16, be_u16).parse_next(&mut input)?;
     }
     let mut records = Records::default();
-    let all = usize::from(answers) + usize::from(authorities) + usize::from(more);
-    (0..all).try_for_each(|_| record(whole, &mut i, &mut records))?;
+    let count = usize::from(answers) + usize::from(authorities) + usize::from(additional);
+    for _ in 0..count {
+        parse_record(message, &mut input, &mut records)?;
+    }
     Ok((id, records))
 }
 
-/// Whether an answer says of itself that it does not hold all (the truncation flag of RFC 1035).
-pub fn is_truncated(bytes: &[u8]) -> bool {
-    const TRUNCATED: u8 = 0x02;
-    bytes.get(2).is_some_and(|flags| flags & TRUNCATED != 0)
+fn parse_record<'a>(message: &'a [u8], input: &mut &'a [u8], records: &mut Records<'a>) -> ParseResult<()> {
+    let owner = parse_name(message, input)?;
+    let (kind, class, _time_to_live) = (be_u16, be_u16, be_u32).parse_next(input)?;
+    let mut data: &[u8] = length_take(be_u16).parse_next(input)?;
+    if class != CLASS_IN {
+        return Ok(());
+    }
+    match kind {
+        TYPE_SRV if owner.eq_ignore_ascii_case(SERVICE) => {
+            let (priority, _weight, port) = (be_u16, be_u16, be_u16).parse_next(&mut data)?;
+            let target = parse_name(message, &mut data)?;
+            records.services.push(Service { priority, port, target });
+        }
+        TYPE_A => {
+            let address = be_u32.parse_next(&mut data)?;
+            records.addresses.insert(owner.to_ascii_lowercase(), Ipv4Addr::from(address));
+        }
+        TYPE_TXT => {
+            let texts = records.texts.entry(owner.to_ascii_lowercase()).or_default();
+            while !data.is_empty() {
+                let text: &[u8] = length_take(u8).parse_next(&mut data)?;
+                texts.extend(std::str::from_utf8(text).ok());
+            }
+        }
+        TYPE_SOA => {
+            let _primary_server = parse_name(message, &mut data)?;
+            let _mailbox = parse_name(message, &mut data)?;
+            records.serial = Some(be_u32.parse_next(&mut data)?.into());
+        }
+        _ => {}
+    }
+    Ok(())
 }
 
-/// Reads an answer. None: it is damaged, cut short or an error, and the list held stays.
-///
-/// An engine whose address is missing keeps the one that is known of it. Where none is known it is left out: nothing can be sent
-/// to it, and what the list tells of the others counts.
-pub fn read(bytes: &[u8], settings: &Settings, known: &KnownAddresses) -> Option<Answered> {
-    let (id, records) = message(bytes).ok()?;
-    let mut list = Vec::new();
-    for (priority, port, target) in &records.targets {
-        let mut labels = target.split('.');
-        let (engine, zone) = (labels.next()?, labels.next().unwrap_or_default());
-        let name = target.to_ascii_lowercase();
-        let told = records.addresses.get(&name).map(|ip| SocketAddr::new(IpAddr::V4(*ip), *port));
-        let Some(address) = told.or_else(|| known.get(engine).copied()) else { continue };
-        let texts = records.texts.get(&name).map(Vec::as_slice).unwrap_or_default();
-        let text = |key: &str| texts.iter().find_map(|t| t.split_once('=').filter(|(k, _)| *k == key));
-        let number = |key: &str| text(key).and_then(|(_, v)| v.parse::<f64>().ok()).unwrap_or(0.0);
-        let state = if *priority == 0 { Availability::Live } else { Availability::Draining };
-        let kind = text("kind").map_or("", |(_, v)| v);
-        let member = describe(settings, engine, zone, kind, number("cell") as u64, state, number("started"));
-        list.push(Endpoint { member, address });
+/// Parses a name, following compression pointers into the message.
+fn parse_name<'a>(message: &'a [u8], input: &mut &'a [u8]) -> ParseResult<String> {
+    let mut name = String::new();
+    // What a pointer refers to; `input` itself ends after the first pointer.
+    let mut pointed: Option<&'a [u8]> = None;
+    for _ in 0..MAX_LABELS {
+        let rest = pointed.as_mut().unwrap_or(input);
+        let length = u8.parse_next(rest)?;
+        match length {
+            0 => return Ok(name),
+            1..=63 => {
+                let label =
+                    take(length).verify_map(|bytes| std::str::from_utf8(bytes).ok()).parse_next(rest)?;
+                if !name.is_empty() {
+                    name.push('.');
+                }
+                name.push_str(label);
+            }
+            FIRST_POINTER.. => {
+                let low = u8.parse_next(rest)?;
+                let offset = usize::from(length & POINTER_OFFSET_BITS) << 8 | usize::from(low);
+                pointed = Some(message.get(offset..).ok_or(EmptyError)?);
+            }
+            _ => return Err(EmptyError),
+        }
     }
-    Some(Answered { id, serial: records.serial?, list })
+    Err(EmptyError)
 }
--- a/src/net/discovery/sockets.rs
+++ b/src/net/discovery/sockets.rs
@@ -1,8 +1,8 @@
-//! The sockets of the flows. They are not connected: each asks whatever address the service has, and hears former ones, so
-//! that a change of the address needs no new socket.
+//! The sockets of the flows. They are not connected: each sends to whatever address the service has and receives from previous
+//! ones too, so that a change of the address needs no new socket.
 
 use crate::net::conn::Retry;
-use starlingplank_service_discovery::flows::FlowId;
+use starlingplank_service_discovery::poll::FlowId;
 use std::future::poll_fn;
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -10,53 +10,69 @@
 use tokio::io::ReadBuf;
 use tokio::net::UdpSocket;
 
-/// A datagram: its length, where it comes from, and the flow that it came on.
+/// A datagram that was received into the buffer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Datagram {
     /// Bytes in the buffer.
     pub len: usize,
     /// Its sender.
     pub from: SocketAddr,
+    /// The flow on which it was received.
+    pub flow: FlowId,
+}
+
+/// A flow could not be read from.
+#[derive(Debug, thiserror::Error)]
+#[error("{source}")]
+pub struct ReceiveError {
     /// The flow.
     pub flow: FlowId,
+    /// The error of its socket.
+    pub source: io::Error,
 }
 
-/// The sockets that are open, by flow, and one that is kept for the next flow: a flow is renewed also where no descriptor can
-/// be had at that moment.
+/// The sockets of the open flows, and a spare one for the next flow, so that a flow can be renewed while no descriptor is
+/// available. It owns the descriptors: they are closed with their flows.
 #[derive(Debug, Default)]
 pub struct Sockets {
     open: Vec<(FlowId, UdpSocket)>,
     spare: Option<UdpSocket>,
 }
 
-/// A socket at a port that the system chooses.
+/// Binds a socket to a port that the system chooses.
 async fn bind() -> io::Result<UdpSocket> {
+    let any_port = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
     loop {
-        match UdpSocket::bind(SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0)).await {
-            Err(e) if Retry::after(&e) == Some(Retry::AtOnce) => {}
+        match UdpSocket::bind(any_port).await {
+            Err(error) if is_interrupted(&error) => {}
             bound => return bound,
         }
     }
 }
 
+/// Whether a signal interrupted a call, which is to be made again.
+fn is_interrupted(error: &io::Error) -> bool {
+    Retry::after(error) == Some(Retry::AtOnce)
+}
+
 impl Sockets {
-    /// Has a socket ready for the next flow.
+    /// Binds the spare socket, unless there is one.
     ///
     /// # Errors
-    /// None can be had now.
-    pub async fn prepare(&mut self) -> io::Result<()> {
+    /// No socket is available.
+    pub async fn prepare_spare(&mut self) -> io::Result<()> {
         if self.spare.is_none() {
             self.spare = Some(bind().await?);
         }
         Ok(())
     }
 
-    /// Whether a socket is ready for the next flow.
-    pub fn is_prepared(&self) -> bool {
+    /// Whether there is a spare socket.
+    pub fn has_spare(&self) -> bool {
         self.spare.is_some()
     }
 
-    /// Opens a flow with the socket that is ready.
+    /// Opens a flow with the spare socket.
     pub fn open(&mut self, flow: FlowId) {
         self.open.extend(self.spare.take().map(|socket| (flow, socket)));
     }
@@ -66,26 +82,29 @@
         self.open.retain(|(flow, _)| !flows.contains(flow));
     }
 
-    /// Sends a question on a flow. One that cannot be sent is lost, as one that the network drops.
-    pub async fn send(&self, flow: FlowId, question: &[u8], to: SocketAddr) -> io::Result<()> {
+    /// Sends a message on a flow. Without such a flow it is dropped, as the network might do.
+    ///
+    /// # Errors
+    /// The socket of the flow cannot send it.
+    pub async fn send(&self, flow: FlowId, message: &[u8], to: SocketAddr) -> io::Result<()> {
         let Some((_, socket)) = self.open.iter().find(|(id, _)| *id == flow) else { return Ok(()) };
         loop {
-            match socket.send_to(question, to).await {
-                Err(e) if Retry::after(&e) == Some(Retry::AtOnce) => {}
+            match socket.send_to(message, to).await {
+                Err(error) if is_interrupted(&error) => {}
                 sent => return sent.map(drop),
             }
         }
     }
 
-    /// The next datagram of any flow.
+    /// Receives the next datagram of any flow.
     ///
     /// # Errors
-    /// The flow that cannot be read from, and why.
-    pub async fn receive(&self, buffer: &mut [u8]) -> Result<Datagram, (FlowId, io::Error)> {
+    /// A flow cannot be read from.
+    pub async fn receive(&self, buffer: &mut [u8]) -> Result<Datagram, ReceiveError> {
         poll_fn(|context| self.poll_receive(context, buffer)).await
     }
 
-    /// A datagram that has arrived already, if there is one.
+    /// Receives a datagram that has already arrived, if there is one.
     pub fn try_receive(&self, buffer: &mut [u8]) -> Option<Datagram> {
         self.open.iter().find_map(|(flow, socket)| {
             let (len, from) = socket.try_recv_from(buffer).ok()?;
@@ -97,21 +116,33 @@
         &self,
         context: &mut Context<'_>,
         buffer: &mut [u8],
-    ) -> Poll<Result<Datagram, (FlowId, io::Error)>> {
+    ) -> Poll<Result<Datagram, ReceiveError>> {
         for (flow, socket) in &self.open {
-            let mut read = ReadBuf::new(buffer);
-            loop {
-                match socket.poll_recv_from(context, &mut read) {
-                    Poll::Pending => break,
-                    Poll::Ready(Ok(from)) => {
-                        let len = read.filled().len();
-                        return Poll::Ready(Ok(Datagram { len, from, flow: *flow }));
-                    }
-                    Poll::Ready(Err(e)) if Retry::after(&e) == Some(Retry::AtOnce) => {}
-                    Poll::Ready(Err(e)) => return Poll::Ready(Err((*flow, e))),
-                }
+            let received = poll_socket(socket, context, buffer);
+            let flow = *flow;
+            match received {
+                Poll::Pending => {}
+                Poll::Ready(Ok((len, from))) => return Poll::Ready(Ok(Datagram { len, from, flow })),
+                Poll::Ready(Err(source)) => return Poll::Ready(Err(ReceiveError { flow, source })),
             }
         }
         Poll::Pending
     }
 }
+
+/// Polls one socket for a datagram: its length and its sender.
+fn poll_socket(
+    socket: &UdpSocket,
+    context: &mut Context<'_>,
+    buffer: &mut [u8],
+) -> Poll<io::Result<(usize, SocketAddr)>> {
+    let mut read = ReadBuf::new(buffer);
+    loop {
+        match socket.poll_recv_from(context, &mut read) {
+            Poll::Ready(Err(error)) if is_interrupted(&error) => {}
+            Poll::Ready(Ok(from)) => return Poll::Ready(Ok((read.filled().len(), from))),
+            Poll::Ready(Err(error)) => return Poll::Ready(Err(error)),
+            Poll::Pending => return Poll::Pending,
+        }
+    }
+}
--- a/src/net/runtime/startup.rs
+++ b/src/net/runtime/startup.rs
@@ -216,7 +216,7 @@
             settings: self.frontend.settings.clone(),
             events: self.events.clone(),
             sockets: Sockets::default(),
-            told_until: f64::INFINITY,
+            reported_lease_end: f64::INFINITY,
             addresses: discovery::addresses_of(&self.config.known),
             buffer: vec![0; self.frontend.limits.max_datagram_bytes],
         };
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use starlingplank::interface::Settings;
-use starlingplank::net::discovery::message::{self, KnownAddresses};
+use starlingplank::net::discovery::message::{self, KnownAddresses, MessageError};
 use starlingplank::net::engine::resp::{self, Read};
 use starlingplank::net::front::thrift::{self, Message};
 use starlingplank::net::http;
@@ -93,15 +93,16 @@
 #[test]
 fn a_list_is_read_and_what_is_cut_short_is_not_taken_for_one() {
     let packet = packet();
-    let answered = message::read(&packet, &settings(), &KnownAddresses::new()).expect("read");
-    assert_eq!((answered.id, answered.serial), (9, 42));
-    let engine = &answered.list[0];
+    let response = message::parse(&packet, &settings(), &KnownAddresses::new()).expect("parsed");
+    assert_eq!((response.id, response.version), (9, 42));
+    let engine = &response.endpoints[0];
     assert_eq!((&*engine.member.engine.0, engine.member.cell), ("s-ab", 2));
     assert_eq!(engine.address.to_string(), "127.0.0.5:9090");
     assert_eq!(engine.member.zone, Some(starlingplank::interface::ZoneId(1)));
     assert!(engine.member.availability != starlingplank::interface::Availability::Live, "priority 1 drains");
     for cut in 0..packet.len() {
-        assert_eq!(message::read(&packet[..cut], &settings(), &KnownAddresses::new()), None, "cut at {cut}");
+        let parsed = message::parse(&packet[..cut], &settings(), &KnownAddresses::new());
+        assert_eq!(parsed, Err(MessageError::Malformed), "cut at {cut}");
     }
     // Names are the same whatever their case (RFC 4343).
     let mut shouted = packet.clone();
@@ -111,11 +112,12 @@
     shouted.splice(address_owner..address_owner + 2, *b"\x04S-AB\x04WEST\x05HOSTS\x00");
     assert!(zone < address_owner);
     assert_eq!(
-        message::read(&shouted, &settings(), &KnownAddresses::new()).expect("read").list[0].address,
+        message::parse(&shouted, &settings(), &KnownAddresses::new()).expect("parsed").endpoints[0].address,
         engine.address
     );
     // A name that points at itself ends.
     let mut looped = packet.clone();
     looped[12..14].copy_from_slice(&[0xc0, 0x0c]);
-    assert_eq!(message::read(&looped, &settings(), &KnownAddresses::new()), None);
+    let parsed = message::parse(&looped, &settings(), &KnownAddresses::new());
+    assert_eq!(parsed, Err(MessageError::Malformed));
 }
