--- a/crates/pacing/src/lib.rs
+++ b/crates/pacing/src/lib.rs
@@ -1,12 +1,17 @@
-//! When to ask, so that the sum over a fleet holds.
+//! When a gateway polls, connects and sends health checks, so that the sum over a fleet stays within bounds.
 //!
-//! In come how many gateways there are, this one's number, and what became of its questions; out comes when the next is
-//! due ([`poll_schedule`]), when first probes leave ([`startup`]), and for how long those should keep away that cannot be served yet ([`retry_after`]). Rules: hundreds that start together ask one after another; hundreds that hear nothing ask ever less, and not in
-//! step; and a drain is heard in time whatever the size of the fleet. Virtual time only: who asks, and whom, is nobody's
-//! business here.
+//! The input: how many gateways there are, this one's index, and what became of its polls. The output: when the next poll is
+//! due ([`poll_schedule`]), when the initial health checks are sent ([`startup`]), and when rejected clients should retry
+//! ([`retry_after`]). The invariants: gateways that start together poll one after another; gateways that get no responses poll
+//! ever less, and not in step; and a drain is known in time whatever the size of the fleet. All times are virtual: callers
+//! pass them in.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod fleet;
 pub mod poll_schedule;
 pub mod retry_after;
 pub mod startup;
+
+/// Milliseconds.
+pub type Milliseconds = f64;
--- a/crates/pacing/src/poll_schedule.rs
+++ b/crates/pacing/src/poll_schedule.rs
@@ -1,213 +1,241 @@
-//! Questions for the list of engines.
+//! When a gateway polls the name service for the list of engines.
 //!
-//! | state | next question after |
+//! | state | next poll after |
 //! | --- | --- |
-//! | start | this gateway's place in a span that grows with the fleet |
-//! | answers come | the steady pace, whatever the size of the fleet |
-//! | a question went unanswered, and the list was heard, or the process started, or the service moved, within [`PATIENT`] | the same pace, at most [`FLEET`] questions a second of the fleet before the first answer: answers get lost |
-//! | nothing for longer | back-off with decorrelated jitter, up to a pace of the whole fleet |
-//! | the first answers after a back-off | half the pace each time, down to the steady one |
+//! | start | this gateway's position in a span that grows with the fleet |
+//! | polls get responses | the steady interval, whatever the size of the fleet |
+//! | a poll got no response, and within [`SILENCE_TOLERANCE`] there was a response, a start or a relocation of the service | the same interval, as single responses get lost; before the first response the fleet sends at most [`START_ACTIONS_PER_SECOND`] polls a second |
+//! | no response for longer | a backoff with decorrelated jitter, up to a limit for the whole fleet |
+//! | the first responses after a backoff | half the interval each time, down to the steady one |
 //!
-//! Where the operator allows a slower pace than the steady one ([`Rules::slowest`]), a service that answers some questions
-//! and not others is asked less, down to what it can answer:
+//! Where the operator allows longer intervals than the steady one ([`PollConfig::max_interval`]), a service that responds to
+//! some polls and not to others is overloaded, and is polled at a rate that follows its capacity: additive increase,
+//! multiplicative decrease.
 //!
-//! | state | pace |
+//! | state | interval |
 //! | --- | --- |
-//! | start | a question a second for each 300 gateways; a question in 25 s more with each answer, and half the pace after three in a row, or at once the steady one where the list has changed and no question was lost |
-//! | with each question that goes unanswered | by half slower, up to the slowest; climbing by halves ends here |
-//! | then, with each answer | a question in 25 s more, down to the steady pace |
-
-use crate::startup;
-
-/// Milliseconds.
-pub type Milliseconds = f64;
-
-/// Questions a second that a fleet begins with at most, where its gateways start together.
-pub const FLEET: f64 = 1_000.0;
-/// Questions a second that all gateways together ask of one that is silent.
-pub const FLEET_SILENT: f64 = 100.0;
-/// The steady pace. What an unanswered question would have told counts as told 1.5 s after it, and 2 s later nothing may
-/// leave for an engine that drains; a service is silent for up to 3 s: no more than half a second may lie between
-/// questions. A pace of 300 ms for large fleets was tried, and showed no gain to set against later news.
-pub const STEADY: Milliseconds = 200.0;
-/// The slowest pace that an operator's file stands for where it says nothing: a fleet that is given a sixth of the
-/// answers that it asks for at the steady pace still hears each change within its 2 s and one lost answer.
-pub const SLOWEST: Milliseconds = 1_250.0;
-/// So long a silence is one of the service's own, as it passes, and is asked through. After it nobody can know what was
-/// told, and the service is spared.
-pub const PATIENT: Milliseconds = 4_000.0;
-/// The slowest of all paces: it is how late a service that is back is heard.
-pub const SILENT_MOST: Milliseconds = 5_000.0;
-/// ... and where the fleet is small, and the service may be asked less than steadily. Else a small fleet goes on at the steady
-/// pace: twenty gateways ask no more than [`FLEET_SILENT`] so.
-pub const SILENT_LEAST: Milliseconds = 1_000.0;
-/// Questions a second that a fleet begins to climb from, where it may be slower than steady.
-const CLIMBS_FROM: f64 = 300.0;
-/// Questions a second more after each answer, once a question went unanswered ...
-const QUICKER: f64 = 0.04;
-/// ... and by how much each unanswered one slows the pace, on average. A sum after answers and a factor after losses: two
-/// factors, as tried first, hold no gateway to its part, as all lose the same share whatever they ask; so that the few
-/// that luck makes quick stay quick. Where each has one answer a second, one question in nine is lost.
-const SLOWER: f64 = 1.5;
-/// Answers in a row after which the pace is halved where it may be an overload that made it slow. Eight would leave an
-/// overload at a tenth less for the first seconds, and a fleet that starts before a service that is well without fresh
-/// news of engines, which may start as well, for 14 s in place of 4.
-const ROW: u32 = 3;
-/// How far a question lies from its place, as a share of the pace, where that is slower than steady.
-const JITTER: f64 = 0.25;
-/// How far a back-off may lie over the one before it (decorrelated jitter).
-const GROWS: f64 = 3.0;
-
-/// What a gateway goes by.
+//! | start | one poll a second for each [`INITIAL_POLLS_PER_SECOND`] gateways; with each response [`RATE_INCREASE`], and half the interval after [`RESPONSES_BEFORE_HALVING`] in a row, or the steady one at once where the list has changed and no poll was lost |
+//! | with each poll without a response | longer by a factor of [`INTERVAL_INCREASE`] on average, up to the longest; halving ends here |
+//! | then, with each response | [`RATE_INCREASE`], down to the steady interval |
+
+use crate::fleet::{start_position, START_ACTIONS_PER_SECOND};
+use crate::Milliseconds;
+
+/// The steady interval. A change that an unanswered poll would have reported counts as propagated 1.5 s after it, 2 s later
+/// nothing may be sent to an engine that drains, and a service is silent for up to 3 s: no more than half a second may lie
+/// between polls. An interval of 300 ms for large fleets was tried, and showed no gain to make up for later updates.
+pub const STEADY_INTERVAL: Milliseconds = 200.0;
+/// The longest interval where the operator's file gives none: a fleet that gets a sixth of the responses that it polls for at
+/// the steady interval still receives each change within its 2 s and one lost response.
+pub const DEFAULT_MAX_INTERVAL: Milliseconds = 1_250.0;
+/// A silence of the service up to this long is expected to pass, and polls go on through it. After it the list is not reliable
+/// any more, and the service is spared.
+pub const SILENCE_TOLERANCE: Milliseconds = 4_000.0;
+/// Polls a second of a whole fleet during a backoff.
+pub const BACKOFF_POLLS_PER_SECOND: f64 = 100.0;
+/// The longest backoff of any gateway, which is how late a service that has recovered is noticed.
+pub const MAX_BACKOFF: Milliseconds = 5_000.0;
+/// The longest backoff in a small fleet, where intervals may be longer than the steady one. Otherwise small fleets go on at
+/// the steady interval: twenty gateways then send no more than [`BACKOFF_POLLS_PER_SECOND`].
+pub const SMALL_FLEET_MAX_BACKOFF: Milliseconds = 1_000.0;
+/// Polls a second of a whole fleet at its start, where intervals may be longer than the steady one.
+pub const INITIAL_POLLS_PER_SECOND: f64 = 300.0;
+/// Additive increase: polls a second that a gateway sends more after each response, once a poll got none.
+pub const RATE_INCREASE: f64 = 0.04;
+/// Multiplicative decrease: the factor by which a poll without a response lengthens the interval, on average. Two factors, as
+/// tried first, hold no gateway to its share, as all lose the same part of their polls whatever they send, and the few that
+/// are fast by chance stay fast. Where each gateway gets one response a second, one poll in nine is lost.
+pub const INTERVAL_INCREASE: f64 = 1.5;
+/// Responses in a row after which the interval is halved where an overload may have lengthened it. Eight would leave an
+/// overload at a tenth less for the first seconds, and a fleet that starts before a healthy service without recent updates on
+/// engines, which may start as well, for 14 s in place of 4.
+pub const RESPONSES_BEFORE_HALVING: u32 = 3;
+/// How far a poll may be from its place, as a share of the interval, where that is longer than the steady one.
+const INTERVAL_JITTER: f64 = 0.25;
+/// The factor by which a backoff may exceed the one before it (decorrelated jitter).
+const MAX_BACKOFF_GROWTH: f64 = 3.0;
+/// The bounds of the longest backoff when it is drawn anew each time, as a share of it.
+const LONGEST_BACKOFF_SPREAD: (f64, f64) = (0.75, 1.25);
+/// Spans of a start below this share of the steady interval are not rounded up to whole intervals.
+const SHORT_START_SHARE: f64 = 0.25;
+
+/// The parameters of a schedule.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Rules {
-    /// Gateways that ask the same service.
+pub struct PollConfig {
+    /// Gateways that poll the same service.
     pub gateways: usize,
-    /// This one's number among them, from 0.
+    /// This gateway's index among them, from 0.
     pub gateway_index: Option<u64>,
-    /// The pace down to which one that answers some questions and not others may be asked. [`STEADY`]: it is always
-    /// asked at the steady pace.
-    pub slowest: Milliseconds,
+    /// The longest interval at which an overloaded service may be polled. With [`STEADY_INTERVAL`] it is always polled at
+    /// the steady interval.
+    pub max_interval: Milliseconds,
 }
 
-/// The pace of one gateway.
+/// The polls of one gateway.
 #[derive(Debug, Clone)]
 pub struct PollSchedule {
-    silent: Milliseconds,
-    slowest: Milliseconds,
-    due: Milliseconds,
-    /// The present distance between questions.
-    pace: Milliseconds,
-    /// Answers halve the pace.
-    climbs: bool,
-    /// The pace at which questions were last lost while others were answered: halves end there.
-    fair: Milliseconds,
-    /// Questions answered in a row.
-    row: u32,
-    /// A question is out that may still be answered.
-    out: bool,
-    /// An answer was heard.
-    heard: bool,
-    /// Until then unanswered questions are taken for lost ones, and not for a service that is silent for long.
-    patient_until: Milliseconds,
-    /// The pace before the first answer, where that may be the steady one.
-    opening: Milliseconds,
+    max_backoff: Milliseconds,
+    max_interval: Milliseconds,
+    next_poll_at: Milliseconds,
+    /// The present interval. Over `max_interval` it is a backoff.
+    interval: Milliseconds,
+    /// Whether responses halve the interval.
+    halves: bool,
+    /// The interval at which polls were last lost while others got responses. Halving ends there.
+    overload_interval: Milliseconds,
+    consecutive_responses: u32,
+    /// Whether a poll was sent that may still get a response.
+    is_outstanding: bool,
+    /// Whether there was a response since the start.
+    has_response: bool,
+    /// Until then polls without a response are taken for lost ones, and not for a long silence of the service.
+    tolerant_until: Milliseconds,
+    /// The interval before the first response, where that may be the steady one.
+    start_interval: Milliseconds,
     rng: fastrand::Rng,
 }
 
 impl PollSchedule {
-    /// A gateway that starts now. Its number spreads the first questions evenly; without one chance does.
-    pub fn new(rules: Rules, seed: u64, now: Milliseconds) -> Self {
+    /// A gateway that starts now. Its index spreads the first polls of a fleet evenly; without one they are spread by chance.
+    pub fn new(config: PollConfig, seed: u64, now: Milliseconds) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let all = rules.gateways.max(1) as f64;
-        let place = startup::place(rules.gateways, rules.gateway_index, &mut rng);
-        let slowest = rules.slowest.max(STEADY);
-        let least_silent = if slowest > STEADY { SILENT_LEAST } else { STEADY };
-        let silent = (all / FLEET_SILENT * 1_000.0).clamp(least_silent, SILENT_MOST);
-        // Whole rounds of the steady pace, so that later questions lie as evenly; of three gateways, 3 ms.
-        let span = all / FLEET * 1_000.0;
-        let span = if span < STEADY / 4.0 { span } else { (span / STEADY).ceil() * STEADY };
+        let gateways = config.gateways.max(1) as f64;
+        let position = start_position(config.gateways, config.gateway_index, &mut rng);
+        let max_interval = config.max_interval.max(STEADY_INTERVAL);
+        let is_always_steady = max_interval <= STEADY_INTERVAL;
+        let min_backoff_limit = if is_always_steady { STEADY_INTERVAL } else { SMALL_FLEET_MAX_BACKOFF };
+        let interval_at = |polls_per_second: f64| gateways / polls_per_second * 1_000.0;
         Self {
-            silent,
-            slowest,
-            due: now + place * span.min(SILENT_MOST),
-            pace: (all / CLIMBS_FROM * 1_000.0).clamp(STEADY, slowest),
-            climbs: true,
-            fair: STEADY,
-            row: 0,
-            out: false,
-            heard: false,
-            patient_until: now + PATIENT,
-            opening: (all / FLEET * 1_000.0).clamp(STEADY, SILENT_MOST),
+            max_backoff: interval_at(BACKOFF_POLLS_PER_SECOND).clamp(min_backoff_limit, MAX_BACKOFF),
+            max_interval,
+            next_poll_at: now + position * start_spread(interval_at(START_ACTIONS_PER_SECOND)),
+            interval: interval_at(INITIAL_POLLS_PER_SECOND).clamp(STEADY_INTERVAL, max_interval),
+            halves: true,
+            overload_interval: STEADY_INTERVAL,
+            consecutive_responses: 0,
+            is_outstanding: false,
+            has_response: false,
+            tolerant_until: now + SILENCE_TOLERANCE,
+            start_interval: interval_at(START_ACTIONS_PER_SECOND).clamp(STEADY_INTERVAL, MAX_BACKOFF),
             rng,
         }
     }
 
-    /// When the next question is due.
-    pub fn due(&self) -> Milliseconds {
-        self.due
+    /// When the next poll is due.
+    pub fn next_poll_at(&self) -> Milliseconds {
+        self.next_poll_at
     }
 
-    /// A question leaves now. One before it that is still out counts as unanswered.
-    pub fn asked(&mut self, now: Milliseconds) {
-        if self.out {
-            self.unanswered(now);
+    /// Notes that a poll is sent. An outstanding one before it counts as lost.
+    pub fn poll_sent(&mut self, now: Milliseconds) {
+        if self.is_outstanding {
+            self.poll_lost(now);
         }
-        self.out = true;
-        // From when it was due, so that a gateway keeps its place among the others; but never two at once.
-        // Slower ones have none to keep: in step with the service's line the same would win again and again.
-        let slowed = self.pace > STEADY && self.pace <= self.slowest;
-        let spread = if slowed { 1.0 - JITTER + 2.0 * JITTER * self.rng.f64() } else { 1.0 };
-        // Who stood still goes on at its place: hundreds that wake together would else ask in step from then on.
-        let missed = ((now - self.due) / self.pace + 0.5).floor().max(0.0);
-        self.due += (missed + spread) * self.pace;
+        self.is_outstanding = true;
+        // Intervals count from when the poll was due, so that a gateway keeps its place among the others. At longer intervals
+        // there is no place to keep: in step with the service's queue the same gateways would succeed again and again.
+        let is_slowed = self.interval > STEADY_INTERVAL && self.interval <= self.max_interval;
+        let jitter =
+            if is_slowed { 1.0 - INTERVAL_JITTER + 2.0 * INTERVAL_JITTER * self.rng.f64() } else { 1.0 };
+        // After a pause of the process a gateway goes on at its place: hundreds that resume together would otherwise poll in
+        // step from then on.
+        let missed = ((now - self.next_poll_at) / self.interval + 0.5).floor().max(0.0);
+        self.next_poll_at += (missed + jitter) * self.interval;
     }
 
-    fn unanswered(&mut self, now: Milliseconds) {
-        self.row = 0;
-        if now < self.patient_until {
-            if !self.heard && self.slowest <= STEADY {
-                self.pace = self.pace.max(self.opening);
-            } else if self.pace < self.slowest {
-                let by = 1.0 + 2.0 * (SLOWER - 1.0) * self.rng.f64();
-                self.pace = (self.pace * by).min(self.slowest);
-                (self.climbs, self.fair) = (false, self.pace);
-            }
-            return;
+    fn poll_lost(&mut self, now: Milliseconds) {
+        self.consecutive_responses = 0;
+        if now >= self.tolerant_until {
+            self.back_off();
+        } else if !self.has_response && self.max_interval <= STEADY_INTERVAL {
+            self.interval = self.interval.max(self.start_interval);
+        } else if self.interval < self.max_interval {
+            self.slow_down();
         }
-        let (least, most) = ((self.pace / 2.0).max(STEADY), GROWS * self.pace);
-        self.pace = (least + self.rng.f64() * (most - least).max(0.0)).min(self.silent);
-        self.climbs = true;
-        // All that reach the slowest pace would else ask in step from then on.
-        if self.pace >= self.silent && self.silent > STEADY {
-            self.pace = self.silent * (0.75 + self.rng.f64() / 2.0);
+    }
+
+    /// Lengthens the interval, as the service is overloaded.
+    fn slow_down(&mut self) {
+        let factor = 1.0 + 2.0 * (INTERVAL_INCREASE - 1.0) * self.rng.f64();
+        self.interval = (self.interval * factor).min(self.max_interval);
+        (self.halves, self.overload_interval) = (false, self.interval);
+    }
+
+    /// Draws the next backoff, as the service is silent.
+    fn back_off(&mut self) {
+        let shortest = (self.interval / 2.0).max(STEADY_INTERVAL);
+        let longest = MAX_BACKOFF_GROWTH * self.interval;
+        let backoff = shortest + self.rng.f64() * (longest - shortest).max(0.0);
+        self.interval = backoff.min(self.max_backoff);
+        self.halves = true;
+        // Gateways that have all reached the longest backoff would otherwise poll in step from then on.
+        if self.interval >= self.max_backoff && self.max_backoff > STEADY_INTERVAL {
+            let (from, to) = LONGEST_BACKOFF_SPREAD;
+            self.interval = self.max_backoff * (from + self.rng.f64() * (to - from));
         }
     }
 
-    /// The last answer said something new. Changes come together: the next is asked for soon, unless the service was
-    /// seen to be overloaded.
-    pub fn changed(&mut self, now: Milliseconds) {
-        if self.pace <= self.slowest && self.fair <= STEADY {
-            self.pace = STEADY;
-            self.due = self.due.min(now + STEADY);
+    /// Notes that the last response has changed the list. Changes come together: the next poll follows soon, unless the
+    /// service was overloaded.
+    pub fn list_changed(&mut self, now: Milliseconds) {
+        if self.interval <= self.max_interval && self.overload_interval <= STEADY_INTERVAL {
+            self.interval = STEADY_INTERVAL;
+            self.next_poll_at = self.next_poll_at.min(now + STEADY_INTERVAL);
         }
     }
 
-    /// The service is at another address: whether that one is silent is not known.
-    pub fn relocated(&mut self, now: Milliseconds) {
-        self.patient_until = now + PATIENT;
-        if self.pace > self.slowest {
-            // A back-off ends. All gateways of a fleet may be told of the move at once.
-            self.pace = self.opening.max(self.slowest);
-            self.due = self.due.min(now + self.rng.f64() * self.pace);
+    /// Notes that the service is at another address, where it may respond.
+    pub fn service_relocated(&mut self, now: Milliseconds) {
+        self.tolerant_until = now + SILENCE_TOLERANCE;
+        if self.interval > self.max_interval {
+            // A backoff ends. All gateways of a fleet may be notified of the relocation at once.
+            self.interval = self.start_interval.max(self.max_interval);
+            self.next_poll_at = self.next_poll_at.min(now + self.rng.f64() * self.interval);
         }
     }
 
-    /// An answer came that could be used. One that could not, or said what was known to be older, is none: such a
-    /// service is asked no harder than one that is silent.
-    pub fn answered(&mut self, now: Milliseconds) {
-        self.row += 1;
-        (self.out, self.heard) = (false, true);
-        self.patient_until = self.patient_until.max(now + PATIENT);
-        if self.pace <= STEADY {
+    /// Notes a valid response. Invalid and outdated ones are not to be noted: a service that sends those is polled no more
+    /// often than one that is silent.
+    pub fn response_received(&mut self, now: Milliseconds) {
+        self.consecutive_responses += 1;
+        (self.is_outstanding, self.has_response) = (false, true);
+        self.tolerant_until = self.tolerant_until.max(now + SILENCE_TOLERANCE);
+        if self.interval <= STEADY_INTERVAL {
             return;
         }
-        // What silenced it may have been all of us: back by halves, and by small steps from where it was too much.
-        // Past the slowest pace at which an overload is asked it was silence, and an answer tells that it is over.
-        let enough = if self.pace > self.slowest { 1 } else { ROW };
-        if self.climbs && self.row >= enough && self.pace > self.fair {
-            self.row = 0;
-            self.pace = (self.pace / 2.0).max(self.fair);
-        } else {
-            self.climbs &= self.pace > self.fair;
-            self.pace /= 1.0 + QUICKER * self.pace / 1_000.0;
+        self.speed_up();
+        if self.interval <= STEADY_INTERVAL {
+            (self.interval, self.overload_interval) = (STEADY_INTERVAL, STEADY_INTERVAL);
         }
-        if self.pace <= STEADY {
-            (self.pace, self.fair) = (STEADY, STEADY);
+        self.next_poll_at = self.next_poll_at.min(now + self.interval);
+    }
+
+    /// Shortens the interval. The fleet itself may have overloaded the service: the interval is halved down to the one at
+    /// which polls were lost, and shortened in small steps from there. A backoff ends with the first response.
+    fn speed_up(&mut self) {
+        let is_backoff = self.interval > self.max_interval;
+        let needed = if is_backoff { 1 } else { RESPONSES_BEFORE_HALVING };
+        let is_above_overload = self.interval > self.overload_interval;
+        if self.halves && self.consecutive_responses >= needed && is_above_overload {
+            self.consecutive_responses = 0;
+            self.interval = (self.interval / 2.0).max(self.overload_interval);
+        } else {
+            self.halves &= is_above_overload;
+            self.interval /= 1.0 + RATE_INCREASE * self.interval / 1_000.0;
         }
-        self.due = self.due.min(now + self.pace);
     }
 }
 
+/// The span over which the first polls of a fleet are spread: whole steady intervals, so that later polls are spread as
+/// evenly. In small fleets it is shorter; for three gateways 3 ms.
+fn start_spread(span: Milliseconds) -> Milliseconds {
+    let spread = if span < STEADY_INTERVAL * SHORT_START_SHARE {
+        span
+    } else {
+        (span / STEADY_INTERVAL).ceil() * STEADY_INTERVAL
+    };
+    spread.min(MAX_BACKOFF)
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/pacing/src/retry_after.rs
+++ b/crates/pacing/src/retry_after.rs
@@ -1,31 +1,31 @@
-//! When those who are turned away at a start come back, so that they do not all come at once.
+//! When clients that are rejected at a start should retry, so that they do not all retry at once.
 //!
-//! Nobody knows how long the list will take. An outage that has lasted for some time is taken to last as long again;
-//! clients are told to keep away for once to twice that time, each another. So each asks some few times however long it
-//! takes, and those that came over a span come back over a span as long.
+//! How long the start takes is not known in advance. An outage that has lasted for some time is expected to last as long
+//! again, so clients are asked to wait for once to twice that time, each for another. Each client then retries only a few
+//! times however long it takes, and clients that arrived over a span retry over a span as long.
 
-use crate::poll_schedule::Milliseconds;
+use crate::Milliseconds;
 
-/// Nobody is told to come back sooner: a list that answers at all is there by then.
-pub const LEAST: Milliseconds = 100.0;
+/// The shortest wait: within it a name service that responds at all has sent the list.
+pub const MIN_RETRY_AFTER: Milliseconds = 100.0;
 
-/// The line of those who were turned away.
+/// Draws the waits of rejected clients.
 #[derive(Debug, Clone)]
 pub struct RetryAfter {
-    since: Milliseconds,
+    outage_began_at: Milliseconds,
     rng: fastrand::Rng,
 }
 
 impl RetryAfter {
-    /// From now on nothing can be served.
+    /// An outage that begins now.
     pub fn new(seed: u64, now: Milliseconds) -> Self {
-        Self { since: now, rng: fastrand::Rng::with_seed(seed) }
+        Self { outage_began_at: now, rng: fastrand::Rng::with_seed(seed) }
     }
 
-    /// For how long one that is turned away now should keep away. `most`: no client heeds more; past half of that
-    /// all that is left is to spread them.
-    pub fn wait(&mut self, now: Milliseconds, most: Milliseconds) -> Milliseconds {
-        let base = (now - self.since).max(LEAST).min(most / 2.0);
+    /// How long a client that is rejected now should wait: at most `max_wait`, as clients heed no more. Past half of that the
+    /// waits are only spread.
+    pub fn draw(&mut self, now: Milliseconds, max_wait: Milliseconds) -> Milliseconds {
+        let base = (now - self.outage_began_at).max(MIN_RETRY_AFTER).min(max_wait / 2.0);
         base * (1.0 + self.rng.f64())
     }
 }
--- a/crates/pacing/src/startup.rs
+++ b/crates/pacing/src/startup.rs
@@ -1,55 +1,54 @@
-//! Where a gateway stands in a start of all, and when its first probes leave.
+//! When the initial health checks of a gateway are sent.
 //!
-//! What each may send at its start adds up: hundreds that start together open their connections to one engine within a
-//! tenth of a second, before anybody has asked for anything. So what no client waits for leaves in turn, by rank or by
-//! chance, over a span that grows with the fleet; a request is never held up by it.
+//! Hundreds of gateways that start together would connect to one engine within a tenth of a second, before any client has
+//! sent a request. Health checks are therefore spread over a span that grows with the fleet, by the gateway's index or by
+//! chance. They never delay a request.
 
-use crate::poll_schedule::{Milliseconds, FLEET};
+use crate::fleet::{start_position, START_ACTIONS_PER_SECOND};
+use crate::Milliseconds;
 
-/// This gateway's place among the others, from 0 to 1.
-pub fn place(gateways: usize, gateway_index: Option<u64>, rng: &mut fastrand::Rng) -> f64 {
-    gateway_index.map_or_else(|| rng.f64(), |r| (r as f64 / gateways.max(1) as f64).fract())
-}
+/// The span over which a fleet spreads its initial health checks. After it the load that they report would be outdated.
+const MAX_START_SPREAD: Milliseconds = 2_000.0;
 
-/// The span over which a fleet spreads what each does once at its start: a millisecond a gateway, and no longer than
-/// what is learned from it stays new.
-pub fn span(gateways: usize) -> Milliseconds {
-    (gateways.max(1) as f64 / FLEET * 1_000.0).min(2_000.0)
+/// The span over which a fleet spreads what each gateway does once at its start: a millisecond for each gateway, bounded.
+pub fn start_spread(gateways: usize) -> Milliseconds {
+    (gateways.max(1) as f64 / START_ACTIONS_PER_SECOND * 1_000.0).min(MAX_START_SPREAD)
 }
 
-/// Holds back a gateway's probes until its place in the span has come.
+/// Defers the health checks of a gateway until its position in the start of the fleet. Owns the deferred engines.
 #[derive(Debug, Clone)]
 pub struct InitialHealthChecks<E> {
-    /// Until then.
-    pub until: Milliseconds,
-    held: Vec<E>,
+    /// When health checks are no longer deferred.
+    pub release_at: Milliseconds,
+    deferred: Vec<E>,
 }
 
 impl<E: PartialEq> InitialHealthChecks<E> {
     /// A gateway that starts now.
     pub fn new(gateways: usize, gateway_index: Option<u64>, seed: u64, now: Milliseconds) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        Self { until: now + place(gateways, gateway_index, &mut rng) * span(gateways), held: Vec::new() }
+        let position = start_position(gateways, gateway_index, &mut rng);
+        Self { release_at: now + position * start_spread(gateways), deferred: Vec::new() }
     }
 
-    /// A probe of that engine is wanted. Returned: it may leave now; else it is held, once for each engine.
-    pub fn ask(&mut self, engine: E, now: Milliseconds) -> Option<E> {
-        if now >= self.until {
+    /// Requests a health check of an engine. Returns the engine if it may be checked now; otherwise the check is deferred,
+    /// once for each engine.
+    pub fn request(&mut self, engine: E, now: Milliseconds) -> Option<E> {
+        if now >= self.release_at {
             return Some(engine);
         }
-        if !self.held.contains(&engine) {
-            self.held.push(engine);
+        if !self.deferred.contains(&engine) {
+            self.deferred.push(engine);
         }
         None
     }
 
-    /// What was held and may leave now.
-    pub fn due(&mut self, now: Milliseconds) -> Vec<E> {
-        if now >= self.until {
-            std::mem::take(&mut self.held)
-        } else {
-            Vec::new()
+    /// Removes and returns the engines that were deferred and may be checked now.
+    pub fn release(&mut self, now: Milliseconds) -> Vec<E> {
+        if now < self.release_at {
+            return Vec::new();
         }
+        std::mem::take(&mut self.deferred)
     }
 }
 
--- a/crates/service-discovery/src/age/tests.rs
+++ b/crates/service-discovery/src/age/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
-use starlingplank_pacing::poll_schedule::{SLOWEST, STEADY};
+use starlingplank_pacing::poll_schedule::{DEFAULT_MAX_INTERVAL, STEADY_INTERVAL};
 
 #[test]
 fn list_is_as_old_as_the_question_whose_answer_confirms_it() {
-    let mut age = ListAge::new(0.0, STEADY);
+    let mut age = ListAge::new(0.0, STEADY_INTERVAL);
     age.confirm(500.0, 0);
     assert_eq!(age.age(2_000.0), 1_500.0);
     age.confirm(400.0, 0);
@@ -12,7 +12,7 @@
 
 #[test]
 fn list_that_is_not_confirmed_is_late_and_then_silent_and_each_change_is_told_once() {
-    let mut age = ListAge::new(0.0, STEADY);
+    let mut age = ListAge::new(0.0, STEADY_INTERVAL);
     assert_eq!(age.freshness_change(LATE_AFTER), None);
     assert_eq!(age.freshness_change(LATE_AFTER + 1.0), Some(Freshness::Late));
     assert_eq!(age.freshness_change(SILENT_AFTER), None);
@@ -23,7 +23,7 @@
 
 #[test]
 fn moved_service_counts_as_moved_until_it_answers_a_question_sent_since() {
-    let mut age = ListAge::new(0.0, STEADY);
+    let mut age = ListAge::new(0.0, STEADY_INTERVAL);
     age.relocate(300.0);
     age.relocate(600.0);
     assert_eq!(age.freshness(700.0), Freshness::Relocated);
@@ -37,7 +37,7 @@
 
 /// A list confirmed as of 0, and so many polls since, 200 ms apart.
 fn unanswered(polls: u32) -> ListAge {
-    let mut age = ListAge::new(0.0, STEADY);
+    let mut age = ListAge::new(0.0, STEADY_INTERVAL);
     (1..=polls).for_each(|n| age.poll_sent(f64::from(n) * 200.0));
     age
 }
@@ -116,8 +116,8 @@
 
 #[test]
 fn list_whose_questions_are_far_apart_is_reliable_for_four_of_them() {
-    let age = ListAge::new(0.0, SLOWEST);
-    assert_eq!(age.lease_end(GRACE), 4.0 * SLOWEST + GRACE);
+    let age = ListAge::new(0.0, DEFAULT_MAX_INTERVAL);
+    assert_eq!(age.lease_end(GRACE), 4.0 * DEFAULT_MAX_INTERVAL + GRACE);
 }
 
 #[test]
--- a/crates/service-discovery/src/discovery.rs
+++ b/crates/service-discovery/src/discovery.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct DiscoveryConfig {
     /// When polls are sent.
-    pub schedule: poll_schedule::Rules,
+    pub schedule: poll_schedule::PollConfig,
     /// The seed of random draws.
     pub seed: u64,
     /// The version of the list that the process begins with.
@@ -88,14 +88,14 @@
     pub fn new(config: &DiscoveryConfig, now: Milliseconds) -> Self {
         // At the steady interval outdated lists are usual, and a process that has just started must not back off because of
         // the first of them.
-        let ignores_outdated = config.schedule.slowest > poll_schedule::STEADY;
+        let ignores_outdated = config.schedule.max_interval > poll_schedule::STEADY_INTERVAL;
         Self {
             address: config.address,
             schedule: PollSchedule::new(config.schedule, config.seed, now),
             outstanding: OutstandingPolls::default(),
             flows: Flows::new(config.max_flows),
             versions: Versions::new(config.known_version),
-            age: ListAge::new(now, config.schedule.slowest),
+            age: ListAge::new(now, config.schedule.max_interval),
             counts: PollCounts::default(),
             drain_grace: config.drain_grace,
             min_version: if ignores_outdated { config.known_version } else { 0 },
@@ -106,7 +106,7 @@
 
     /// When the next poll is due; none without a service.
     pub fn next_poll_at(&self) -> Option<Milliseconds> {
-        self.address.map(|_| self.schedule.due())
+        self.address.map(|_| self.schedule.next_poll_at())
     }
 
     /// Changes the service's address. An unchanged address has no effect.
@@ -117,7 +117,7 @@
         self.address = address;
         self.versions.relocate();
         self.age.relocate(now);
-        self.schedule.relocated(now);
+        self.schedule.service_relocated(now);
     }
 
     /// Whether the next poll should be sent from a new flow.
@@ -146,7 +146,7 @@
         let rng = &mut self.rng;
         let poll = self.outstanding.add(flow, to, now, || rng.u16(..));
         self.flows.poll_sent(&poll);
-        self.schedule.asked(now);
+        self.schedule.poll_sent(now);
         self.age.poll_sent(now);
         self.counts.count_poll();
         Some(poll)
@@ -207,10 +207,10 @@
         if version < self.min_version && !supersedes {
             return;
         }
-        self.schedule.answered(now);
+        self.schedule.response_received(now);
         // The list that a process begins with is usually older than the service's: the first response is no change.
         if self.has_received && version > self.min_version {
-            self.schedule.changed(now);
+            self.schedule.list_changed(now);
         }
         (self.min_version, self.has_received) = (version, true);
     }
--- a/crates/service-discovery/src/discovery/tests.rs
+++ b/crates/service-discovery/src/discovery/tests.rs
@@ -21,8 +21,8 @@
         let now = harness.now;
         harness.discovery.relocate(Some(address(if moves { 1 + n as u16 % 2 } else { 1 })), now);
     }
-    assert_received_within(&harness, 5_000.0, 300.0 + poll_schedule::STEADY + 2.0 * STEP);
-    assert!(harness.longest_gap() <= poll_schedule::STEADY + STEP, "{}", harness.longest_gap());
+    assert_received_within(&harness, 5_000.0, 300.0 + poll_schedule::STEADY_INTERVAL + 2.0 * STEP);
+    assert!(harness.longest_gap() <= poll_schedule::STEADY_INTERVAL + STEP, "{}", harness.longest_gap());
 }
 
 #[rstest]
@@ -31,7 +31,7 @@
 ) {
     let mut harness = Harness::new(3, 2);
     harness.play(CHANGE + 5_000.0, |harness, _| Some((takes, harness.version(CHANGE))));
-    assert_received_within(&harness, CHANGE, takes + poll_schedule::STEADY + 2.0 * STEP);
+    assert_received_within(&harness, CHANGE, takes + poll_schedule::STEADY_INTERVAL + 2.0 * STEP);
     assert!(harness.max_open_flows <= MAX_FLOWS + 1, "{} flows", harness.max_open_flows);
     assert_eq!(
         harness.discovery.counts().responses(ResponseKind::Unsolicited),
@@ -81,7 +81,7 @@
     harness.play(5_000.0, answer);
     harness.discovery.relocate(Some(address(2)), 5_000.0);
     harness.play(9_000.0, answer);
-    assert_received_within(&harness, 5_200.0, poll_schedule::STEADY + 2.0 * STEP);
+    assert_received_within(&harness, 5_200.0, poll_schedule::STEADY_INTERVAL + 2.0 * STEP);
 }
 
 /// The service moves at 5 s, the new one says nothing until 8 s, and then every second poll is lost. Everything counts as
@@ -124,7 +124,7 @@
     for second in 1..60 {
         harness.play(f64::from(second) * 1_000.0, |_, _| Some((1.0, 1)));
         let left = harness.discovery.lease_end() - harness.now;
-        assert!(left > PROPAGATION_DELAY + GRACE - 2.0 * poll_schedule::STEADY, "{left}");
+        assert!(left > PROPAGATION_DELAY + GRACE - 2.0 * poll_schedule::STEADY_INTERVAL, "{left}");
     }
     assert!(harness.polls.iter().all(|poll| poll.flow == harness.polls[0].flow), "one flow is enough");
     assert_eq!(harness.discovery.counts().polls(), harness.polls.len() as u64);
@@ -226,16 +226,16 @@
 
 /// Where the pace may be slower than steady, lists that are older than what a start knows are no answers to it.
 #[rstest]
-#[case::platform(poll_schedule::STEADY, 1, 140)]
-#[case::slower(poll_schedule::SLOWEST, 1, 60)]
-#[case::slower_and_newer(poll_schedule::SLOWEST, 5, 140)]
+#[case::platform(poll_schedule::STEADY_INTERVAL, 1, 140)]
+#[case::slower(poll_schedule::DEFAULT_MAX_INTERVAL, 1, 60)]
+#[case::slower_and_newer(poll_schedule::DEFAULT_MAX_INTERVAL, 5, 140)]
 fn pace_follows_the_answers_that_count(
-    #[case] slowest: Milliseconds,
+    #[case] max_interval: Milliseconds,
     #[case] version: u64,
     #[case] polls: usize,
 ) {
     let mut harness = Harness::new(3, 15);
-    let schedule = poll_schedule::Rules { gateways: 3, gateway_index: Some(0), slowest };
+    let schedule = poll_schedule::PollConfig { gateways: 3, gateway_index: Some(0), max_interval };
     harness.discovery = Discovery::new(&config(schedule, 15, 4), 0.0);
     harness.play(30_000.0, |_, _| Some((1.0, version)));
     let asked = harness.polls.len();
@@ -248,15 +248,18 @@
 fn news_quickens_the_next_question() {
     let gap = |version: u64| {
         let mut harness = Harness::new(300, 16);
-        let schedule =
-            poll_schedule::Rules { gateways: 300, gateway_index: Some(0), slowest: poll_schedule::SLOWEST };
+        let schedule = poll_schedule::PollConfig {
+            gateways: 300,
+            gateway_index: Some(0),
+            max_interval: poll_schedule::DEFAULT_MAX_INTERVAL,
+        };
         harness.discovery = Discovery::new(&config(schedule, 16, 1), 0.0);
         // The first answer is no change, whatever it says; the second is news or not.
         harness.play(8_000.0, |harness, _| Some((1.0, if harness.polls.len() == 1 { 1 } else { version })));
         harness.polls[2].sent_at - harness.polls[1].sent_at
     };
-    assert!(gap(2) <= poll_schedule::STEADY + 2.0 * STEP, "{}", gap(2));
-    assert!(gap(1) > 2.0 * poll_schedule::STEADY, "{}", gap(1));
+    assert!(gap(2) <= poll_schedule::STEADY_INTERVAL + 2.0 * STEP, "{}", gap(2));
+    assert!(gap(1) > 2.0 * poll_schedule::STEADY_INTERVAL, "{}", gap(1));
 }
 
 #[test]
--- a/crates/service-discovery/src/discovery/tests/harness.rs
+++ b/crates/service-discovery/src/discovery/tests/harness.rs
@@ -48,8 +48,11 @@
 impl Harness {
     /// A gateway that starts now and polls at the steady interval.
     pub(super) fn new(gateways: usize, seed: u64) -> Self {
-        let schedule =
-            poll_schedule::Rules { gateways, gateway_index: Some(0), slowest: poll_schedule::STEADY };
+        let schedule = poll_schedule::PollConfig {
+            gateways,
+            gateway_index: Some(0),
+            max_interval: poll_schedule::STEADY_INTERVAL,
+        };
         Self {
             discovery: Discovery::new(&config(schedule, seed, 1), 0.0),
             now: 0.0,
@@ -135,7 +138,7 @@
 }
 
 /// The configuration of a gateway that begins with that version of the list.
-pub(super) fn config(schedule: poll_schedule::Rules, seed: u64, known_version: u64) -> DiscoveryConfig {
+pub(super) fn config(schedule: poll_schedule::PollConfig, seed: u64, known_version: u64) -> DiscoveryConfig {
     DiscoveryConfig {
         schedule,
         seed,
--- a/crates/service-discovery/src/lib.rs
+++ b/crates/service-discovery/src/lib.rs
@@ -19,4 +19,4 @@
 pub mod responses;
 pub mod versions;
 
-pub use starlingplank_pacing::poll_schedule::Milliseconds;
+pub use starlingplank_pacing::Milliseconds;
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -86,7 +86,7 @@
         let mut raw = raw(&found);
         // The platform's rules fix the pace at which its list is asked; elsewhere a service may be spared.
         if !beside {
-            let slowest = || poll_schedule::SLOWEST.to_string();
+            let slowest = || poll_schedule::DEFAULT_MAX_INTERVAL.to_string();
             raw.pairs.entry("pacing.list_slowest".into()).or_insert_with(slowest);
         }
         Ok(raw)
--- a/src/core/health_checks.rs
+++ b/src/core/health_checks.rs
@@ -18,15 +18,15 @@
         engine: EngineId,
         effects: &mut Vec<Effect>,
     ) {
-        match self.initial_health_checks.ask(engine, now) {
+        match self.initial_health_checks.request(engine, now) {
             Some(engine) => self.send_health_check(now, engine, effects),
-            None => self.set_timer(self.initial_health_checks.until, Due::InitialHealthChecks),
+            None => self.set_timer(self.initial_health_checks.release_at, Due::InitialHealthChecks),
         }
     }
 
     /// Sends the health checks that were held back at the start.
     pub(super) fn send_initial_health_checks(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
-        for engine in self.initial_health_checks.due(now) {
+        for engine in self.initial_health_checks.release(now) {
             self.send_health_check(now, engine, effects);
         }
     }
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -60,8 +60,8 @@
     /// Requests queued until a membership is known would all be released at once. Each is rejected with another time to
     /// retry.
     fn check_membership(&mut self, now: Milliseconds) -> Result<(), Rejection> {
-        let Some(retry_after_schedule) = &mut self.membership_wait else { return Ok(()) };
-        let retry_after = retry_after_schedule.wait(now, self.settings.max_retry_after);
+        let Some(outage) = &mut self.membership_wait else { return Ok(()) };
+        let retry_after = outage.draw(now, self.settings.max_retry_after);
         Err(Rejection { reason: "no list", retry_after })
     }
 
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -186,7 +186,7 @@
             max_decision_credit: 5.0,
             answer_margin: 20.0,
             removed_engine_grace: 200.0,
-            slowest_poll_interval: f.number_or("pacing.list_slowest", poll_schedule::STEADY)?,
+            slowest_poll_interval: f.number_or("pacing.list_slowest", poll_schedule::STEADY_INTERVAL)?,
             max_discovery_flows: (sockets / SOCKETS_PER_FLOW).clamp(LEAST_FLOWS, MAX_FLOWS),
             max_datagram_bytes: MOST_DATAGRAM_BYTES,
             shutdown_accept_window: 800.0,
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -12,7 +12,7 @@
 use crate::limits::Limits;
 use message::KnownAddresses;
 pub use poller::Poller;
-use starlingplank_pacing::poll_schedule::Rules;
+use starlingplank_pacing::poll_schedule::PollConfig;
 use starlingplank_service_discovery::discovery::{Discovery, DiscoveryConfig};
 use std::net::SocketAddr;
 
@@ -25,10 +25,10 @@
     address: Option<SocketAddr>,
     now: Milliseconds,
 ) -> Discovery {
-    let schedule = Rules {
+    let schedule = PollConfig {
         gateways: settings.gateways,
         gateway_index: settings.gateway_index,
-        slowest: limits.slowest_poll_interval,
+        max_interval: limits.slowest_poll_interval,
     };
     let config = DiscoveryConfig {
         schedule,
