--- a/crates/admin/src/inherited_membership.rs
+++ b/crates/admin/src/inherited_membership.rs
@@ -5,14 +5,14 @@
 //! never heard is as this process's own start says.
 
 use serde::{Deserialize, Serialize};
-use starlingplank_storage::framed::{decode, encode, Form, FrameError};
+use starlingplank_storage::framed::{decode, encode, FileFormat, FrameError};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Unix milliseconds.
 pub type UnixMilliseconds = f64;
 
 /// What the file begins with.
-pub const FORM: Form = Form { magic: *b"SPKHEARD", version: 1 };
+pub const FORM: FileFormat = FileFormat { magic: *b"SPKHEARD", version: 1 };
 /// Bytes of the file at most: 10,000 engines with ids of 100 bytes.
 pub const BYTES: u64 = 1 << 20;
 /// It binds so long after the service last spoke, in ms: services are silent for up to 23 s, and an id that comes back
--- a/crates/admin/src/inherited_membership/tests.rs
+++ b/crates/admin/src/inherited_membership/tests.rs
@@ -38,7 +38,7 @@
     let never = InheritedMembership::new(f64::INFINITY, []).encode().expect("small");
     assert!(InheritedMembership::decode(&never).is_err());
     let many = InheritedMembership::new(0.0, (0..20_000).map(|n| format!("{n:0100}")));
-    assert!(matches!(many.encode(), Err(FrameError::TooLarge(..))));
+    assert!(matches!(many.encode(), Err(FrameError::TooLarge { .. })));
 }
 
 #[test]
--- a/crates/admin/src/operator_overrides.rs
+++ b/crates/admin/src/operator_overrides.rs
@@ -2,7 +2,7 @@
 //! one that drains while it is out, and one that has just started when it is called back.
 
 use serde::{Deserialize, Serialize};
-use starlingplank_storage::framed::{decode, encode, Form, FrameError};
+use starlingplank_storage::framed::{decode, encode, FileFormat, FrameError};
 use std::collections::BTreeMap;
 use thiserror::Error;
 
@@ -10,7 +10,7 @@
 pub type UnixMilliseconds = f64;
 
 /// What the file begins with.
-pub const FORM: Form = Form { magic: *b"SPKHAND\n", version: 1 };
+pub const FORM: FileFormat = FileFormat { magic: *b"SPKHAND\n", version: 1 };
 /// Engines that can be out by hand at most; a list is far shorter.
 pub const MOST: usize = 10_000;
 /// Bytes of an id at most.
@@ -121,7 +121,7 @@
         let hand: Self = decode(&FORM, bytes)?;
         let sane = |id: &String| id.len() <= ID_BYTES;
         if hand.out.len() > MOST || !hand.out.keys().chain(hand.back.keys()).all(sane) {
-            return Err(FrameError::TooLarge(hand.out.len(), MOST));
+            return Err(FrameError::TooLarge { bytes: hand.out.len(), max_bytes: MOST });
         }
         Ok(hand)
     }
--- a/crates/admin/src/operator_overrides/tests.rs
+++ b/crates/admin/src/operator_overrides/tests.rs
@@ -47,8 +47,8 @@
             assert!(OperatorOverrides::decode(&changed).is_err(), "bit {bit} of byte {at}");
         }
     }
-    let newer = Form { version: 2, ..FORM }.frame(&[1, 2, 3]);
-    assert_eq!(OperatorOverrides::decode(&newer), Err(FrameError::Newer(2, 1)));
+    let newer = FileFormat { version: 2, ..FORM }.frame(&[1, 2, 3]);
+    assert_eq!(OperatorOverrides::decode(&newer), Err(FrameError::NewerVersion { found: 2, supported: 1 }));
 }
 
 #[test]
--- a/crates/persistence/src/cached_endpoints.rs
+++ b/crates/persistence/src/cached_endpoints.rs
@@ -8,12 +8,12 @@
 use serde::{Deserialize, Serialize};
 use starlingplank_decision::interface::Milliseconds;
 use starlingplank_storage::disk::{self, Disk};
-use starlingplank_storage::framed::{decode, encode, Form, FrameError};
+use starlingplank_storage::framed::{decode, encode, FileFormat, FrameError};
 use std::io;
 use thiserror::Error;
 
 /// What the file begins with.
-pub const FORM: Form = Form { magic: *b"SPKLIST\n", version: 1 };
+pub const FORM: FileFormat = FileFormat { magic: *b"SPKLIST\n", version: 1 };
 /// Its name.
 pub const FILE: &str = "list.spk";
 /// Bytes of it at most: some 10,000 engines.
--- a/crates/persistence/src/idempotency_log.rs
+++ b/crates/persistence/src/idempotency_log.rs
@@ -238,7 +238,7 @@
 pub fn last(disk: &dyn Disk) -> io::Result<Option<(String, Read)>> {
     for _ in 0..LISTED {
         let Some(number) = disk::numbers(disk, PREFIX, EXTENSION)?.first().copied() else { return Ok(None) };
-        let file = disk::numbered(PREFIX, number, EXTENSION);
+        let file = disk::numbered_name(PREFIX, number, EXTENSION);
         if let Some(bytes) = disk.read(&file, MOST)? {
             return Ok(Some((file, read(&bytes))));
         }
@@ -296,11 +296,11 @@
             }
         }
         bytes.extend(mark.into_iter().flat_map(|mark| Record::Mark(mark).bytes()));
-        let file = disk::numbered(PREFIX, number, EXTENSION);
+        let file = disk::numbered_name(PREFIX, number, EXTENSION);
         disk::replace(&mut *self.disk, &file, &bytes)?;
         for old in disk::numbers(&*self.disk, PREFIX, EXTENSION)?.into_iter().filter(|n| *n < number) {
             // One that stays is never read again: the latest is.
-            let _ = self.disk.remove(&disk::numbered(PREFIX, old, EXTENSION));
+            let _ = self.disk.remove(&disk::numbered_name(PREFIX, old, EXTENSION));
         }
         self.file = Some(file);
         Ok(bytes.len())
--- a/crates/persistence/src/inspection.rs
+++ b/crates/persistence/src/inspection.rs
@@ -1,14 +1,15 @@
 //! `knowledge show` and `knowledge verify`: what a folder holds, and whether it is whole. They take no lock and change
 //! nothing, so they may be run beside a gateway.
 
+use crate::boot_time::BootTime;
 use crate::cached_endpoints::{self, ListError};
-use crate::folder::{Boot, Files};
 use crate::idempotency_log;
 use crate::recovery::{self, worth, EndpointIdentity, Rules, Uncertainty};
 use crate::snapshot_records::Snapshot;
 use crate::snapshot_store::{self, Fault};
 use serde_json::{json, Value};
 use starlingplank_decision::interface::Milliseconds;
+use starlingplank_storage::folder::Files;
 use starlingplank_storage::framed::FrameError;
 use std::fmt::Write;
 use std::io;
@@ -57,7 +58,7 @@
     let list = cached_endpoints::load(&disk);
     let anything = anything || !matches!(list, Ok(None));
     if let Err(e) = list {
-        let newer = matches!(e, ListError::Frame(FrameError::Newer(..)));
+        let newer = matches!(e, ListError::Frame(FrameError::NewerVersion { .. }));
         faults.push(Fault { file: cached_endpoints::FILE.into(), offset: None, why: e.to_string(), newer });
     }
     Ok(Verdict { faults, anything, torn })
@@ -72,10 +73,10 @@
     let loaded = snapshot_store::load(&disk, MOST)?;
     let log = idempotency_log::last(&disk)?;
     let Some((generation, snapshot)) = loaded.snapshot else { return Ok(None) };
-    let boot = Boot::read();
+    let boot = BootTime::read();
     let (keys, marked) = match &log {
         Some((_, read)) => {
-            let mark = read.mark.filter(|m| Some(m.boot) == boot.id);
+            let mark = read.mark.filter(|m| Some(m.boot) == boot.boot_id);
             (read.sends.len(), mark.map(|m| boot.now - m.at))
         }
         None => (0, None),
--- a/crates/persistence/src/lib.rs
+++ b/crates/persistence/src/lib.rs
@@ -10,7 +10,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub use starlingplank_storage::{disk, folder};
+pub use starlingplank_storage::{boot_time, disk, folder};
 
 pub mod cached_endpoints;
 pub mod deduplication_window;
--- a/crates/persistence/src/snapshot.rs
+++ b/crates/persistence/src/snapshot.rs
@@ -2,12 +2,12 @@
 //! records in postcard's form.
 
 use crate::snapshot_records::{v1, Snapshot};
-use starlingplank_storage::framed::{pack, unpack, Form};
+use starlingplank_storage::framed::{pack, unpack, FileFormat};
 
-pub use starlingplank_storage::framed::{FrameError as SnapshotError, HEAD};
+pub use starlingplank_storage::framed::{FrameError as SnapshotError, HEADER_BYTES};
 
 /// What every snapshot begins with.
-pub const FORM: Form = Form { magic: *b"SPKNOWL\n", version: 2 };
+pub const FORM: FileFormat = FileFormat { magic: *b"SPKNOWL\n", version: 2 };
 
 /// The bytes of a snapshot, at most so many: where there are more engines than fit, those that answered last are
 /// kept.
@@ -15,7 +15,7 @@
 /// # Errors
 /// Not even the classes fit.
 pub fn encode(snapshot: &Snapshot, most: usize) -> Result<Vec<u8>, SnapshotError> {
-    let most = most.min(u32::MAX as usize).saturating_sub(HEAD);
+    let most = most.min(u32::MAX as usize).saturating_sub(HEADER_BYTES);
     let records = pack(snapshot)?;
     if records.len() <= most {
         return Ok(FORM.frame(&records));
@@ -29,7 +29,7 @@
             return Ok(FORM.frame(&records));
         }
     }
-    Err(SnapshotError::TooLarge(records.len(), most))
+    Err(SnapshotError::TooLarge { bytes: records.len(), max_bytes: most })
 }
 
 /// The bytes of a snapshot as version 1 wrote them, for installations that go back to it.
@@ -37,7 +37,7 @@
 /// # Errors
 /// The records cannot be written.
 pub fn encode_v1(snapshot: &v1::Snapshot) -> Result<Vec<u8>, SnapshotError> {
-    Ok(Form { version: 1, ..FORM }.frame(&pack(snapshot)?))
+    Ok(FileFormat { version: 1, ..FORM }.frame(&pack(snapshot)?))
 }
 
 /// Reads a snapshot of this version or the one before.
@@ -45,9 +45,10 @@
 /// # Errors
 /// Says where and why the bytes are none; never panics, whatever they are.
 pub fn decode(bytes: &[u8]) -> Result<Snapshot, SnapshotError> {
-    match FORM.open(bytes)? {
-        (2, records) => unpack(records),
-        (1, records) => unpack::<v1::Snapshot>(records).map(Snapshot::from),
-        (other, _) => Err(SnapshotError::Version(other)),
+    let frame = FORM.open(bytes)?;
+    match frame.version {
+        2 => unpack(frame.records),
+        1 => unpack::<v1::Snapshot>(frame.records).map(Snapshot::from),
+        other => Err(SnapshotError::UnknownVersion(other)),
     }
 }
--- a/crates/persistence/src/snapshot_store.rs
+++ b/crates/persistence/src/snapshot_store.rs
@@ -67,10 +67,10 @@
     /// The folder cannot be read.
     pub fn open(mut disk: Box<dyn Disk>, most: usize) -> io::Result<(Self, Loaded)> {
         let loaded = load(&*disk, most)?;
-        disk::clear_temporary(&mut *disk);
+        disk::remove_temporary_files(&mut *disk);
         let all = disk::numbers(&*disk, PREFIX, EXTENSION)?;
         let newer = |n: &u64| {
-            let name = disk::numbered(PREFIX, *n, EXTENSION);
+            let name = disk::numbered_name(PREFIX, *n, EXTENSION);
             loaded.faults.iter().any(|f| f.newer && f.file == name)
         };
         let untouched = all.iter().copied().filter(newer).collect();
@@ -87,11 +87,11 @@
         let generation = self.next;
         // A generation is tried once: a rename that failed may still have happened.
         self.next = self.next.saturating_add(1);
-        disk::replace(&mut *self.disk, &disk::numbered(PREFIX, generation, EXTENSION), &bytes)?;
+        disk::replace(&mut *self.disk, &disk::numbered_name(PREFIX, generation, EXTENSION), &bytes)?;
         let all = disk::numbers(&*self.disk, PREFIX, EXTENSION)?;
         for old in all.into_iter().filter(|n| !self.untouched.contains(n)).skip(KEPT) {
             // One that stays costs room alone; the next save tries again.
-            let _ = self.disk.remove(&disk::numbered(PREFIX, old, EXTENSION));
+            let _ = self.disk.remove(&disk::numbered_name(PREFIX, old, EXTENSION));
         }
         Ok(bytes.len())
     }
@@ -104,7 +104,7 @@
 pub fn load(disk: &dyn Disk, most: usize) -> io::Result<Loaded> {
     let mut loaded = Loaded::default();
     for generation in disk::numbers(disk, PREFIX, EXTENSION)? {
-        let file = disk::numbered(PREFIX, generation, EXTENSION);
+        let file = disk::numbered_name(PREFIX, generation, EXTENSION);
         let bytes = match disk.read(&file, most as u64) {
             Ok(Some(bytes)) => bytes,
             Ok(None) => continue,
@@ -117,14 +117,7 @@
             Ok(found) if loaded.snapshot.is_none() => loaded.snapshot = Some((generation, found)),
             Ok(_) => {}
             Err(e) => {
-                let offset = match &e {
-                    SnapshotError::Length { at, .. } => *at,
-                    SnapshotError::Magic => 0,
-                    SnapshotError::Newer(..) | SnapshotError::Version(_) => 8,
-                    SnapshotError::Checksum => 16,
-                    SnapshotError::Records(_) | SnapshotError::TooLarge(..) => snapshot::HEAD,
-                };
-                let newer = matches!(e, SnapshotError::Newer(..));
+                let (offset, newer) = (e.offset(), e.is_newer_version());
                 loaded.faults.push(Fault { file, offset: Some(offset), why: e.to_string(), newer });
             }
         }
--- a/crates/persistence/tests/snapshot.rs
+++ b/crates/persistence/tests/snapshot.rs
@@ -4,7 +4,7 @@
 
 use common::snapshot;
 use proptest::prelude::*;
-use starlingplank_persistence::snapshot::{decode, encode, encode_v1, SnapshotError, FORM, HEAD};
+use starlingplank_persistence::snapshot::{decode, encode, encode_v1, SnapshotError, FORM, HEADER_BYTES};
 use starlingplank_persistence::snapshot_records::v1;
 
 const MOST: usize = 1 << 20;
@@ -21,7 +21,7 @@
 fn head_is_as_the_page_has_it() {
     let bytes = encode(&snapshot(5.0, 1), MOST).expect("it fits");
     assert_eq!((&bytes[..8], &bytes[8..12]), (&FORM.magic[..], &[2, 0, 0, 0][..]));
-    assert_eq!(u32::from_le_bytes(bytes[12..16].try_into().expect("4")) as usize, bytes.len() - HEAD);
+    assert_eq!(u32::from_le_bytes(bytes[12..16].try_into().expect("4")) as usize, bytes.len() - HEADER_BYTES);
 }
 
 /// Every byte, every bit of it; and every length.
@@ -67,7 +67,7 @@
 fn later_version_is_refused_by_its_number_alone() {
     let mut bytes = encode(&snapshot(5.0, 1), MOST).expect("it fits");
     bytes[8] = 3;
-    assert_eq!(decode(&bytes), Err(SnapshotError::Newer(3, 2)));
+    assert_eq!(decode(&bytes), Err(SnapshotError::NewerVersion { found: 3, supported: 2 }));
     bytes[8] = 0;
     assert!(decode(&bytes).is_err());
 }
@@ -80,7 +80,7 @@
     let kept = decode(&bytes).expect("whole").engines;
     assert!(bytes.len() <= 8_000 && !kept.is_empty() && kept.len() < 400);
     assert_eq!(kept[0].id, "s-390");
-    assert!(matches!(encode(&large, 100), Err(SnapshotError::TooLarge(..))));
+    assert!(matches!(encode(&large, 100), Err(SnapshotError::TooLarge { .. })));
 }
 
 proptest! {
--- a/crates/persistence/tests/writers.rs
+++ b/crates/persistence/tests/writers.rs
@@ -154,8 +154,8 @@
     let folder = Folder::open(&path).expect("it is made");
     let mode = |p: &std::path::Path| std::fs::metadata(p).expect("there").permissions().mode() & 0o777;
     assert_eq!((mode(&path), mode(&path.join("lock"))), (0o700, 0o600));
-    assert!(matches!(Folder::open(&path), Err(FolderError::Held(_))));
-    let (mut store, _) = Store::open(Box::new(folder.disk()), MOST).expect("empty");
+    assert!(matches!(Folder::open(&path), Err(FolderError::Locked { .. })));
+    let (mut store, _) = Store::open(Box::new(folder.disk().closing_written_files()), MOST).expect("empty");
     store.save(&snapshot(1.0, 1)).expect("saved");
     assert_eq!(mode(&path.join("snapshot-0000000000000001.spk")), 0o600);
     drop(folder);
@@ -164,8 +164,8 @@
     assert!(refused.contains("chmod 700"), "{refused}");
     let file = parent.path().join("file");
     std::fs::write(&file, "x").expect("a file");
-    assert!(matches!(Folder::open(&file), Err(FolderError::Io(..))));
-    assert!(matches!(Folder::open(&file.join("under")), Err(FolderError::Io(..))));
+    assert!(matches!(Folder::open(&file), Err(FolderError::Io { .. })));
+    assert!(matches!(Folder::open(&file.join("under")), Err(FolderError::Io { .. })));
 }
 
 #[test]
--- a/crates/storage/src/folder.rs
+++ b/crates/storage/src/folder.rs
@@ -1,7 +1,6 @@
-//! The folder itself: its lock, its permissions, its files, and the clock that nobody sets.
+//! A folder on a real disk: its lock, its permissions and its files.
 
-use crate::disk::Disk;
-use rustix::time::{clock_gettime, ClockId};
+use crate::disk::{Disk, FileTooLarge};
 use std::collections::HashMap;
 use std::fs::{DirBuilder, File, OpenOptions, TryLockError};
 use std::io::{self, Read, Write};
@@ -9,24 +8,43 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Milliseconds.
-type Milliseconds = f64;
+/// Name of the file whose lock the owning process holds.
+const LOCK_FILE: &str = "lock";
+/// Permissions of a folder: the owner alone.
+const FOLDER_MODE: u32 = 0o700;
+/// Permissions of a file: the owner alone.
+const FILE_MODE: u32 = 0o600;
+/// Permission bits that no other user may have.
+const OTHERS_MODE: u32 = 0o077;
 
 /// Why a folder cannot be used.
 #[derive(Debug, Error)]
 pub enum FolderError {
-    /// Another process holds it.
-    #[error("{0}: another process uses this folder")]
-    Held(PathBuf),
-    /// Others may read or write it.
-    #[error("{0}: others may use this folder (mode {1:o}): chmod 700 it")]
-    Open(PathBuf, u32),
-    /// The system says no.
-    #[error("{0}: {1}")]
-    Io(PathBuf, io::Error),
+    /// Another process has locked it.
+    #[error("{path}: another process uses this folder")]
+    Locked {
+        /// The folder.
+        path: PathBuf,
+    },
+    /// Other users may read or write it.
+    #[error("{path}: others may use this folder (mode {mode:o}): chmod 700 it")]
+    Permissions {
+        /// The folder.
+        path: PathBuf,
+        /// Its permission bits.
+        mode: u32,
+    },
+    /// A system call failed.
+    #[error("{path}: {source}")]
+    Io {
+        /// The folder.
+        path: PathBuf,
+        /// What the system answered.
+        source: io::Error,
+    },
 }
 
-/// A folder that this process alone uses, until this is dropped.
+/// A folder that is locked for this process. Owns the lock's descriptor: dropping the folder releases the lock.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
@@ -34,59 +52,68 @@
 }
 
 impl Folder {
-    /// Makes the folder where it isn't there, and locks it.
+    /// Creates the folder if it does not exist, and locks it.
     ///
     /// # Errors
-    /// It cannot be made, written or locked, or others may use it.
+    /// The folder cannot be created, written or locked, or other users have access to it.
     pub fn open(path: &Path) -> Result<Self, FolderError> {
-        let bad = |e| FolderError::Io(path.to_owned(), e);
-        match DirBuilder::new().mode(0o700).recursive(true).create(path) {
-            Err(e) if e.kind() != io::ErrorKind::AlreadyExists => return Err(bad(e)),
+        let failed = |source| FolderError::Io { path: path.to_owned(), source };
+        match DirBuilder::new().mode(FOLDER_MODE).recursive(true).create(path) {
+            Err(error) if error.kind() != io::ErrorKind::AlreadyExists => return Err(failed(error)),
             _ => {}
         }
-        let meta = std::fs::metadata(path).map_err(bad)?;
-        if !meta.is_dir() {
-            return Err(bad(io::ErrorKind::NotADirectory.into()));
+        let metadata = std::fs::metadata(path).map_err(failed)?;
+        if !metadata.is_dir() {
+            return Err(failed(io::ErrorKind::NotADirectory.into()));
         }
-        let mode = meta.permissions().mode() & 0o7777;
-        if mode & 0o077 != 0 {
-            return Err(FolderError::Open(path.to_owned(), mode));
+        let mode = metadata.permissions().mode() & 0o7777;
+        if mode & OTHERS_MODE != 0 {
+            return Err(FolderError::Permissions { path: path.to_owned(), mode });
         }
-        let lock =
-            OpenOptions::new().create(true).truncate(false).write(true).mode(0o600).open(path.join("lock"));
-        let lock = lock.map_err(bad)?;
+        let mut options = OpenOptions::new();
+        options.create(true).truncate(false).write(true).mode(FILE_MODE);
+        let lock = options.open(path.join(LOCK_FILE)).map_err(failed)?;
         match lock.try_lock() {
             Ok(()) => Ok(Self { path: path.to_owned(), _lock: lock }),
-            Err(TryLockError::WouldBlock) => Err(FolderError::Held(path.to_owned())),
-            Err(TryLockError::Error(e)) => Err(bad(e)),
+            Err(TryLockError::WouldBlock) => Err(FolderError::Locked { path: path.to_owned() }),
+            Err(TryLockError::Error(error)) => Err(failed(error)),
         }
     }
 
-    /// Its files.
+    /// The folder's files.
     pub fn disk(&self) -> Files {
         Files::new(&self.path)
     }
 
-    /// Where it is.
+    /// The folder's path.
     pub fn path(&self) -> &Path {
         &self.path
     }
 }
 
-/// The files of a folder on a real disk. Made for the owner alone.
+/// The files of a folder on a real disk, created for the owner alone. Owns the descriptors of the files that it has
+/// created, so that they can be appended to.
 #[derive(Debug)]
 pub struct Files {
     path: PathBuf,
     open: HashMap<String, File>,
+    close_on_sync_names: bool,
 }
 
 impl Files {
-    /// Without a lock: to look alone.
+    /// The files of a folder that is not locked: enough for reading.
     pub fn new(path: &Path) -> Self {
-        Self { path: path.to_owned(), open: HashMap::new() }
+        Self { path: path.to_owned(), open: HashMap::new(), close_on_sync_names: false }
     }
 
-    fn file(&mut self, name: &str) -> io::Result<&mut File> {
+    /// For files that are never appended to once they have been written and renamed: their descriptors are closed when
+    /// the names are made durable.
+    pub fn closing_written_files(mut self) -> Self {
+        self.close_on_sync_names = true;
+        self
+    }
+
+    fn open_file(&mut self, name: &str) -> io::Result<&mut File> {
         self.open.get_mut(name).ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 }
@@ -94,36 +121,36 @@
 impl Disk for Files {
     fn names(&self) -> io::Result<Vec<String>> {
         let entries = std::fs::read_dir(&self.path)?;
-        entries.map(|e| Ok(e?.file_name().to_string_lossy().into_owned())).collect()
+        entries.map(|entry| Ok(entry?.file_name().to_string_lossy().into_owned())).collect()
     }
 
-    fn read(&self, name: &str, most: u64) -> io::Result<Option<Vec<u8>>> {
+    fn read(&self, name: &str, max_bytes: u64) -> io::Result<Option<Vec<u8>>> {
         let file = match File::open(self.path.join(name)) {
-            Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
+            Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
             file => file?,
         };
-        // Bounded by what is read, not by what the file says of itself.
+        // The bound holds for what is read: the length in the file's metadata may be stale.
         let mut bytes = Vec::new();
-        file.take(most + 1).read_to_end(&mut bytes)?;
-        if bytes.len() as u64 > most {
-            return Err(io::Error::other(format!("it has more than {most} bytes")));
+        file.take(max_bytes + 1).read_to_end(&mut bytes)?;
+        if bytes.len() as u64 > max_bytes {
+            return Err(FileTooLarge { max_bytes }.into());
         }
         Ok(Some(bytes))
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
         let path = self.path.join(name);
-        let file = OpenOptions::new().create(true).write(true).truncate(true).mode(0o600).open(path)?;
+        let file = OpenOptions::new().create(true).write(true).truncate(true).mode(FILE_MODE).open(path)?;
         self.open.insert(name.to_owned(), file);
         Ok(())
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<usize> {
-        self.file(name)?.write(bytes)
+        self.open_file(name)?.write(bytes)
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        self.file(name)?.sync_data()
+        self.open_file(name)?.sync_data()
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
@@ -140,28 +167,9 @@
     }
 
     fn sync_names(&mut self) -> io::Result<()> {
-        // Snapshots rename each time, and the file that was kept open then is not written any more.
-        self.open.retain(|name, _| !name.starts_with("snapshot"));
+        if self.close_on_sync_names {
+            self.open.clear();
+        }
         File::open(&self.path)?.sync_all()
     }
 }
-
-/// The clock that nobody sets: milliseconds since the machine started, sleep counted, and which start that is.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Boot {
-    /// Milliseconds since then.
-    pub now: Milliseconds,
-    /// Which start; none: the system does not tell, and times of another life cannot be compared.
-    pub id: Option<[u8; 16]>,
-}
-
-impl Boot {
-    /// Now.
-    pub fn read() -> Self {
-        let time = clock_gettime(ClockId::Boottime);
-        let now = time.tv_sec as f64 * 1000.0 + time.tv_nsec as f64 / 1e6;
-        let id = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").ok();
-        let id = id.and_then(|text| u128::from_str_radix(&text.trim().replace('-', ""), 16).ok());
-        Self { now, id: id.map(u128::to_be_bytes) }
-    }
-}
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,11 +1,12 @@
-//! Files that tell whether they are whole, and folders that one process holds.
+//! Checksummed files, folders that a single process locks, and the clock that survives a restart of the process.
 //!
-//! In come records that serde knows; out come bytes with a head, a version and a checksum ([`framed`]), written whole
-//! or not at all ([`disk`]), in folders with a lock ([`folder`]). The rule that is kept: **what is read back is what
-//! was written, or nothing**. What the records mean is their owners' business.
+//! Records that serde can write go in; bytes with a header, a version and a checksum come out ([`framed`]). They are
+//! written atomically ([`disk`]) into folders with a lock ([`folder`]). Invariant: **a reader gets exactly what was
+//! written, or an error**. This crate does not know what the records mean.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod boot_time;
 pub mod disk;
 pub mod folder;
 pub mod framed;
--- a/src/net/hot_restart.rs
+++ b/src/net/hot_restart.rs
@@ -15,8 +15,9 @@
 use starlingplank_persistence::snapshot;
 use starlingplank_persistence::snapshot_records::Snapshot;
 use starlingplank_persistence::writers::Offset;
+use starlingplank_storage::boot_time::BootTime;
 use starlingplank_storage::disk::{self, Disk};
-use starlingplank_storage::folder::{Boot, Files};
+use starlingplank_storage::folder::Files;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fs::{DirBuilder, File, OpenOptions, TryLockError};
 use std::io::{self, Read, Seek, SeekFrom, Write};
@@ -123,8 +124,8 @@
         let own = lives.last().map_or(1, |n| n.saturating_add(1));
         let life = create(&path.join(named("life", own)))?;
         hold(&life)?;
-        let boot = Boot::read();
-        let offset = Offset { by: boot.now - now, boot: boot.id.unwrap_or_default() };
+        let boot = BootTime::read();
+        let offset = Offset { by: boot.now - now, boot: boot.boot_id.unwrap_or_default() };
         let keys = create(&path.join(named("keys", own)))?;
         let mut hot_restart = Self {
             path: path.to_owned(),
--- a/src/net/persistence.rs
+++ b/src/net/persistence.rs
@@ -4,12 +4,12 @@
 use crate::config::{describe, Config, KnowledgeSettings};
 use crate::core::{Core, Endpoint, Event};
 use crate::interface::{Availability, Idempotency, Milliseconds, Settings};
+use starlingplank_persistence::boot_time::BootTime;
 use starlingplank_persistence::cached_endpoints::{self, CachedEndpoints};
 use starlingplank_persistence::deduplication_window::{
     self as knowledge, DeduplicationWindow, Key, KeySend, KeySends, Rewrite,
 };
 use starlingplank_persistence::disk::Disk;
-use starlingplank_persistence::folder::{Boot, Files, Folder, FolderError};
 use starlingplank_persistence::idempotency_log;
 use starlingplank_persistence::recovery::{RestoredState, Rules};
 use starlingplank_persistence::snapshot_records::Snapshot;
@@ -18,6 +18,7 @@
     EndpointCacheWriter, IdempotencyLogEvent, IdempotencyLogWriter, Offset, SnapshotEvent, SnapshotWriter,
     Written,
 };
+use starlingplank_storage::folder::{Files, Folder, FolderError};
 use std::cell::Cell;
 use std::fs::File;
 use std::io;
@@ -118,18 +119,18 @@
 impl Log {
     /// Of the life before.
     fn read(disk: &dyn Disk, window: Milliseconds, now: Milliseconds) -> Self {
-        let boot = Boot::read();
-        Self::of(idempotency_log::recover(disk, boot.now, boot.id, window), &boot, now)
+        let boot = BootTime::read();
+        Self::of(idempotency_log::recover(disk, boot.now, boot.boot_id, window), &boot, now)
     }
 
     /// Of a process that is taken over from, by one that knows what was sent beside it.
     fn beside(disk: &dyn Disk, window: Milliseconds, now: Milliseconds) -> Self {
-        let boot = Boot::read();
-        Self::of(idempotency_log::recover_beside(disk, boot.now, boot.id, window), &boot, now)
+        let boot = BootTime::read();
+        Self::of(idempotency_log::recover_beside(disk, boot.now, boot.boot_id, window), &boot, now)
     }
 
-    fn of(found: idempotency_log::Recovered, boot: &Boot, now: Milliseconds) -> Self {
-        let offset = Offset { by: boot.now - now, boot: boot.id.unwrap_or_default() };
+    fn of(found: idempotency_log::Recovered, boot: &BootTime, now: Milliseconds) -> Self {
+        let offset = Offset { by: boot.now - now, boot: boot.boot_id.unwrap_or_default() };
         let back = |(sends, shut): (Vec<(Key, KeySends)>, Milliseconds)| {
             let shut = if shut > 0.0 { shut - offset.by } else { 0.0 };
             (sends.into_iter().map(|(k, s)| (k, offset.back(s))).collect(), shut)
@@ -181,14 +182,14 @@
         let keyed = settings.keys && window > 0.0;
         let gate = |log| DeduplicationWindow::new(log, window, settings.most_keys, now);
         let opened = Folder::open(&settings.folder).and_then(|folder| {
-            let read = Store::open(Box::new(folder.disk()), settings.most_bytes);
-            let read = read.map_err(|e| FolderError::Io(settings.folder.clone(), e));
+            let read = Store::open(Box::new(folder.disk().closing_written_files()), settings.most_bytes);
+            let read = read.map_err(|source| FolderError::Io { path: settings.folder.clone(), source });
             read.map(|(store, loaded)| (folder, store, loaded))
         });
         let (folder, store, loaded) = match opened {
             Ok(opened) => opened,
             // Where versions take over from each other the folder is the other's until it ends.
-            Err(e @ FolderError::Held(_)) if config.operator.is_some() => {
+            Err(e @ FolderError::Locked { .. }) if config.operator.is_some() => {
                 info!("what is kept follows once the other process has ended: {e}");
                 core.resume(gate(if keyed { knowledge::Log::Held } else { knowledge::Log::Off }), None);
                 return Ok(Self { gateway: config.name.clone(), waits: true, ..Self::off() });
@@ -197,7 +198,7 @@
                 return Err(io::Error::other(format!("knowledge is required: {e}")))
             }
             Err(e) => {
-                let held = matches!(e, FolderError::Held(_));
+                let held = matches!(e, FolderError::Locked { .. });
                 match (keyed, held) {
                     (false, _) => error!("serving without knowledge: {e}"),
                     (true, true) => error!("serving without knowledge, and refusing all keyed requests: {e}"),
@@ -312,7 +313,7 @@
     pub fn refuse(&mut self, config: &Config) -> io::Result<()> {
         self.waits = false;
         let Some(settings) = &config.knowledge else { return Ok(()) };
-        let held = FolderError::Held(settings.folder.clone());
+        let held = FolderError::Locked { path: settings.folder.clone() };
         if settings.required {
             return Err(io::Error::other(format!("knowledge is required: {held}")));
         }
@@ -334,11 +335,12 @@
     ) -> bool {
         let Some(settings) = &config.knowledge else { return false };
         let folder = match Folder::open(&settings.folder) {
-            Err(FolderError::Held(_)) => return false,
+            Err(FolderError::Locked { .. }) => return false,
             opened => opened,
         };
         let taken = folder.map_err(io::Error::other).and_then(|folder| {
-            let (store, _) = Store::open(Box::new(folder.disk()), settings.most_bytes)?;
+            let (store, _) =
+                Store::open(Box::new(folder.disk().closing_written_files()), settings.most_bytes)?;
             let (window, keyed) = (window(config), settings.keys);
             // One that refused all keyed requests knows of none that was sent beside the log.
             let read = if self.beside.is_some() { Log::beside } else { Log::read };
