--- a/crates/experiments/src/experiments.rs
+++ b/crates/experiments/src/experiments.rs
@@ -446,7 +446,7 @@
     let begun = std::time::Instant::now();
     let read = snapshot::decode(&bytes)?;
     let mut recall = RestoredState::new(&read, 1e12 + 100.0, recovery::DEFAULT).map_err(|e| e.to_string())?;
-    let back = recall.list(&named, 1e12 + 100.0).ok_or("nothing was given back")?;
+    let back = recall.restore(&named, 1e12 + 100.0).ok_or("nothing was given back")?;
     let took = begun.elapsed().as_secs_f64() * 1000.0;
     if back.engines.len() != engines {
         return Err("engines are missing".into());
--- a/crates/persistence/src/cached_endpoints.rs
+++ b/crates/persistence/src/cached_endpoints.rs
@@ -1,9 +1,11 @@
-//! The last list of engines that was heard, kept for a life that starts while the list service is away.
+//! The last endpoint list that the list service confirmed, cached for a process that starts while the service does not
+//! answer.
 //!
-//! Two uses. Where the configuration names no engine it is what there is to start with: engines of an old list are
-//! perhaps gone, and, once they may have started anew unseen, perhaps cold. Where it names some, drains and stops that
-//! the former life heard still bind. Its bytes: a [head](starlingplank_storage::framed) of 20 bytes, `SPKLIST\n` and
-//! version 1, then the records in postcard's form.
+//! It has two uses. Where the configuration names no engine, it is the list to start with: engines of an old list may have
+//! been removed, and those that may have restarted unseen may be in slow start. Where the configuration names some,
+//! drains and removals that the previous process knew of still bind. The file: a
+//! [header](starlingplank_storage::framed) of 20 bytes, `SPKLIST\n` and version 1, then the records in postcard's
+//! encoding, whose order of fields must not change.
 
 use serde::{Deserialize, Serialize};
 use starlingplank_decision::interface::Milliseconds;
@@ -12,112 +14,117 @@
 use std::io;
 use thiserror::Error;
 
-/// What the file begins with.
-pub const FORM: FileFormat = FileFormat { magic: *b"SPKLIST\n", version: 1 };
-/// Its name.
+/// The file format.
+pub const FORMAT: FileFormat = FileFormat { magic: *b"SPKLIST\n", version: 1 };
+/// Name of the file.
 pub const FILE: &str = "list.spk";
-/// Bytes of it at most: some 10,000 engines.
-pub const BYTES: usize = 2 << 20;
+/// Bound on the file's size in bytes: some 10,000 endpoints.
+pub const MAX_BYTES: usize = 2 << 20;
+/// How far in the future a list may lie: clocks differ by little over a restart, and one that was set back makes all ages
+/// unknown.
+const CLOCK_TOLERANCE: Milliseconds = 1_000.0;
 
-/// An engine as the list named it.
+/// An endpoint as the list named it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Engine {
-    /// Its id.
+pub struct CachedEndpoint {
+    /// The engine's id.
     pub id: String,
     /// Address and port.
     pub address: String,
     /// Zone; may be empty.
     pub zone: String,
-    /// Kind; may be empty.
-    pub kind: String,
+    /// Machine type; may be empty.
+    pub machine_type: String,
     /// Cell.
     pub cell: u64,
-    /// It took work.
+    /// Whether it accepted work.
     pub live: bool,
-    /// Unix milliseconds of a late start, or 0.
+    /// When it started, in Unix milliseconds, if the list told; else 0.
     pub started: Milliseconds,
 }
 
-/// A list and when the service last stood by it.
+/// An endpoint list and when the list service last confirmed it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CachedEndpoints {
-    /// Unix milliseconds.
-    pub heard: Milliseconds,
-    /// All engines.
-    pub engines: Vec<Engine>,
-    /// Ids of engines that were in it, and have gone.
-    pub gone: Vec<String>,
+    /// Time of the confirmation in Unix milliseconds.
+    pub confirmed_at: Milliseconds,
+    /// All endpoints of the list.
+    pub endpoints: Vec<CachedEndpoint>,
+    /// Ids of endpoints that were removed from the list.
+    pub removed: Vec<String>,
 }
 
-/// Why there is no list to be read where there is a file.
+/// Why the cached list cannot be read or written.
 #[derive(Debug, Error)]
-pub enum ListError {
+pub enum CacheError {
     /// The disk failed, or the file is too large.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The bytes are none.
+    /// The bytes are no cached list, or the list is too large.
     #[error(transparent)]
     Frame(#[from] FrameError),
 }
 
 impl CachedEndpoints {
-    /// The bytes of the file.
+    /// The file's bytes.
     ///
     /// # Errors
-    /// They would be too many.
+    /// The file would exceed [`MAX_BYTES`].
     pub fn encode(&self) -> Result<Vec<u8>, FrameError> {
-        encode(&FORM, self, BYTES)
+        encode(&FORMAT, self, MAX_BYTES)
     }
 
-    /// Reads the file; never panics, whatever the bytes are.
+    /// Decodes the file. Never panics, whatever the bytes are.
     ///
     /// # Errors
-    /// Says where and why they are none.
+    /// Tells where and why the bytes are no cached list.
     pub fn decode(bytes: &[u8]) -> Result<Self, FrameError> {
-        let list: Self = decode(&FORM, bytes)?;
-        if list.heard.is_finite() && list.engines.iter().all(|e| e.started.is_finite()) {
-            Ok(list)
-        } else {
-            Err(FrameError::Records("a time is none".into()))
+        let list: Self = decode(&FORMAT, bytes)?;
+        let times_are_finite = list.endpoints.iter().all(|endpoint| endpoint.started.is_finite());
+        if !list.confirmed_at.is_finite() || !times_are_finite {
+            return Err(FrameError::Records("a time is none".into()));
         }
+        Ok(list)
     }
 
-    /// The list as it counts now: none once it is older than `keep_for` or from the future. Where engines may have
-    /// started anew since it was heard, they are taken to start now, and are cold.
-    pub fn now(
+    /// The list as it holds now: `None` once it is older than `keep_for`, or if it lies in the future. If engines may have
+    /// restarted since it was confirmed (after `restart_within`), all are taken to start now, and are in slow start.
+    pub fn aged(
         self,
         now: Milliseconds,
         restart_within: Milliseconds,
         keep_for: Milliseconds,
     ) -> Option<Self> {
-        let age = now - self.heard;
-        // Clocks differ by little over a restart; one that was put back makes all ages unknown.
-        if !(-1_000.0..=keep_for).contains(&age) {
+        let age = now - self.confirmed_at;
+        if !(-CLOCK_TOLERANCE..=keep_for).contains(&age) {
             return None;
         }
         let mut list = self;
         if age > restart_within {
-            list.engines.iter_mut().for_each(|e| e.started = now);
+            for endpoint in &mut list.endpoints {
+                endpoint.started = now;
+            }
         }
         Some(list)
     }
 }
 
-/// Writes it, whole or not at all.
+/// Writes the file atomically.
 ///
 /// # Errors
-/// It was not written; what was there before is still there.
-pub fn save(disk: &mut dyn Disk, list: &CachedEndpoints) -> io::Result<()> {
-    disk::replace(disk, FILE, &list.encode().map_err(io::Error::other)?)
+/// The file was not written; the old one, if any, still exists.
+pub fn save(disk: &mut dyn Disk, list: &CachedEndpoints) -> Result<(), CacheError> {
+    let bytes = list.encode()?;
+    Ok(disk::replace(disk, FILE, &bytes)?)
 }
 
-/// Reads it; none: there is none.
+/// Reads the file; `None` if there is none.
 ///
 /// # Errors
-/// It cannot be read, or is no such file.
-pub fn load(disk: &dyn Disk) -> Result<Option<CachedEndpoints>, ListError> {
-    let bytes = disk.read(FILE, BYTES as u64)?;
-    Ok(bytes.map(|b| CachedEndpoints::decode(&b)).transpose()?)
+/// The file cannot be read, or is no cached list.
+pub fn load(disk: &dyn Disk) -> Result<Option<CachedEndpoints>, CacheError> {
+    let bytes = disk.read(FILE, MAX_BYTES as u64)?;
+    Ok(bytes.map(|bytes| CachedEndpoints::decode(&bytes)).transpose()?)
 }
 
 #[cfg(test)]
--- a/crates/persistence/src/cached_endpoints/tests.rs
+++ b/crates/persistence/src/cached_endpoints/tests.rs
@@ -2,17 +2,18 @@
 use proptest::prelude::*;
 
 fn list() -> CachedEndpoints {
-    let engine = |id: &str, live| Engine {
+    let engine = |id: &str, live| CachedEndpoint {
         id: id.into(),
         address: "10.0.0.1:9".into(),
         zone: "a".into(),
-        kind: String::new(),
+        machine_type: String::new(),
         cell: 3,
         live,
         started: 5.0,
     };
-    let gone = vec!["s-2".to_owned()];
-    CachedEndpoints { heard: 1_000.0, engines: vec![engine("s-0", true), engine("s-1", false)], gone }
+    let removed = vec!["s-2".to_owned()];
+    let endpoints = vec![engine("s-0", true), engine("s-1", false)];
+    CachedEndpoints { confirmed_at: 1_000.0, endpoints, removed }
 }
 
 #[test]
@@ -25,7 +26,7 @@
         changed[at] ^= 4;
         assert!(CachedEndpoints::decode(&changed).is_err(), "byte {at}");
     }
-    let never = CachedEndpoints { heard: f64::NAN, ..list() };
+    let never = CachedEndpoints { confirmed_at: f64::NAN, ..list() };
     assert!(CachedEndpoints::decode(&never.encode().expect("small")).is_err());
 }
 
@@ -33,7 +34,7 @@
 #[test]
 fn file_form_stays() {
     let mut list = list();
-    list.engines.truncate(1);
+    list.endpoints.truncate(1);
     let bytes = list.encode().expect("small");
     assert_eq!(&bytes[..16], b"SPKLIST\n\x01\0\0\0\x2a\0\0\0");
     let records =
@@ -43,9 +44,9 @@
 
 #[test]
 fn engines_of_an_old_list_are_cold_and_a_list_too_old_is_none() {
-    let at = |now: Milliseconds| list().now(now, 2_000.0, 60_000.0);
+    let at = |now: Milliseconds| list().aged(now, 2_000.0, 60_000.0);
     assert_eq!(at(2_500.0), Some(list()));
-    assert!(at(4_000.0).is_some_and(|l| l.engines.iter().all(|e| e.started == 4_000.0)));
+    assert!(at(4_000.0).is_some_and(|l| l.endpoints.iter().all(|e| e.started == 4_000.0)));
     assert!(at(61_001.0).is_none() && at(-5_000.0).is_none());
 }
 
@@ -53,6 +54,6 @@
     #[test]
     fn reader_never_panics(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = CachedEndpoints::decode(&bytes);
-        let _ = CachedEndpoints::decode(&FORM.frame(&bytes));
+        let _ = CachedEndpoints::decode(&FORMAT.frame(&bytes));
     }
 }
--- a/crates/persistence/src/deduplication_window.rs
+++ b/crates/persistence/src/deduplication_window.rs
@@ -1,269 +1,228 @@
-//! Whether a keyed request may leave now. Engines drop a repeat of a key for a window from when the first that they
-//! saw arrived; a repeat that comes inside that window must not leave after it, or it runs twice. So the sends of each
-//! key are kept, here in memory and, where there is a log, on disk **before the send leaves**.
+//! Decides whether a keyed request may be sent now.
 //!
-//! Which send was the first to arrive is not known: one that was recorded may never have left. A repeat must leave
-//! before the window of the *first* that may have arrived is over, and the key is kept until the window of the *last*
-//! that may have been the first is.
+//! Engines drop repeats of a key for a window that begins when the first send arrives. A repeat that the gateway receives
+//! inside the window must not be sent after it, or the request runs twice. So the sends of each key are tracked: in
+//! memory and, where there is an idempotency log, on disk **before the request is sent**.
 //!
-//! # Why nothing runs twice
+//! It is unknown which send arrived first: one that was recorded may never have been transmitted. A repeat must be sent
+//! before the window of the *first* send that may have arrived ends, and the key is tracked until the window of the
+//! *last* send that may have been the first to arrive ends.
 //!
-//! Let `W` be the longest window. A *mark* is a line in the log that says "at this time this log was whole".
+//! # Why no keyed request runs twice
 //!
-//! 1. While the log is healthy, a key leaves only once its record is durable. What was sent is in the log.
-//! 2. While it isn't, nothing keyed leaves until `W` after the last mark that was tried, whether or not the disk said
-//!    that it got there (never, where the log is required), and no mark is tried. A life that has no log at all
-//!    waits until `W` after its own start.
-//! 3. A start trusts a log only if it is whole and its last mark is younger than `W`. By 1 and 2 nothing unrecorded
-//!    can have been sent before it then: whoever sent without a record first waited `W` since that mark.
-//! 4. A start that trusts no log sends nothing keyed until `W` after it. Whatever an earlier life sent lies before
-//!    the start, so every repeat inside its window has come, and been turned away, by then. Its marks carry that
-//!    time, so that a next start which trusts them waits as well.
+//! Let `W` be the longest window. A *mark* is a record in the log that says "at this time this log was complete".
 //!
-//! A log that had failed is begun anew with all keys held, first without a mark: one that is cut off there is not
-//! trusted.
+//! 1. While the log is healthy, a keyed request is sent only once its record is durable. What was sent is in the log.
+//! 2. While the log is not healthy, no keyed request is sent until `W` after the last attempted mark, whether or not the
+//!    disk confirmed it (and none at all if the log is required), and no mark is attempted. A process that has no log
+//!    at all waits until `W` after its own start.
+//! 3. A starting process trusts a log only if it is intact and its last mark is younger than `W`. By 1 and 2 no
+//!    unrecorded request can have been sent before it then: a process that sent without a record first waited `W`
+//!    since that mark.
+//! 4. A starting process that trusts no log sends no keyed request until `W` after its start. Whatever an earlier process
+//!    sent lies before the start, so every repeat inside its window has arrived, and been rejected, by then. Its marks
+//!    carry that time, so that a later process which trusts them waits as well.
 //!
-//! All windows are taken longer by [`ARRIVES`], as engines count theirs from when a send arrives: that it does so
-//! within that time, or never, is what the above rests on.
+//! After a failure a new log file is written with all tracked keys, first without a mark: a file that is cut off there is
+//! not trusted.
 //!
-//! Times are from a clock that nobody sets (see [`folder::Boot`](crate::folder::Boot)); after a reboot no log is
-//! trusted.
+//! All windows are extended by [`MAX_ARRIVAL_DELAY`], as engines count theirs from a send's arrival. The argument rests
+//! on a send arriving within that time or never.
+//!
+//! Times are from the boot clock (see [`BootTime`](crate::boot_time::BootTime)); after a reboot no log is trusted.
 
-use sha2::{Digest, Sha256};
 use starlingplank_decision::interface::Milliseconds;
-use std::collections::{BTreeMap, HashMap};
-
-/// A key, as it is kept: 128 bits of its SHA-256, so that a record has one length whatever clients send.
-pub type Key = [u8; 16];
-
-/// A client's idempotency key, as it is kept.
-pub fn key(text: &str) -> Key {
-    let mut key = [0; 16];
-    key.copy_from_slice(&Sha256::digest(text.as_bytes())[..16]);
-    key
-}
-
-/// One send of a key.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct KeySend {
-    /// When.
-    pub at: Milliseconds,
-    /// How long engines drop repeats once it has arrived.
-    pub window: Milliseconds,
-}
-
-/// Sends of a key that belong together: any of them may be the first that an engine saw.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct KeySends {
-    /// The first of them.
-    pub first: Milliseconds,
-    /// The last.
-    pub last: Milliseconds,
-    /// How long engines drop repeats.
-    pub window: Milliseconds,
-}
-
-impl KeySends {
-    /// One send.
-    pub fn one(sent: KeySend) -> Self {
-        Self { first: sent.at, last: sent.at, window: sent.window }
-    }
+use std::collections::{BTreeSet, HashMap};
 
-    /// Until then a repeat may run on an engine that saw the last of them first.
-    pub fn end(&self) -> Milliseconds {
-        self.last + self.window + ARRIVES
-    }
+pub use crate::idempotency_key::{key, Key, KeySend, KeySends, LogMark, TrustedLog, MAX_ARRIVAL_DELAY};
 
-    /// With one send more. One after their end begins anew: engines have forgotten them.
-    pub fn and(self, sent: KeySend) -> Self {
-        if sent.at >= self.end() {
-            return Self::one(sent);
-        }
-        let window = self.window.max(sent.window);
-        Self { first: self.first.min(sent.at), last: self.last.max(sent.at), window }
-    }
-}
+/// Records after which the log is rewritten: about 1 MiB.
+const REWRITE_AFTER_RECORDS: usize = 26_000;
+/// Retry-After for clients while the log is not healthy and it is unknown when it will be.
+const UNHEALTHY_RETRY_AFTER: Milliseconds = 1_000.0;
 
-/// What the log is to this life.
+/// The idempotency log that this process has.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Log {
-    /// None is wanted: keys are kept in memory alone, and a restart forgets them.
+pub enum LogState {
+    /// None is configured: keys are tracked in memory only, and a restart forgets them.
     Off,
-    /// None could be opened: what is keyed waits for the longest window from the start.
+    /// The log could not be opened: no keyed request is sent for the longest window from the start.
     Missing,
-    /// One is there, and this life has not sent unrecorded before `marked + window`.
+    /// The log is open, and this process has sent no unrecorded request before its last mark plus the longest window.
     Open {
-        /// Without it nothing keyed leaves.
+        /// Whether no keyed request may be sent without the log.
         required: bool,
     },
-    /// Another process holds the folder; nothing keyed leaves, as its log tells of its sends alone.
-    Held,
+    /// Another process has locked the folder. No keyed request is sent, as that log covers only the other's sends.
+    Locked,
 }
 
-/// May a keyed request be taken?
+/// Whether a keyed request may be accepted.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Admission {
-    /// Yes, if it leaves by then.
+    /// It may, if it is sent before this time.
     Until(Milliseconds),
-    /// Not now; best again after so many milliseconds.
+    /// Not now; the client should retry after so many milliseconds.
     Later(Milliseconds),
 }
 
-/// May a keyed attempt leave?
+/// Whether a keyed attempt may be sent.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Leave {
     /// At once.
     Now,
-    /// Once this record of it is durable.
+    /// Once the record of this send is durable.
     AfterRecord(KeySend),
-    /// No: it never ran.
+    /// No: the attempt is not executed.
     No,
 }
 
-/// The keys of one gateway. No I/O; times are handed in.
-#[derive(Debug)]
-pub struct DeduplicationWindow {
-    log: Log,
-    /// The longest window.
-    window: Milliseconds,
-    most: usize,
-    /// By key, and whether all of them are durable.
-    sends: HashMap<Key, (KeySends, bool)>,
-    /// When each expires, to drop the expired without a look at all.
-    ends: BTreeMap<(u64, Key), ()>,
-    /// Nothing keyed before this.
-    shut_until: Milliseconds,
-    healthy: bool,
-    /// The last mark that was tried.
-    marked: Milliseconds,
-    /// The first file of this life was tried.
-    begun: bool,
-    /// Records in the log since it was last written anew.
-    logged: usize,
-    /// Sends of keys that were turned away here, for the counts.
-    refused: u64,
-}
-
-/// What a log that is begun anew must hold.
+/// The contents of a log file that is to be written.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rewrite {
-    /// All keys that hold.
+    /// All tracked keys.
     pub keys: Vec<(Key, KeySends)>,
-    /// A mark, where one may be given: its time, and until when nothing keyed may leave.
-    pub mark: Option<(Milliseconds, Milliseconds)>,
+    /// A mark, where the log is known to be complete.
+    pub mark: Option<LogMark>,
 }
 
-/// From the record of a send until it has arrived at its engine, at most: half for the record, half for the way.
-pub const ARRIVES: Milliseconds = 500.0;
-/// Records after which the log is written anew: about 1 MiB.
-const REWRITE_AFTER: usize = 26_000;
-/// How long a client is told to keep away while the log is not healthy and nobody knows until when.
-const UNHEALTHY_WAIT: Milliseconds = 1_000.0;
+#[derive(Debug)]
+struct TrackedKey {
+    sends: KeySends,
+    /// Whether all of the sends are durable.
+    durable: bool,
+}
+
+/// The tracked keys of one gateway process. Performs no I/O; times are passed in.
+#[derive(Debug)]
+pub struct DeduplicationWindow {
+    log: LogState,
+    /// The longest window of all classes.
+    longest_window: Milliseconds,
+    max_keys: usize,
+    tracked: HashMap<Key, TrackedKey>,
+    /// Keys by the end of their window, so that expiry looks at expired keys only.
+    expiry: BTreeSet<(u64, Key)>,
+    /// No keyed request is sent before this time: negative infinity for never blocked, infinity for always.
+    blocked_until: Milliseconds,
+    healthy: bool,
+    /// Time of the last attempted mark.
+    last_mark: Milliseconds,
+    /// Whether the first log file of this process was attempted.
+    first_file_attempted: bool,
+    /// Records in the log since it was last rewritten.
+    records_in_log: usize,
+    /// Keyed requests rejected here.
+    rejected: u64,
+}
 
 impl DeduplicationWindow {
-    /// Keys in memory alone.
+    /// Tracks keys in memory only.
     pub fn off() -> Self {
-        Self::new(Log::Off, 0.0, usize::MAX, 0.0)
+        Self::new(LogState::Off, 0.0, usize::MAX, 0.0)
     }
 
-    /// A life that starts now. `window` is the longest of all classes, `most` bounds the keys held.
-    pub fn new(log: Log, window: Milliseconds, most: usize, now: Milliseconds) -> Self {
-        let shut_until = match log {
-            Log::Off => f64::NEG_INFINITY,
-            Log::Missing | Log::Open { .. } => now + window + ARRIVES,
-            Log::Held => f64::INFINITY,
+    /// For a process that starts now. `longest_window` is the longest of all classes, `max_keys` bounds the tracked keys.
+    pub fn new(log: LogState, longest_window: Milliseconds, max_keys: usize, now: Milliseconds) -> Self {
+        let blocked_until = match log {
+            LogState::Off => f64::NEG_INFINITY,
+            LogState::Missing | LogState::Open { .. } => now + longest_window + MAX_ARRIVAL_DELAY,
+            LogState::Locked => f64::INFINITY,
         };
         Self {
             log,
-            window,
-            most,
-            sends: HashMap::new(),
-            ends: BTreeMap::new(),
-            shut_until,
+            longest_window,
+            max_keys,
+            tracked: HashMap::new(),
+            expiry: BTreeSet::new(),
+            blocked_until,
             healthy: false,
-            marked: now,
-            begun: false,
-            logged: 0,
-            refused: 0,
+            last_mark: now,
+            first_file_attempted: false,
+            records_in_log: 0,
+            rejected: 0,
         }
     }
 
-    /// The log of the life before is known to be whole: its keys, and how long it still had to wait itself.
-    pub fn trust(
-        &mut self,
-        sends: impl IntoIterator<Item = (Key, KeySends)>,
-        shut_until: Milliseconds,
-        now: Milliseconds,
-    ) {
-        self.shut_until = shut_until;
-        for (key, sends) in sends.into_iter().filter(|(_, s)| now < s.end()) {
-            self.put(key, sends, true);
+    /// Takes over the log of the previous process, which is known to be complete.
+    pub fn restore(&mut self, log: TrustedLog, now: Milliseconds) {
+        self.blocked_until = log.blocked_until.unwrap_or(0.0);
+        for (key, sends) in log.sends {
+            if now < sends.end() {
+                self.track(key, TrackedKey { sends, durable: true });
+            }
         }
     }
 
-    /// The process that held the folder has ended, and its log is this one's from now on. What was sent meanwhile,
-    /// unrecorded, is among the keys held, and so in the first file of this life, which may carry a mark; nothing keyed
-    /// leaves before that is durable. `trusted`: what that log told, if it is whole.
-    pub fn take_log(
-        &mut self,
-        required: bool,
-        trusted: Option<(Vec<(Key, KeySends)>, Milliseconds)>,
-        now: Milliseconds,
-    ) {
-        self.log = Log::Open { required };
-        (self.healthy, self.begun, self.marked) = (false, false, now);
-        match trusted {
-            Some((sends, shut_until)) => {
-                // Held back by nothing but the folder, or by what the other was held back by as well.
-                let own = Some(self.shut_until).filter(|t| t.is_finite()).unwrap_or(shut_until);
-                self.shut_until = own.max(shut_until);
-                sends.into_iter().for_each(|(key, sends)| self.hear(key, sends, now));
-            }
-            None => self.shut_until = now + self.window + ARRIVES,
+    /// Takes over the folder from a process that has ended. What was sent meanwhile without a record is among the tracked
+    /// keys, and so in the first file of this process, which may carry a mark; no keyed request is sent before that file
+    /// is durable. `trusted` is the other's log if it is complete.
+    pub fn take_log(&mut self, required: bool, trusted: Option<TrustedLog>, now: Milliseconds) {
+        self.log = LogState::Open { required };
+        self.healthy = false;
+        self.first_file_attempted = false;
+        self.last_mark = now;
+        let Some(trusted) = trusted else {
+            self.blocked_until = now + self.longest_window + MAX_ARRIVAL_DELAY;
+            return;
+        };
+        // Where only the lock blocked this process, what blocked the other one applies.
+        let theirs = trusted.blocked_until.unwrap_or(0.0);
+        let own = if self.blocked_until.is_finite() { self.blocked_until } else { theirs };
+        self.blocked_until = own.max(theirs);
+        for (key, sends) in trusted.sends {
+            self.merge_peer_sends(key, sends, now);
         }
     }
 
-    /// Another process of this gateway sent that key, and has recorded it: a repeat here keeps to the window of both.
-    pub fn hear(&mut self, key: Key, sends: KeySends, now: Milliseconds) {
+    /// Another process of this gateway has sent a key and recorded it: repeats here must keep to the windows of both.
+    pub fn merge_peer_sends(&mut self, key: Key, sends: KeySends, now: Milliseconds) {
         if now >= sends.end() {
             return;
         }
-        let (held, durable) = self.sends.get(&key).copied().unwrap_or((sends, true));
-        let (first, last) = (held.first.min(sends.first), held.last.max(sends.last));
-        self.put(key, KeySends { first, last, window: held.window.max(sends.window) }, durable);
+        let merged = match self.tracked.get(&key) {
+            None => TrackedKey { sends, durable: true },
+            Some(TrackedKey { sends: own, durable }) => {
+                let (first, last) = (own.first.min(sends.first), own.last.max(sends.last));
+                let window = own.window.max(sends.window);
+                TrackedKey { sends: KeySends { first, last, window }, durable: *durable }
+            }
+        };
+        self.track(key, merged);
     }
 
-    fn put(&mut self, key: Key, sends: KeySends, durable: bool) {
-        if let Some((old, _)) = self.sends.insert(key, (sends, durable)) {
-            self.ends.remove(&(order(old.end()), key));
+    fn track(&mut self, key: Key, tracked: TrackedKey) {
+        let end = expiry_order(tracked.sends.end());
+        if let Some(old) = self.tracked.insert(key, tracked) {
+            self.expiry.remove(&(expiry_order(old.sends.end()), key));
         }
-        self.ends.insert((order(sends.end()), key), ());
+        self.expiry.insert((end, key));
     }
 
     fn expire(&mut self, now: Milliseconds) {
-        while let Some((&(end, key), ())) = self.ends.first_key_value() {
-            if end > order(now) {
+        while let Some(&(end, key)) = self.expiry.first() {
+            if end > expiry_order(now) {
                 return;
             }
-            self.ends.pop_first();
-            self.sends.remove(&key);
+            self.expiry.pop_first();
+            self.tracked.remove(&key);
         }
     }
 
-    /// Until when nothing that is keyed leaves, whatever its key.
-    fn shut(&self, now: Milliseconds) -> Option<Milliseconds> {
-        let logged = match self.log {
-            Log::Open { .. } if self.healthy => f64::NEG_INFINITY,
-            Log::Open { required: true } => now + UNHEALTHY_WAIT,
-            Log::Open { required: false } => self.marked + self.window + ARRIVES,
-            Log::Off | Log::Missing | Log::Held => f64::NEG_INFINITY,
+    /// Until when no keyed request may be sent, whatever its key. `None` if nothing blocks them.
+    fn blocked(&self, now: Milliseconds) -> Option<Milliseconds> {
+        let by_log = match self.log {
+            LogState::Open { .. } if self.healthy => f64::NEG_INFINITY,
+            LogState::Open { required: true } => now + UNHEALTHY_RETRY_AFTER,
+            LogState::Open { required: false } => self.last_mark + self.longest_window + MAX_ARRIVAL_DELAY,
+            LogState::Off | LogState::Missing | LogState::Locked => f64::NEG_INFINITY,
         };
-        Some(self.shut_until.max(logged)).filter(|until| now < *until)
+        Some(self.blocked_until.max(by_log)).filter(|until| now < *until)
     }
 
-    /// May a request with that key be taken? One whose key was sent before must leave inside the window of that. One
-    /// whose key is new must leave inside a window from now: another under the same key may be sent meanwhile, and
-    /// after its window the two would both run.
+    /// Whether a request with this key may be accepted. A repeat must be sent inside the window of the earlier send. A new
+    /// key must be sent inside a window from now: another request under the same key may be sent meanwhile, and after its
+    /// window both would run.
     pub fn admit(
         &mut self,
         key: &Key,
@@ -272,121 +231,126 @@
         margin: Milliseconds,
     ) -> Admission {
         self.expire(now);
-        if let Some(until) = self.shut(now) {
-            self.refused += 1;
-            return Admission::Later((until - now).min(self.window.max(UNHEALTHY_WAIT)));
+        if let Some(until) = self.blocked(now) {
+            return self.reject((until - now).min(self.longest_window.max(UNHEALTHY_RETRY_AFTER)));
         }
-        // The shorter of the two windows where another class, or an earlier configuration, sent that key.
-        let until = |s: &KeySends| s.first + s.window.min(window) - margin;
-        match self.sends.get(key) {
-            // Too late to go as a repeat, too early to be sure that it goes as a load of its own.
-            Some((sends, _)) if now >= until(sends) => {
-                self.refused += 1;
-                Admission::Later(sends.end() - now)
-            }
-            Some((sends, _)) => Admission::Until(until(sends)),
-            None if self.sends.len() >= self.most => {
-                self.refused += 1;
-                Admission::Later(UNHEALTHY_WAIT)
+        let Some(TrackedKey { sends, .. }) = self.tracked.get(key) else {
+            if self.tracked.len() >= self.max_keys {
+                return self.reject(UNHEALTHY_RETRY_AFTER);
             }
-            None => Admission::Until(now + window - margin),
+            return Admission::Until(now + window - margin);
+        };
+        // The shorter of the two windows, where another class or an earlier configuration sent that key.
+        let send_before = sends.first + sends.window.min(window) - margin;
+        if now >= send_before {
+            // Too late for a repeat, too early to run as a request of its own.
+            let retry_after = sends.end() - now;
+            return self.reject(retry_after);
         }
+        Admission::Until(send_before)
+    }
+
+    fn reject(&mut self, retry_after: Milliseconds) -> Admission {
+        self.rejected += 1;
+        Admission::Later(retry_after)
     }
 
-    /// May an attempt with that key leave? From here on it counts as sent.
+    /// Whether an attempt with this key may be sent. From here on it counts as sent.
     pub fn leave(&mut self, key: &Key, window: Milliseconds, now: Milliseconds) -> Leave {
         self.expire(now);
-        if self.shut(now).is_some() {
+        if self.blocked(now).is_some() {
             return Leave::No;
         }
-        let sent = KeySend { at: now, window };
-        let sends = match self.sends.get(key) {
-            Some((sends, _)) => sends.and(sent),
-            None if self.sends.len() >= self.most => return Leave::No,
-            None => KeySends::one(sent),
+        let send = KeySend { at: now, window };
+        let sends = match self.tracked.get(key) {
+            Some(tracked) => tracked.sends.and(send),
+            None if self.tracked.len() >= self.max_keys => return Leave::No,
+            None => KeySends::one(send),
         };
-        self.put(*key, sends, false);
+        self.track(*key, TrackedKey { sends, durable: false });
         match self.log {
-            Log::Open { .. } if self.healthy => Leave::AfterRecord(sent),
+            LogState::Open { .. } if self.healthy => Leave::AfterRecord(send),
             _ => Leave::Now,
         }
     }
 
-    /// The record of a send is durable. May it leave? Not if that took so long that it could arrive too late.
-    pub fn recorded(&mut self, key: &Key, sent: KeySend, now: Milliseconds) -> bool {
-        self.logged += 1;
-        if let Some((sends, durable)) = self.sends.get_mut(key) {
-            *durable |= sends.last == sent.at;
+    /// The record of a send is durable. Returns whether the attempt may still be sent: not if recording took so long that
+    /// it could arrive too late.
+    pub fn recorded(&mut self, key: &Key, send: KeySend, now: Milliseconds) -> bool {
+        self.records_in_log += 1;
+        if let Some(tracked) = self.tracked.get_mut(key) {
+            tracked.durable |= tracked.sends.last == send.at;
         }
-        now <= sent.at + ARRIVES / 2.0
+        now <= send.at + MAX_ARRIVAL_DELAY / 2.0
     }
 
-    /// A mark to write now: its time, and until when nothing keyed may leave (0: no such time). None: there is no log
-    /// that could be called whole.
-    pub fn mark(&mut self, now: Milliseconds) -> Option<(Milliseconds, Milliseconds)> {
-        self.healthy.then(|| self.marking(now))
+    /// A mark to write now. `None` while the log is not known to be complete.
+    pub fn mark(&mut self, now: Milliseconds) -> Option<LogMark> {
+        self.healthy.then(|| self.attempt_mark(now))
     }
 
-    fn marking(&mut self, now: Milliseconds) -> (Milliseconds, Milliseconds) {
-        self.marked = self.marked.max(now);
-        self.logged += 1;
-        (now, if now < self.shut_until { self.shut_until } else { 0.0 })
+    fn attempt_mark(&mut self, now: Milliseconds) -> LogMark {
+        self.last_mark = self.last_mark.max(now);
+        self.records_in_log += 1;
+        LogMark { at: now, blocked_until: Some(self.blocked_until).filter(|until| now < *until) }
     }
 
-    /// A call on the log failed, or did not come back in time. True: it had been healthy.
+    /// A write to the log failed, or did not return in time. Returns whether the log had been healthy.
     pub fn failed(&mut self) -> bool {
         std::mem::replace(&mut self.healthy, false)
     }
 
-    /// What a log that is begun anew must hold. One that was not healthy must be, and one that is long.
+    /// The contents of a new log file, if one is due: after a failure, or once the log has grown long.
     pub fn rewrite(&mut self, now: Milliseconds) -> Option<Rewrite> {
         self.expire(now);
-        let due = matches!(self.log, Log::Open { .. }) && (!self.healthy || self.logged > REWRITE_AFTER);
-        if !due {
+        let is_open = matches!(self.log, LogState::Open { .. });
+        if !is_open || self.healthy && self.records_in_log <= REWRITE_AFTER_RECORDS {
             return None;
         }
-        // The first file may carry a mark, as this life has sent nothing unrecorded; one after a failure may not.
-        let mark = (self.healthy || !self.begun).then(|| self.marking(now));
-        (self.begun, self.logged) = (true, 0);
-        Some(Rewrite { keys: self.sends.iter().map(|(key, (sends, _))| (*key, *sends)).collect(), mark })
+        // The first file may carry a mark, as this process has sent nothing unrecorded; one after a failure may not.
+        let mark = (self.healthy || !self.first_file_attempted).then(|| self.attempt_mark(now));
+        self.first_file_attempted = true;
+        self.records_in_log = 0;
+        let keys = self.tracked.iter().map(|(key, tracked)| (*key, tracked.sends)).collect();
+        Some(Rewrite { keys, mark })
     }
 
-    /// The log was begun anew. True: it is healthy now, and had not been.
+    /// The log was rewritten with these keys. Returns whether it has become healthy by that.
     pub fn rewritten(&mut self, keys: &[(Key, KeySends)]) -> bool {
-        for (key, sends) in keys {
-            if let Some((held, durable)) = self.sends.get_mut(key) {
-                *durable |= held == sends;
+        for (key, written) in keys {
+            if let Some(tracked) = self.tracked.get_mut(key) {
+                tracked.durable |= tracked.sends == *written;
             }
         }
-        // What was sent unrecorded meanwhile is not in it: the next one will have it.
-        if !self.healthy && self.sends.values().any(|(_, durable)| !durable) {
+        // Sends that were made unrecorded meanwhile are not in the file: the next one will hold them.
+        if !self.healthy && self.tracked.values().any(|tracked| !tracked.durable) {
             return false;
         }
         !std::mem::replace(&mut self.healthy, true)
     }
 
-    /// Whether keyed sends are recorded now.
+    /// Whether sends are being recorded.
     pub fn healthy(&self) -> bool {
         self.healthy
     }
 
-    /// Whether there is a log to keep.
+    /// Whether this process writes a log.
     pub fn has_log(&self) -> bool {
-        matches!(self.log, Log::Open { .. })
+        matches!(self.log, LogState::Open { .. })
     }
 
-    /// Keys that are held.
-    pub fn held(&self) -> usize {
-        self.sends.len()
+    /// Number of tracked keys.
+    pub fn tracked_keys(&self) -> usize {
+        self.tracked.len()
     }
 
-    /// Keyed requests turned away here so far.
-    pub fn refused(&self) -> u64 {
-        self.refused
+    /// Number of keyed requests that were rejected here.
+    pub fn rejected(&self) -> u64 {
+        self.rejected
     }
 }
 
-/// Times in an order that a tree can keep. None are below zero.
-fn order(at: Milliseconds) -> u64 {
+/// Maps a time to an integer of the same order. Negative times count as zero.
+fn expiry_order(at: Milliseconds) -> u64 {
     at.max(0.0).to_bits()
 }
--- /dev/null
+++ b/crates/persistence/src/file_fault.rs
@@ -0,0 +1,36 @@
+//! What is wrong with a stored file.
+
+use starlingplank_storage::framed::FrameError;
+use std::fmt;
+
+/// A file that cannot be read as what its name says.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct FileFault {
+    /// Name of the file.
+    pub file: String,
+    /// Offset of the fault in bytes; `None` if the file itself cannot be read.
+    pub offset: Option<usize>,
+    /// What is wrong.
+    pub why: String,
+    /// Whether a later release wrote the file: it is intact, but this release cannot read it.
+    pub newer: bool,
+}
+
+impl FileFault {
+    /// The file itself cannot be read.
+    pub fn unreadable(file: String, error: impl fmt::Display) -> Self {
+        Self { file, offset: None, why: error.to_string(), newer: false }
+    }
+
+    /// The file's contents are not valid.
+    pub fn invalid(file: String, error: &FrameError) -> Self {
+        let (offset, newer) = (Some(error.offset()), error.is_newer_version());
+        Self { file, offset, why: error.to_string(), newer }
+    }
+}
+
+impl fmt::Display for FileFault {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "{}: {}", self.file, self.why)
+    }
+}
--- /dev/null
+++ b/crates/persistence/src/idempotency_log/record.rs
@@ -0,0 +1,105 @@
+//! The bytes of the log: its header and its records.
+
+use crate::idempotency_key::{Key, KeySend, KeySends};
+use starlingplank_decision::interface::Milliseconds;
+
+const MAGIC: [u8; 8] = *b"SPKEYLG\n";
+const VERSION: u32 = 1;
+/// Length of the header in bytes.
+pub const HEADER_BYTES: usize = 16;
+/// Length of a record in bytes.
+pub const RECORD_BYTES: usize = 40;
+/// First byte of the record of a send.
+const KIND_SEND: u8 = 1;
+/// First byte of a mark.
+const KIND_MARK: u8 = 2;
+
+/// States that the log was complete at a time: see [`deduplication_window`](crate::deduplication_window).
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct Mark {
+    /// When the log was complete, in milliseconds since the machine booted.
+    pub at: Milliseconds,
+    /// Until then no keyed request may be sent, by this process or the next. `None` (stored as 0) if nothing blocks them.
+    pub blocked_until: Option<Milliseconds>,
+    /// The boot that the times count from.
+    pub boot_id: [u8; 16],
+}
+
+/// A record of the log.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub enum Record {
+    /// A send of a key.
+    KeySend(Key, KeySend),
+    /// A mark.
+    Mark(Mark),
+}
+
+impl Record {
+    /// The records that a file needs for the sends of a key: the first, and the last if that is another.
+    pub fn of_sends(key: Key, sends: &KeySends) -> impl Iterator<Item = Record> {
+        let window = sends.window;
+        let last = (sends.last > sends.first).then_some(sends.last);
+        [Some(sends.first), last]
+            .into_iter()
+            .flatten()
+            .map(move |at| Record::KeySend(key, KeySend { at, window }))
+    }
+
+    /// The record's bytes.
+    pub fn bytes(&self) -> [u8; RECORD_BYTES] {
+        let (kind, at, duration, tail) = match self {
+            Record::KeySend(key, send) => (KIND_SEND, send.at, send.window, key),
+            Record::Mark(mark) => (KIND_MARK, mark.at, mark.blocked_until.unwrap_or(0.0), &mark.boot_id),
+        };
+        let mut bytes = [0; RECORD_BYTES];
+        bytes[0] = kind;
+        bytes[8..16].copy_from_slice(&at.to_le_bytes());
+        bytes[16..24].copy_from_slice(&duration.to_le_bytes());
+        bytes[24..40].copy_from_slice(tail);
+        let sum = checksum(&bytes);
+        bytes[4..8].copy_from_slice(&sum.to_le_bytes());
+        bytes
+    }
+
+    /// Decodes a record; `None` if the bytes are no valid record.
+    pub fn read(bytes: &[u8]) -> Option<Self> {
+        let bytes: &[u8; RECORD_BYTES] = bytes.try_into().ok()?;
+        let stored_sum: [u8; 4] = bytes[4..8].try_into().ok()?;
+        if u32::from_le_bytes(stored_sum) != checksum(bytes) || bytes[1..4] != [0; 3] {
+            return None;
+        }
+        let (at, duration) = (time_at(bytes, 8)?, time_at(bytes, 16)?);
+        let tail: [u8; 16] = bytes[24..40].try_into().ok()?;
+        match bytes[0] {
+            KIND_SEND => Some(Record::KeySend(tail, KeySend { at, window: duration })),
+            KIND_MARK => {
+                let blocked_until = Some(duration).filter(|until| *until > 0.0);
+                Some(Record::Mark(Mark { at, blocked_until, boot_id: tail }))
+            }
+            _ => None,
+        }
+    }
+}
+
+/// The number at that offset, if it is finite and not negative.
+fn time_at(bytes: &[u8; RECORD_BYTES], offset: usize) -> Option<Milliseconds> {
+    let eight: [u8; 8] = bytes[offset..offset + 8].try_into().ok()?;
+    Some(f64::from_le_bytes(eight)).filter(|time| time.is_finite() && *time >= 0.0)
+}
+
+fn checksum(record: &[u8; RECORD_BYTES]) -> u32 {
+    let mut hasher = crc32fast::Hasher::new();
+    hasher.update(&record[..4]);
+    hasher.update(&record[8..]);
+    hasher.finalize()
+}
+
+/// The header of every log.
+pub fn header() -> [u8; HEADER_BYTES] {
+    let mut bytes = [0; HEADER_BYTES];
+    bytes[..8].copy_from_slice(&MAGIC);
+    bytes[8..12].copy_from_slice(&VERSION.to_le_bytes());
+    let sum = crc32fast::hash(&bytes[..12]);
+    bytes[12..16].copy_from_slice(&sum.to_le_bytes());
+    bytes
+}
--- a/crates/persistence/src/inspection.rs
+++ b/crates/persistence/src/inspection.rs
@@ -1,177 +1,206 @@
-//! `knowledge show` and `knowledge verify`: what a folder holds, and whether it is whole. They take no lock and change
-//! nothing, so they may be run beside a gateway.
+//! `knowledge show` and `knowledge verify`: what a folder holds, and whether it is intact. Both take no lock and change
+//! nothing, so they may be run beside a gateway. The names in the output are part of the command's interface.
 
 use crate::boot_time::BootTime;
-use crate::cached_endpoints::{self, ListError};
+use crate::cached_endpoints::{self, CacheError, CachedEndpoints};
+use crate::file_fault::FileFault;
+use crate::folder::Files;
 use crate::idempotency_log;
-use crate::recovery::{self, worth, EndpointIdentity, Rules, Uncertainty};
-use crate::snapshot_records::Snapshot;
-use crate::snapshot_store::{self, Fault};
+use crate::recovery::{self, retained_weight, EndpointIdentity, Rules, Uncertainty};
+use crate::snapshot_records::{Class, Engine, Snapshot};
+use crate::snapshot_store;
 use serde_json::{json, Value};
 use starlingplank_decision::interface::Milliseconds;
-use starlingplank_storage::folder::Files;
-use starlingplank_storage::framed::FrameError;
+use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::io;
 use std::path::Path;
 
-/// Bytes of a snapshot that are read at most.
-const MOST: usize = 1 << 30;
+/// Bound on a snapshot that is read, in bytes.
+const MAX_SNAPSHOT_BYTES: usize = 1 << 30;
+/// Exit code of `verify`: all files are intact.
+const EXIT_INTACT: u8 = 0;
+/// Exit code of `verify`: some file is not intact.
+const EXIT_FAULTS: u8 = 1;
+/// Exit code of `verify`: the folder holds nothing.
+const EXIT_EMPTY: u8 = 2;
 
 /// What `verify` found.
 #[derive(Debug, Default)]
 pub struct Verdict {
-    /// All that is wrong.
-    pub faults: Vec<Fault>,
-    /// Whether there is any snapshot or log.
-    pub anything: bool,
-    /// Bytes at the end of the log that were never synced: no fault, the sends they tell of never left.
-    pub torn: usize,
+    /// Files that are not intact.
+    pub faults: Vec<FileFault>,
+    /// Whether there is any snapshot, log or cached list.
+    pub found_any: bool,
+    /// Bytes at the end of the log that were not completely written: no fault, as their requests were not sent.
+    pub torn_bytes: usize,
 }
 
 impl Verdict {
-    /// 0: the last snapshot and the log are whole; 1: something is not; 2: there is nothing.
+    /// The command's exit code: 0 if all is intact, 1 if some file is not, 2 if there is nothing.
     pub fn code(&self) -> u8 {
-        match (self.anything, self.faults.is_empty()) {
-            (false, _) => 2,
-            (true, true) => 0,
-            (true, false) => 1,
+        match (self.found_any, self.faults.is_empty()) {
+            (false, _) => EXIT_EMPTY,
+            (true, true) => EXIT_INTACT,
+            (true, false) => EXIT_FAULTS,
         }
     }
 }
 
-/// Checks a folder.
+/// Checks a folder. One that does not exist is empty.
 ///
 /// # Errors
-/// It cannot be read.
+/// The folder cannot be read.
 pub fn verify(folder: &Path) -> io::Result<Verdict> {
     let disk = match std::fs::metadata(folder) {
-        Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(Verdict::default()),
+        Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(Verdict::default()),
         found => found.map(|_| Files::new(folder))?,
     };
-    let loaded = snapshot_store::load(&disk, MOST)?;
+    let loaded = snapshot_store::load(&disk, MAX_SNAPSHOT_BYTES)?;
     let log = idempotency_log::last(&disk)?;
-    let anything = loaded.snapshot.is_some() || !loaded.faults.is_empty() || log.is_some();
-    let torn = log.map_or(0, |(_, read)| read.torn);
+    let found_snapshot_or_log = loaded.snapshot.is_some() || !loaded.faults.is_empty() || log.is_some();
+    let torn_bytes = log.map_or(0, |(_, contents)| contents.torn_bytes);
     let mut faults = loaded.faults;
-    faults.extend(idempotency_log::faults(&disk)?);
+    faults.extend(idempotency_log::fault(&disk)?);
     let list = cached_endpoints::load(&disk);
-    let anything = anything || !matches!(list, Ok(None));
-    if let Err(e) = list {
-        let newer = matches!(e, ListError::Frame(FrameError::NewerVersion { .. }));
-        faults.push(Fault { file: cached_endpoints::FILE.into(), offset: None, why: e.to_string(), newer });
+    let found_any = found_snapshot_or_log || !matches!(list, Ok(None));
+    if let Err(error) = list {
+        faults.push(cached_list_fault(&error));
     }
-    Ok(Verdict { faults, anything, torn })
+    Ok(Verdict { faults, found_any, torn_bytes })
+}
+
+fn cached_list_fault(error: &CacheError) -> FileFault {
+    let newer = matches!(error, CacheError::Frame(frame) if frame.is_newer_version());
+    FileFault { newer, ..FileFault::unreadable(cached_endpoints::FILE.into(), error) }
 }
 
-/// Every figure of the last snapshot, with its age and what it would be worth now.
+/// All values of the latest snapshot, with their age and the weight that they would retain now. `None` if there is no
+/// valid snapshot.
 ///
 /// # Errors
 /// The folder cannot be read.
 pub fn show(folder: &Path, now: Milliseconds, rules: &Rules) -> io::Result<Option<Value>> {
     let disk = Files::new(folder);
-    let loaded = snapshot_store::load(&disk, MOST)?;
+    let loaded = snapshot_store::load(&disk, MAX_SNAPSHOT_BYTES)?;
     let log = idempotency_log::last(&disk)?;
     let Some((generation, snapshot)) = loaded.snapshot else { return Ok(None) };
     let boot = BootTime::read();
-    let (keys, marked) = match &log {
-        Some((_, read)) => {
-            let mark = read.mark.filter(|m| Some(m.boot) == boot.boot_id);
-            (read.sends.len(), mark.map(|m| boot.now - m.at))
+    let (key_count, mark_age) = match &log {
+        Some((_, contents)) => {
+            let mark = contents.mark.filter(|mark| Some(mark.boot_id) == boot.boot_id);
+            (contents.sends.len(), mark.map(|mark| boot.now - mark.at))
         }
         None => (0, None),
     };
-    let counts = recovery::age(&snapshot, now, rules);
-    let kept = cached_endpoints::load(&disk).ok().flatten();
+    let accepted = recovery::age(&snapshot, now, rules);
+    let list = cached_endpoints::load(&disk).ok().flatten();
     Ok(Some(json!({
         "generation": generation,
         "gateway": snapshot.gateway,
         "taken_ms": snapshot.taken,
         "age_ms": now - snapshot.taken,
-        "counts": counts.is_ok(),
-        "why_not": counts.err().map(|e| e.to_string()),
+        "counts": accepted.is_ok(),
+        "why_not": accepted.err().map(|reason| reason.to_string()),
         "bound_threads_per_core": snapshot.bound,
-        "fleet": fleet(&snapshot, now),
-        "classes": snapshot.classes.iter().map(|c| class(c, &snapshot, now)).collect::<Vec<_>>(),
-        "engines": snapshot.engines.iter().map(|e| engine(e, &snapshot, now, rules)).collect::<Vec<_>>(),
-        "list": kept.map(|l| json!({
-            "age_ms": now - l.heard,
-            "engines": l.engines.len(),
-            "live": l.engines.iter().filter(|e| e.live).count(),
-        })),
+        "fleet": show_fleet(&snapshot, now),
+        "classes": snapshot.classes.iter().map(|class| show_class(class, &snapshot, now)).collect::<Vec<_>>(),
+        "engines": snapshot.engines.iter().map(|engine| show_engine(engine, &snapshot, now, rules)).collect::<Vec<_>>(),
+        "list": list.map(|list| show_list(&list, now)),
         "keys": {
-            "held": keys,
-            "mark_age_ms": marked,
-            "sent_beside": idempotency_log::sent_beside(&disk)?,
+            "held": key_count,
+            "mark_age_ms": mark_age,
+            "sent_beside": idempotency_log::unrecorded_sends_possible(&disk)?,
         },
     })))
 }
 
-fn fleet(s: &Snapshot, now: Milliseconds) -> Value {
-    let f = &s.fleet;
+fn show_list(list: &CachedEndpoints, now: Milliseconds) -> Value {
+    json!({
+        "age_ms": now - list.confirmed_at,
+        "engines": list.endpoints.len(),
+        "live": list.endpoints.iter().filter(|endpoint| endpoint.live).count(),
+    })
+}
+
+fn show_fleet(snapshot: &Snapshot, now: Milliseconds) -> Value {
+    let fleet = &snapshot.fleet;
     json!({
-        "worth": worth(now - s.taken, recovery::TRAFFIC_HALF),
-        "own_threads": f.own_seen,
-        "all_threads": f.all_seen,
-        "threads_per_query": f.width,
-        "others_threads_per_core": f.usual_load,
-        "jammed_share": f.jammed,
-        "slowness": f.usual_slow,
-        "speed": f.speed,
-        "shortest_probe_ms": f.floors.iter().cloned().collect::<std::collections::BTreeMap<_, _>>(),
+        "worth": retained_weight(now - snapshot.taken, recovery::TRAFFIC_HALF_LIFE),
+        "own_threads": fleet.own_seen,
+        "all_threads": fleet.all_seen,
+        "threads_per_query": fleet.width,
+        "others_threads_per_core": fleet.usual_load,
+        "jammed_share": fleet.jammed,
+        "slowness": fleet.usual_slow,
+        "speed": fleet.speed,
+        "shortest_probe_ms": fleet.floors.iter().cloned().collect::<BTreeMap<_, _>>(),
     })
 }
 
-fn class(c: &crate::snapshot_records::Class, s: &Snapshot, now: Milliseconds) -> Value {
-    let age = now - c.confirmed.unwrap_or(s.taken);
-    let band = |(level, n, mean, var): &(f64, f64, f64, f64)| json!({ "threads_per_core": level, "outcomes": n, "mean_ms": mean, "deviation_ms": var.max(0.0).sqrt() });
+fn show_class(class: &Class, snapshot: &Snapshot, now: Milliseconds) -> Value {
+    let age = now - class.confirmed.unwrap_or(snapshot.taken);
     json!({
-        "name": c.name,
+        "name": class.name,
         "age_ms": age,
-        "worth": worth(age, recovery::LATENCY_HALF),
-        "threads": c.threads,
-        "best_ms": c.best,
-        "alone_ms": c.usual,
-        "arrivals": c.arrivals,
-        "time_left_ms": c.time_left,
-        "mean_estimate": c.size,
-        "grant": c.grant,
-        "bands": c.bands.iter().map(band).collect::<Vec<_>>(),
+        "worth": retained_weight(age, recovery::LATENCY_HALF_LIFE),
+        "threads": class.threads,
+        "best_ms": class.best,
+        "alone_ms": class.usual,
+        "arrivals": class.arrivals,
+        "time_left_ms": class.time_left,
+        "mean_estimate": class.size,
+        "grant": class.grant,
+        "bands": class.bands.iter().map(show_band).collect::<Vec<_>>(),
     })
 }
 
-fn engine(e: &crate::snapshot_records::Engine, s: &Snapshot, now: Milliseconds, rules: &Rules) -> Value {
-    let named = EndpointIdentity { id: e.id.clone(), address: e.address.clone(), started: e.started };
-    let doubt = recovery::doubt(Some(e), &named, now, rules);
-    let back = recovery::engine(Some(e), &named, s.taken, now, rules);
-    let age = e.confirmed.map(|at| now - at);
+fn show_band((level, outcomes, mean, variance): &(f64, f64, f64, f64)) -> Value {
     json!({
-        "id": e.id,
-        "address": e.address,
+        "threads_per_core": level,
+        "outcomes": outcomes,
+        "mean_ms": mean,
+        "deviation_ms": variance.max(0.0).sqrt(),
+    })
+}
+
+fn show_engine(engine: &Engine, snapshot: &Snapshot, now: Milliseconds, rules: &Rules) -> Value {
+    let identity =
+        EndpointIdentity { id: engine.id.clone(), address: engine.address.clone(), started: engine.started };
+    let uncertainty = recovery::uncertainty(Some(engine), &identity, now, rules);
+    let restored = recovery::engine(Some(engine), &identity, snapshot.taken, now, rules);
+    let age = engine.confirmed.map(|at| now - at);
+    json!({
+        "id": engine.id,
+        "address": engine.address,
         "age_ms": age,
-        "worth": age.map_or(0.0, |age| worth(age, recovery::HEALTH_HALF)),
-        "slowness": e.slow,
-        "slowness_now": back.slow,
-        "errors": e.errors,
-        "errors_now": back.errors,
-        "others_threads": e.others,
-        "others_threads_now": back.others,
-        "ejected_for_ms": e.ejected.map(|until| until - now),
-        "ejections": e.ejections,
-        "started_ms": e.started,
-        "cold": e.cold,
-        "perhaps_cold_now": doubt != Uncertainty::None,
-        "why": match doubt {
-            Uncertainty::None => "heard of lately",
-            Uncertainty::Unheard => "not heard of for longer than a restart takes",
-            Uncertainty::StartedAnew => "started anew",
-            Uncertainty::Unknown => "unknown",
-            Uncertainty::WasCold => "cold when last seen",
-        },
+        "worth": age.map_or(0.0, |age| retained_weight(age, recovery::HEALTH_HALF_LIFE)),
+        "slowness": engine.slow,
+        "slowness_now": restored.slow,
+        "errors": engine.errors,
+        "errors_now": restored.errors,
+        "others_threads": engine.others,
+        "others_threads_now": restored.others,
+        "ejected_for_ms": engine.ejected.map(|until| until - now),
+        "ejections": engine.ejections,
+        "started_ms": engine.started,
+        "cold": engine.cold,
+        "perhaps_cold_now": uncertainty != Uncertainty::None,
+        "why": show_uncertainty(uncertainty),
     })
 }
 
-/// The same as lines for people: nested names joined by dots, figures with up to three places.
+fn show_uncertainty(uncertainty: Uncertainty) -> &'static str {
+    match uncertainty {
+        Uncertainty::None => "heard of lately",
+        Uncertainty::NotHeardRecently => "not heard of for longer than a restart takes",
+        Uncertainty::Restarted => "started anew",
+        Uncertainty::UnknownId => "unknown",
+        Uncertainty::WasInSlowStart => "cold when last seen",
+    }
+}
+
+/// The output of [`show`] as text: a line for each value, nested names joined by dots, numbers with up to three places.
 pub fn text(shown: &Value) -> String {
     let mut out = String::new();
     lines(&mut out, "", shown);
@@ -181,22 +210,22 @@
 fn lines(out: &mut String, path: &str, value: &Value) {
     match value {
         Value::Object(map) => {
-            // Members of lists go by their names.
             for (name, inner) in map {
                 let under = if path.is_empty() { name.clone() } else { format!("{path}.{name}") };
                 lines(out, &under, inner);
             }
         }
+        // Elements of arrays are named by their name or id, if they have one.
         Value::Array(list) => {
-            for (i, inner) in list.iter().enumerate() {
+            for (index, inner) in list.iter().enumerate() {
                 let name = inner.get("name").or_else(|| inner.get("id")).and_then(Value::as_str);
-                let name = name.map_or_else(|| i.to_string(), str::to_owned);
+                let name = name.map_or_else(|| index.to_string(), str::to_owned);
                 lines(out, &format!("{path}[{name}]"), inner);
             }
         }
-        Value::Number(n) => {
-            let n = n.as_f64().unwrap_or(f64::NAN);
-            let _ = writeln!(out, "{path} = {}", (n * 1000.0).round() / 1000.0);
+        Value::Number(number) => {
+            let number = number.as_f64().unwrap_or(f64::NAN);
+            let _ = writeln!(out, "{path} = {}", (number * 1000.0).round() / 1000.0);
         }
         Value::Null => {
             let _ = writeln!(out, "{path} = -");
--- a/crates/persistence/src/lib.rs
+++ b/crates/persistence/src/lib.rs
@@ -1,19 +1,23 @@
-//! What a gateway has learned, and the idempotency keys it has sent, kept through restarts.
+//! State that outlives a gateway process: what it has learned, the idempotency keys it has sent, and the endpoint list.
 //!
-//! In come the module's records ([`Learned`](starlingplank_decision::learned::Learned)) and keyed sends; out come
-//! records that are still worth something after so long ([`recall`]), and the word whether a keyed request may
-//! leave now ([`gate`]). The rule that is kept: **what may have been sent under a key is never forgotten while an
-//! engine would run it again**, whatever stops the program; and an engine that may have started anew unseen is cold.
+//! The decision module's records ([`Learned`](starlingplank_decision::learned::Learned)) and keyed sends go in. Out come
+//! records, aged by the time that has passed ([`recovery`]), and whether a keyed request may be sent now
+//! ([`deduplication_window`]). Invariants: **what may have been sent under a key is never forgotten while an engine
+//! would run it again**, whatever stops the program; and an engine that may have restarted unseen is in slow start.
 //!
-//! The last [`list`] of engines is kept beside them. [`snapshot`], [`records`] and [`keylog`] hold the bytes, [`store`]
-//! their files on a [`disk`]; [`recall`] and [`gate`] are pure. The I/O is in [`folder`] and [`keeper`].
+//! [`recovery`] and [`deduplication_window`] are pure. [`snapshot`], [`snapshot_records`], [`idempotency_log`] and
+//! [`cached_endpoints`] define the stored bytes, [`snapshot_store`] the files of snapshots, [`writers`] the threads that
+//! write them, and [`inspection`] what operators can see of a folder.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub use starlingplank_storage::{boot_time, disk, folder};
 
 pub mod cached_endpoints;
+pub mod clock_offset;
 pub mod deduplication_window;
+pub mod file_fault;
+pub mod idempotency_key;
 pub mod idempotency_log;
 pub mod inspection;
 pub mod recovery;
--- a/crates/persistence/src/recovery.rs
+++ b/crates/persistence/src/recovery.rs
@@ -1,41 +1,47 @@
-//! What old knowledge is still worth. Pure: a snapshot, the list and the time go in, the module's records come out.
+//! What old knowledge is still good for. Pure: a snapshot, the endpoint list and the time go in, the decision module's
+//! records come out.
 //!
-//! Every kind of knowledge loses half its worth in its own time: latencies change with engines and data, loads with
-//! the minute. What a process knew by being warm can't be told from its id: one that the gateway has not heard of
-//! for longer than a restart takes, that started anew, or that the snapshot does not know, is *perhaps cold*.
+//! Each kind of knowledge loses half its weight in its own time: latencies change with engines and data, loads by the
+//! minute. Whether a process is warm cannot be told from its id: an engine that the gateway has not heard from for
+//! longer than a restart takes, that restarted, or that the snapshot does not know, is *perhaps in slow start*.
 
 use crate::snapshot_records::{Engine, Snapshot};
 use starlingplank_decision::interface::Milliseconds;
-use starlingplank_decision::learned::{EngineLearned, Learned};
+use starlingplank_decision::learned::{EngineLearned, FleetLearned, Learned};
 use std::collections::{BTreeMap, BTreeSet};
+use thiserror::Error;
 
-/// Half of what was seen of a class's latencies is gone after this: ten minutes.
-pub const LATENCY_HALF: Milliseconds = 600_000.0;
-/// Of arrivals, shares of traffic and the fleet's load: ten seconds, as the module's own sums forget.
-pub const TRAFFIC_HALF: Milliseconds = 10_000.0;
-/// Of an engine's slowness and errors: a minute.
-pub const HEALTH_HALF: Milliseconds = 60_000.0;
-/// Of what others run on an engine: three seconds.
-pub const LOAD_HALF: Milliseconds = 3_000.0;
-/// Of the shortest probe to a zone: an hour; ways change seldom.
-pub const WAY_HALF: Milliseconds = 3_600_000.0;
-/// A clock may be set back by so little without a word.
-pub const CLOCK_SLACK: Milliseconds = 500.0;
+/// Half-life of a class's latencies: ten minutes.
+pub const LATENCY_HALF_LIFE: Milliseconds = 600_000.0;
+/// Half-life of arrivals, traffic and the fleet's threads: ten seconds, as in the decision module's own sums.
+pub const TRAFFIC_HALF_LIFE: Milliseconds = 10_000.0;
+/// Half-life of an engine's slowness and errors: a minute.
+pub const HEALTH_HALF_LIFE: Milliseconds = 60_000.0;
+/// Half-life of what other gateways run on an engine: three seconds.
+pub const LOAD_HALF_LIFE: Milliseconds = 3_000.0;
+/// Half-life of the shortest health check to a zone: an hour, as network paths change seldom.
+pub const NETWORK_HALF_LIFE: Milliseconds = 3_600_000.0;
+/// How far a snapshot may lie in the future before the clock counts as set back.
+pub const CLOCK_TOLERANCE: Milliseconds = 500.0;
+/// Ejections are forgotten once an engine's health has kept no more than this of its weight.
+const EJECTION_MIN_WEIGHT: f64 = 0.1;
+/// Network paths are forgotten once they have kept less than this of their weight.
+const NETWORK_MIN_WEIGHT: f64 = 0.5;
 
-/// What an operator settles.
+/// What an operator configures.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Rules {
-    /// An engine cannot stop and be back within less.
+    /// An engine cannot stop and be back in less time.
     pub restart_within: Milliseconds,
-    /// A snapshot older than this counts as nothing.
+    /// An older snapshot is rejected.
     pub keep_for: Milliseconds,
-    /// Engines that the list does not name are kept so long for it to name them.
+    /// How long engines that the list does not name are kept for it to name them.
     pub list_wait: Milliseconds,
-    /// A cold engine's budget is counted over this.
+    /// The budget of an engine in slow start is counted over this time.
     pub overload_collapse_after: Milliseconds,
 }
 
-/// What holds where an operator says nothing.
+/// The rules where an operator configures none.
 pub const DEFAULT: Rules = Rules {
     restart_within: 3_000.0,
     keep_for: 3_600_000.0,
@@ -43,222 +49,223 @@
     overload_collapse_after: 2_000.0,
 };
 
-/// An engine as the list names it now.
+/// An engine as the endpoint list names it now.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct EndpointIdentity {
     /// Its id.
     pub id: String,
     /// Where it listens.
     pub address: String,
-    /// When its process started, where told.
+    /// When its process started, if the list tells.
     pub started: Option<Milliseconds>,
 }
 
-/// Why an engine is perhaps cold.
+/// Why an engine is perhaps in slow start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Uncertainty {
-    /// It is the process that was known, heard of lately: none.
+    /// It is not: it is the known process, and was heard from recently.
     None,
-    /// It was not heard of for longer than a restart takes.
-    Unheard,
+    /// It was not heard from for longer than a restart takes.
+    NotHeardRecently,
     /// Its start time is another.
-    StartedAnew,
-    /// Its id is unknown.
-    Unknown,
-    /// It was cold when last seen, and the list tells of no start.
-    WasCold,
+    Restarted,
+    /// The snapshot does not know its id.
+    UnknownId,
+    /// It was in slow start when last seen, and the list tells no start time.
+    WasInSlowStart,
 }
 
-/// Why a snapshot counts as nothing.
-#[derive(Debug, Clone, Copy, PartialEq)]
+/// Why a snapshot is rejected.
+#[derive(Debug, Clone, Copy, PartialEq, Error)]
 pub enum RejectedSnapshot {
-    /// It was taken in what is the future now: the clock was set back.
+    /// It was taken this far in the future, in milliseconds: the clock was set back.
+    #[error("it was taken {:.1} s in the future: the clock was set back", .0 / 1000.0)]
     FromTheFuture(Milliseconds),
-    /// It is this old.
+    /// It is older than the rules allow; its age in milliseconds.
+    #[error("it is {:.0} s old", .0 / 1000.0)]
     TooOld(Milliseconds),
-    /// Its time is none.
-    NoTime,
-}
-
-impl std::fmt::Display for RejectedSnapshot {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            RejectedSnapshot::FromTheFuture(by) => {
-                write!(f, "it was taken {:.1} s in the future: the clock was set back", by / 1000.0)
-            }
-            RejectedSnapshot::TooOld(age) => write!(f, "it is {:.0} s old", age / 1000.0),
-            RejectedSnapshot::NoTime => write!(f, "its time is none"),
-        }
-    }
+    /// Its time is not a finite number.
+    #[error("its time is none")]
+    InvalidTime,
 }
 
-/// The share of its worth that knowledge keeps after so long.
-pub fn worth(age: Milliseconds, half: Milliseconds) -> f64 {
+/// The fraction of its weight that knowledge of this age retains.
+pub fn retained_weight(age: Milliseconds, half_life: Milliseconds) -> f64 {
     if age.is_finite() {
-        0.5_f64.powf(age.max(0.0) / half)
+        0.5_f64.powf(age.max(0.0) / half_life)
     } else {
         0.0
     }
 }
 
-/// Whether a snapshot counts at all, and how old it is.
+/// The age of a snapshot.
 ///
 /// # Errors
-/// It is from the future, too old, or has no time.
+/// The snapshot lies in the future, is too old, or has no valid time.
 pub fn age(snapshot: &Snapshot, now: Milliseconds, rules: &Rules) -> Result<Milliseconds, RejectedSnapshot> {
     let age = now - snapshot.taken;
     match age {
-        _ if !age.is_finite() => Err(RejectedSnapshot::NoTime),
-        _ if age < -CLOCK_SLACK => Err(RejectedSnapshot::FromTheFuture(-age)),
+        _ if !age.is_finite() => Err(RejectedSnapshot::InvalidTime),
+        _ if age < -CLOCK_TOLERANCE => Err(RejectedSnapshot::FromTheFuture(-age)),
         _ if age > rules.keep_for => Err(RejectedSnapshot::TooOld(age)),
         _ => Ok(age.max(0.0)),
     }
 }
 
-/// Whether an engine is the process that was known.
-pub fn doubt(
+/// Whether an engine may be another process than the known one.
+pub fn uncertainty(
     known: Option<&Engine>,
-    named: &EndpointIdentity,
+    identity: &EndpointIdentity,
     now: Milliseconds,
     rules: &Rules,
 ) -> Uncertainty {
-    let Some(known) = known else { return Uncertainty::Unknown };
-    if named.started.is_some() && named.started != known.started {
-        return Uncertainty::StartedAnew;
+    let Some(known) = known else { return Uncertainty::UnknownId };
+    if identity.started.is_some() && identity.started != known.started {
+        return Uncertainty::Restarted;
     }
-    if known.cold && named.started.is_none() {
-        return Uncertainty::WasCold;
+    if known.cold && identity.started.is_none() {
+        return Uncertainty::WasInSlowStart;
     }
     match known.confirmed {
-        Some(at) if now - at <= rules.restart_within && now - at >= -CLOCK_SLACK => Uncertainty::None,
-        _ => Uncertainty::Unheard,
+        Some(at) if now - at <= rules.restart_within && now - at >= -CLOCK_TOLERANCE => Uncertainty::None,
+        _ => Uncertainty::NotHeardRecently,
     }
 }
 
-/// What is kept of a class, aged.
-fn classes(snapshot: &Snapshot, now: Milliseconds, out: &mut Learned) {
-    for c in &mut out.classes {
-        let age = now - c.confirmed.unwrap_or(snapshot.taken);
-        let (latency, traffic) = (worth(age, LATENCY_HALF), worth(now - snapshot.taken, TRAFFIC_HALF));
-        c.bands.iter_mut().for_each(|b| b.n *= latency);
-        // The fewer steps stand behind the best, the faster the module learns another.
-        c.steps = (c.steps * latency).floor().max(f64::from(u8::from(c.steps >= 1.0)));
-        c.arrivals *= traffic;
-        c.runtime *= traffic;
-        c.confirmed = None;
+fn age_classes(snapshot: &Snapshot, now: Milliseconds, learned: &mut Learned) {
+    for class in &mut learned.classes {
+        let age = now - class.confirmed.unwrap_or(snapshot.taken);
+        let latency = retained_weight(age, LATENCY_HALF_LIFE);
+        let traffic = retained_weight(now - snapshot.taken, TRAFFIC_HALF_LIFE);
+        for band in &mut class.bands {
+            band.n *= latency;
+        }
+        // The fewer steps the best latency rests on, the faster the decision module learns another.
+        class.steps = (class.steps * latency).floor().max(f64::from(u8::from(class.steps >= 1.0)));
+        class.arrivals *= traffic;
+        class.runtime *= traffic;
+        class.confirmed = None;
     }
 }
 
-fn fleet(age: Milliseconds, out: &mut Learned) {
-    let (traffic, load) = (worth(age, TRAFFIC_HALF), worth(age, LOAD_HALF));
-    let f = &mut out.fleet;
-    f.own_seen *= traffic;
-    f.all_seen *= traffic;
-    f.usual_load *= load;
-    f.jammed *= load;
-    f.usual_slow = 1.0 + (f.usual_slow - 1.0) * worth(age, HEALTH_HALF);
-    f.speed = 1.0 + (f.speed - 1.0) * worth(age, HEALTH_HALF);
-    if worth(age, WAY_HALF) < 0.5 {
-        f.floors.clear();
+fn age_fleet(age: Milliseconds, fleet: &mut FleetLearned) {
+    let traffic = retained_weight(age, TRAFFIC_HALF_LIFE);
+    let load = retained_weight(age, LOAD_HALF_LIFE);
+    let health = retained_weight(age, HEALTH_HALF_LIFE);
+    fleet.own_seen *= traffic;
+    fleet.all_seen *= traffic;
+    fleet.usual_load *= load;
+    fleet.jammed *= load;
+    fleet.usual_slow = 1.0 + (fleet.usual_slow - 1.0) * health;
+    fleet.speed = 1.0 + (fleet.speed - 1.0) * health;
+    if retained_weight(age, NETWORK_HALF_LIFE) < NETWORK_MIN_WEIGHT {
+        fleet.floors.clear();
     }
 }
 
-/// What is kept of an engine.
+/// What is restored of an engine. `taken` is the time of the snapshot.
 pub fn engine(
     known: Option<&Engine>,
-    named: &EndpointIdentity,
+    identity: &EndpointIdentity,
     taken: Milliseconds,
     now: Milliseconds,
     rules: &Rules,
 ) -> EngineLearned {
-    let doubt = doubt(known, named, now, rules);
-    let cold = doubt != Uncertainty::None;
+    let uncertainty = uncertainty(known, identity, now, rules);
+    let perhaps_cold = uncertainty != Uncertainty::None;
     let fresh =
-        EngineLearned { id: named.id.clone(), slow: 1.0, perhaps_cold: cold, ..EngineLearned::default() };
-    let Some(known) = known.filter(|_| !matches!(doubt, Uncertainty::StartedAnew | Uncertainty::Unknown))
-    else {
-        return fresh;
-    };
+        EngineLearned { id: identity.id.clone(), slow: 1.0, perhaps_cold, ..EngineLearned::default() };
+    let same_process = !matches!(uncertainty, Uncertainty::Restarted | Uncertainty::UnknownId);
+    let Some(known) = known.filter(|_| same_process) else { return fresh };
     let seen = known.confirmed.unwrap_or(taken);
-    let health = worth(now - seen, HEALTH_HALF);
-    // What was left of a cold engine's budget is not known to the last moment.
+    let health = retained_weight(now - seen, HEALTH_HALF_LIFE);
+    // How much of a slow start's budget was left at the very end is unknown.
     let spent =
         known.cold && now - seen.max(taken) <= rules.overload_collapse_after.max(rules.restart_within);
     EngineLearned {
         slow: 1.0 + (known.slow - 1.0) * health,
         errors: known.errors * health,
-        others: known.others * worth(now - known.heard.unwrap_or(taken), LOAD_HALF),
+        others: known.others * retained_weight(now - known.heard.unwrap_or(taken), LOAD_HALF_LIFE),
         heard: known.heard,
-        // One whose ejection has ended meanwhile gets its trial first.
-        ejected: known.ejected.filter(|_| health > 0.1),
-        ejections: if health > 0.1 { known.ejections } else { 0 },
+        // An engine whose ejection has ended meanwhile is tried first.
+        ejected: known.ejected.filter(|_| health > EJECTION_MIN_WEIGHT),
+        ejections: if health > EJECTION_MIN_WEIGHT { known.ejections } else { 0 },
         back: known.back,
-        lost: known.lost.filter(|_| !cold),
+        lost: known.lost.filter(|_| !perhaps_cold),
         cold: known.cold,
         spent,
         ..fresh
     }
 }
 
-/// Knowledge of an earlier life, until the list has named its engines or the time for that is over.
+/// Knowledge of an earlier process, held until the endpoint list has named its engines or the wait for that has ended.
 #[derive(Debug)]
 pub struct RestoredState {
     rules: Rules,
     taken: Milliseconds,
+    /// What is not of single engines, until it is handed out with the first of them.
     fleet: Option<Learned>,
     known: BTreeMap<String, Engine>,
-    /// Engines that were given back already.
-    given: BTreeSet<String>,
-    until: Option<Milliseconds>,
+    /// Ids of engines that were handed out already.
+    restored: BTreeSet<String>,
+    /// End of the wait for the list: set when it names the first engines.
+    deadline: Option<Milliseconds>,
 }
 
 impl RestoredState {
-    /// A snapshot that counts.
+    /// Ages a snapshot.
     ///
     /// # Errors
-    /// It does not.
+    /// The snapshot is rejected.
     pub fn new(snapshot: &Snapshot, now: Milliseconds, rules: Rules) -> Result<Self, RejectedSnapshot> {
         let age = age(snapshot, now, &rules)?;
         let mut learned = snapshot.learned();
         learned.engines.clear();
-        classes(snapshot, now, &mut learned);
-        fleet(age, &mut learned);
-        let known = snapshot.engines.iter().map(|e| (e.id.clone(), e.clone())).collect();
-        let (fleet, given, until) = (Some(learned), BTreeSet::new(), None);
-        Ok(Self { rules, taken: snapshot.taken, fleet, known, given, until })
+        age_classes(snapshot, now, &mut learned);
+        age_fleet(age, &mut learned.fleet);
+        Ok(Self {
+            rules,
+            taken: snapshot.taken,
+            fleet: Some(learned),
+            known: snapshot.engines.iter().map(|engine| (engine.id.clone(), engine.clone())).collect(),
+            restored: BTreeSet::new(),
+            deadline: None,
+        })
     }
 
-    /// The list names these engines: what there is to give back of them, if anything. An engine is given back once;
-    /// one that is new to a list later than the wait is the module's own to know.
-    pub fn list(&mut self, named: &[EndpointIdentity], now: Milliseconds) -> Option<Learned> {
-        if named.is_empty() {
+    /// What there is to restore now that the list names these engines, if anything. An engine is restored once; one that
+    /// the list names for the first time after the wait is left to the decision module.
+    pub fn restore(&mut self, listed: &[EndpointIdentity], now: Milliseconds) -> Option<Learned> {
+        if listed.is_empty() {
             return None;
         }
-        let until = *self.until.get_or_insert(now + self.rules.list_wait);
-        if now > until {
+        let deadline = *self.deadline.get_or_insert(now + self.rules.list_wait);
+        if now > deadline {
             self.known.clear();
             return None;
         }
-        let fresh: Vec<_> = named.iter().filter(|n| !self.given.contains(&n.id)).collect();
-        if fresh.is_empty() && self.fleet.is_none() {
+        let added: Vec<_> = listed.iter().filter(|identity| !self.restored.contains(&identity.id)).collect();
+        if added.is_empty() && self.fleet.is_none() {
             return None;
         }
-        let engines: Vec<_> =
-            fresh.iter().map(|n| engine(self.known.get(&n.id), n, self.taken, now, &self.rules)).collect();
-        for n in fresh {
-            self.given.insert(n.id.clone());
-            self.known.remove(&n.id);
+        let restored = |identity: &&EndpointIdentity| {
+            engine(self.known.get(&identity.id), identity, self.taken, now, &self.rules)
+        };
+        let engines: Vec<_> = added.iter().map(restored).collect();
+        for identity in added {
+            self.restored.insert(identity.id.clone());
+            self.known.remove(&identity.id);
         }
         Some(Learned { engines, ..self.fleet.take().unwrap_or_default() })
     }
 
-    /// Engines that the list has not named yet.
-    pub fn waiting(&self) -> usize {
+    /// Number of engines that the list has not named yet.
+    pub fn unrestored(&self) -> usize {
         self.known.len()
     }
 
-    /// Whether nothing more can be given back.
-    pub fn over(&self, now: Milliseconds) -> bool {
-        self.until.is_some_and(|until| now > until)
+    /// Whether nothing more can be restored.
+    pub fn is_finished(&self, now: Milliseconds) -> bool {
+        self.deadline.is_some_and(|deadline| now > deadline)
     }
 }
--- a/crates/persistence/src/snapshot_records.rs
+++ b/crates/persistence/src/snapshot_records.rs
@@ -1,230 +1,254 @@
-//! The records inside a snapshot, apart from the module's own types: those may change with each release, these are
-//! a promise. Version 1 knew no addresses and no shortest probes; it is still read.
+//! The records inside a snapshot.
+//!
+//! They repeat the types of [`starlingplank_decision::learned`] on purpose: those may change with each release, while the
+//! order and types of the fields here are the stored format, which postcard encodes by position. The decision module
+//! also does not depend on serde. Version 1 has no addresses and no shortest health checks; it can still be read.
 
 use serde::{Deserialize, Serialize};
 use starlingplank_decision::interface::Milliseconds;
 use starlingplank_decision::learned::{BandLearned, ClassLearned, EngineLearned, FleetLearned, Learned};
 use std::collections::BTreeMap;
 
-/// A snapshot, as version 2 writes it. Times are Unix milliseconds.
+/// A snapshot, as version 2 stores it. Times are Unix milliseconds.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// When it was taken.
+    /// When the snapshot was taken.
     pub taken: Milliseconds,
     /// The gateway's name.
     pub gateway: String,
-    /// The bound, in threads a core.
+    /// The concurrency limit, in threads per core.
     pub bound: f64,
-    /// Of all engines together.
+    /// What was learned of all engines together.
     pub fleet: Fleet,
-    /// By class.
+    /// What was learned of each class.
     pub classes: Vec<Class>,
-    /// By engine.
+    /// What was learned of each engine.
     pub engines: Vec<Engine>,
 }
 
-/// Of all engines together.
+/// What was learned of all engines together.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Fleet {
-    /// This gateway's threads of late.
+    /// This gateway's recent threads.
     pub own_seen: f64,
-    /// All threads of late.
+    /// Recent threads of all gateways.
     pub all_seen: f64,
-    /// Threads of a query.
+    /// Mean threads of a query.
     pub width: f64,
-    /// Threads a core that others run.
+    /// Threads per core that other gateways run.
     pub usual_load: f64,
-    /// Share of engines far over any bound.
+    /// Fraction of engines far over any concurrency limit.
     pub jammed: f64,
-    /// The middle engine's slowness.
+    /// Median slowness of the engines.
     pub usual_slow: f64,
-    /// What queries would take alone over what they take.
+    /// Latency of queries that run alone divided by their actual latency.
     pub speed: f64,
-    /// The shortest probe by zone.
+    /// The shortest health check by zone, in milliseconds.
     pub floors: Vec<(String, Milliseconds)>,
 }
 
-/// A class.
+/// What was learned of a class.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Class {
     /// Its name.
     pub name: String,
     /// Threads of a query.
     pub threads: f64,
-    /// When an outcome last told of it.
+    /// When an outcome was last seen.
     pub confirmed: Option<Milliseconds>,
-    /// Level in threads a core, outcomes, mean and variance.
+    /// Latency by load: level in threads per core, outcomes, mean and variance in milliseconds.
     pub bands: Vec<(f64, f64, f64, f64)>,
-    /// Lowest mean latency of late.
+    /// Lowest recent mean latency.
     pub best: Milliseconds,
     /// Latency of a query alone.
     pub usual: Milliseconds,
-    /// Steps over which the best was learned.
+    /// Steps over which the lowest latency was learned.
     pub steps: f64,
-    /// Clients' time from asking to giving up.
+    /// Clients' usual time from the request to their timeout.
     pub time_left: Milliseconds,
-    /// Mean estimate of work.
+    /// Mean estimate of work that came with requests.
     pub size: f64,
-    /// Recent first tries.
+    /// Recent first attempts.
     pub arrivals: f64,
-    /// Recent time of attempts.
+    /// Recent run time of attempts.
     pub runtime: f64,
-    /// Memory asked for over the estimate.
+    /// Requested memory divided by the estimate.
     pub grant: f64,
 }
 
-/// An engine.
+/// What was learned of an engine.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Engine {
     /// Its id.
     pub id: String,
     /// Where it listened; empty in records of version 1.
     pub address: String,
-    /// When its process started, where told.
+    /// When its process started, if the list told.
     pub started: Option<Milliseconds>,
     /// When it last answered anything.
     pub confirmed: Option<Milliseconds>,
-    /// When it last told of its load.
+    /// When it last reported its load.
     pub heard: Option<Milliseconds>,
-    /// Latency over the best.
+    /// Its latency divided by the lowest.
     pub slow: f64,
-    /// Recent share of failures.
+    /// Recent fraction of failures.
     pub errors: f64,
-    /// Threads of others.
+    /// Threads of other gateways.
     pub others: f64,
-    /// Until when it was ejected.
+    /// When its ejection ends.
     pub ejected: Option<Milliseconds>,
-    /// Ejections in a row.
+    /// Consecutive ejections.
     pub ejections: u32,
-    /// End of the last ejection.
+    /// When the last ejection ended.
     pub back: Option<Milliseconds>,
     /// When it last refused connections.
     pub lost: Option<Milliseconds>,
-    /// It was cold when last seen.
+    /// Whether it was in slow start when last seen.
     pub cold: bool,
 }
 
 impl Snapshot {
-    /// The record of what the module learned, with the addresses that the list gave.
+    /// Records what the decision module has learned, with the addresses that the endpoint list gave.
     pub fn new(gateway: &str, learned: &Learned, addresses: &BTreeMap<String, String>) -> Self {
-        let f = &learned.fleet;
-        let class = |c: &ClassLearned| Class {
-            name: c.name.clone(),
-            threads: c.threads,
-            confirmed: c.confirmed,
-            bands: c.bands.iter().map(|b| (b.level, b.n, b.mean, b.var)).collect(),
-            best: c.best,
-            usual: c.usual,
-            steps: c.steps,
-            time_left: c.time_left,
-            size: c.size,
-            arrivals: c.arrivals,
-            runtime: c.runtime,
-            grant: c.grant,
-        };
-        let engine = |e: &EngineLearned| Engine {
-            id: e.id.clone(),
-            address: addresses.get(&e.id).cloned().unwrap_or_default(),
-            started: e.started,
-            confirmed: e.confirmed,
-            heard: e.heard,
-            slow: e.slow,
-            errors: e.errors,
-            others: e.others,
-            ejected: e.ejected,
-            ejections: e.ejections,
-            back: e.back,
-            lost: e.lost,
-            cold: e.cold,
+        let engine = |engine: &EngineLearned| {
+            let address = addresses.get(&engine.id).cloned().unwrap_or_default();
+            Engine { address, ..Engine::from(engine) }
         };
         Self {
             taken: learned.at,
             gateway: gateway.to_owned(),
             bound: learned.bound,
-            fleet: Fleet {
-                own_seen: f.own_seen,
-                all_seen: f.all_seen,
-                width: f.width,
-                usual_load: f.usual_load,
-                jammed: f.jammed,
-                usual_slow: f.usual_slow,
-                speed: f.speed,
-                floors: f.floors.clone(),
-            },
-            classes: learned.classes.iter().map(class).collect(),
+            fleet: Fleet::from(&learned.fleet),
+            classes: learned.classes.iter().map(Class::from).collect(),
             engines: learned.engines.iter().map(engine).collect(),
         }
     }
 
-    /// The module's records, as they were.
+    /// The decision module's records, as they were taken.
     pub fn learned(&self) -> Learned {
-        let f = &self.fleet;
         Learned {
             at: self.taken,
             bound: self.bound,
-            fleet: FleetLearned {
-                own_seen: f.own_seen,
-                all_seen: f.all_seen,
-                width: f.width,
-                usual_load: f.usual_load,
-                jammed: f.jammed,
-                usual_slow: f.usual_slow,
-                speed: f.speed,
-                floors: f.floors.clone(),
-            },
-            classes: self.classes.iter().map(Class::learned).collect(),
-            engines: self.engines.iter().map(Engine::learned).collect(),
+            fleet: FleetLearned::from(&self.fleet),
+            classes: self.classes.iter().map(ClassLearned::from).collect(),
+            engines: self.engines.iter().map(EngineLearned::from).collect(),
         }
     }
 }
 
-impl Class {
-    fn learned(&self) -> ClassLearned {
-        let band = |(level, n, mean, var): &(f64, f64, f64, f64)| BandLearned {
-            level: *level,
-            n: *n,
-            mean: *mean,
-            var: *var,
-        };
-        ClassLearned {
-            name: self.name.clone(),
-            threads: self.threads,
-            confirmed: self.confirmed,
-            bands: self.bands.iter().map(band).collect(),
-            best: self.best,
-            usual: self.usual,
-            steps: self.steps,
-            time_left: self.time_left,
-            size: self.size,
-            arrivals: self.arrivals,
-            runtime: self.runtime,
-            grant: self.grant,
+impl From<&FleetLearned> for Fleet {
+    fn from(fleet: &FleetLearned) -> Self {
+        Self {
+            own_seen: fleet.own_seen,
+            all_seen: fleet.all_seen,
+            width: fleet.width,
+            usual_load: fleet.usual_load,
+            jammed: fleet.jammed,
+            usual_slow: fleet.usual_slow,
+            speed: fleet.speed,
+            floors: fleet.floors.clone(),
         }
     }
 }
 
-impl Engine {
-    fn learned(&self) -> EngineLearned {
-        EngineLearned {
-            id: self.id.clone(),
-            started: self.started,
-            confirmed: self.confirmed,
-            heard: self.heard,
-            slow: self.slow,
-            errors: self.errors,
-            others: self.others,
-            ejected: self.ejected,
-            ejections: self.ejections,
-            back: self.back,
-            lost: self.lost,
-            cold: self.cold,
+impl From<&Fleet> for FleetLearned {
+    fn from(fleet: &Fleet) -> Self {
+        Self {
+            own_seen: fleet.own_seen,
+            all_seen: fleet.all_seen,
+            width: fleet.width,
+            usual_load: fleet.usual_load,
+            jammed: fleet.jammed,
+            usual_slow: fleet.usual_slow,
+            speed: fleet.speed,
+            floors: fleet.floors.clone(),
+        }
+    }
+}
+
+impl From<&ClassLearned> for Class {
+    fn from(class: &ClassLearned) -> Self {
+        Self {
+            name: class.name.clone(),
+            threads: class.threads,
+            confirmed: class.confirmed,
+            bands: class.bands.iter().map(|band| (band.level, band.n, band.mean, band.var)).collect(),
+            best: class.best,
+            usual: class.usual,
+            steps: class.steps,
+            time_left: class.time_left,
+            size: class.size,
+            arrivals: class.arrivals,
+            runtime: class.runtime,
+            grant: class.grant,
+        }
+    }
+}
+
+impl From<&Class> for ClassLearned {
+    fn from(class: &Class) -> Self {
+        let band = |&(level, n, mean, var): &(f64, f64, f64, f64)| BandLearned { level, n, mean, var };
+        Self {
+            name: class.name.clone(),
+            threads: class.threads,
+            confirmed: class.confirmed,
+            bands: class.bands.iter().map(band).collect(),
+            best: class.best,
+            usual: class.usual,
+            steps: class.steps,
+            time_left: class.time_left,
+            size: class.size,
+            arrivals: class.arrivals,
+            runtime: class.runtime,
+            grant: class.grant,
+        }
+    }
+}
+
+/// Without an address: the decision module knows none.
+impl From<&EngineLearned> for Engine {
+    fn from(engine: &EngineLearned) -> Self {
+        Self {
+            id: engine.id.clone(),
+            address: String::new(),
+            started: engine.started,
+            confirmed: engine.confirmed,
+            heard: engine.heard,
+            slow: engine.slow,
+            errors: engine.errors,
+            others: engine.others,
+            ejected: engine.ejected,
+            ejections: engine.ejections,
+            back: engine.back,
+            lost: engine.lost,
+            cold: engine.cold,
+        }
+    }
+}
+
+/// What is decided on recovery is unset: [`recovery::engine`](crate::recovery::engine) decides it.
+impl From<&Engine> for EngineLearned {
+    fn from(engine: &Engine) -> Self {
+        Self {
+            id: engine.id.clone(),
+            started: engine.started,
+            confirmed: engine.confirmed,
+            heard: engine.heard,
+            slow: engine.slow,
+            errors: engine.errors,
+            others: engine.others,
+            ejected: engine.ejected,
+            ejections: engine.ejections,
+            back: engine.back,
+            lost: engine.lost,
+            cold: engine.cold,
             perhaps_cold: false,
             spent: false,
         }
     }
 }
 
-/// Version 1, as it was.
+/// The records of version 1.
 pub mod v1 {
     use super::{Class, Milliseconds};
     use serde::{Deserialize, Serialize};
@@ -232,15 +256,15 @@
     /// A snapshot of version 1.
     #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
     pub struct Snapshot {
-        /// When it was taken.
+        /// When the snapshot was taken.
         pub taken: Milliseconds,
-        /// The bound.
+        /// The concurrency limit.
         pub bound: f64,
-        /// Threads of this gateway and of all of late, threads of a query, load of others, slowness, speed.
+        /// Recent threads of this gateway and of all, threads of a query, load of others, slowness, speed.
         pub fleet: [f64; 6],
-        /// By class; the same as in version 2.
+        /// What was learned of each class, as in version 2.
         pub classes: Vec<Class>,
-        /// By engine.
+        /// What was learned of each engine.
         pub engines: Vec<Engine>,
     }
 
@@ -253,27 +277,27 @@
         pub started: Option<Milliseconds>,
         /// When it last answered.
         pub confirmed: Option<Milliseconds>,
-        /// Latency over the best.
+        /// Its latency divided by the lowest.
         pub slow: f64,
-        /// Recent share of failures.
+        /// Recent fraction of failures.
         pub errors: f64,
-        /// Until when it was ejected.
+        /// When its ejection ends.
         pub ejected: Option<Milliseconds>,
-        /// It was cold.
+        /// Whether it was in slow start.
         pub cold: bool,
     }
 
     impl From<Snapshot> for super::Snapshot {
         fn from(old: Snapshot) -> Self {
             let [own_seen, all_seen, width, usual_load, usual_slow, speed] = old.fleet;
-            let engine = |e: Engine| super::Engine {
-                id: e.id,
-                started: e.started,
-                confirmed: e.confirmed,
-                slow: e.slow,
-                errors: e.errors,
-                ejected: e.ejected,
-                cold: e.cold,
+            let engine = |engine: Engine| super::Engine {
+                id: engine.id,
+                started: engine.started,
+                confirmed: engine.confirmed,
+                slow: engine.slow,
+                errors: engine.errors,
+                ejected: engine.ejected,
+                cold: engine.cold,
                 ..super::Engine::default()
             };
             Self {
--- a/crates/persistence/tests/crash.rs
+++ b/crates/persistence/tests/crash.rs
@@ -4,8 +4,9 @@
 
 use common::snapshot;
 use rstest::rstest;
-use starlingplank_persistence::deduplication_window::{key, KeySend, KeySends};
-use starlingplank_persistence::idempotency_log::{self, IdempotencyLog, Mark, Record};
+use starlingplank_persistence::boot_time::BootTime;
+use starlingplank_persistence::deduplication_window::{key, KeySend, KeySends, TrustedLog};
+use starlingplank_persistence::idempotency_log::{self, DistrustedLog, IdempotencyLog, Mark, Record};
 use starlingplank_persistence::snapshot as bytes_of;
 use starlingplank_persistence::snapshot_store::{load, Store};
 use starlingplank_test_doubles::disk::{Fault, FaultyDisk};
@@ -129,8 +130,12 @@
     assert_eq!(found(&disk).0, 14);
 }
 
+fn recover(disk: &FaultyDisk, now: f64, boot_id: Option<[u8; 16]>) -> Result<TrustedLog, DistrustedLog> {
+    idempotency_log::recover(disk, &BootTime { now, boot_id }, 12_000.0)
+}
+
 fn mark(at: f64) -> Mark {
-    Mark { at, shut_until: 0.0, boot: BOOT }
+    Mark { at, blocked_until: None, boot_id: BOOT }
 }
 
 /// Writes two files and records in both, until the disk stops; the keys that were said to be durable.
@@ -170,8 +175,8 @@
             disk.fault(at, fault);
             let done = log(&disk);
             disk.restart();
-            let recovered = idempotency_log::recover(&disk, 30.0, Some(BOOT), 12_000.0);
-            let Some((sends, _)) = recovered.trusted else { continue };
+            let recovered = recover(&disk, 30.0, Some(BOOT));
+            let Ok(TrustedLog { sends, .. }) = recovered else { continue };
             trusted += 1;
             for n in done {
                 let known = sends.iter().any(|(k, f)| *k == key(&n.to_string()) && f.first == f64::from(n));
@@ -185,15 +190,15 @@
 #[test]
 fn log_is_trusted_only_if_whole_young_and_of_this_start_of_the_machine() {
     let disk = FaultyDisk::new(1);
-    assert!(idempotency_log::recover(&disk, 5.0, Some(BOOT), 12_000.0).trusted.is_none(), "there is none");
+    assert!(recover(&disk, 5.0, Some(BOOT)).is_err(), "there is none");
     log(&disk);
-    let at = |now: f64, boot| idempotency_log::recover(&disk, now, boot, 12_000.0);
-    assert!(at(100.0, Some(BOOT)).trusted.is_some_and(|(keys, _)| keys.len() == 6));
-    assert!(at(12_011.0, Some(BOOT)).trusted.is_some());
-    assert!(at(12_012.0, Some(BOOT)).trusted.is_none(), "the mark is too old");
-    assert!(at(3.0, Some(BOOT)).trusted.is_none(), "the mark is from the future");
-    assert!(at(100.0, Some([8; 16])).trusted.is_none(), "another start of the machine");
-    assert!(at(100.0, None).trusted.is_none(), "nobody knows which start");
+    let at = |now: f64, boot| recover(&disk, now, boot);
+    assert!(at(100.0, Some(BOOT)).is_ok_and(|log| log.sends.len() == 6));
+    assert!(at(12_011.0, Some(BOOT)).is_ok());
+    assert!(at(12_012.0, Some(BOOT)).is_err(), "the mark is too old");
+    assert!(at(3.0, Some(BOOT)).is_err(), "the mark is from the future");
+    assert!(at(100.0, Some([8; 16])).is_err(), "another start of the machine");
+    assert!(at(100.0, None).is_err(), "nobody knows which start");
 }
 
 /// Any byte of the log changed, and any cut: keys are lost only where the log is no longer trusted, or at its end.
@@ -207,10 +212,10 @@
         let mut changed = bytes.clone();
         changed[at] ^= 0x10;
         let read = idempotency_log::read(&changed);
-        assert!(read.fault.is_some() || at >= bytes.len() - idempotency_log::RECORD, "byte {at}");
+        assert!(read.fault.is_some() || at >= bytes.len() - idempotency_log::RECORD_BYTES, "byte {at}");
         let cut = idempotency_log::read(&bytes[..at]);
         assert!(cut.sends.len() <= whole.sends.len());
-        assert!(at < idempotency_log::HEAD || cut.fault.is_none(), "a torn end is no fault");
+        assert!(at < idempotency_log::HEADER_BYTES || cut.fault.is_none(), "a torn end is no fault");
     }
 }
 
--- a/crates/persistence/tests/idempotency_log.rs
+++ b/crates/persistence/tests/idempotency_log.rs
@@ -43,7 +43,7 @@
 fn log_that_is_begun_anew_while_it_is_looked_for_is_found() {
     let disk = FaultyDisk::new(1);
     let mut log = IdempotencyLog::open(Box::new(disk.clone())).expect("empty");
-    let mark = |at| Some(Mark { at, shut_until: 0.0, boot: [1; 16] });
+    let mark = |at| Some(Mark { at, blocked_until: None, boot_id: [1; 16] });
     log.rewrite(&[], mark(1.0)).expect("written");
     let names = disk.names().expect("listed");
     log.rewrite(&[], mark(2.0)).expect("written anew");
--- a/crates/persistence/tests/recovery.rs
+++ b/crates/persistence/tests/recovery.rs
@@ -5,7 +5,7 @@
 use common::snapshot;
 use rstest::rstest;
 use starlingplank_persistence::recovery::{
-    age, doubt, worth, EndpointIdentity, RejectedSnapshot, RestoredState, Rules, Uncertainty,
+    age, retained_weight, uncertainty, EndpointIdentity, RejectedSnapshot, RestoredState, Rules, Uncertainty,
 };
 use starlingplank_persistence::snapshot_records::Engine;
 
@@ -23,25 +23,25 @@
 #[rstest]
 #[case::same_process_heard_of_lately(engine(None, false), None, 2_000.0, Uncertainty::None)]
 #[case::same_start_time(engine(Some(5.0), true), Some(5.0), 2_000.0, Uncertainty::None)]
-#[case::longer_than_a_restart(engine(None, false), None, 3_000.0, Uncertainty::Unheard)]
-#[case::new_start_time(engine(Some(5.0), false), Some(9.0), 100.0, Uncertainty::StartedAnew)]
-#[case::start_time_told_for_the_first_time(engine(None, false), Some(9.0), 100.0, Uncertainty::StartedAnew)]
-#[case::cold_when_last_seen(engine(None, true), None, 100.0, Uncertainty::WasCold)]
-#[case::never_heard_of(Engine { confirmed: None, ..engine(None, false) }, None, 100.0, Uncertainty::Unheard)]
-#[case::heard_of_in_the_future(engine(None, false), None, -5_000.0, Uncertainty::Unheard)]
+#[case::longer_than_a_restart(engine(None, false), None, 3_000.0, Uncertainty::NotHeardRecently)]
+#[case::new_start_time(engine(Some(5.0), false), Some(9.0), 100.0, Uncertainty::Restarted)]
+#[case::start_time_told_for_the_first_time(engine(None, false), Some(9.0), 100.0, Uncertainty::Restarted)]
+#[case::cold_when_last_seen(engine(None, true), None, 100.0, Uncertainty::WasInSlowStart)]
+#[case::never_heard_of(Engine { confirmed: None, ..engine(None, false) }, None, 100.0, Uncertainty::NotHeardRecently)]
+#[case::heard_of_in_the_future(engine(None, false), None, -5_000.0, Uncertainty::NotHeardRecently)]
 fn engine_is_perhaps_cold_unless_it_is_surely_the_process_that_was_warm(
     #[case] known: Engine,
     #[case] started: Option<f64>,
     #[case] after: f64,
     #[case] expected: Uncertainty,
 ) {
-    assert_eq!(doubt(Some(&known), &named("s-0", started), TAKEN + after, &RULES), expected);
+    assert_eq!(uncertainty(Some(&known), &named("s-0", started), TAKEN + after, &RULES), expected);
 }
 
 #[test]
 fn new_id_at_an_old_address_is_perhaps_cold_and_brings_nothing_along() {
     let mut recall = RestoredState::new(&snapshot(TAKEN, 1), TAKEN + 100.0, RULES).expect("it counts");
-    let back = recall.list(&[named("s-new", None)], TAKEN + 100.0).expect("something");
+    let back = recall.restore(&[named("s-new", None)], TAKEN + 100.0).expect("something");
     let e = &back.engines[0];
     assert!(e.perhaps_cold && e.slow == 1.0 && e.errors == 0.0 && e.heard.is_none());
 }
@@ -51,7 +51,7 @@
     // The list is down as well and names no starts: eleven seconds are enough for all to be doubted.
     let mut recall = RestoredState::new(&snapshot(TAKEN, 4), TAKEN + 11_000.0, RULES).expect("it counts");
     let names: Vec<_> = (0..4).map(|n| named(&format!("s-{n}"), None)).collect();
-    let back = recall.list(&names, TAKEN + 11_000.0).expect("something");
+    let back = recall.restore(&names, TAKEN + 11_000.0).expect("something");
     assert_eq!(back.engines.iter().filter(|e| e.perhaps_cold).count(), 4);
 }
 
@@ -60,7 +60,7 @@
 #[case(TAKEN - 600.0, Err(RejectedSnapshot::FromTheFuture(600.0)))]
 #[case(TAKEN + 3_600_000.0, Ok(3_600_000.0))]
 #[case(TAKEN + 3_600_001.0, Err(RejectedSnapshot::TooOld(3_600_001.0)))]
-#[case(f64::NAN, Err(RejectedSnapshot::NoTime))]
+#[case(f64::NAN, Err(RejectedSnapshot::InvalidTime))]
 fn snapshot_from_the_future_or_too_old_counts_as_nothing(
     #[case] now: f64,
     #[case] expected: Result<f64, RejectedSnapshot>,
@@ -71,11 +71,14 @@
 
 #[test]
 fn each_kind_of_knowledge_fades_in_its_own_time() {
-    assert_eq!((worth(0.0, 10.0), worth(10.0, 10.0), worth(20.0, 10.0)), (1.0, 0.5, 0.25));
-    assert_eq!((worth(-5.0, 10.0), worth(f64::NAN, 10.0)), (1.0, 0.0));
+    assert_eq!(
+        (retained_weight(0.0, 10.0), retained_weight(10.0, 10.0), retained_weight(20.0, 10.0)),
+        (1.0, 0.5, 0.25)
+    );
+    assert_eq!((retained_weight(-5.0, 10.0), retained_weight(f64::NAN, 10.0)), (1.0, 0.0));
     let after = |ms: f64| {
         let mut recall = RestoredState::new(&snapshot(TAKEN, 2), TAKEN + ms, RULES).expect("it counts");
-        recall.list(&[named("s-1", None)], TAKEN + ms).expect("something")
+        recall.restore(&[named("s-1", None)], TAKEN + ms).expect("something")
     };
     let (soon, late) = (after(1_000.0), after(60_000.0));
     // Latencies stay, traffic is gone, an engine's slowness has lost half.
@@ -89,14 +92,15 @@
 #[test]
 fn engines_wait_for_the_list_to_name_them_and_then_end() {
     let mut recall = RestoredState::new(&snapshot(TAKEN, 3), TAKEN, RULES).expect("it counts");
-    assert!(recall.list(&[], TAKEN).is_none(), "an empty list names nobody and starts no wait");
-    let first = recall.list(&[named("s-0", None)], TAKEN + 100.0).expect("the fleet and an engine");
-    assert!(first.classes.len() == 1 && first.engines.len() == 1 && recall.waiting() == 2);
-    assert!(recall.list(&[named("s-0", None)], TAKEN + 200.0).is_none(), "an engine is given back once");
-    let later = recall.list(&[named("s-0", None), named("s-1", None)], TAKEN + 20_000.0).expect("one more");
+    assert!(recall.restore(&[], TAKEN).is_none(), "an empty list names nobody and starts no wait");
+    let first = recall.restore(&[named("s-0", None)], TAKEN + 100.0).expect("the fleet and an engine");
+    assert!(first.classes.len() == 1 && first.engines.len() == 1 && recall.unrestored() == 2);
+    assert!(recall.restore(&[named("s-0", None)], TAKEN + 200.0).is_none(), "an engine is given back once");
+    let later =
+        recall.restore(&[named("s-0", None), named("s-1", None)], TAKEN + 20_000.0).expect("one more");
     assert!(later.classes.is_empty() && later.engines.len() == 1 && later.engines[0].perhaps_cold);
-    assert!(recall.list(&[named("s-2", None)], TAKEN + 60_101.0).is_none() && recall.waiting() == 0);
-    assert!(recall.over(TAKEN + 60_101.0));
+    assert!(recall.restore(&[named("s-2", None)], TAKEN + 60_101.0).is_none() && recall.unrestored() == 0);
+    assert!(recall.is_finished(TAKEN + 60_101.0));
 }
 
 #[test]
@@ -105,7 +109,7 @@
     s.engines[0] = engine(Some(TAKEN - 4_000.0), true);
     let back = |after: f64| {
         let mut recall = RestoredState::new(&s, TAKEN + after, RULES).expect("it counts");
-        recall.list(&[named("s-0", Some(TAKEN - 4_000.0))], TAKEN + after).expect("it").engines.remove(0)
+        recall.restore(&[named("s-0", Some(TAKEN - 4_000.0))], TAKEN + after).expect("it").engines.remove(0)
     };
     assert!(
         back(500.0).spent && !back(500.0).perhaps_cold,
--- a/crates/persistence/tests/snapshot.rs
+++ b/crates/persistence/tests/snapshot.rs
@@ -4,7 +4,7 @@
 
 use common::snapshot;
 use proptest::prelude::*;
-use starlingplank_persistence::snapshot::{decode, encode, encode_v1, SnapshotError, FORM, HEADER_BYTES};
+use starlingplank_persistence::snapshot::{decode, encode, encode_v1, SnapshotError, FORMAT, HEADER_BYTES};
 use starlingplank_persistence::snapshot_records::v1;
 
 const MOST: usize = 1 << 20;
@@ -20,7 +20,7 @@
 #[test]
 fn head_is_as_the_page_has_it() {
     let bytes = encode(&snapshot(5.0, 1), MOST).expect("it fits");
-    assert_eq!((&bytes[..8], &bytes[8..12]), (&FORM.magic[..], &[2, 0, 0, 0][..]));
+    assert_eq!((&bytes[..8], &bytes[8..12]), (&FORMAT.magic[..], &[2, 0, 0, 0][..]));
     assert_eq!(u32::from_le_bytes(bytes[12..16].try_into().expect("4")) as usize, bytes.len() - HEADER_BYTES);
 }
 
@@ -95,7 +95,7 @@
         records in proptest::collection::vec(any::<u8>(), 0..400),
         version in 1u32..3,
     ) {
-        let mut bytes = FORM.magic.to_vec();
+        let mut bytes = FORMAT.magic.to_vec();
         bytes.extend(version.to_le_bytes());
         bytes.extend((records.len() as u32).to_le_bytes());
         let sum = crc32fast::hash(&[&bytes[..], &records].concat());
--- a/crates/persistence/tests/twice.rs
+++ b/crates/persistence/tests/twice.rs
@@ -3,11 +3,13 @@
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use starlingplank_persistence::boot_time::BootTime;
+use starlingplank_persistence::clock_offset::ClockOffset;
 use starlingplank_persistence::deduplication_window::{
-    key, Admission, DeduplicationWindow, Key, KeySend, KeySends, Leave, Log,
+    key, Admission, DeduplicationWindow, Key, KeySend, KeySends, Leave, LogState,
 };
 use starlingplank_persistence::disk::Disk as _;
-use starlingplank_persistence::idempotency_log::{self, IdempotencyLog, Mark, Record};
+use starlingplank_persistence::idempotency_log::{self, IdempotencyLog, Record};
 use starlingplank_test_doubles::disk::{Fault, FaultyDisk};
 use std::collections::HashMap;
 
@@ -47,52 +49,37 @@
     deduplication: DeduplicationWindow,
     log: Option<IdempotencyLog>,
     /// Between clocks: the machine's is this much ahead.
-    offset: f64,
-    boot: [u8; 16],
+    offset: ClockOffset,
 }
 
 impl Life {
-    fn start(disk: &FaultyDisk, mode: Log, now: f64, offset: f64, boot: [u8; 16]) -> Self {
+    fn start(disk: &FaultyDisk, mode: LogState, now: f64, offset: ClockOffset) -> Self {
         let mut deduplication = DeduplicationWindow::new(mode, WINDOW, 1_000, now);
-        let log = matches!(mode, Log::Open { .. }).then(|| {
-            let found = idempotency_log::recover(disk, now + offset, Some(boot), WINDOW);
-            if let Some((sends, shut)) = found.trusted {
-                let here = |(k, s): (Key, KeySends)| {
-                    (k, KeySends { first: s.first - offset, last: s.last - offset, ..s })
-                };
-                let shut = if shut > 0.0 { shut - offset } else { 0.0 };
-                deduplication.trust(sends.into_iter().map(here), shut, now);
+        let log = matches!(mode, LogState::Open { .. }).then(|| {
+            let boot = BootTime { now: now + offset.by, boot_id: Some(offset.boot_id) };
+            if let Ok(trusted) = idempotency_log::recover(disk, &boot, WINDOW) {
+                deduplication.restore(offset.restored_log(trusted), now);
             }
             IdempotencyLog::open(Box::new(disk.clone()))
         });
-        let mut life = Self { deduplication, log: log.and_then(Result::ok), offset, boot };
+        let mut life = Self { deduplication, log: log.and_then(Result::ok), offset };
         life.tend(now);
         life
     }
 
-    fn mark(&self, (at, shut): (f64, f64)) -> Mark {
-        let shut_until = if shut > 0.0 { shut + self.offset } else { 0.0 };
-        Mark { at: at + self.offset, shut_until, boot: self.boot }
-    }
-
     /// Once a second.
     fn tend(&mut self, now: f64) {
         if let Some(rewrite) = self.deduplication.rewrite(now) {
-            let keys: Vec<_> = rewrite
-                .keys
-                .iter()
-                .map(|(k, s)| {
-                    (*k, KeySends { first: s.first + self.offset, last: s.last + self.offset, ..*s })
-                })
-                .collect();
-            let mark = rewrite.mark.map(|m| self.mark(m));
+            let stored = |(key, sends): &(Key, KeySends)| (*key, self.offset.stored_sends(*sends));
+            let keys: Vec<_> = rewrite.keys.iter().map(stored).collect();
+            let mark = rewrite.mark.map(|mark| self.offset.stored_mark(mark));
             match self.log.as_mut().map(|log| log.rewrite(&keys, mark)) {
                 Some(Ok(_)) => drop(self.deduplication.rewritten(&rewrite.keys)),
                 _ => drop(self.deduplication.failed()),
             }
         }
         if let Some(mark) = self.deduplication.mark(now) {
-            let mark = self.mark(mark);
+            let mark = self.offset.stored_mark(mark);
             let wrote = self.log.as_mut().map(|log| log.append(&[Record::Mark(mark)]));
             if !matches!(wrote, Some(Ok(_))) {
                 self.deduplication.failed();
@@ -105,7 +92,7 @@
             Leave::No => false,
             Leave::Now => true,
             Leave::AfterRecord(sent) => {
-                let there = KeySend { at: sent.at + self.offset, ..sent };
+                let there = self.offset.stored_send(sent);
                 match self.log.as_mut().map(|log| log.append(&[Record::KeySend(key, there)])) {
                     Some(Ok(_)) => self.deduplication.recorded(&key, sent, now),
                     _ => {
@@ -139,11 +126,11 @@
         lives += 1;
         let gone = disk_is == Disk::Bad && !required && rng.random_bool(0.15);
         let mode = match (log, gone) {
-            (false, _) => Log::Off,
-            (true, true) => Log::Missing,
-            (true, false) => Log::Open { required },
+            (false, _) => LogState::Off,
+            (true, true) => LogState::Missing,
+            (true, false) => LogState::Open { required },
         };
-        let mut life = Life::start(&disk, mode, now, machine - now, boot);
+        let mut life = Life::start(&disk, mode, now, ClockOffset { by: machine - now, boot_id: boot });
         let born = now;
         let most = if rng.random_bool(0.3) { 60_000.0 } else { 9_000.0 };
         let end = now + rng.random_range(50.0..most);
@@ -240,7 +227,7 @@
 
     fn hear(&mut self, shared: &[(Key, KeySend)], now: f64) {
         for (key, sent) in shared.iter().skip(self.heard) {
-            self.life.deduplication.hear(*key, KeySends::one(*sent), now);
+            self.life.deduplication.merge_peer_sends(*key, KeySends::one(*sent), now);
         }
         self.heard = shared.len();
     }
@@ -287,8 +274,12 @@
     };
     while now < 1_600_000.0 {
         let born = now;
-        let mut old =
-            Process::new(Life::start(&disk, Log::Open { required: false }, now, machine - now, boot));
+        let mut old = Process::new(Life::start(
+            &disk,
+            LogState::Open { required: false },
+            now,
+            ClockOffset { by: machine - now, boot_id: boot },
+        ));
         if old.life.deduplication.healthy() {
             unsay(&disk);
         }
@@ -309,28 +300,26 @@
             if now < upgrade {
                 continue;
             }
-            let offset = machine - born;
+            let offset = ClockOffset { by: machine - born, boot_id: boot };
+            let recover = |now: f64| {
+                let boot = BootTime { now: now + offset.by, boot_id: Some(boot) };
+                let found = idempotency_log::recover_from_peer(&disk, &boot, WINDOW);
+                found.ok().map(|trusted| offset.restored_log(trusted))
+            };
             match new.take() {
                 // A new one starts, and follows.
                 None => {
-                    let found = idempotency_log::recover_beside(&disk, now + offset, Some(boot), WINDOW);
-                    let kind = if found.trusted.is_some() { Log::Off } else { Log::Missing };
+                    let found = recover(now);
+                    let kind = if found.is_some() { LogState::Off } else { LogState::Missing };
                     let mut deduplication = DeduplicationWindow::new(kind, WINDOW, 1_000, now);
-                    if let Some((sends, shut)) = found.trusted {
-                        let here = |(k, s): (Key, KeySends)| {
-                            (k, KeySends { first: s.first - offset, last: s.last - offset, ..s })
-                        };
-                        deduplication.trust(
-                            sends.into_iter().map(here),
-                            if shut > 0.0 { shut - offset } else { 0.0 },
-                            now,
-                        );
+                    if let Some(trusted) = found {
+                        deduplication.restore(trusted, now);
                     }
                     if says {
                         let mut disk = disk.clone();
                         disk.create(SAID).and_then(|()| disk.sync_names()).expect("a good disk");
                     }
-                    new = Some(Process::new(Life { deduplication, log: None, offset, boot }));
+                    new = Some(Process::new(Life { deduplication, log: None, offset }));
                     upgrade = now + rng.random_range(50.0..5_000.0);
                 }
                 // The old one ends, and the new one sees it a little later: until then it goes on.
@@ -341,14 +330,7 @@
                         next.step(&mut rng, &mut shared, &mut engines, now);
                     }
                     next.hear(&shared, now);
-                    let found = idempotency_log::recover_beside(&disk, now + offset, Some(boot), WINDOW);
-                    let here = |(sends, shut): (Vec<(Key, KeySends)>, f64)| {
-                        let back =
-                            |s: KeySends| KeySends { first: s.first - offset, last: s.last - offset, ..s };
-                        let shut = if shut > 0.0 { shut - offset } else { 0.0 };
-                        (sends.into_iter().map(|(k, s)| (k, back(s))).collect(), shut)
-                    };
-                    next.life.deduplication.take_log(false, found.trusted.map(here), now);
+                    next.life.deduplication.take_log(false, recover(now), now);
                     next.life.log = IdempotencyLog::open(Box::new(disk.clone())).ok();
                     // It may be killed before its first file is there.
                     if rng.random_bool(0.2) {
--- a/crates/persistence/tests/writers.rs
+++ b/crates/persistence/tests/writers.rs
@@ -3,13 +3,15 @@
 mod common;
 
 use common::snapshot;
-use starlingplank_persistence::deduplication_window::{key, KeySend, Rewrite};
+use starlingplank_persistence::clock_offset::ClockOffset;
+use starlingplank_persistence::deduplication_window::{key, KeySend, LogMark, Rewrite};
 use starlingplank_persistence::disk::Disk;
 use starlingplank_persistence::folder::{Files, Folder, FolderError};
 use starlingplank_persistence::inspection;
 use starlingplank_persistence::snapshot_store::Store;
 use starlingplank_persistence::writers::{
-    IdempotencyLogEvent, IdempotencyLogWriter, Offset, SnapshotEvent, SnapshotWriter, Written,
+    EndpointCacheHealth, IdempotencyLogEvent, IdempotencyLogWriter, SnapshotEvent, SnapshotWriter,
+    WriteStatistics,
 };
 use starlingplank_test_doubles::disk::{Fault, FaultyDisk};
 use std::io;
@@ -18,7 +20,7 @@
 use std::sync::{Arc, Condvar, Mutex};
 
 const MOST: usize = 1 << 20;
-const OFFSET: Offset = Offset { by: 0.0, boot: [1; 16] };
+const OFFSET: ClockOffset = ClockOffset { by: 0.0, boot_id: [1; 16] };
 
 /// A disk whose syncs hang until it is let go.
 struct Hanging(FaultyDisk, Arc<(Mutex<bool>, Condvar)>);
@@ -65,7 +67,7 @@
     (Hanging(FaultyDisk::new(1), gate), open)
 }
 
-fn keys(disk: Box<dyn Disk>) -> (IdempotencyLogWriter, Receiver<(IdempotencyLogEvent, Written)>) {
+fn keys(disk: Box<dyn Disk>) -> (IdempotencyLogWriter, Receiver<(IdempotencyLogEvent, WriteStatistics)>) {
     let (tell, news) = channel();
     let keeper =
         IdempotencyLogWriter::start(disk, OFFSET, move |n, w| drop(tell.send((n, w)))).expect("it starts");
@@ -73,7 +75,7 @@
 }
 
 fn begin() -> Rewrite {
-    Rewrite { keys: Vec::new(), mark: Some((1.0, 0.0)) }
+    Rewrite { keys: Vec::new(), mark: Some(LogMark { at: 1.0, blocked_until: None }) }
 }
 
 #[test]
@@ -174,7 +176,8 @@
     let code = || inspection::verify(folder.path()).expect("read");
     assert_eq!(code().code(), 2);
     assert_eq!(inspection::verify(&folder.path().join("none")).expect("read").code(), 2);
-    let (mut store, _) = Store::open(Box::new(Files::new(folder.path())), MOST).expect("empty");
+    let (mut store, _) =
+        Store::open(Box::new(Files::new(folder.path()).closing_written_files()), MOST).expect("empty");
     store.save(&snapshot(1.0, 1)).expect("saved");
     let (keeper, news) = keys(Box::new(Files::new(folder.path())));
     keeper.rewrite(begin());
@@ -184,7 +187,7 @@
     let mut bytes = std::fs::read(&log).expect("there");
     bytes.extend([1, 2, 3]);
     std::fs::write(&log, &bytes).expect("written");
-    assert_eq!((code().code(), code().torn), (0, 3), "a torn end is no fault");
+    assert_eq!((code().code(), code().torn_bytes), (0, 3), "a torn end is no fault");
     bytes[3] ^= 1;
     std::fs::write(&log, &bytes).expect("written");
     let verdict = code();
@@ -238,11 +241,12 @@
     use starlingplank_persistence::writers::EndpointCacheWriter;
     let disk = Full(FaultyDisk::new(3), Arc::default());
     let (tell, told) = channel();
-    let told_of = move |failed: Option<String>| {
-        let _ = tell.send(failed.is_some());
+    let told_of = move |health: EndpointCacheHealth| {
+        let _ = tell.send(matches!(health, EndpointCacheHealth::Failing(_)));
     };
     let keeper = EndpointCacheWriter::start(Box::new(disk.clone()), told_of).expect("a thread");
-    let kept = |heard: f64| CachedEndpoints { heard, engines: Vec::new(), gone: Vec::new() };
+    let kept =
+        |confirmed_at: f64| CachedEndpoints { confirmed_at, endpoints: Vec::new(), removed: Vec::new() };
     // Tries until so many were taken by the thread that writes.
     let save = |times: usize| {
         let taken = (0..300_000_000_u64).filter(|_| {
@@ -262,5 +266,5 @@
         save(5);
         assert_eq!(told.recv(), Ok(false), "said once");
     }
-    assert!(matches!(cached_endpoints::load(&disk), Ok(Some(l)) if l.heard == 1.0));
+    assert!(matches!(cached_endpoints::load(&disk), Ok(Some(l)) if l.confirmed_at == 1.0));
 }
--- a/src/core/membership.rs
+++ b/src/core/membership.rs
@@ -270,14 +270,14 @@
     fn report_members(&mut self, now: Milliseconds, list: Vec<Endpoint>) {
         let named: Vec<EndpointIdentity> = list.iter().map(named).collect();
         let recalled =
-            self.restored_state.as_mut().and_then(|restored_state| restored_state.list(&named, now));
+            self.restored_state.as_mut().and_then(|restored_state| restored_state.restore(&named, now));
         // Merging keeps the order of the service's members, which hold the starts as they were told.
         let told = self.service_members.iter().map(|l| l.member.started);
         let members = list.into_iter().zip(told).map(|(l, told)| self.with_local_start(now, l.member, told));
         let members = members.collect();
         self.pending_events.push(DecisionEvent::Members { complete: true, members });
         self.pending_events.extend(recalled.map(|learned| DecisionEvent::Restored(Box::new(learned))));
-        self.restored_state.take_if(|restored_state| restored_state.over(now));
+        self.restored_state.take_if(|restored_state| restored_state.is_finished(now));
     }
 
     /// A member as the decision module is told of it: its start is a time of this gateway's clock, and not in the future.
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -5,7 +5,7 @@
 use starlingplank_admin::inherited_membership::InheritedMembership;
 use starlingplank_admin::operator_overrides::OperatorOverrides;
 use starlingplank_decision::permission::send::{SendPermit, SendRefusal};
-use starlingplank_persistence::deduplication_window::{Key, KeySend, KeySends, Rewrite};
+use starlingplank_persistence::deduplication_window::{Key, KeySend, KeySends, LogMark, Rewrite};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -113,8 +113,8 @@
     LogViolation(AttemptId, SendRefusal),
     /// Write a record of a keyed send; [`Event::RecordsDurable`] reports its number.
     WriteRecord(u64, Key, KeySend),
-    /// Write a mark that the log is complete: the time, and until when no keyed request may be transmitted.
-    WriteMark(Milliseconds, Milliseconds),
+    /// Write a mark that the log is complete.
+    WriteMark(LogMark),
     /// Rewrite the log.
     RewriteLog(Rewrite),
     /// Log whether the list of engines may be relied on from now on.
--- a/src/core/records.rs
+++ b/src/core/records.rs
@@ -4,7 +4,9 @@
 use super::timers::Due;
 use super::{AttemptEnd, AttemptId, Core, Effect};
 use crate::interface::{Milliseconds, Outcome};
-use starlingplank_persistence::deduplication_window::{DeduplicationWindow, Key, KeySend, KeySends};
+use starlingplank_persistence::deduplication_window::{
+    DeduplicationWindow, Key, KeySend, KeySends, TrustedLog,
+};
 
 /// A record that is being written.
 pub(super) struct PendingRecord {
@@ -20,12 +22,7 @@
     }
 
     /// Takes over the log of a process that has ended.
-    pub fn take_log(
-        &mut self,
-        required: bool,
-        trusted: Option<(Vec<(Key, KeySends)>, Milliseconds)>,
-        now: Milliseconds,
-    ) {
+    pub fn take_log(&mut self, required: bool, trusted: Option<TrustedLog>, now: Milliseconds) {
         self.deduplication.take_log(required, trusted, now);
     }
 
@@ -110,7 +107,7 @@
     /// Another process of this gateway sent requests with these keys.
     pub(super) fn hear_keys(&mut self, now: Milliseconds, keys: Vec<(Key, KeySends)>) {
         for (key, sends) in keys {
-            self.deduplication.hear(key, sends, now);
+            self.deduplication.merge_peer_sends(key, sends, now);
         }
     }
 
@@ -123,7 +120,6 @@
     }
 
     fn mark_log(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
-        effects
-            .extend(self.deduplication.mark(now).map(|(at, shut_until)| Effect::WriteMark(at, shut_until)));
+        effects.extend(self.deduplication.mark(now).map(Effect::WriteMark));
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -133,7 +133,7 @@
                     std::io::stdout(),
                     "{}: whole; {} bytes at the log's end never came to be",
                     folder.display(),
-                    verdict.torn
+                    verdict.torn_bytes
                 )?,
                 2 => writeln!(std::io::stdout(), "{}: there is nothing", folder.display())?,
                 _ => {}
--- a/src/net/hot_restart.rs
+++ b/src/net/hot_restart.rs
@@ -9,12 +9,12 @@
 use starlingplank_admin::inherited_membership::{self, InheritedMembership};
 use starlingplank_admin::operator_overrides::{self, OperatorOverrides, OverrideError};
 use starlingplank_admin::process_lifecycle::{PeerProcess, Stage};
+use starlingplank_persistence::clock_offset::ClockOffset;
 use starlingplank_persistence::deduplication_window::{Key, KeySend, KeySends};
 use starlingplank_persistence::idempotency_log::{self, Record};
 use starlingplank_persistence::recovery::{RestoredState, Rules};
 use starlingplank_persistence::snapshot;
 use starlingplank_persistence::snapshot_records::Snapshot;
-use starlingplank_persistence::writers::Offset;
 use starlingplank_storage::boot_time::BootTime;
 use starlingplank_storage::disk::{self, Disk};
 use starlingplank_storage::folder::Files;
@@ -71,7 +71,7 @@
     torn: bool,
     /// All keys that may still matter, by this clock.
     held: HashMap<Key, KeySends>,
-    offset: Offset,
+    offset: ClockOffset,
     peers: BTreeMap<u64, Peer>,
     hand: OperatorOverrides,
     hand_bytes: Option<Vec<u8>>,
@@ -125,7 +125,7 @@
         let life = create(&path.join(named("life", own)))?;
         hold(&life)?;
         let boot = BootTime::read();
-        let offset = Offset { by: boot.now - now, boot: boot.boot_id.unwrap_or_default() };
+        let offset = ClockOffset { by: boot.now - now, boot_id: boot.boot_id.unwrap_or_default() };
         let keys = create(&path.join(named("keys", own)))?;
         let mut hot_restart = Self {
             path: path.to_owned(),
@@ -253,7 +253,7 @@
             }
             let mut rest = bytes.as_slice();
             if *at == 0 {
-                let head = idempotency_log::head();
+                let head = idempotency_log::header();
                 match rest.strip_prefix(head.as_slice()) {
                     Some(records) => rest = records,
                     // It has just been made, or no process of this release made it.
@@ -262,11 +262,11 @@
                 *at += head.len() as u64;
             }
             // A record that is being written is read when it is whole. So is one that was changed: never.
-            for record in rest.chunks_exact(idempotency_log::RECORD).map_while(Record::read) {
-                *at += idempotency_log::RECORD as u64;
+            for record in rest.chunks_exact(idempotency_log::RECORD_BYTES).map_while(Record::read) {
+                *at += idempotency_log::RECORD_BYTES as u64;
                 match record {
                     Record::KeySend(key, sent) => {
-                        let sends = self.offset.back(KeySends::one(sent));
+                        let sends = self.offset.restored_sends(KeySends::one(sent));
                         let held = self.held.get(&key).copied();
                         let both =
                             held.map_or(sends, |h| h.and(KeySend { at: sends.first, window: sends.window }));
@@ -276,7 +276,7 @@
                         }
                     }
                     // Times of another start of the machine cannot be compared.
-                    Record::Mark(mark) if mark.boot != self.offset.boot => break,
+                    Record::Mark(mark) if mark.boot_id != self.offset.boot_id => break,
                     Record::Mark(_) => {}
                 }
             }
@@ -307,7 +307,7 @@
         if self.torn || self.recorded >= REWRITE_AFTER {
             return self.begin_keys(sent.at);
         }
-        let written = self.keys.write_all(&Record::KeySend(key, self.offset.sent(sent)).bytes());
+        let written = self.keys.write_all(&Record::KeySend(key, self.offset.stored_send(sent)).bytes());
         self.torn = written.is_err();
         written?;
         self.recorded += 1;
@@ -317,12 +317,15 @@
     /// Begins the file of keys anew, with those that still matter.
     fn begin_keys(&mut self, now: Milliseconds) -> io::Result<()> {
         self.held.retain(|_, sends| now < sends.end());
-        let mark =
-            idempotency_log::Mark { at: self.offset.by + now, shut_until: 0.0, boot: self.offset.boot };
-        let mut bytes = idempotency_log::head().to_vec();
+        let mark = idempotency_log::Mark {
+            at: self.offset.by + now,
+            blocked_until: None,
+            boot_id: self.offset.boot_id,
+        };
+        let mut bytes = idempotency_log::header().to_vec();
         bytes.extend(Record::Mark(mark).bytes());
         for (key, sends) in &self.held {
-            let sends = self.offset.sends(*sends);
+            let sends = self.offset.stored_sends(*sends);
             let record = |at| Record::KeySend(*key, KeySend { at, window: sends.window }).bytes();
             bytes.extend(record(sends.first));
             if sends.last > sends.first {
--- /dev/null
+++ b/src/net/persistence/endpoint_cache.rs
@@ -0,0 +1,60 @@
+//! The cached endpoint list: what is written of a list, and what a list is made of from it.
+
+use crate::config::{describe, KnowledgeSettings};
+use crate::core::Endpoint;
+use crate::interface::{Availability, Milliseconds, Settings};
+use starlingplank_persistence::cached_endpoints::{self, CachedEndpoint, CachedEndpoints};
+use starlingplank_persistence::disk::Disk;
+use starlingplank_persistence::writers::EndpointCacheHealth;
+use tracing::{info, warn};
+
+/// The endpoints of a cached list. One whose address cannot be parsed is left out.
+pub fn endpoints_from_cache(cached: &CachedEndpoints, settings: &Settings) -> Vec<Endpoint> {
+    let endpoint = |cached: &CachedEndpoint| {
+        let availability = if cached.live { Availability::Live } else { Availability::Draining };
+        let CachedEndpoint { id, zone, machine_type, .. } = cached;
+        let member = describe(settings, id, zone, machine_type, cached.cell, availability, cached.started);
+        Some(Endpoint { member, address: cached.address.parse().ok()? })
+    };
+    cached.endpoints.iter().filter_map(endpoint).collect()
+}
+
+/// An endpoint as it is cached.
+pub(super) fn cached_endpoint(endpoint: &Endpoint, settings: &Settings) -> CachedEndpoint {
+    let member = &endpoint.member;
+    let zone = member.zone.and_then(|zone| settings.zones.get(zone.0));
+    let machine_type = member.kind.and_then(|kind| settings.kinds.get(kind.0));
+    CachedEndpoint {
+        id: member.engine.0.to_string(),
+        address: endpoint.address.to_string(),
+        zone: zone.cloned().unwrap_or_default(),
+        machine_type: machine_type.map(|machine_type| machine_type.name.clone()).unwrap_or_default(),
+        cell: member.cell,
+        live: member.availability == Availability::Live,
+        started: member.started.unwrap_or(0.0),
+    }
+}
+
+/// The list that the previous process cached, as it holds now.
+pub(super) fn load(
+    disk: &dyn Disk,
+    settings: &KnowledgeSettings,
+    now: Milliseconds,
+) -> Option<CachedEndpoints> {
+    match cached_endpoints::load(disk) {
+        Ok(cached) => cached?.aged(now, settings.restart_within, settings.keep_for),
+        Err(reason) => {
+            let (folder, file) = (settings.folder.display(), cached_endpoints::FILE);
+            warn!(%folder, file, %reason, "stored file is invalid");
+            None
+        }
+    }
+}
+
+/// Logs that writing the list has begun to fail, or works again.
+pub(super) fn log_health(health: EndpointCacheHealth) {
+    match health {
+        EndpointCacheHealth::Failing(reason) => warn!(reason, "endpoint list cannot be cached"),
+        EndpointCacheHealth::Recovered => info!("endpoint list is cached again"),
+    }
+}
--- /dev/null
+++ b/src/net/persistence/mod.rs
@@ -0,0 +1,291 @@
+//! The edge of the state that outlives a process: opens the folder, reads it, and passes what is to be written to the
+//! threads that write. Off unless the operator's file configures it.
+//!
+//! [`snapshots`], [`idempotency_log`] and [`endpoint_cache`] each handle one kind of file, [`takeover`] a folder that
+//! another process of this gateway still has.
+
+mod endpoint_cache;
+mod error;
+mod idempotency_log;
+mod snapshots;
+mod statistics;
+mod takeover;
+
+pub use endpoint_cache::endpoints_from_cache;
+pub use error::PersistenceError;
+
+use crate::config::{Config, KnowledgeSettings};
+use crate::core::{Core, Event};
+use crate::interface::{Class, Idempotency, Milliseconds, Settings};
+use idempotency_log::{markers_of_ended_processes, LogCoverage, RecoveredLog, UnrecordedSendsMarker};
+use starlingplank_persistence::cached_endpoints::CachedEndpoints;
+use starlingplank_persistence::deduplication_window::{
+    DeduplicationWindow, Key, KeySend, LogMark, LogState, Rewrite,
+};
+use starlingplank_persistence::folder::{Folder, FolderError};
+use starlingplank_persistence::recovery::Rules;
+use starlingplank_persistence::snapshot_records::Snapshot;
+use starlingplank_persistence::snapshot_store::{Loaded, Store};
+use starlingplank_persistence::writers::{EndpointCacheWriter, IdempotencyLogWriter, SnapshotWriter};
+use statistics::SharedWriterState;
+use std::cell::Cell;
+use std::time::Duration;
+use tokio::sync::mpsc::Sender;
+use tracing::{error, info, warn};
+
+/// Consecutive skipped snapshots after which the disk is reported as hanging.
+const SKIPPED_SNAPSHOTS_OF_HANGING_DISK: u32 = 3;
+/// How often it is checked whether the last snapshot is written.
+const FINISH_POLL_INTERVAL: Duration = Duration::from_millis(2);
+
+/// Stores the gateway's state. Owns the lock on the folder and the threads that write into it.
+pub struct Persistence {
+    gateway: String,
+    snapshots: Option<SnapshotWriter>,
+    keys: Option<IdempotencyLogWriter>,
+    endpoints: Option<EndpointCacheWriter>,
+    /// The endpoint list that the previous process cached, as it held at the start.
+    cached: Option<CachedEndpoints>,
+    /// Consecutive snapshots that were skipped, as earlier ones are still being written.
+    skipped_snapshots: Cell<u32>,
+    writer_state: SharedWriterState,
+    folder: Option<Folder>,
+    /// Another process of this gateway has the folder, and leaves it to this one.
+    awaits_folder: bool,
+    /// Present once this process may send keyed requests that the log of the folder's owner does not hold.
+    marker: Option<UnrecordedSendsMarker>,
+    /// Taking over the folder has failed, and that was logged.
+    takeover_failing: bool,
+}
+
+/// The rules for aging stored knowledge.
+pub fn rules(settings: &KnowledgeSettings, overload_collapse_after: Milliseconds) -> Rules {
+    Rules {
+        restart_within: settings.restart_within,
+        keep_for: settings.keep_for,
+        list_wait: settings.list_wait,
+        overload_collapse_after,
+    }
+}
+
+/// The longest deduplication window of all classes; 0 if no class is keyed.
+fn longest_window(config: &Config) -> Milliseconds {
+    let window = |class: &Class| match class.idempotency {
+        Idempotency::Keyed { window, .. } => Some(window),
+        _ => None,
+    };
+    config.settings.classes.iter().filter_map(window).fold(0.0, f64::max)
+}
+
+/// What a starting process needs to open its folder.
+struct Opening<'a> {
+    config: &'a Config,
+    settings: &'a KnowledgeSettings,
+    window: Milliseconds,
+    /// Whether keyed requests are recorded.
+    keyed: bool,
+    now: Milliseconds,
+}
+
+impl Opening<'_> {
+    fn open_folder(&self) -> Result<(Folder, Store, Loaded), FolderError> {
+        let folder = Folder::open(&self.settings.folder)?;
+        let disk = folder.disk().closing_written_files();
+        let opened = Store::open(Box::new(disk), self.settings.most_bytes);
+        let (store, loaded) =
+            opened.map_err(|source| FolderError::Io { path: self.settings.folder.clone(), source })?;
+        Ok((folder, store, loaded))
+    }
+
+    fn deduplication(&self, log: LogState) -> DeduplicationWindow {
+        DeduplicationWindow::new(log, self.window, self.settings.most_keys, self.now)
+    }
+
+    /// Serves without a folder that cannot be used: waits for one that another process of this gateway may have, and else
+    /// stores nothing.
+    fn without_folder(&self, core: &mut Core, reason: FolderError) -> Result<Persistence, PersistenceError> {
+        let locked = matches!(reason, FolderError::Locked { .. });
+        if locked && self.config.operator.is_some() {
+            info!(%reason, "another process has the folder: it is taken over once that process has ended");
+            core.resume(self.deduplication(if self.keyed { LogState::Locked } else { LogState::Off }), None);
+            let gateway = self.config.name.clone();
+            return Ok(Persistence { gateway, awaits_folder: true, ..Persistence::off() });
+        }
+        if self.settings.required {
+            return Err(PersistenceError::Required(reason));
+        }
+        let log = match (self.keyed, locked) {
+            (false, _) => {
+                error!(%reason, "serving without persistent state");
+                LogState::Off
+            }
+            (true, true) => {
+                error!(%reason, "serving without persistent state and rejecting all keyed requests");
+                LogState::Locked
+            }
+            (true, false) => {
+                error!(
+                    %reason,
+                    window_ms = %format_args!("{:.0}", self.window),
+                    "serving without persistent state and rejecting keyed requests for a while"
+                );
+                LogState::Missing
+            }
+        };
+        core.resume(self.deduplication(log), None);
+        Ok(Persistence::off())
+    }
+
+    /// Recovers the idempotency log, and starts the thread that writes this process's.
+    fn recover_log(
+        &self,
+        persistence: &mut Persistence,
+        folder: &Folder,
+        events: &Sender<Event>,
+    ) -> Result<DeduplicationWindow, PersistenceError> {
+        if !self.keyed {
+            return Ok(DeduplicationWindow::off());
+        }
+        let mut deduplication = self.deduplication(LogState::Open { required: self.settings.required });
+        let recovered = RecoveredLog::read(&folder.disk(), LogCoverage::AllSends, self.window, self.now);
+        recovered.log_outcome(self.window);
+        if let Ok(trusted) = recovered.log {
+            deduplication.restore(trusted, self.now);
+        }
+        // The markers of processes that have ended are not needed once this process's own log begins.
+        let markers = markers_of_ended_processes(folder);
+        let state = &persistence.writer_state;
+        let writer = idempotency_log::start_writer(folder, recovered.offset, events, state, markers)?;
+        persistence.keys = Some(writer);
+        Ok(deduplication)
+    }
+}
+
+impl Persistence {
+    /// Stores nothing.
+    pub fn off() -> Self {
+        Self {
+            gateway: String::new(),
+            snapshots: None,
+            keys: None,
+            endpoints: None,
+            cached: None,
+            skipped_snapshots: Cell::new(0),
+            writer_state: SharedWriterState::default(),
+            folder: None,
+            awaits_folder: false,
+            marker: None,
+            takeover_failing: false,
+        }
+    }
+
+    /// Opens the folder, and has the reducer resume from its contents. A folder that cannot be used is logged once, and the
+    /// gateway serves without it.
+    ///
+    /// # Errors
+    /// The folder cannot be used and is required, or a thread that writes cannot be started.
+    pub fn open(
+        config: &Config,
+        core: &mut Core,
+        now: Milliseconds,
+        events: &Sender<Event>,
+    ) -> Result<Self, PersistenceError> {
+        let Some(settings) = &config.knowledge else { return Ok(Self::off()) };
+        let window = longest_window(config);
+        let keyed = settings.keys && window > 0.0;
+        let opening = Opening { config, settings, window, keyed, now };
+        let (folder, store, loaded) = match opening.open_folder() {
+            Ok(opened) => opened,
+            Err(reason) => return opening.without_folder(core, reason),
+        };
+        let rules = rules(settings, config.settings.overload_collapse_after);
+        let restored = snapshots::restore(&settings.folder, loaded, rules, now);
+        let mut persistence = Self { gateway: config.name.clone(), ..Self::off() };
+        let deduplication = opening.recover_log(&mut persistence, &folder, events)?;
+        core.resume(deduplication, restored);
+        persistence.cached = endpoint_cache::load(&folder.disk(), settings, now);
+        persistence.start_state_writers(&folder, store)?;
+        persistence.folder = Some(folder);
+        Ok(persistence)
+    }
+
+    /// Starts the threads that write snapshots and the endpoint list.
+    fn start_state_writers(&mut self, folder: &Folder, store: Store) -> Result<(), PersistenceError> {
+        let endpoints = EndpointCacheWriter::start(Box::new(folder.disk()), endpoint_cache::log_health)?;
+        self.endpoints = Some(endpoints);
+        let state = self.writer_state.clone();
+        let notify = move |event| snapshots::on_snapshot_event(&event, &state);
+        self.snapshots = Some(SnapshotWriter::start(store, notify)?);
+        Ok(())
+    }
+
+    /// Has a snapshot written, unless one is being written and another waits.
+    pub fn save_snapshot(&self, core: &Core, now: Milliseconds) {
+        let Some(writer) = &self.snapshots else { return };
+        if writer.save(Snapshot::new(&self.gateway, &core.learned(now), &core.addresses())) {
+            self.skipped_snapshots.set(0);
+            return;
+        }
+        self.skipped_snapshots.set(self.skipped_snapshots.get().saturating_add(1));
+        if self.skipped_snapshots.get() == SKIPPED_SNAPSHOTS_OF_HANGING_DISK {
+            let skipped = SKIPPED_SNAPSHOTS_OF_HANGING_DISK;
+            warn!(skipped, "the disk hangs: snapshots are skipped until it responds");
+        }
+    }
+
+    /// The endpoint list that the previous process cached, if it still holds.
+    pub fn cached_endpoints(&self) -> Option<&CachedEndpoints> {
+        self.cached.as_ref()
+    }
+
+    /// Has the list cached that the list service last confirmed. The caller repeats this every second, so that a list for
+    /// which there is no space in the queue is passed again.
+    pub fn cache_endpoints(&self, core: &Core, settings: &Settings) {
+        let Some(writer) = &self.endpoints else { return };
+        let Some((confirmed_at, endpoints, removed)) = core.service_list() else { return };
+        let removed = removed.ids().map(str::to_owned).collect();
+        let cached = |endpoint| endpoint_cache::cached_endpoint(endpoint, settings);
+        let endpoints = endpoints.iter().map(cached).collect();
+        writer.save(CachedEndpoints { confirmed_at, endpoints, removed });
+    }
+
+    /// Queues the record of a send. Returns whether it will be written.
+    pub fn record(&self, number: u64, key: Key, send: KeySend) -> bool {
+        self.keys.as_ref().is_some_and(|keys| keys.record(number, key, send))
+    }
+
+    /// Queues a mark. Returns whether it will be written.
+    pub fn mark(&self, mark: LogMark) -> bool {
+        self.keys.as_ref().is_some_and(|keys| keys.mark(mark))
+    }
+
+    /// Queues a rewrite of the idempotency log. Returns whether it will be written.
+    pub fn rewrite(&self, rewrite: Rewrite) -> bool {
+        self.keys.as_ref().is_some_and(|keys| keys.rewrite(rewrite))
+    }
+
+    /// Whether state is stored.
+    pub fn is_on(&self) -> bool {
+        self.snapshots.is_some()
+    }
+
+    /// Waits until the last snapshot is written.
+    pub async fn finish(&mut self) {
+        while self.snapshots.as_mut().is_some_and(|writer| !writer.finished()) {
+            tokio::time::sleep(FINISH_POLL_INTERVAL).await;
+        }
+    }
+
+    /// Logs how much was written. `rejected` counts keyed requests that the deduplication window has rejected.
+    pub fn log_totals(&self, rejected: u64) {
+        let state = self.writer_state.lock();
+        info!(
+            snapshots = state.snapshots.writes,
+            snapshot_bytes = state.snapshots.bytes,
+            key_syncs = state.keys.writes,
+            key_bytes = state.keys.bytes,
+            rejected,
+            "persistent state written"
+        );
+    }
+}
--- /dev/null
+++ b/src/net/persistence/snapshots.rs
@@ -0,0 +1,59 @@
+//! Snapshots of what the decision module has learned: restored at a start, written by a thread.
+
+use super::statistics::SharedWriterState;
+use crate::interface::Milliseconds;
+use starlingplank_persistence::recovery::{RestoredState, Rules};
+use starlingplank_persistence::snapshot_store::Loaded;
+use starlingplank_persistence::writers::SnapshotEvent;
+use std::path::Path;
+use tracing::{info, warn};
+
+/// Restores the latest snapshot, if the rules accept it, and logs what was found.
+pub(super) fn restore(
+    folder: &Path,
+    loaded: Loaded,
+    rules: Rules,
+    now: Milliseconds,
+) -> Option<RestoredState> {
+    for fault in &loaded.faults {
+        warn!(folder = %folder.display(), file = fault.file, reason = fault.why, "stored file is invalid");
+    }
+    let restored = restore_snapshot(loaded, rules, now);
+    if restored.is_none() {
+        info!("starting without a snapshot");
+    }
+    restored
+}
+
+fn restore_snapshot(loaded: Loaded, rules: Rules, now: Milliseconds) -> Option<RestoredState> {
+    let (generation, snapshot) = loaded.snapshot?;
+    match RestoredState::new(&snapshot, now, rules) {
+        Ok(restored) => {
+            let (engines, age) = (snapshot.engines.len(), now - snapshot.taken);
+            info!(generation, engines, age_s = %format_args!("{:.1}", age / 1000.0), "snapshot restored");
+            Some(restored)
+        }
+        Err(reason) => {
+            warn!(generation, %reason, "snapshot rejected");
+            None
+        }
+    }
+}
+
+/// Counts a snapshot that was written. Failures are logged when they begin and end, not for each snapshot.
+pub(super) fn on_snapshot_event(event: &SnapshotEvent, state: &SharedWriterState) {
+    let mut state = state.lock();
+    match event {
+        SnapshotEvent::Saved(statistics) => {
+            state.snapshots = *statistics;
+            if std::mem::replace(&mut state.snapshots_failing, false) {
+                info!("snapshots are written again");
+            }
+        }
+        SnapshotEvent::Failed(reason) => {
+            if !std::mem::replace(&mut state.snapshots_failing, true) {
+                warn!(reason, "snapshot cannot be written");
+            }
+        }
+    }
+}
--- a/src/net/runtime/cycle.rs
+++ b/src/net/runtime/cycle.rs
@@ -26,7 +26,7 @@
         // The next process starts from the list as this one has last received it.
         if self.core.serial() != serial {
             self.log_members();
-            self.persistence.list(&self.core, &self.frontend.settings);
+            self.persistence.cache_endpoints(&self.core, &self.frontend.settings);
         }
     }
 
--- a/src/net/runtime/effects.rs
+++ b/src/net/runtime/effects.rs
@@ -35,7 +35,7 @@
                 }
             }
             // A mark that cannot be queued is left out: the log is then trusted for a shorter time.
-            Effect::WriteMark(at, shut_until) => drop(self.persistence.mark((at, shut_until))),
+            Effect::WriteMark(mark) => drop(self.persistence.mark(mark)),
             Effect::RewriteLog(rewrite) => {
                 if !self.persistence.rewrite(rewrite) {
                     new_events.push(Event::RecordsFailed(Vec::new()));
--- a/src/net/runtime/mod.rs
+++ b/src/net/runtime/mod.rs
@@ -178,7 +178,7 @@
 
     fn optional_inputs(&self) -> Optional {
         Optional {
-            peers: self.hot_restart.is_some() || self.persistence.waits(),
+            peers: self.hot_restart.is_some() || self.persistence.awaits_folder(),
             knowledge: self.persistence.is_on(),
         }
     }
@@ -210,7 +210,7 @@
     /// Looks at other processes of this gateway, and takes the folder of knowledge over once its owner has ended.
     fn observe_handover(&mut self, events: &mut Vec<Event>) {
         events.extend(self.observe_peers());
-        if self.persistence.waits() && self.take_over_knowledge() {
+        if self.persistence.awaits_folder() && self.take_over_knowledge() {
             events.push(Event::MaintenanceTick);
         }
     }
@@ -222,8 +222,8 @@
 
     fn write_snapshot(&mut self) {
         let begun = Instant::now();
-        self.persistence.snapshot(&self.core, self.frontend.clock.now());
-        self.persistence.list(&self.core, &self.frontend.settings);
+        self.persistence.save_snapshot(&self.core, self.frontend.clock.now());
+        self.persistence.cache_endpoints(&self.core, &self.frontend.settings);
         self.statistics.count_cycle(begun);
     }
 
@@ -246,7 +246,7 @@
         self.frontend.leave_by(ShutdownPhase::Alone);
         events.push(Event::Terminate);
         events.extend(self.observe_peers());
-        self.persistence.snapshot(&self.core, self.frontend.clock.now());
+        self.persistence.save_snapshot(&self.core, self.frontend.clock.now());
     }
 
     /// By how much a timer of the reducer is late. Answers that were due in a pause of the process are late through no
--- a/src/net/runtime/shutdown.rs
+++ b/src/net/runtime/shutdown.rs
@@ -70,7 +70,7 @@
         }
         self.report_loop();
         // What the last answers taught is in the last snapshot, if the disk takes it in time.
-        self.persistence.snapshot(&self.core, self.frontend.clock.now());
+        self.persistence.save_snapshot(&self.core, self.frontend.clock.now());
         self.report_classes();
         self.report_rules();
         if self.config.names.is_some() {
@@ -78,7 +78,7 @@
         }
         if self.persistence.is_on() {
             let _ = timeout(self.frontend.limits.final_snapshot_timeout, self.persistence.finish()).await;
-            self.persistence.say(self.core.deduplication().refused());
+            self.persistence.log_totals(self.core.deduplication().rejected());
         }
     }
 
--- a/src/net/runtime/startup.rs
+++ b/src/net/runtime/startup.rs
@@ -171,8 +171,8 @@
     /// Takes the folder of knowledge where no other process of this gateway has it.
     fn claim_knowledge(&mut self) -> io::Result<()> {
         let shared = self.hot_restart.as_ref().is_some_and(|hot_restart| !hot_restart.others().is_empty());
-        if self.persistence.waits() && !shared && !self.take_over_knowledge() {
-            self.persistence.refuse(&self.config)?;
+        if self.persistence.awaits_folder() && !shared && !self.take_over_knowledge() {
+            self.persistence.serve_without_folder(&self.config)?;
         }
         Ok(())
     }
@@ -195,15 +195,15 @@
     /// else the drains and removals of the kept list bind until the name service answers.
     fn initial_list(&self, inherited: &mut Vec<Event>) -> Vec<Endpoint> {
         let known = self.config.known.clone();
-        let Some(kept) = self.persistence.found_list().filter(|_| self.config.names.is_some()) else {
+        let Some(kept) = self.persistence.cached_endpoints().filter(|_| self.config.names.is_some()) else {
             return known;
         };
         if !known.is_empty() {
             inherited.push(Event::InheritedMembership(out_of_service(kept)));
             return known;
         }
-        let age = (self.frontend.clock.now() - kept.heard) / 1000.0;
-        let known = persistence::listed(kept, &self.config.settings);
+        let age = (self.frontend.clock.now() - kept.confirmed_at) / 1000.0;
+        let known = persistence::endpoints_from_cache(kept, &self.config.settings);
         tracing::info!("starting with the list of {age:.1} s ago: {} engines", known.len());
         known
     }
@@ -226,6 +226,6 @@
 
 /// The engines that drain in a kept list, or were removed from it.
 fn out_of_service(kept: &CachedEndpoints) -> InheritedMembership {
-    let draining = kept.engines.iter().filter(|engine| !engine.live).map(|engine| engine.id.clone());
-    InheritedMembership::new(kept.heard, draining.chain(kept.gone.iter().cloned()))
+    let draining = kept.endpoints.iter().filter(|engine| !engine.live).map(|engine| engine.id.clone());
+    InheritedMembership::new(kept.confirmed_at, draining.chain(kept.removed.iter().cloned()))
 }
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -13,7 +13,7 @@
 use starlingplank_admin::inherited_membership::InheritedMembership;
 use starlingplank_admin::operator_overrides::OperatorOverrides;
 use starlingplank_decision::permission::send::{SendPermit, SendRefusal};
-use starlingplank_persistence::deduplication_window::{self, DeduplicationWindow, Log};
+use starlingplank_persistence::deduplication_window::{self, DeduplicationWindow, LogState, TrustedLog};
 use starlingplank_persistence::recovery::{self, RestoredState};
 use starlingplank_persistence::snapshot_records::Snapshot;
 use std::collections::BTreeMap;
@@ -162,7 +162,7 @@
     bed.now += 100.0;
     let late = bed.take(4, Some("k"));
     assert!(sent(&late).is_none() && matches!(answers(&late)[..], [Answer::Rejected(_)]), "engines may lag");
-    bed.now += deduplication_window::ARRIVES;
+    bed.now += deduplication_window::MAX_ARRIVAL_DELAY;
     assert!(sent(&bed.take(5, Some("k"))).is_some(), "past the window it is a load of its own");
 }
 
@@ -171,8 +171,8 @@
     let mut s = settings();
     s.classes[0].idempotency = Idempotency::Keyed { scope: Scope::All, window: 12_000.0 };
     let mut bed = Bed::new(s);
-    let mut gate = DeduplicationWindow::new(Log::Open { required: false }, 12_000.0, 100, bed.now);
-    gate.trust([], 0.0, bed.now);
+    let mut gate = DeduplicationWindow::new(LogState::Open { required: false }, 12_000.0, 100, bed.now);
+    gate.restore(TrustedLog::default(), bed.now);
     bed.core.resume(gate, None);
     bed.list(1, &["a", "b"]);
     assert!(bed.step(Event::MaintenanceTick).iter().any(|e| matches!(e, Effect::RewriteLog(_))));
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -78,7 +78,7 @@
     );
     // The gate turns away what would run twice.
     let mut gate = DeduplicationWindow::off();
-    heard.into_iter().for_each(|(k, sends)| gate.hear(k, sends, NOW + 60.0));
+    heard.into_iter().for_each(|(k, sends)| gate.merge_peer_sends(k, sends, NOW + 60.0));
     let late = NOW + WINDOW - 1.0;
     assert!(matches!(gate.admit(&key, WINDOW, late, 20.0), deduplication_window::Admission::Later(_)));
     assert!(matches!(
--- a/tests/knowledge.rs
+++ b/tests/knowledge.rs
@@ -191,7 +191,7 @@
     let kept = || {
         let bytes = std::fs::read(folder.join("list.spk")).ok()?;
         let list = starlingplank_persistence::cached_endpoints::CachedEndpoints::decode(&bytes).ok()?;
-        list.engines.iter().find(|e| e.id == id).map(|e| e.live)
+        list.endpoints.iter().find(|e| e.id == id).map(|e| e.live)
     };
     for _ in 0..30_000 {
         if kept() == Some(live) {
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -726,7 +726,9 @@
     });
     assert!(whole, "{} keys are in the log", held());
     let disk = starlingplank_persistence::folder::Files::new(&kept);
-    let beside = || starlingplank_persistence::idempotency_log::sent_beside(&disk).expect("it can be read");
+    let beside = || {
+        starlingplank_persistence::idempotency_log::unrecorded_sends_possible(&disk).expect("it can be read")
+    };
     assert!((0..1_000_000).any(|_| !beside()), "nothing is beside it any more");
     new.signal("-KILL");
     drop(new);
@@ -812,7 +814,10 @@
     write!(file, "knowledge {{\n  folder = {kept:?}\n  every = \"100ms\"\n}}\n").expect("written");
     site.operator = Some(file);
     let disk = || starlingplank_persistence::folder::Files::new(&kept);
-    let beside = || starlingplank_persistence::idempotency_log::sent_beside(&disk()).expect("it can be read");
+    let beside = || {
+        starlingplank_persistence::idempotency_log::unrecorded_sends_possible(&disk())
+            .expect("it can be read")
+    };
     let old = site.start();
     assert!((0..1_000_000).any(|_| load(&old, 1) == "served") && !beside());
     let new = site.start();
@@ -831,7 +836,7 @@
     assert!((0..1_000_000).any(|_| !beside()), "the word is taken away");
     // Where the log was begun a second time at the start, its mark follows once that is durable.
     let first = (0..1_000_000).find_map(|_| mark());
-    assert!(first.as_ref().is_some_and(|m| m.shut_until > m.at), "{first:?}");
+    assert!(first.as_ref().is_some_and(|m| m.blocked_until > Some(m.at)), "{first:?}");
     assert_eq!(ask_often(&third, 0, 5), 5, "what has no key is served meanwhile");
     assert!((0..1_000_000).any(|_| load(&third, 200) == "served"));
 }
