--- a/crates/admin/src/calls.rs
+++ b/crates/admin/src/calls.rs
@@ -1,33 +1,49 @@
-//! The calls of the second address. In come method, path and body; out comes what is asked for, or the status and the
-//! line that says what is wrong.
+//! The calls of the second address. Method, path and body go in; out comes what the operator requests, or the status and
+//! the line that tells what is wrong.
 
-use crate::operator_overrides::ID_BYTES;
+use crate::operator_overrides::MAX_ID_BYTES;
+use std::fmt;
 
-/// What staff ask for.
+/// Bound on the length of a body in bytes.
+pub const MAX_BODY_BYTES: usize = 1024;
+
+/// A path and the method that it accepts.
+struct Endpoint {
+    path: &'static str,
+    method: &'static str,
+}
+
+const READY: Endpoint = Endpoint { path: "/api/ready", method: "GET" };
+const TELEMETRY: Endpoint = Endpoint { path: "/api/telemetry", method: "GET" };
+const EXCLUDE: Endpoint = Endpoint { path: "/api/exclude", method: "PUT" };
+const INCLUDE: Endpoint = Endpoint { path: "/api/include", method: "PUT" };
+const ENDPOINTS: [Endpoint; 4] = [READY, TELEMETRY, EXCLUDE, INCLUDE];
+
+/// What an operator requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Call {
     /// Whether this process is ready to serve.
     Ready,
-    /// The figures.
+    /// The metrics.
     Telemetry,
-    /// Nothing more to that engine.
+    /// Send no new work to the engine of that id.
     Exclude(String),
-    /// Use that engine again.
+    /// Use the engine of that id again.
     Include(String),
 }
 
-/// An answer.
+/// The answer to a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reply {
-    /// Status code: 2xx is yes, 4xx and 5xx are no.
+    /// HTTP status code: 2xx for success, 4xx and 5xx for failure.
     pub status: u16,
-    /// What is said, a line or more.
+    /// The body: one line or more.
     pub text: String,
 }
 
 impl Reply {
-    /// With one line.
-    pub fn line(status: u16, text: impl std::fmt::Display) -> Self {
+    /// A reply of one line.
+    pub fn line(status: u16, text: impl fmt::Display) -> Self {
         Self { status, text: format!("{text}\n") }
     }
 
@@ -48,40 +64,35 @@
     }
 }
 
-/// Bytes of a body at most.
-pub const BODY: usize = 1024;
-
-/// Paths, methods, and what they are.
-const PATHS: [(&str, &str); 4] =
-    [("/api/ready", "GET"), ("/api/telemetry", "GET"), ("/api/exclude", "PUT"), ("/api/include", "PUT")];
-
-/// What a call asks for.
+/// Parses a call.
 ///
 /// # Errors
-/// The answer that says what is wrong with it.
+/// The reply that tells what is wrong with it.
 pub fn read(method: &str, path: &str, body: &[u8]) -> Result<Call, Reply> {
-    let Some((_, wanted)) = PATHS.iter().find(|(p, _)| *p == path) else {
-        let known: Vec<_> = PATHS.iter().map(|(path, method)| format!("{method} {path}")).collect();
-        return Err(Reply::line(404, format_args!("there is no such path; known are {}", known.join(", "))));
-    };
-    if method != *wanted {
-        return Err(Reply::line(405, format_args!("{path} takes {wanted}")));
+    let endpoint = ENDPOINTS.iter().find(|endpoint| endpoint.path == path).ok_or_else(unknown_path)?;
+    if method != endpoint.method {
+        return Err(Reply::line(405, format_args!("{path} takes {}", endpoint.method)));
     }
     match path {
-        "/api/ready" => Ok(Call::Ready),
-        "/api/telemetry" => Ok(Call::Telemetry),
-        _ => {
-            let id = std::str::from_utf8(body).map(str::trim).unwrap_or_default();
-            let plain = |c: char| !c.is_whitespace() && !c.is_control();
-            if id.is_empty() || id.len() > ID_BYTES || !id.chars().all(plain) {
-                return Err(Reply::line(400, "the body must be the id of one engine"));
-            }
-            Ok(match path {
-                "/api/exclude" => Call::Exclude(id.to_owned()),
-                _ => Call::Include(id.to_owned()),
-            })
-        }
+        _ if path == READY.path => Ok(Call::Ready),
+        _ if path == TELEMETRY.path => Ok(Call::Telemetry),
+        _ if path == EXCLUDE.path => Ok(Call::Exclude(engine_id(body)?)),
+        _ => Ok(Call::Include(engine_id(body)?)),
+    }
+}
+
+fn unknown_path() -> Reply {
+    let known = ENDPOINTS.map(|endpoint| format!("{} {}", endpoint.method, endpoint.path));
+    Reply::line(404, format_args!("there is no such path; known are {}", known.join(", ")))
+}
+
+fn engine_id(body: &[u8]) -> Result<String, Reply> {
+    let id = std::str::from_utf8(body).map(str::trim).unwrap_or_default();
+    let is_plain = id.chars().all(|character| !character.is_whitespace() && !character.is_control());
+    if id.is_empty() || id.len() > MAX_ID_BYTES || !is_plain {
+        return Err(Reply::line(400, "the body must be the id of one engine"));
     }
+    Ok(id.to_owned())
 }
 
 #[cfg(test)]
--- a/crates/admin/src/inherited_membership.rs
+++ b/crates/admin/src/inherited_membership.rs
@@ -1,8 +1,8 @@
-//! What an earlier process of this gateway heard of the list service. In come the engines that it was told drain or have
-//! gone; out comes, for an engine that this process's own start names, whether it gets nothing new until the service has
-//! been heard here. Rule: **a drain or a stop that one process heard binds its successor**, also while the service is
-//! silent. It works in one direction: what only the earlier process knew is not used for it, and an engine of which it
-//! never heard is as this process's own start says.
+//! What an earlier process of this gateway learned from the list service. The engines that drain or were removed go in; for
+//! an engine that this process's own start names, whether it gets no new work until the service has answered here comes
+//! out. Rule: **a drain or removal that one process has learned of binds its successor**, also while the service does not
+//! answer. It works in one direction: engines that only the earlier process knew are not used because of it, and an
+//! engine that it never heard of is as this process's own start says.
 
 use serde::{Deserialize, Serialize};
 use starlingplank_storage::framed::{decode, encode, FileFormat, FrameError};
@@ -11,95 +11,101 @@
 /// Unix milliseconds.
 pub type UnixMilliseconds = f64;
 
-/// What the file begins with.
-pub const FORM: FileFormat = FileFormat { magic: *b"SPKHEARD", version: 1 };
-/// Bytes of the file at most: 10,000 engines with ids of 100 bytes.
-pub const BYTES: u64 = 1 << 20;
-/// It binds so long after the service last spoke, in ms: services are silent for up to 23 s, and an id that comes back
-/// meanwhile gets nothing, which must end.
-pub const BINDS: UnixMilliseconds = 60_000.0;
-/// Engines that have gone, remembered at most; the earliest are forgotten first.
-pub const GONE: usize = 5_000;
+/// The file format.
+pub const FORMAT: FileFormat = FileFormat { magic: *b"SPKHEARD", version: 1 };
+/// Bound on the file's size in bytes: 10,000 engines with ids of 100 bytes.
+pub const MAX_FILE_BYTES: u64 = 1 << 20;
+/// How long it binds after the service's last answer, in milliseconds. Services are silent for up to 23 s; an id that comes
+/// back meanwhile gets no work, which must end.
+pub const BINDING_DURATION: UnixMilliseconds = 60_000.0;
+/// How many removed endpoints are remembered; the earliest are forgotten first.
+pub const MAX_REMOVED: usize = 5_000;
 
-/// Engines that were in a list and have gone from it.
+/// Endpoints that were in a list and were removed from it.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RemovedEndpoints {
-    /// By id, in which order they went.
+    /// By id, in the order of their removal.
     order: BTreeMap<String, u64>,
     next: u64,
 }
 
 impl RemovedEndpoints {
-    /// One list gave way to the next, by their ids.
-    pub fn follow<'a>(&mut self, before: impl Iterator<Item = &'a str>, now: &BTreeSet<&str>) {
+    /// A list has replaced another; each is given by its ids.
+    pub fn update<'a>(&mut self, before: impl Iterator<Item = &'a str>, now: &BTreeSet<&str>) {
         for id in before.filter(|id| !now.contains(id)) {
             self.order.insert(id.to_owned(), self.next);
             self.next += 1;
         }
         self.order.retain(|id, _| !now.contains(id.as_str()));
-        if self.order.len() > GONE {
-            let mut all: Vec<u64> = self.order.values().copied().collect();
-            all.sort_unstable();
-            let first = all[all.len() - GONE];
-            self.order.retain(|_, n| *n >= first);
+        self.forget_earliest();
+    }
+
+    fn forget_earliest(&mut self) {
+        if self.order.len() <= MAX_REMOVED {
+            return;
         }
+        let mut numbers: Vec<u64> = self.order.values().copied().collect();
+        numbers.sort_unstable();
+        let first_kept = numbers[numbers.len() - MAX_REMOVED];
+        self.order.retain(|_, number| *number >= first_kept);
     }
 
-    /// Which have gone.
+    /// Ids of the removed endpoints.
     pub fn ids(&self) -> impl Iterator<Item = &str> {
         self.order.keys().map(String::as_str)
     }
 }
 
-/// What one process heard.
+/// What one process has learned from the list service. The order of the fields is the stored format.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct InheritedMembership {
+    /// When the service last answered.
     at: UnixMilliseconds,
-    out: BTreeSet<String>,
+    /// Ids of the engines that drain or were removed.
+    excluded: BTreeSet<String>,
 }
 
 impl InheritedMembership {
-    /// The engines that drain or have gone, by the service's word at that time.
-    pub fn new(at: UnixMilliseconds, out: impl IntoIterator<Item = String>) -> Self {
-        Self { at, out: out.into_iter().collect() }
+    /// The engines that drain or were removed, as the service answered at that time.
+    pub fn new(at: UnixMilliseconds, excluded: impl IntoIterator<Item = String>) -> Self {
+        Self { at, excluded: excluded.into_iter().collect() }
     }
 
-    /// As a process that starts now takes it over from one that still runs. Their clocks may differ by any step of the wall
-    /// clock, so that it binds from now.
+    /// As a starting process takes it over from a running one. Their clocks may differ by any step of the wall clock, so that
+    /// it binds from now.
     pub fn taken_over(self, now: UnixMilliseconds) -> Self {
         Self { at: now, ..self }
     }
 
-    /// Until when it binds, unless the service is heard before.
+    /// Until when it binds, unless the service answers before.
     pub fn until(&self) -> UnixMilliseconds {
-        self.at + BINDS
+        self.at + BINDING_DURATION
     }
 
-    /// Whether that engine gets nothing new.
-    pub fn keeps_out(&self, id: &str, now: UnixMilliseconds) -> bool {
-        now < self.until() && self.out.contains(id)
+    /// Whether an engine gets no new work.
+    pub fn excludes(&self, id: &str, now: UnixMilliseconds) -> bool {
+        now < self.until() && self.excluded.contains(id)
     }
 
-    /// The bytes of the file.
+    /// The file's bytes.
     ///
     /// # Errors
-    /// They would be too many.
+    /// The file would exceed [`MAX_FILE_BYTES`].
     pub fn encode(&self) -> Result<Vec<u8>, FrameError> {
-        encode(&FORM, self, BYTES as usize)
+        encode(&FORMAT, self, MAX_FILE_BYTES as usize)
     }
 
-    /// Reads the file; never panics, whatever the bytes are.
+    /// Decodes the file. Never panics, whatever the bytes are.
     ///
     /// # Errors
-    /// Says where and why they are none.
+    /// Tells where and why the bytes are no such file.
     pub fn decode(bytes: &[u8]) -> Result<Self, FrameError> {
-        let heard: Self = decode(&FORM, bytes)?;
-        // A time that is none would bind for ever.
-        if heard.at.is_finite() {
-            Ok(heard)
-        } else {
-            Err(FrameError::Records("the time is none".into()))
+        let membership: Self = decode(&FORMAT, bytes)?;
+        // A time that is not finite would bind for ever.
+        if !membership.at.is_finite() {
+            return Err(FrameError::Records("the time is none".into()));
         }
+        Ok(membership)
     }
 }
 
--- a/crates/admin/src/inherited_membership/tests.rs
+++ b/crates/admin/src/inherited_membership/tests.rs
@@ -7,22 +7,22 @@
 
 #[test]
 fn drained_and_gone_engines_are_kept_out_for_as_long_as_it_binds() {
-    assert!(!heard().keeps_out("s-0", 1_000.0), "one of which nothing was heard is used");
-    assert!(heard().keeps_out("s-1", 1_000.0) && heard().keeps_out("s-1", 60_999.0));
-    assert!(!heard().keeps_out("s-1", 61_000.0), "it ends by itself");
+    assert!(!heard().excludes("s-0", 1_000.0), "one of which nothing was heard is used");
+    assert!(heard().excludes("s-1", 1_000.0) && heard().excludes("s-1", 60_999.0));
+    assert!(!heard().excludes("s-1", 61_000.0), "it ends by itself");
 }
 
 #[test]
 fn engines_that_have_gone_are_remembered_until_they_are_back_and_no_more_than_so_many() {
-    let mut gone = RemovedEndpoints::default();
-    let ids: Vec<String> = (0..GONE + 10).map(|n| format!("{n:05}")).collect();
-    gone.follow(["a", "b", "c"].into_iter(), &BTreeSet::from(["b"]));
-    assert_eq!(gone.ids().collect::<Vec<_>>(), ["a", "c"]);
-    gone.follow(["b"].into_iter(), &BTreeSet::from(["a", "b"]));
-    assert_eq!(gone.ids().collect::<Vec<_>>(), ["c"]);
-    gone.follow(ids.iter().map(String::as_str), &BTreeSet::new());
-    assert_eq!(gone.ids().count(), GONE);
-    assert!(!gone.ids().any(|id| id == "c" || id == "00000") && gone.ids().any(|id| id == "05009"));
+    let mut removed = RemovedEndpoints::default();
+    let ids: Vec<String> = (0..MAX_REMOVED + 10).map(|n| format!("{n:05}")).collect();
+    removed.update(["a", "b", "c"].into_iter(), &BTreeSet::from(["b"]));
+    assert_eq!(removed.ids().collect::<Vec<_>>(), ["a", "c"]);
+    removed.update(["b"].into_iter(), &BTreeSet::from(["a", "b"]));
+    assert_eq!(removed.ids().collect::<Vec<_>>(), ["c"]);
+    removed.update(ids.iter().map(String::as_str), &BTreeSet::new());
+    assert_eq!(removed.ids().count(), MAX_REMOVED);
+    assert!(!removed.ids().any(|id| id == "c" || id == "00000") && removed.ids().any(|id| id == "05009"));
 }
 
 #[test]
@@ -46,7 +46,10 @@
     for step in [-3_600_000.0, 0.0, 3_600_000.0] {
         let now = 5_000_000.0;
         let heard = InheritedMembership::new(now + step, ["s-1".to_owned()]).taken_over(now);
-        assert!(heard.keeps_out("s-1", now + BINDS - 1.0) && !heard.keeps_out("s-1", now + BINDS));
+        assert!(
+            heard.excludes("s-1", now + BINDING_DURATION - 1.0)
+                && !heard.excludes("s-1", now + BINDING_DURATION)
+        );
     }
 }
 
@@ -62,6 +65,6 @@
     #[test]
     fn reader_never_panics(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = InheritedMembership::decode(&bytes);
-        let _ = InheritedMembership::decode(&FORM.frame(&bytes));
+        let _ = InheritedMembership::decode(&FORMAT.frame(&bytes));
     }
 }
--- a/crates/admin/src/metrics.rs
+++ b/crates/admin/src/metrics.rs
@@ -1,49 +1,64 @@
-//! The figures: counted where the thing happens, read by whoever asks.
+//! The gateway's metrics: counted where the event happens, read by the second address and the last log lines.
 
 use std::cell::Cell;
 use std::fmt::Write;
 
-/// What is counted of each class.
+/// What is counted for each class.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Count {
-    /// Requests served: the last byte of the answer was handed to the system.
+    /// Requests served, counted once the last byte of the answer was passed to the system.
     Answered,
-    /// Requests refused: likewise, whoever worded it.
+    /// Requests rejected, by the gateway or an engine; counted likewise.
     Deferred,
-    /// Requests failed: likewise.
+    /// Requests failed; counted likewise.
     Errored,
-    /// Attempts whose last byte was handed to the system.
+    /// Attempts, counted once the last byte was passed to the system.
     Sends,
 }
 
-/// Name, unit and meaning of every figure. `C` stands for a class.
-pub const TABLE: [(&str, &str, &str); 7] = [
-    (
+/// A metric as it is documented.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct MetricDescription {
+    /// Its name; `C` stands for a class.
+    pub name: &'static str,
+    /// Its unit.
+    pub unit: &'static str,
+    /// What it counts.
+    pub meaning: &'static str,
+}
+
+const fn describe(name: &'static str, unit: &'static str, meaning: &'static str) -> MetricDescription {
+    MetricDescription { name, unit, meaning }
+}
+
+/// All metrics.
+pub const TABLE: [MetricDescription; 7] = [
+    describe(
         "gateway.answered.C",
         "requests",
         "served since this process started, counted once the answer is written",
     ),
-    (
+    describe(
         "gateway.deferred.C",
         "requests",
         "refused since this process started, counted once the refusal is written",
     ),
-    (
+    describe(
         "gateway.errored.C",
         "requests",
         "failed since this process started, counted once the failure is written",
     ),
-    ("gateway.sends", "attempts", "written whole to engines since this process started"),
-    ("gateway.current", "requests", "taken and not yet ended, now"),
-    ("gateway.cluster_size", "engines", "in the list, now"),
-    (
+    describe("gateway.sends", "attempts", "written whole to engines since this process started"),
+    describe("gateway.current", "requests", "taken and not yet ended, now"),
+    describe("gateway.cluster_size", "engines", "in the list, now"),
+    describe(
         "gateway.cluster_unhealthy",
         "engines",
         "in the list that get nothing new now: drained, out by hand, or avoided",
     ),
 ];
 
-/// One thing that is counted once its last byte is written.
+/// Index of a class, and what is counted for it.
 pub type Tally = (usize, Count);
 
 /// Counts by class since the process started.
@@ -52,49 +67,49 @@
     classes: Vec<[Cell<u64>; 4]>,
 }
 
-/// What is so at the moment, and is not counted.
+/// Values of the moment, which are not counted.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Now {
-    /// Requests taken and not yet ended.
+pub struct Gauges {
+    /// Requests accepted and not yet answered.
     pub current: usize,
     /// Engines in the list.
     pub cluster_size: usize,
-    /// Of these, the ones that get nothing new.
+    /// Engines in the list that get no new work.
     pub cluster_unhealthy: usize,
 }
 
 impl Metrics {
-    /// Nothing has happened yet.
+    /// All counts are zero.
     pub fn new(classes: usize) -> Self {
         Self { classes: (0..classes).map(|_| Default::default()).collect() }
     }
 
-    /// It happened.
+    /// Counts an event. An unknown class is ignored.
     pub fn add(&self, (class, count): Tally) {
-        if let Some(cell) = self.classes.get(class).map(|c| &c[count as usize]) {
-            cell.set(cell.get() + 1);
-        }
+        let Some(counts) = self.classes.get(class) else { return };
+        let cell = &counts[count as usize];
+        cell.set(cell.get() + 1);
     }
 
-    /// How often it has happened.
+    /// How often an event was counted; 0 for an unknown class.
     pub fn get(&self, class: usize, count: Count) -> u64 {
-        self.classes.get(class).map_or(0, |c| c[count as usize].get())
+        self.classes.get(class).map_or(0, |counts| counts[count as usize].get())
     }
 
-    /// All figures, a line each, by the names of [`TABLE`].
-    pub fn text(&self, names: &[&str], now: Now) -> String {
+    /// All metrics, one a line, by the names of [`TABLE`]. `names` are those of the classes.
+    pub fn text(&self, names: &[&str], gauges: Gauges) -> String {
         let mut out = String::new();
         let counts =
             [("answered", Count::Answered), ("deferred", Count::Deferred), ("errored", Count::Errored)];
-        for (what, count) in counts {
+        for (metric, count) in counts {
             for (class, name) in names.iter().enumerate() {
-                let _ = writeln!(out, "gateway.{what}.{name}={}", self.get(class, count));
+                let _ = writeln!(out, "gateway.{metric}.{name}={}", self.get(class, count));
             }
         }
-        let sends: u64 = (0..self.classes.len()).map(|c| self.get(c, Count::Sends)).sum();
-        let _ = writeln!(out, "gateway.sends={sends}\ngateway.current={}", now.current);
-        let _ = writeln!(out, "gateway.cluster_size={}", now.cluster_size);
-        let _ = writeln!(out, "gateway.cluster_unhealthy={}", now.cluster_unhealthy);
+        let sends: u64 = (0..self.classes.len()).map(|class| self.get(class, Count::Sends)).sum();
+        let _ = writeln!(out, "gateway.sends={sends}\ngateway.current={}", gauges.current);
+        let _ = writeln!(out, "gateway.cluster_size={}", gauges.cluster_size);
+        let _ = writeln!(out, "gateway.cluster_unhealthy={}", gauges.cluster_unhealthy);
         out
     }
 }
--- a/crates/admin/src/metrics/tests.rs
+++ b/crates/admin/src/metrics/tests.rs
@@ -2,12 +2,12 @@
 
 #[test]
 fn every_figure_of_the_table_is_told_and_nothing_else() {
-    let figures = Metrics::new(2);
+    let metrics = Metrics::new(2);
     [(0, Count::Answered), (0, Count::Answered), (1, Count::Sends), (0, Count::Sends), (9, Count::Errored)]
         .into_iter()
-        .for_each(|tally| figures.add(tally));
-    let now = Now { current: 3, cluster_size: 8, cluster_unhealthy: 1 };
-    let text = figures.text(&["lookup", "load"], now);
+        .for_each(|tally| metrics.add(tally));
+    let gauges = Gauges { current: 3, cluster_size: 8, cluster_unhealthy: 1 };
+    let text = metrics.text(&["lookup", "load"], gauges);
     let lines: Vec<&str> = text.lines().collect();
     for line in
         ["gateway.answered.lookup=2", "gateway.answered.load=0", "gateway.sends=2", "gateway.current=3"]
@@ -19,6 +19,6 @@
         Some(stem) => ["lookup", "load"].iter().all(|c| names.contains(&&*format!("{stem}.{c}"))),
         None => names.contains(&name),
     };
-    assert!(TABLE.iter().all(|(name, ..)| told(name)), "{text}");
+    assert!(TABLE.iter().all(|metric| told(metric.name)), "{text}");
     assert_eq!(names.len(), 3 * 2 + 4);
 }
--- a/crates/admin/src/operator_overrides.rs
+++ b/crates/admin/src/operator_overrides.rs
@@ -1,5 +1,5 @@
-//! Engines out by hand. In come calls and lists; out comes, for an engine that a list names, what it is to the gateway:
-//! one that drains while it is out, and one that has just started when it is called back.
+//! Engines that operators have excluded. Calls and lists go in; for an engine that a list names, whether it is excluded
+//! (it then counts as draining) and when it started (an engine that was included again counts as just started) come out.
 
 use serde::{Deserialize, Serialize};
 use starlingplank_storage::framed::{decode, encode, FileFormat, FrameError};
@@ -9,121 +9,132 @@
 /// Unix milliseconds.
 pub type UnixMilliseconds = f64;
 
-/// What the file begins with.
-pub const FORM: FileFormat = FileFormat { magic: *b"SPKHAND\n", version: 1 };
-/// Engines that can be out by hand at most; a list is far shorter.
-pub const MOST: usize = 10_000;
-/// Bytes of an id at most.
-pub const ID_BYTES: usize = 256;
-/// Bytes of the file at most.
-pub const BYTES: u64 = 4 << 20;
+/// The file format.
+pub const FORMAT: FileFormat = FileFormat { magic: *b"SPKHAND\n", version: 1 };
+/// How many engines can be excluded at a time; a list is far shorter.
+pub const MAX_EXCLUDED: usize = 10_000;
+/// Bound on the length of an engine's id in bytes.
+pub const MAX_ID_BYTES: usize = 256;
+/// Bound on the file's size in bytes.
+pub const MAX_FILE_BYTES: u64 = 4 << 20;
 
-/// Why a call is answered with no.
+/// Why a call is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum OverrideError {
-    /// Neither the list nor an earlier call names it.
+    /// Neither the list nor an earlier call names the engine.
     #[error("no engine of that id is in the list or out by hand")]
     Unknown,
-    /// The bound is reached.
-    #[error("{MOST} engines are out by hand already")]
+    /// No more engines can be excluded.
+    #[error("{MAX_EXCLUDED} engines are out by hand already")]
     TooMany,
 }
 
-/// Which engines are out, and which were called back when.
+/// An exclusion that has ended.
+#[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
+struct EndedExclusion {
+    excluded_at: UnixMilliseconds,
+    included_at: UnixMilliseconds,
+}
+
+/// Which engines are excluded, and which were included again recently. The order of the fields is the stored format.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct OperatorOverrides {
-    /// Since when.
-    out: BTreeMap<String, UnixMilliseconds>,
-    /// Since when they had been out, and when they were called back.
-    back: BTreeMap<String, (UnixMilliseconds, UnixMilliseconds)>,
+    /// When each excluded engine was excluded.
+    excluded: BTreeMap<String, UnixMilliseconds>,
+    included: BTreeMap<String, EndedExclusion>,
 }
 
 impl OperatorOverrides {
-    /// Nothing more to that engine. Said twice it is out once. True: this changed something.
+    /// Excludes an engine. Returns whether that changed something.
     ///
     /// # Errors
-    /// It is unknown, or too many are out.
+    /// The engine is unknown, or too many are excluded.
     pub fn exclude(&mut self, id: &str, listed: bool, now: UnixMilliseconds) -> Result<bool, OverrideError> {
-        if self.is_out(id) {
+        if self.is_excluded(id) {
             return Ok(false);
         }
-        if !listed || id.len() > ID_BYTES {
+        if !listed || id.len() > MAX_ID_BYTES {
             return Err(OverrideError::Unknown);
         }
-        if self.out.len() >= MOST {
+        if self.excluded.len() >= MAX_EXCLUDED {
             return Err(OverrideError::TooMany);
         }
-        self.back.remove(id);
-        Ok(self.out.insert(id.to_owned(), now).is_none())
+        self.included.remove(id);
+        Ok(self.excluded.insert(id.to_owned(), now).is_none())
     }
 
-    /// Use that engine again: once said undoes however many calls out. True: this changed something.
+    /// Includes an engine again, however often it was excluded. Returns whether that changed something.
     ///
     /// # Errors
-    /// It is unknown.
+    /// The engine is unknown.
     pub fn include(&mut self, id: &str, listed: bool, now: UnixMilliseconds) -> Result<bool, OverrideError> {
-        if let Some(since) = self.out.remove(id) {
-            self.back.insert(id.to_owned(), (since, now));
+        if let Some(excluded_at) = self.excluded.remove(id) {
+            self.included.insert(id.to_owned(), EndedExclusion { excluded_at, included_at: now });
             return Ok(true);
         }
-        if listed {
-            Ok(false)
-        } else {
-            Err(OverrideError::Unknown)
+        if !listed {
+            return Err(OverrideError::Unknown);
         }
+        Ok(false)
     }
 
-    /// The same by a clock that shows this time: nothing was called out or back later. Another process of the gateway may
-    /// have written it, whose clock differs by a step of the wall clock.
+    /// The same, with no time later than this. Another process of the gateway may have recorded the times, by a clock that
+    /// differs by a step of the wall clock.
     pub fn not_after(mut self, now: UnixMilliseconds) -> Self {
-        self.out.values_mut().for_each(|at| *at = at.min(now));
-        self.back.values_mut().for_each(|(out, back)| (*out, *back) = (out.min(now), back.min(now)));
+        for excluded_at in self.excluded.values_mut() {
+            *excluded_at = excluded_at.min(now);
+        }
+        for ended in self.included.values_mut() {
+            ended.excluded_at = ended.excluded_at.min(now);
+            ended.included_at = ended.included_at.min(now);
+        }
         self
     }
 
-    /// Whether it is out.
-    pub fn is_out(&self, id: &str) -> bool {
-        self.out.contains_key(id)
+    /// Whether an engine is excluded.
+    pub fn is_excluded(&self, id: &str) -> bool {
+        self.excluded.contains_key(id)
     }
 
-    /// Which are out.
-    pub fn out(&self) -> impl Iterator<Item = &str> {
-        self.out.keys().map(String::as_str)
+    /// Ids of the excluded engines.
+    pub fn excluded(&self) -> impl Iterator<Item = &str> {
+        self.excluded.keys().map(String::as_str)
     }
 
-    /// When an engine has started, as far as budgets go. One that the list saw start since it was taken out has started
-    /// then; of any other nobody knows what was done to it meanwhile, and it starts as it is called back.
-    pub fn started(&self, id: &str, listed: Option<UnixMilliseconds>) -> Option<UnixMilliseconds> {
-        match self.back.get(id) {
-            Some((since, back)) => listed.filter(|at| at > since).or(Some(*back)),
+    /// When an engine counts as started, given the start that the list tells. If that lies after the exclusion it holds. For
+    /// any other engine that was excluded it is unknown what was done to it meanwhile: it starts when it is included.
+    pub fn start_time(&self, id: &str, listed: Option<UnixMilliseconds>) -> Option<UnixMilliseconds> {
+        match self.included.get(id) {
+            Some(ended) => listed.filter(|at| *at > ended.excluded_at).or(Some(ended.included_at)),
             None => listed,
         }
     }
 
-    /// Forgets calls back that are older than an engine takes to warm up.
-    pub fn forget(&mut self, now: UnixMilliseconds, slow_start_duration: UnixMilliseconds) {
-        self.back.retain(|_, (_, back)| now - *back < slow_start_duration);
+    /// Forgets engines that were included longer ago than a slow start takes.
+    pub fn forget_warm(&mut self, now: UnixMilliseconds, slow_start_duration: UnixMilliseconds) {
+        self.included.retain(|_, ended| now - ended.included_at < slow_start_duration);
     }
 
-    /// The bytes of the file.
+    /// The file's bytes.
     ///
     /// # Errors
-    /// They cannot be made.
+    /// The file would exceed [`MAX_FILE_BYTES`].
     pub fn encode(&self) -> Result<Vec<u8>, FrameError> {
-        encode(&FORM, self, BYTES as usize)
+        encode(&FORMAT, self, MAX_FILE_BYTES as usize)
     }
 
-    /// Reads the file; never panics, whatever the bytes are.
+    /// Decodes the file. Never panics, whatever the bytes are.
     ///
     /// # Errors
-    /// Says where and why they are none.
+    /// Tells where and why the bytes are no such file.
     pub fn decode(bytes: &[u8]) -> Result<Self, FrameError> {
-        let hand: Self = decode(&FORM, bytes)?;
-        let sane = |id: &String| id.len() <= ID_BYTES;
-        if hand.out.len() > MOST || !hand.out.keys().chain(hand.back.keys()).all(sane) {
-            return Err(FrameError::TooLarge { bytes: hand.out.len(), max_bytes: MOST });
+        let overrides: Self = decode(&FORMAT, bytes)?;
+        let mut ids = overrides.excluded.keys().chain(overrides.included.keys());
+        if overrides.excluded.len() > MAX_EXCLUDED || ids.any(|id| id.len() > MAX_ID_BYTES) {
+            let bytes = overrides.excluded.len();
+            return Err(FrameError::TooLarge { bytes, max_bytes: MAX_EXCLUDED });
         }
-        Ok(hand)
+        Ok(overrides)
     }
 }
 
--- a/crates/admin/src/process_lifecycle/tests.rs
+++ b/crates/admin/src/process_lifecycle/tests.rs
@@ -4,12 +4,12 @@
 const ZERO: Duration = Duration::ZERO;
 
 fn others(list: &[(u64, Stage)]) -> Vec<PeerProcess> {
-    list.iter().map(|(life, stage)| PeerProcess { life: *life, stage: *stage }).collect()
+    list.iter().map(|(incarnation, stage)| PeerProcess { incarnation: *incarnation, stage: *stage }).collect()
 }
 
 #[test]
 fn stage_is_read_as_it_was_written_over_another() {
-    for stage in [Stage::Starting, Stage::Listening, Stage::Leaving] {
+    for stage in [Stage::Starting, Stage::Listening, Stage::Draining] {
         assert_eq!(Stage::read(stage.word()), stage);
         assert_eq!(stage.word().len(), Stage::Starting.word().len());
     }
@@ -24,8 +24,8 @@
 #[case::behind_one_that_serves_with_the_list(&[(1, Stage::Listening)], true, true, ZERO, true)]
 #[case::behind_one_that_serves_with_a_silent_list(&[(1, Stage::Listening)], false, true, LIST_WAIT, true)]
 #[case::behind_one_that_serves_without_any_engine(&[(1, Stage::Listening)], false, false, LIST_WAIT, false)]
-#[case::behind_one_that_leaves(&[(1, Stage::Leaving)], false, true, ZERO, true)]
-#[case::behind_one_that_leaves_without_any_engine(&[(1, Stage::Leaving)], false, false, ZERO, true)]
+#[case::behind_one_that_leaves(&[(1, Stage::Draining)], false, true, ZERO, true)]
+#[case::behind_one_that_leaves_without_any_engine(&[(1, Stage::Draining)], false, false, ZERO, true)]
 #[case::before_one_that_starts(&[(3, Stage::Starting)], false, true, ZERO, true)]
 fn a_successor_listens_once_it_could_serve_as_well(
     #[case] list: &[(u64, Stage)],
@@ -34,7 +34,8 @@
     #[case] waited: Duration,
     #[case] may: bool,
 ) {
-    assert_eq!(may_listen(2, &others(list), heard, knows, waited), may);
+    let readiness = Readiness { list_received: heard, knows_engines: knows, waited };
+    assert_eq!(may_listen(2, &others(list), readiness), may);
 }
 
 #[rstest]
@@ -42,8 +43,8 @@
 #[case(&[(1, Stage::Listening)], false, false)]
 #[case(&[(3, Stage::Starting)], false, true)]
 #[case(&[(3, Stage::Listening)], true, false)]
-#[case(&[(3, Stage::Leaving)], false, false)]
-#[case(&[(3, Stage::Leaving), (4, Stage::Starting)], false, true)]
+#[case(&[(3, Stage::Draining)], false, false)]
+#[case(&[(3, Stage::Draining), (4, Stage::Starting)], false, true)]
 #[case(&[(3, Stage::Starting), (4, Stage::Listening)], true, false)]
 fn who_ends_stops_listening_only_once_a_later_one_listens(
     #[case] list: &[(u64, Stage)],
@@ -51,8 +52,11 @@
     #[case] waits: bool,
 ) {
     let most = Duration::from_secs(3);
-    assert_eq!((hands_over(2, &others(list)), awaited(2, &others(list), ZERO, most)), (hands, waits));
-    assert!(!awaited(2, &others(list), most, most), "what is open is closed in time");
+    assert_eq!(
+        (successor_listens(2, &others(list)), awaits_successor(2, &others(list), ZERO, most)),
+        (hands, waits)
+    );
+    assert!(!awaits_successor(2, &others(list), most, most), "what is open is closed in time");
 }
 
 /// However three processes start, hear the list and are told to end, one listens at all times once the first does.
@@ -66,27 +70,31 @@
             dice ^= dice << 17;
             dice % n
         };
-        // Stage by life; told to end, and done.
+        // Stage by incarnation; told to end, and done.
         let mut lives: Vec<(Stage, bool, bool)> = vec![(Stage::Listening, false, false)];
         for _ in 0..200 {
             let i = roll(3) as usize;
             let seen = |of: usize, lives: &[(Stage, bool, bool)]| -> Vec<PeerProcess> {
                 let other =
-                    |(j, l): (usize, &(Stage, bool, bool))| PeerProcess { life: j as u64, stage: l.0 };
+                    |(j, l): (usize, &(Stage, bool, bool))| PeerProcess { incarnation: j as u64, stage: l.0 };
                 lives.iter().enumerate().filter(|(j, l)| *j != of && !l.2).map(other).collect()
             };
             match (lives.get(i).copied(), roll(4)) {
                 (None, _) if lives.len() < 3 => lives.push((Stage::Starting, false, false)),
                 (Some((Stage::Starting, _, false)), 0)
-                    if may_listen(i as u64, &seen(i, &lives), roll(2) == 0, roll(2) == 0, ZERO) =>
+                    if may_listen(
+                        i as u64,
+                        &seen(i, &lives),
+                        Readiness { list_received: roll(2) == 0, knows_engines: roll(2) == 0, waited: ZERO },
+                    ) =>
                 {
                     lives[i].0 = Stage::Listening;
                 }
                 // Only the last is never told to end: there is nobody after it.
                 (Some((Stage::Listening, told, false)), 1) if i + 1 < lives.len() => {
                     lives[i].1 = true;
-                    if (told || roll(2) == 0) && hands_over(i as u64, &seen(i, &lives)) {
-                        lives[i] = (Stage::Leaving, true, roll(2) == 0);
+                    if (told || roll(2) == 0) && successor_listens(i as u64, &seen(i, &lives)) {
+                        lives[i] = (Stage::Draining, true, roll(2) == 0);
                     }
                 }
                 _ => {}
--- a/src/core/membership.rs
+++ b/src/core/membership.rs
@@ -100,7 +100,7 @@
         self.serial = Some(serial);
         self.former_address = self.former_address.take().filter(|former| serial < former.version);
         let ids = list.iter().map(|l| &*l.member.engine.0).collect();
-        self.removed_engines.follow(self.service_members.iter().map(|l| &*l.member.engine.0), &ids);
+        self.removed_engines.update(self.service_members.iter().map(|l| &*l.member.engine.0), &ids);
         self.learn_starts(now, &list);
         self.service_members = list;
         self.membership_wait = None;
@@ -169,7 +169,7 @@
     /// drained or was removed in the earlier process, is treated as draining, so one guard covers all three. An engine
     /// that operators included again counts as just started.
     fn rebuild_engines(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
-        self.operator_override.forget(now, self.settings.slow_start_duration);
+        self.operator_override.forget_warm(now, self.settings.slow_start_duration);
         let list: Vec<Endpoint> = self.service_members.iter().map(|l| self.merge(l, now)).collect();
         self.replace_engines(now, &list, effects);
         self.report_members(now, list);
@@ -180,7 +180,7 @@
         let mut endpoint = endpoint.clone();
         let m = &mut endpoint.member;
         let id = m.engine.clone();
-        m.started = self.operator_override.started(&id.0, m.started);
+        m.started = self.operator_override.start_time(&id.0, m.started);
         let out = self.list_expired || self.is_kept_out(&id, now);
         if out && m.availability == Availability::Live {
             m.availability = Availability::Draining;
@@ -192,7 +192,7 @@
     fn is_kept_out(&self, engine: &EngineId, now: Milliseconds) -> bool {
         let former = self.former_address.as_ref().map(|former| &former.heard);
         let mut heard = self.inherited_membership.iter().chain(former);
-        self.operator_override.is_out(&engine.0) || heard.any(|heard| heard.keeps_out(&engine.0, now))
+        self.operator_override.is_excluded(&engine.0) || heard.any(|heard| heard.excludes(&engine.0, now))
     }
 
     /// The name service's present address takes over from a former one, whose word on drains and removals holds until the
@@ -283,7 +283,7 @@
     /// A member as the decision module is told of it: its start is a time of this gateway's clock, and not in the future.
     fn with_local_start(&self, now: Milliseconds, member: Member, told: Option<Milliseconds>) -> Member {
         let local = self.start_times.local(&member.engine, told);
-        let started = self.operator_override.started(&member.engine.0, local);
+        let started = self.operator_override.start_time(&member.engine.0, local);
         Member { started: started.map(|at| at.min(now)), ..member }
     }
 
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -1,4 +1,5 @@
-//! The second address: where staff call. One call on each connection, answered beside the queue that requests wait in.
+//! The second address, where operators call. Each connection carries one call, which is answered beside the queue that
+//! requests wait in.
 
 use crate::limits::Limits;
 use crate::net::conn::{ReadBuffer, Retry, SharedState};
@@ -16,167 +17,185 @@
 use tokio::task::JoinHandle;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// A call, and where its answer goes.
+/// An operator's call, and where its reply goes.
 pub type Asked = (Call, oneshot::Sender<Reply>);
 
-/// Takes calls, and tells how many callers there are. Callers are few at a time: where there are more, the one that has been unfinished longest gives way,
-/// so that callers who say nothing keep out nobody.
-pub async fn listen(
-    listener: TcpListener,
-    limits: Rc<Limits>,
-    shared: Rc<SharedState>,
-    calls: mpsc::Sender<Asked>,
-    served: Rc<Cell<usize>>,
-) {
-    let mut callers: VecDeque<JoinHandle<()>> = VecDeque::new();
+/// What all connections of the second address share.
+#[derive(Clone)]
+pub struct AdminContext {
+    /// The limits.
+    pub limits: Rc<Limits>,
+    /// The state of all connections.
+    pub shared: Rc<SharedState>,
+    /// Takes the calls.
+    pub calls: mpsc::Sender<Asked>,
+}
+
+/// Accepts operators' connections; `open_connections` counts them. Operators are few: beyond the limit the connection that
+/// has been open longest is closed, so that idle ones keep nobody out.
+pub async fn listen(listener: TcpListener, context: AdminContext, open_connections: Rc<Cell<usize>>) {
+    let mut connections: VecDeque<JoinHandle<()>> = VecDeque::new();
     let mut backoff = Backoff::default();
     loop {
         let stream = match listener.accept().await {
-            Ok((stream, _)) => {
-                backoff.reset();
-                stream
-            }
-            // Out of descriptors: who holds one longest gives it up.
-            Err(e) => {
-                log::seldom_error("an operator's connection cannot be accepted", &e);
-                let wait = backoff.wait_to_accept(&e);
+            Ok((stream, _)) => stream,
+            Err(error) => {
+                log::seldom_error("an operator's connection cannot be accepted", &error);
+                let wait = backoff.wait_to_accept(&error);
                 if !wait.is_zero() {
-                    callers.pop_front().into_iter().for_each(|c| c.abort());
+                    // Out of descriptors: the connection that has been open longest gives its own up.
+                    if let Some(oldest) = connections.pop_front() {
+                        oldest.abort();
+                    }
                 }
                 tokio::time::sleep(wait).await;
                 continue;
             }
         };
-        callers.retain(|c| !c.is_finished());
-        while callers.len() >= limits.max_admin_connections {
-            let Some(caller) = callers.pop_front() else { break };
-            caller.abort();
-            // Its descriptor is free before the next one is taken.
-            let _ = caller.await;
-        }
-        let (limits, shared, calls) = (limits.clone(), shared.clone(), calls.clone());
-        let one = One::of(&served);
-        callers.push_back(tokio::task::spawn_local(async move {
-            serve(stream, limits, shared, calls).await;
-            drop(one);
+        backoff.reset();
+        connections.retain(|connection| !connection.is_finished());
+        close_oldest(&mut connections, context.limits.max_admin_connections).await;
+        let context = context.clone();
+        let open = OpenConnection::count(&open_connections);
+        connections.push_back(tokio::task::spawn_local(async move {
+            serve(stream, context).await;
+            drop(open);
         }));
     }
 }
 
-/// One caller more, until it is dropped.
-struct One(Rc<Cell<usize>>);
+/// Closes the oldest connections until there is space for one more below the limit.
+async fn close_oldest(connections: &mut VecDeque<JoinHandle<()>>, max_connections: usize) {
+    while connections.len() >= max_connections {
+        let Some(oldest) = connections.pop_front() else { return };
+        oldest.abort();
+        // Its descriptor is closed before the next one is used.
+        let _ = oldest.await;
+    }
+}
+
+/// Counts a connection until it is dropped.
+struct OpenConnection(Rc<Cell<usize>>);
 
-impl One {
-    fn of(all: &Rc<Cell<usize>>) -> Self {
-        all.set(all.get() + 1);
-        Self(all.clone())
+impl OpenConnection {
+    fn count(open_connections: &Rc<Cell<usize>>) -> Self {
+        open_connections.set(open_connections.get() + 1);
+        Self(open_connections.clone())
     }
 }
 
-impl Drop for One {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-async fn serve(
-    mut stream: TcpStream,
-    limits: Rc<Limits>,
-    shared: Rc<SharedState>,
-    calls: mpsc::Sender<Asked>,
-) {
-    let mut read_buffer = ReadBuffer::new(shared);
-    let until = Instant::now() + limits.admin_call_timeout;
-    let read = match timeout_at(until, read(&stream, &mut read_buffer, &limits)).await {
+async fn serve(mut stream: TcpStream, context: AdminContext) {
+    let limits = &context.limits;
+    let mut read_buffer = ReadBuffer::new(context.shared.clone());
+    let deadline = Instant::now() + limits.admin_call_timeout;
+    let read = match timeout_at(deadline, read_call(&stream, &mut read_buffer, limits)).await {
         Ok(None) => return,
         Ok(Some(read)) => read,
         Err(_) => Err(Reply::line(408, "the call did not come whole in time")),
     };
-    let whole = read.is_ok();
+    let was_read = read.is_ok();
     let reply = match read {
+        Ok(call) => forward(call, &context.calls).await,
         Err(reply) => reply,
-        Ok(call) => {
-            let (to, answer) = oneshot::channel();
-            let asked = calls.send((call, to)).await.is_ok();
-            match (asked, answer.await) {
-                (true, Ok(reply)) => reply,
-                _ => Reply::line(503, "this process is ending"),
-            }
-        }
     };
+    let written = write_all(&mut stream, &encode(&reply)).await;
+    if written.is_err() || stream.shutdown().await.is_err() || was_read {
+        return;
+    }
+    let _ = timeout(limits.admin_discard_timeout, discard(&stream, &mut read_buffer, limits)).await;
+}
+
+/// Passes a call on and waits for its reply.
+async fn forward(call: Call, calls: &mpsc::Sender<Asked>) -> Reply {
+    let (sender, reply) = oneshot::channel();
+    let is_sent = calls.send((call, sender)).await.is_ok();
+    match (is_sent, reply.await) {
+        (true, Ok(reply)) => reply,
+        _ => Reply::line(503, "this process is ending"),
+    }
+}
+
+/// A reply as HTTP.
+fn encode(reply: &Reply) -> Vec<u8> {
     let head = format!(
         "HTTP/1.1 {} {}\r\nContent-Type: text/plain; charset=UTF-8\r\nContent-Length: {}\r\nConnection: close\r\n\r\n",
         reply.status,
         reply.reason(),
         reply.text.len()
     );
-    let said = write_whole(&mut stream, &[head.as_bytes(), reply.text.as_bytes()].concat()).await;
-    if said.is_err() || stream.shutdown().await.is_err() || whole {
-        return;
-    }
-    // What still comes of a call that was turned away is read and dropped: closed with bytes unread, the connection
-    // would be reset, and the answer perhaps never read.
-    let rest = async {
+    [head.as_bytes(), reply.text.as_bytes()].concat()
+}
+
+/// Reads and drops the rest of a rejected call. A connection that is closed with unread bytes is reset, and the reply
+/// may be lost.
+async fn discard(stream: &TcpStream, read_buffer: &mut ReadBuffer, limits: &Limits) {
+    read_buffer.used(read_buffer.unread().len());
+    while matches!(read_buffer.fill(stream, limits).await, Ok(true)) {
         read_buffer.used(read_buffer.unread().len());
-        while matches!(read_buffer.fill(&stream, &limits).await, Ok(true)) {
-            read_buffer.used(read_buffer.unread().len());
-        }
-    };
-    let _ = timeout(limits.admin_discard_timeout, rest).await;
+    }
 }
 
-/// Writes all bytes; a call that was interrupted is made again.
-async fn write_whole(stream: &mut TcpStream, mut bytes: &[u8]) -> io::Result<()> {
+/// Writes all bytes, and retries calls that were interrupted.
+async fn write_all(stream: &mut TcpStream, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         match stream.write(bytes).await {
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
-            Ok(n) => bytes = &bytes[n..],
-            Err(e) if Retry::after(&e).is_some() => {}
-            Err(e) => return Err(e),
+            Ok(written) => bytes = &bytes[written..],
+            Err(error) if Retry::after(&error).is_some() => {}
+            Err(error) => return Err(error),
         }
     }
     Ok(())
 }
 
-/// Reads one call. None: the caller has gone.
-async fn read(
+/// Reads one call, or the reply that tells what is wrong with it. `None` if the client has disconnected.
+async fn read_call(
     stream: &TcpStream,
     read_buffer: &mut ReadBuffer,
     limits: &Limits,
 ) -> Option<Result<Call, Reply>> {
-    let bad = |status, text: &str| Some(Err(Reply::line(status, text)));
     loop {
-        match http::read_head(read_buffer.unread()) {
-            Read::Done(head, used) => {
-                if !matches!(head.third, "HTTP/1.1" | "HTTP/1.0") {
-                    return bad(400, "the version must be HTTP/1.1");
-                }
-                let (path, _) = http::target(head.second);
-                let length = match head.body(Length::Bytes(0)) {
-                    Some(Length::Bytes(length)) => length,
-                    Some(_) => return bad(411, "the body must have a Content-Length; chunks are not taken"),
-                    None => return bad(400, "the length of the body is not clear"),
-                };
-                // A wrong path or method is told at once, whatever body follows.
-                let call = |body: &[u8]| calls::read(head.first, &path, body);
-                if length > calls::BODY {
-                    let wrong = call(b"-").err();
-                    return Some(Err(
-                        wrong.unwrap_or_else(|| Reply::line(413, "the body is longer than any id"))
-                    ));
-                }
-                if let Some(body) = read_buffer.unread().get(used..used + length) {
-                    return Some(call(body));
-                }
-            }
-            Read::Bad => return bad(400, "the call cannot be read as HTTP/1.1"),
-            Read::More if read_buffer.unread().len() > limits.max_head_bytes => {
-                return bad(431, "the head of the call is too long");
-            }
-            Read::More => {}
+        match parse_call(read_buffer.unread(), limits.max_head_bytes) {
+            Ok(Some(call)) => return Some(Ok(call)),
+            Ok(None) => {}
+            Err(reply) => return Some(Err(reply)),
         }
         if !matches!(read_buffer.fill(stream, limits).await, Ok(true)) {
             return None;
         }
     }
 }
+
+/// Parses a call; `None` if it is not complete yet.
+fn parse_call(bytes: &[u8], max_head_bytes: usize) -> Result<Option<Call>, Reply> {
+    let (head, head_bytes) = match http::read_head(bytes) {
+        Read::Done(head, head_bytes) => (head, head_bytes),
+        Read::Bad => return Err(Reply::line(400, "the call cannot be read as HTTP/1.1")),
+        Read::More if bytes.len() > max_head_bytes => {
+            return Err(Reply::line(431, "the head of the call is too long"));
+        }
+        Read::More => return Ok(None),
+    };
+    if !matches!(head.third, "HTTP/1.1" | "HTTP/1.0") {
+        return Err(Reply::line(400, "the version must be HTTP/1.1"));
+    }
+    let (path, _) = http::target(head.second);
+    let length = match head.body(Length::Bytes(0)) {
+        Some(Length::Bytes(length)) => length,
+        Some(_) => return Err(Reply::line(411, "the body must have a Content-Length; chunks are not taken")),
+        None => return Err(Reply::line(400, "the length of the body is not clear")),
+    };
+    if length > calls::MAX_BODY_BYTES {
+        // A wrong path or method is reported whatever body follows.
+        let wrong_target = calls::read(head.first, &path, b"-").err();
+        return Err(wrong_target.unwrap_or_else(|| Reply::line(413, "the body is longer than any id")));
+    }
+    let body = bytes.get(head_bytes..head_bytes + length);
+    body.map(|body| calls::read(head.first, &path, body)).transpose()
+}
--- a/src/net/runtime/calls.rs
+++ b/src/net/runtime/calls.rs
@@ -4,7 +4,7 @@
 use crate::net::hot_restart::ChangeError;
 use crate::net::runtime::Runtime;
 use starlingplank_admin::calls::{Call, Reply};
-use starlingplank_admin::metrics::Now;
+use starlingplank_admin::metrics::Gauges;
 use starlingplank_admin::operator_overrides::{OperatorOverrides, OverrideError};
 
 impl Runtime {
@@ -19,8 +19,8 @@
             Call::Telemetry => {
                 let names: Vec<_> = self.frontend.settings.classes.iter().map(|c| c.name.as_str()).collect();
                 let (cluster_size, cluster_unhealthy) = self.core.engines();
-                let now = Now { current: self.frontend.current(), cluster_size, cluster_unhealthy };
-                Reply { status: 200, text: self.frontend.shared.figures.text(&names, now) }
+                let gauges = Gauges { current: self.frontend.current(), cluster_size, cluster_unhealthy };
+                Reply { status: 200, text: self.frontend.shared.figures.text(&names, gauges) }
             }
             Call::Exclude(id) => {
                 let (listed, now) = (self.core.lists(&id), self.frontend.clock.now());
@@ -44,7 +44,7 @@
         let Some(hot_restart) = &mut self.hot_restart else {
             return Reply::line(503, "the call cannot be kept for the next version: no folder is open");
         };
-        match hot_restart.change(change) {
+        match hot_restart.change_overrides(change) {
             Ok(changed) => {
                 tracing::info!("by hand: {id} is {what}{}", if changed.is_some() { "" } else { " already" });
                 events.extend(changed.map(Event::OperatorOverrides));
--- a/src/net/runtime/peers.rs
+++ b/src/net/runtime/peers.rs
@@ -4,7 +4,7 @@
 use crate::net::front::ShutdownPhase;
 use crate::net::log;
 use crate::net::runtime::Runtime;
-use starlingplank_admin::process_lifecycle::{self, Stage};
+use starlingplank_admin::process_lifecycle::{self, Readiness, Stage};
 use std::time::Duration;
 
 impl Runtime {
@@ -12,11 +12,9 @@
     pub fn may_listen(&self, waited: Duration) -> bool {
         let Some(hot_restart) = &self.hot_restart else { return true };
         process_lifecycle::may_listen(
-            hot_restart.own(),
-            &hot_restart.others(),
-            self.list_received,
-            !self.core.awaits_list(),
-            waited,
+            hot_restart.incarnation(),
+            &hot_restart.peers(),
+            Readiness { list_received: self.list_received, knows_engines: !self.core.awaits_list(), waited },
         )
     }
 
@@ -24,7 +22,7 @@
     /// them.
     pub fn publish_stage(&self, stage: Stage) {
         let Some(hot_restart) = &self.hot_restart else { return };
-        let said = hot_restart.say(stage);
+        let said = hot_restart.publish_stage(stage);
         self.unpublished.set(said.is_err().then_some(stage));
         if let Err(e) = said {
             log::seldom_error("other versions cannot see how far this one is", e);
@@ -38,19 +36,19 @@
             self.publish_stage(stage);
         }
         let Some(hot_restart) = &mut self.hot_restart else { return Vec::new() };
-        let seen = hot_restart.look(now);
+        let seen = hot_restart.observe(now);
         for newcomer in seen.newcomers {
-            hot_restart.pass_on(newcomer, &self.config.name, &self.core, now, &self.frontend.limits);
+            hot_restart.pass_state_to(newcomer, &self.config.name, &self.core, now, &self.frontend.limits);
         }
-        let (own, others) = (hot_restart.own(), hot_restart.others());
+        let (own, others) = (hot_restart.incarnation(), hot_restart.peers());
         let mut events = Vec::new();
-        events.extend(seen.hand.map(Event::OperatorOverrides));
+        events.extend(seen.overrides.map(Event::OperatorOverrides));
         if !seen.keys.is_empty() {
             events.push(Event::PeerKeys(seen.keys));
         }
-        self.share_limits(process_lifecycle::processes(&others), &mut events);
+        self.share_limits(process_lifecycle::process_count(&others), &mut events);
         if self.frontend.shutdown_phase() == ShutdownPhase::Alone
-            && process_lifecycle::hands_over(own, &others)
+            && process_lifecycle::successor_listens(own, &others)
         {
             self.hand_over(&mut events);
         }
@@ -68,7 +66,7 @@
     fn hand_over(&self, events: &mut Vec<Event>) {
         tracing::info!("a new version listens: what is open is answered, and the rest is for it");
         self.frontend.leave_by(ShutdownPhase::AfterAnswer);
-        self.publish_stage(Stage::Leaving);
+        self.publish_stage(Stage::Draining);
         events.push(Event::SuccessorListens);
     }
 }
--- a/src/net/runtime/shutdown.rs
+++ b/src/net/runtime/shutdown.rs
@@ -58,7 +58,7 @@
     /// Whether another process of this gateway may still begin to listen and take over.
     fn awaits_successor(&self, waited: Duration, window: Duration) -> bool {
         let Some(hot_restart) = &self.hot_restart else { return false };
-        process_lifecycle::awaited(hot_restart.own(), &hot_restart.others(), waited, window)
+        process_lifecycle::awaits_successor(hot_restart.incarnation(), &hot_restart.peers(), waited, window)
     }
 
     /// Ends the process: operators hear of it, what was done is reported, and the last snapshot is written.
--- a/src/net/runtime/startup.rs
+++ b/src/net/runtime/startup.rs
@@ -120,7 +120,8 @@
     let listener = bind(at, false, frontend.limits.bind_retry).await?;
     tracing::info!("{name} listens at {} for its operators", listener.local_addr()?);
     let (limits, shared) = (frontend.limits.clone(), frontend.shared.clone());
-    tasks.spawn("operators' listener", admin::listen(listener, limits, shared, calls, callers));
+    let context = admin::AdminContext { limits, shared, calls };
+    tasks.spawn("operators' listener", admin::listen(listener, context, callers));
     Ok(())
 }
 
@@ -132,7 +133,7 @@
     match transient_errors::retry_while(transient_errors::is_of_disk, frontend.limits.disk_retry, open).await
     {
         Ok(opened) => {
-            tracing::info!("{}", opened.describe());
+            opened.log_opened();
             Some(opened)
         }
         Err(e) => {
@@ -148,29 +149,29 @@
     async fn inherit_from_peers(&mut self) -> Vec<Event> {
         let Some(hot_restart) = &mut self.hot_restart else { return Vec::new() };
         let (config, clock, limits) = (&self.config, &self.frontend.clock, &self.frontend.limits);
-        let mut inherited = vec![Event::PeerKeys(hot_restart.look(clock.now()).keys)];
+        let mut inherited = vec![Event::PeerKeys(hot_restart.observe(clock.now()).keys)];
         // A folder of knowledge that an earlier process of this gateway holds is followed; one that another gateway holds
         // is not.
-        if !hot_restart.others().is_empty() {
+        if !hot_restart.peers().is_empty() {
             self.persistence.follow(config, &mut self.core, clock.now());
         }
-        inherited.push(Event::OperatorOverrides(hot_restart.hand().clone()));
+        inherited.push(Event::OperatorOverrides(hot_restart.overrides().clone()));
         let rules = recovery::Rules {
             overload_collapse_after: config.settings.overload_collapse_after,
             ..recovery::DEFAULT
         };
-        if let Some(recall) = hot_restart.learned(clock.now(), rules, limits).await {
+        if let Some(recall) = hot_restart.inherit_learned(clock.now(), rules, limits).await {
             self.core.remember(recall);
         }
         // Without a list service the list at the start is the list.
-        let heard = hot_restart.heard().filter(|_| config.names.is_some());
+        let heard = hot_restart.inherit_membership().filter(|_| config.names.is_some());
         inherited.extend(heard.map(|heard| Event::InheritedMembership(heard.taken_over(clock.now()))));
         inherited
     }
 
     /// Takes the folder of knowledge where no other process of this gateway has it.
     fn claim_knowledge(&mut self) -> io::Result<()> {
-        let shared = self.hot_restart.as_ref().is_some_and(|hot_restart| !hot_restart.others().is_empty());
+        let shared = self.hot_restart.as_ref().is_some_and(|hot_restart| !hot_restart.peers().is_empty());
         if self.persistence.awaits_folder() && !shared && !self.take_over_knowledge() {
             self.persistence.serve_without_folder(&self.config)?;
         }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -27,21 +27,21 @@
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("shared");
     let mut first = open(&path);
-    first.say(Stage::Listening).expect("written");
+    first.publish_stage(Stage::Listening).expect("written");
     let mut second = open(&path);
-    second.look(NOW);
-    assert_eq!(second.others(), [PeerProcess { life: 1, stage: Stage::Listening }]);
-    assert_eq!(first.look(NOW).newcomers, [2], "it waits for what was learned");
-    assert_eq!(first.look(NOW).newcomers, [0; 0], "it was told once");
-    second.say(Stage::Listening).expect("written");
-    first.look(NOW);
-    assert_eq!(first.others(), [PeerProcess { life: 2, stage: Stage::Listening }]);
-    first.say(Stage::Leaving).expect("written");
-    second.look(NOW);
-    assert_eq!(second.others(), [PeerProcess { life: 1, stage: Stage::Leaving }]);
+    second.observe(NOW);
+    assert_eq!(second.peers(), [PeerProcess { incarnation: 1, stage: Stage::Listening }]);
+    assert_eq!(first.observe(NOW).newcomers, [2], "it waits for what was learned");
+    assert_eq!(first.observe(NOW).newcomers, [0; 0], "it was told once");
+    second.publish_stage(Stage::Listening).expect("written");
+    first.observe(NOW);
+    assert_eq!(first.peers(), [PeerProcess { incarnation: 2, stage: Stage::Listening }]);
+    first.publish_stage(Stage::Draining).expect("written");
+    second.observe(NOW);
+    assert_eq!(second.peers(), [PeerProcess { incarnation: 1, stage: Stage::Draining }]);
     drop(first);
-    second.look(NOW);
-    assert_eq!(second.others(), []);
+    second.observe(NOW);
+    assert_eq!(second.peers(), []);
     let left: Vec<_> =
         std::fs::read_dir(&path).expect("there").map(|e| e.expect("one").file_name()).collect();
     assert!(!left.iter().any(|name| name.to_string_lossy().ends_with("0001")), "{left:?}");
@@ -56,7 +56,7 @@
     let mut first = open(&path);
     first.record(key, sent(NOW)).expect("recorded");
     let mut second = open(&path);
-    let heard = second.look(NOW + 10.0).keys;
+    let heard = second.observe(NOW + 10.0).keys;
     assert!(
         heard.len() == 1 && heard[0].0 == key && near(&heard[0].1, &KeySends::one(sent(NOW))),
         "{heard:?}"
@@ -68,9 +68,9 @@
     // Written by a process that is killed before anybody looks.
     first.record(deduplication_window::key("k3"), sent(NOW + 40.0)).expect("recorded");
     drop(first);
-    assert_eq!(second.look(NOW + 50.0).keys.len(), 1);
+    assert_eq!(second.observe(NOW + 50.0).keys.len(), 1);
     let mut third = open(&path);
-    let mut heard = third.look(NOW + 60.0).keys;
+    let mut heard = third.observe(NOW + 60.0).keys;
     heard.sort_by(|a, b| a.1.first.total_cmp(&b.1.first));
     assert_eq!(
         heard.iter().map(|(k, _)| *k).collect::<Vec<_>>(),
@@ -106,7 +106,7 @@
     let size = |n: u64| std::fs::metadata(path.join(format!("keys-{n:016x}"))).expect("there").len();
     assert!(size(1) < 200_000, "{}", size(1));
     drop(first);
-    second.look(NOW + 72_000.0 * 50.0);
+    second.observe(NOW + 72_000.0 * 50.0);
     assert!(size(2) < 200_000, "{}", size(2));
 }
 
@@ -115,18 +115,19 @@
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("shared");
     let mut first = open(&path);
-    let out = first.change(|hand| hand.exclude("s-1", true, NOW)).expect("kept").expect("new");
-    assert!(out.is_out("s-1"));
-    assert!(first.change(|hand| hand.exclude("s-1", true, NOW)).expect("kept").is_none());
-    let no = first.change(|hand| hand.exclude("s-9", false, NOW));
+    let out =
+        first.change_overrides(|overrides| overrides.exclude("s-1", true, NOW)).expect("kept").expect("new");
+    assert!(out.is_excluded("s-1"));
+    assert!(first.change_overrides(|overrides| overrides.exclude("s-1", true, NOW)).expect("kept").is_none());
+    let no = first.change_overrides(|overrides| overrides.exclude("s-9", false, NOW));
     assert!(matches!(no, Err(ChangeError::Invalid(OverrideError::Unknown))));
     let mut second = open(&path);
-    assert!(second.hand().is_out("s-1"));
-    second.change(|hand| hand.exclude("s-2", true, NOW)).expect("kept");
-    assert!(first.look(NOW).hand.expect("changed").is_out("s-2"));
+    assert!(second.overrides().is_excluded("s-1"));
+    second.change_overrides(|overrides| overrides.exclude("s-2", true, NOW)).expect("kept");
+    assert!(first.observe(NOW).overrides.expect("changed").is_excluded("s-2"));
     drop((first, second));
     let third = open(&path);
-    assert_eq!(third.hand().out().collect::<Vec<_>>(), ["s-1", "s-2"]);
+    assert_eq!(third.overrides().excluded().collect::<Vec<_>>(), ["s-1", "s-2"]);
 }
 
 /// What cannot be read costs its knowledge, never the start; a later call writes a whole file again.
@@ -140,7 +141,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("shared");
     let mut first = open(&path);
-    first.change(|hand| hand.exclude("s-1", true, NOW)).expect("kept");
+    first.change_overrides(|overrides| overrides.exclude("s-1", true, NOW)).expect("kept");
     first.record(deduplication_window::key("k1"), sent(NOW)).expect("recorded");
     for name in ["hand", "keys-0000000000000001", "life-0000000000000001"] {
         let file = path.join(name);
@@ -150,10 +151,10 @@
     }
     drop(first);
     let mut second = open(&path);
-    second.look(NOW);
-    assert!(!second.hand().is_out("s-1"));
-    second.change(|hand| hand.exclude("s-2", true, NOW)).expect("kept");
-    assert!(open(&path).hand().is_out("s-2"));
+    second.observe(NOW);
+    assert!(!second.overrides().is_excluded("s-1"));
+    second.change_overrides(|overrides| overrides.exclude("s-2", true, NOW)).expect("kept");
+    assert!(open(&path).overrides().is_excluded("s-2"));
 }
 
 #[test]
@@ -170,7 +171,7 @@
         let path = folder.path().join(at.to_string());
         drop(open(&path));
         std::fs::write(path.join(name), bytes).expect("written");
-        open(&path).look(NOW).keys
+        open(&path).observe(NOW).keys
     };
     for at in 0..bytes.len() {
         let whole = at.saturating_sub(16 + 40) / 40;
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -4,6 +4,7 @@
 
 use rstest::rstest;
 use stand::*;
+use starlingplank_admin::metrics::MetricDescription;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::process::{Child, Command, Stdio};
@@ -238,7 +239,7 @@
 #[test]
 fn page_for_staff_tells_every_figure_its_unit_and_its_meaning() {
     let page = include_str!("../docs/operate/day-to-day.md");
-    for (name, unit, meaning) in starlingplank_admin::metrics::TABLE {
+    for MetricDescription { name, unit, meaning } in starlingplank_admin::metrics::TABLE {
         let row = format!("| `{name}` | {unit} | {meaning} |");
         assert!(page.contains(&row), "{row}");
     }
