--- a/src/core/membership.rs
+++ b/src/core/membership.rs
@@ -118,7 +118,7 @@
         self.previous_address = self.previous_address.take().filter(|previous| version < previous.version);
         let ids = endpoints.iter().map(|endpoint| &*endpoint.member.engine.0).collect();
         let ids_before = self.service_members.iter().map(|endpoint| &*endpoint.member.engine.0);
-        self.removed_engines.follow(ids_before, &ids);
+        self.removed_engines.update(ids_before, &ids);
         self.learn_starts(now, &endpoints);
         self.service_members = endpoints;
         self.membership_wait = None;
@@ -188,7 +188,7 @@
     /// drained or was removed in the earlier process, is treated as draining, so one guard covers all three. An engine
     /// that operators included again counts as just started.
     fn rebuild_engines(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
-        self.operator_override.forget(now, self.settings.slow_start_duration);
+        self.operator_override.forget_warm(now, self.settings.slow_start_duration);
         let merged = self.service_members.iter().map(|endpoint| self.merge(endpoint, now));
         let merged: Vec<Endpoint> = merged.collect();
         self.replace_engines(now, &merged, effects);
@@ -199,7 +199,7 @@
     fn merge(&self, endpoint: &Endpoint, now: Milliseconds) -> Endpoint {
         let mut endpoint = endpoint.clone();
         let member = &mut endpoint.member;
-        member.started = self.operator_override.started(&member.engine.0, member.started);
+        member.started = self.operator_override.start_time(&member.engine.0, member.started);
         let is_out = self.list_expired || self.is_excluded(&member.engine, now);
         if is_out && member.availability == Availability::Live {
             member.availability = Availability::Draining;
@@ -211,8 +211,8 @@
     fn is_excluded(&self, engine: &EngineId, now: Milliseconds) -> bool {
         let previous = self.previous_address.as_ref().map(|previous| &previous.membership);
         let mut memberships = self.inherited_membership.iter().chain(previous);
-        self.operator_override.is_out(&engine.0)
-            || memberships.any(|membership| membership.keeps_out(&engine.0, now))
+        self.operator_override.is_excluded(&engine.0)
+            || memberships.any(|membership| membership.excludes(&engine.0, now))
     }
 
     /// The present address of the name service takes over from a previous one, whose drains and removals hold until the
@@ -290,7 +290,7 @@
     /// Reports the engines to the decision module, and what an earlier incarnation learned of them.
     fn report_members(&mut self, now: Milliseconds, endpoints: Vec<Endpoint>) {
         let identities: Vec<EndpointIdentity> = endpoints.iter().map(identity).collect();
-        let restored = self.restored_state.as_mut().and_then(|state| state.list(&identities, now));
+        let restored = self.restored_state.as_mut().and_then(|state| state.restore(&identities, now));
         // Merging keeps the order of the service's members, which hold the starts as the service reported them.
         let reported_starts = self.service_members.iter().map(|endpoint| endpoint.member.started);
         let members = endpoints.into_iter().zip(reported_starts);
@@ -298,7 +298,7 @@
         let members = members.collect();
         self.pending_events.push(DecisionEvent::Members { complete: true, members });
         self.pending_events.extend(restored.map(|learned| DecisionEvent::Restored(Box::new(learned))));
-        self.restored_state.take_if(|state| state.over(now));
+        self.restored_state.take_if(|state| state.is_finished(now));
     }
 
     /// A member as the decision module receives it: its start is a time of this gateway's clock, and not in the future.
@@ -309,7 +309,7 @@
         reported_start: Option<Milliseconds>,
     ) -> Member {
         let local = self.start_times.local(&member.engine, reported_start);
-        let started = self.operator_override.started(&member.engine.0, local);
+        let started = self.operator_override.start_time(&member.engine.0, local);
         Member { started: started.map(|at| at.min(now)), ..member }
     }
 
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -5,7 +5,7 @@
 use starlingplank_admin::inherited_membership::InheritedMembership;
 use starlingplank_admin::operator_overrides::OperatorOverrides;
 use starlingplank_decision::permission::send::{SendPermit, SendRefusal};
-use starlingplank_persistence::deduplication_window::{Key, KeySend, KeySends, Rewrite};
+use starlingplank_persistence::deduplication_window::{Key, KeySend, KeySends, LogMark, Rewrite};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -161,12 +161,7 @@
         sent: KeySend,
     },
     /// Write a mark that the log is complete.
-    WriteMark {
-        /// The time as of which it is complete.
-        at: Milliseconds,
-        /// No keyed request may be transmitted until then.
-        no_sends_until: Milliseconds,
-    },
+    WriteMark(LogMark),
     /// Rewrite the log.
     RewriteLog(Rewrite),
     /// Log whether the list of engines may be relied on from now on.
--- a/src/core/records.rs
+++ b/src/core/records.rs
@@ -4,7 +4,7 @@
 use super::timers::Due;
 use super::{AttemptEnd, AttemptId, Core, Effect};
 use crate::interface::{Milliseconds, Outcome};
-use starlingplank_persistence::deduplication_window::{DeduplicationWindow, Key, KeySends};
+use starlingplank_persistence::deduplication_window::{DeduplicationWindow, Key, KeySends, TrustedLog};
 
 /// How the writing of a record ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -21,12 +21,7 @@
     }
 
     /// Takes over the log of a process that has ended.
-    pub fn adopt_log(
-        &mut self,
-        required: bool,
-        trusted: Option<(Vec<(Key, KeySends)>, Milliseconds)>,
-        now: Milliseconds,
-    ) {
+    pub fn adopt_log(&mut self, required: bool, trusted: Option<TrustedLog>, now: Milliseconds) {
         self.deduplication.take_log(required, trusted, now);
     }
 
@@ -117,7 +112,7 @@
     /// Another process of this gateway sent requests with these keys.
     pub(super) fn add_peer_keys(&mut self, now: Milliseconds, keys: Vec<(Key, KeySends)>) {
         for (key, sends) in keys {
-            self.deduplication.hear(key, sends, now);
+            self.deduplication.merge_peer_sends(key, sends, now);
         }
     }
 
@@ -130,8 +125,6 @@
     }
 
     fn mark_log(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
-        if let Some((at, no_sends_until)) = self.deduplication.mark(now) {
-            effects.push(Effect::WriteMark { at, no_sends_until });
-        }
+        effects.extend(self.deduplication.mark(now).map(Effect::WriteMark));
     }
 }
--- a/src/net/runtime/shutdown.rs
+++ b/src/net/runtime/shutdown.rs
@@ -58,7 +58,7 @@
     /// Whether another process of this gateway may still begin to listen and take over.
     fn awaits_successor(&self, waited: Duration, window: Duration) -> bool {
         let Some(hot_restart) = &self.hot_restart else { return false };
-        process_lifecycle::awaited(hot_restart.own(), &hot_restart.others(), waited, window)
+        process_lifecycle::awaits_successor(hot_restart.incarnation(), &hot_restart.peers(), waited, window)
     }
 
     /// Ends the process: operators hear of it, what was done is reported, and the last snapshot is written.
@@ -70,7 +70,7 @@
         }
         self.report_loop();
         // What the last answers taught is in the last snapshot, if the disk takes it in time.
-        self.persistence.snapshot(&self.core, self.frontend.clock.now());
+        self.persistence.save_snapshot(&self.core, self.frontend.clock.now());
         self.report_classes();
         self.report_rules();
         if self.config.names.is_some() {
@@ -78,7 +78,7 @@
         }
         if self.persistence.is_on() {
             let _ = timeout(self.frontend.limits.final_snapshot_timeout, self.persistence.finish()).await;
-            self.persistence.say(self.core.deduplication().refused());
+            self.persistence.log_totals(self.core.deduplication().rejected());
         }
     }
 
