--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -1,7 +1,7 @@
 //! The second address: where staff call. One call on each connection, answered beside the queue that requests wait in.
 
 use crate::limits::Limits;
-use crate::net::conn::{ReadBuffer, Retry, SharedState};
+use crate::net::connection::{ReadBuffer, Retry, SharedState};
 use crate::net::http::{self, Length, Read};
 use crate::net::log;
 use crate::net::transient_errors::Backoff;
--- a/src/net/conn.rs
+++ b/src/net/connection/write_queue.rs
@@ -1,86 +1,29 @@
-//! One connection: what waits to be written, in frames that go out by gathered writes, and what was read.
+//! The write queue of a connection: frames that go out by gathered writes, in order.
 
 use crate::core::{AttemptId, FlowControl};
 use crate::limits::Limits;
-use crate::net::frame::Frame;
+use crate::net::connection::frame::Frame;
+use crate::net::connection::shared_state::SharedState;
+use crate::net::connection::socket_retry::Retry;
 use crate::net::log;
-use starlingplank_admin::metrics::Metrics;
-use starlingplank_decision::interface::RetryBudgetSettings;
-use starlingplank_decision::permission::counters::RuleCounters;
 use starlingplank_decision::permission::send::SendRefusal;
-use starlingplank_decision::retry_budget::RetryBudget;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::future::Future;
 use std::io::{self, IoSlice};
 use std::pin::Pin;
 use std::rc::Rc;
-use tokio::io::{AsyncWriteExt, Interest};
+use tokio::io::Interest;
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
-use tokio::time::{timeout, Instant};
 
-/// What all connections have in common.
-#[derive(Debug)]
-pub struct SharedState {
-    /// Bytes read and not yet used, and bytes that wait to be written.
-    pub held: Cell<usize>,
-    /// What has been written to whom.
-    pub figures: Metrics,
-    /// Processes of this gateway that run now: together they keep to what one may use.
-    pub processes: Cell<usize>,
-    /// What the rules refused.
-    pub rules: Rc<RuleCounters>,
-    /// Requests as they are read, and further attempts as they are written.
-    retry_budget: RefCell<RetryBudget>,
-    started: Instant,
-}
-
-impl SharedState {
-    /// Nothing is held, and this process is the only one.
-    pub fn new(classes: usize) -> Rc<Self> {
-        Self::with_retry_budget(classes, None)
-    }
-
-    /// The same, and further attempts are bounded.
-    pub fn with_retry_budget(classes: usize, retry_budget: Option<RetryBudgetSettings>) -> Rc<Self> {
-        Rc::new(Self {
-            held: Cell::new(0),
-            figures: Metrics::new(classes),
-            processes: Cell::new(1),
-            rules: Rc::default(),
-            retry_budget: RefCell::new(RetryBudget::new(retry_budget)),
-            started: Instant::now(),
-        })
-    }
-
-    fn milliseconds(&self) -> f64 {
-        self.started.elapsed().as_secs_f64() * 1000.0
-    }
-
-    /// A request was read.
-    pub fn count_request(&self) {
-        let now = self.milliseconds();
-        let mut budget = self.retry_budget.borrow_mut();
-        budget.receive(now);
-        budget.forget(now, 0.0);
-    }
-
-    /// Whether a further attempt may be written now; if so it counts as written.
-    fn take_from_retry_budget(&self) -> bool {
-        let now = self.milliseconds();
-        let mut budget = self.retry_budget.borrow_mut();
-        let allowed = budget.allows(now, 0.0);
-        if allowed {
-            budget.retry(now);
-        }
-        allowed
-    }
-
-    /// This process's part of what one may use.
-    pub fn part(&self, of: usize) -> usize {
-        of / self.processes.get().max(1)
-    }
+/// How a connection is to end.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Close {
+    /// Once all that waits is written.
+    AfterWrite,
+    /// At once.
+    Now,
 }
 
 /// What waits for one reader. Its bytes count towards its own limit and towards a sum over all connections.
@@ -101,65 +44,6 @@
     nudge: Notify,
 }
 
-/// What a call on a socket that has failed asks for.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Retry {
-    /// Nothing is there yet: wait until the socket is ready.
-    WhenReady,
-    /// A signal interrupted the call before it did anything: make it again.
-    AtOnce,
-}
-
-impl Retry {
-    /// Whether and when the call is made again; none where the connection has failed.
-    pub fn after(error: &io::Error) -> Option<Self> {
-        match error.kind() {
-            io::ErrorKind::WouldBlock => Some(Self::WhenReady),
-            io::ErrorKind::Interrupted => Some(Self::AtOnce),
-            _ => None,
-        }
-    }
-}
-
-/// How a connection is to end.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Close {
-    /// Once all that waits is written.
-    AfterWrite,
-    /// At once.
-    Now,
-}
-
-/// The one way in which this side ends a connection. What waits is written, the peer is told that nothing more comes, and
-/// what it still says is read and dropped until it closes as well: closed over bytes that nobody has read, the connection
-/// would be reset, and what was written might never be read. A peer that goes on for too long, or says too much, is cut off.
-pub async fn finish(mut stream: TcpStream, out: &WriteQueue, limits: &Limits) {
-    let within = match out.closing.get() {
-        // Another client waits for the room.
-        Some(Close::Now) => limits.min_idle_before_eviction,
-        _ => limits.close_linger,
-    };
-    out.close(Close::AfterWrite);
-    let end = async {
-        if out.closing.get() != Some(Close::Now) {
-            out.write_all(&stream, limits).await?;
-        }
-        stream.shutdown().await?;
-        let (mut rest, mut left) = (vec![0; limits.read_chunk_bytes], limits.max_message_bytes);
-        loop {
-            stream.readable().await?;
-            match stream.try_read(&mut rest) {
-                Ok(0) => return Ok(()),
-                Ok(n) if n > left => return Ok(()),
-                Ok(n) => left -= n,
-                Err(e) if Retry::after(&e).is_some() => {}
-                Err(e) => return Err(e),
-            }
-        }
-    };
-    let _: Result<io::Result<()>, _> = timeout(within, end).await;
-}
-
 impl WriteQueue {
     /// Nothing waits.
     pub fn new(shared: Rc<SharedState>) -> Self {
@@ -235,6 +119,11 @@
         self.nudge.notified().await;
     }
 
+    /// How the connection is to end, if its end was asked for.
+    pub(super) fn close_requested(&self) -> Option<Close> {
+        self.closing.get()
+    }
+
     /// Whether the end was asked for.
     pub fn closing(&self) -> bool {
         self.closing.get().is_some()
@@ -384,87 +273,3 @@
         self.shared.held.set(self.shared.held.get() - self.bytes.get());
     }
 }
-
-/// What was read and not yet used. It grows only as bytes arrive.
-#[derive(Debug)]
-pub struct ReadBuffer {
-    bytes: Vec<u8>,
-    from: usize,
-    /// What of it is counted in the sum over all connections.
-    counted: usize,
-    shared: Rc<SharedState>,
-    /// When the first of the bytes not yet used came.
-    since: Option<Instant>,
-    /// When the last bytes came.
-    filled: Instant,
-}
-
-impl ReadBuffer {
-    /// Nothing was read.
-    pub fn new(shared: Rc<SharedState>) -> Self {
-        Self { bytes: Vec::new(), from: 0, counted: 0, shared, since: None, filled: Instant::now() }
-    }
-
-    /// Since when a message has been incomplete.
-    pub fn since(&self) -> Option<Instant> {
-        self.since.filter(|_| !self.unread().is_empty())
-    }
-
-    /// When the last bytes came.
-    pub fn last_filled(&self) -> Instant {
-        self.filled
-    }
-
-    /// What is not yet used.
-    pub fn unread(&self) -> &[u8] {
-        &self.bytes[self.from..]
-    }
-
-    /// Marks bytes as used.
-    pub fn used(&mut self, n: usize) {
-        self.from = (self.from + n).min(self.bytes.len());
-        self.since = None;
-    }
-
-    /// Reads what there is; false at the end of the stream.
-    pub async fn fill(&mut self, stream: &TcpStream, limits: &Limits) -> io::Result<bool> {
-        self.bytes.drain(..self.from);
-        self.from = 0;
-        // Of the many connections most are idle most of the time: none keeps memory while it waits.
-        if self.bytes.is_empty() {
-            self.bytes = Vec::new();
-            self.count();
-        }
-        loop {
-            stream.readable().await?;
-            self.bytes.reserve(limits.read_chunk_bytes);
-            match stream.try_read_buf(&mut self.bytes) {
-                Ok(n) => {
-                    self.count();
-                    self.filled = Instant::now();
-                    self.since = self.since.or(Some(self.filled));
-                    // Many long messages at once must not take the memory of all: the long ones go first.
-                    let most = self.shared.part(limits.max_buffered_bytes);
-                    if self.shared.held.get() > most && self.counted > 4 * limits.read_chunk_bytes {
-                        return Err(io::ErrorKind::OutOfMemory.into());
-                    }
-                    return Ok(n > 0);
-                }
-                Err(e) if Retry::after(&e).is_some() => {}
-                Err(e) => return Err(e),
-            }
-        }
-    }
-
-    fn count(&mut self) {
-        let now = self.bytes.capacity();
-        self.shared.held.set(self.shared.held.get() + now - self.counted);
-        self.counted = now;
-    }
-}
-
-impl Drop for ReadBuffer {
-    fn drop(&mut self) {
-        self.shared.held.set(self.shared.held.get() - self.counted);
-    }
-}
--- a/src/net/discovery/sockets.rs
+++ b/src/net/discovery/sockets.rs
@@ -1,7 +1,7 @@
 //! The sockets of the flows. They are not connected: each asks whatever address the service has, and hears former ones, so
 //! that a change of the address needs no new socket.
 
-use crate::net::conn::Retry;
+use crate::net::connection::Retry;
 use starlingplank_service_discovery::flows::FlowId;
 use std::future::poll_fn;
 use std::io;
--- a/src/net/engine/clickhouse.rs
+++ b/src/net/engine/clickhouse.rs
@@ -4,10 +4,10 @@
 use crate::core::{AttemptEnd, AttemptId, EngineError, Event, FlowControl, ResultRows, Send};
 use crate::interface::{EngineId, Milliseconds, Outcome};
 use crate::limits::Limits;
-use crate::net::conn::{Close, ReadBuffer, SharedState, WriteQueue};
+use crate::net::connection::frame::{Frame, Part};
+use crate::net::connection::{Close, ReadBuffer, SharedState, WriteQueue};
 use crate::net::engine::connect::{connect, ConnectError};
 use crate::net::engine::Engines;
-use crate::net::frame::{Frame, Part};
 use crate::net::http::{self, Length, Read};
 use crate::net::log;
 use std::cell::{Cell, RefCell};
--- a/src/net/engine/connection.rs
+++ b/src/net/engine/connection.rs
@@ -3,7 +3,7 @@
 use crate::core::{AttemptEnd, AttemptId, Event};
 use crate::interface::Outcome;
 use crate::limits::Limits;
-use crate::net::conn::{SharedState, WriteQueue};
+use crate::net::connection::{SharedState, WriteQueue};
 use crate::net::engine::resp;
 use crate::net::engine::results::PartialResult;
 use std::cell::{Cell, RefCell};
--- a/src/net/engine/driver.rs
+++ b/src/net/engine/driver.rs
@@ -3,7 +3,7 @@
 use crate::core::{AttemptEnd, AttemptId, Event};
 use crate::interface::Outcome;
 use crate::limits::Limits;
-use crate::net::conn::{Close, ReadBuffer};
+use crate::net::connection::{Close, ReadBuffer};
 use crate::net::engine::connect::{connect, ConnectError};
 use crate::net::engine::connection::Connection;
 use crate::net::engine::replies::{handle_reply, ReplyEffect};
--- a/src/net/engine/pool.rs
+++ b/src/net/engine/pool.rs
@@ -4,7 +4,7 @@
 use crate::core::{AttemptEnd, AttemptId, Event, Send};
 use crate::interface::{EngineId, Outcome};
 use crate::limits::Limits;
-use crate::net::conn::{Close, SharedState};
+use crate::net::connection::{Close, SharedState};
 use crate::net::engine::connection::{Connection, InFlight};
 use crate::net::engine::{driver, resp, Engines};
 use crate::net::log;
--- a/src/net/engine/resp.rs
+++ b/src/net/engine/resp.rs
@@ -2,8 +2,8 @@
 
 use crate::core::Send;
 use crate::interface::LoadReport;
+use crate::net::connection::frame::{Frame, Part};
 pub use crate::net::engine::progress::InvalidProgressUpdate;
-use crate::net::frame::{Frame, Part};
 use std::io::Write;
 use winnow::ascii::{crlf, dec_uint};
 use winnow::combinator::{delimited, preceded, terminated};
--- a/src/net/front/clickhouse.rs
+++ b/src/net/front/clickhouse.rs
@@ -4,8 +4,8 @@
 use crate::core::{Answer, EngineError, FlowControl, ResultRows, Statement};
 use crate::interface::{ClassId, Idempotency, RequestId};
 use crate::limits::Limits;
-use crate::net::conn::{finish, Close, ReadBuffer};
-use crate::net::frame::Frame;
+use crate::net::connection::frame::Frame;
+use crate::net::connection::{finish, Close, ReadBuffer};
 use crate::net::front::rules::ClassRules;
 use crate::net::front::{count_of, Asked, Client, ClientConnection, FrontendState};
 use crate::net::http::{self, Head, Length, Read};
--- a/src/net/front/client_connection.rs
+++ b/src/net/front/client_connection.rs
@@ -1,8 +1,8 @@
 //! A client's connection as a front holds it: what is open on it, and when it ends.
 
 use crate::limits::Limits;
-use crate::net::conn::{Close, ReadBuffer, WriteQueue};
-use crate::net::frame::Frame;
+use crate::net::connection::frame::Frame;
+use crate::net::connection::{Close, ReadBuffer, WriteQueue};
 use crate::net::front::ShutdownPhase;
 use starlingplank_decision::permission::close::{may_close, may_cut_off, ConnectionFacts};
 use std::cell::Cell;
--- a/src/net/front/mod.rs
+++ b/src/net/front/mod.rs
@@ -11,7 +11,7 @@
 use crate::interface::{ClassId, DataSet, Milliseconds, RequestDetails, RequestId, Settings, TenantId};
 use crate::limits::Limits;
 use crate::net::clock::Clock;
-use crate::net::conn::{SharedState, WriteQueue};
+use crate::net::connection::{SharedState, WriteQueue};
 use crate::net::pause::PauseDetector;
 use crate::net::sql;
 use starlingplank_admin::metrics::Count;
--- a/src/net/front/thrift.rs
+++ b/src/net/front/thrift.rs
@@ -3,8 +3,8 @@
 use crate::core::{Answer, ResultRows, Statement};
 use crate::interface::{ClassId, Idempotency, RequestId, TenantId};
 use crate::limits::Limits;
-use crate::net::conn::{finish, Close, ReadBuffer};
-use crate::net::frame::Frame;
+use crate::net::connection::frame::Frame;
+use crate::net::connection::{finish, Close, ReadBuffer};
 use crate::net::front::{count_of, Asked, Client, ClientConnection, FrontendState};
 use crate::net::log;
 use starlingplank_admin::metrics::Count;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -2,10 +2,9 @@
 
 pub mod admin;
 pub mod clock;
-pub mod conn;
+pub mod connection;
 pub mod discovery;
 pub mod engine;
-pub mod frame;
 pub mod front;
 pub mod hot_restart;
 pub mod http;
--- a/src/net/runtime/signals.rs
+++ b/src/net/runtime/signals.rs
@@ -1,7 +1,7 @@
 //! SIGTERM and SIGHUP. Each is marked first and then wakes the loop, which looks at the marks: a wake-up that is lost delays a
 //! signal to the loop's next turn, and none is forgotten.
 
-use crate::net::conn::Retry;
+use crate::net::connection::Retry;
 use crate::net::transient_errors;
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use signal_hook::{flag, low_level::pipe};
--- a/src/net/runtime/startup.rs
+++ b/src/net/runtime/startup.rs
@@ -4,7 +4,7 @@
 use crate::core::{Core, Endpoint, Event};
 use crate::limits::Limits;
 use crate::net::admin::{self, Asked};
-use crate::net::conn::SharedState;
+use crate::net::connection::SharedState;
 use crate::net::discovery::sockets::Sockets;
 use crate::net::discovery::{self, Poller};
 use crate::net::engine::clickhouse::HttpEngines;
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -9,7 +9,7 @@
 use starlingplank::core::{Event, Send, Statement};
 use starlingplank::interface::*;
 use starlingplank::limits::Limits;
-use starlingplank::net::conn::SharedState;
+use starlingplank::net::connection::SharedState;
 use starlingplank::net::engine::{pool::RespEngines, Engines};
 use starlingplank::simulator::Fields;
 use std::collections::BTreeMap;
--- a/tests/full_queue.rs
+++ b/tests/full_queue.rs
@@ -5,7 +5,7 @@
 use starlingplank::core::{AttemptId, Event, Send, Statement};
 use starlingplank::interface::{ClassId, EngineId, RequestId};
 use starlingplank::limits::Limits;
-use starlingplank::net::conn::SharedState;
+use starlingplank::net::connection::SharedState;
 use starlingplank::net::engine::clickhouse::HttpEngines;
 use starlingplank::net::engine::pool::RespEngines;
 use starlingplank::net::engine::Engines;
