--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -1,7 +1,7 @@
 //! The second address: where staff call. One call on each connection, answered beside the queue that requests wait in.
 
 use crate::limits::Limits;
-use crate::net::connection::{ReadBuffer, Retry, SharedState};
+use crate::net::connection::{ReadBuffer, SharedState, SocketRetry};
 use crate::net::http::{self, Length, Read};
 use crate::net::log;
 use crate::net::transient_errors::Backoff;
@@ -117,9 +117,9 @@
     // What still comes of a call that was turned away is read and dropped: closed with bytes unread, the connection
     // would be reset, and the answer perhaps never read.
     let rest = async {
-        read_buffer.used(read_buffer.unread().len());
+        read_buffer.consume(read_buffer.unread().len());
         while matches!(read_buffer.fill(&stream, &limits).await, Ok(true)) {
-            read_buffer.used(read_buffer.unread().len());
+            read_buffer.consume(read_buffer.unread().len());
         }
     };
     let _ = timeout(limits.admin_discard_timeout, rest).await;
@@ -131,7 +131,7 @@
         match stream.write(bytes).await {
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
             Ok(n) => bytes = &bytes[n..],
-            Err(e) if Retry::after(&e).is_some() => {}
+            Err(e) if SocketRetry::after(&e).is_some() => {}
             Err(e) => return Err(e),
         }
     }
--- a/src/net/connection/close.rs
+++ b/src/net/connection/close.rs
@@ -1,39 +1,45 @@
 //! The orderly close of a connection: flush, half-close, read and discard within a bound, close.
 
 use crate::limits::Limits;
-use crate::net::connection::socket_retry::Retry;
-use crate::net::connection::write_queue::{Close, WriteQueue};
+use crate::net::connection::socket_retry::SocketRetry;
+use crate::net::connection::write_queue::{CloseMode, WriteQueue};
 use std::io;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// The one way in which this side ends a connection. What waits is written, the peer is told that nothing more comes, and
-/// what it still says is read and dropped until it closes as well: closed over bytes that nobody has read, the connection
-/// would be reset, and what was written might never be read. A peer that goes on for too long, or says too much, is cut off.
-pub async fn finish(mut stream: TcpStream, out: &WriteQueue, limits: &Limits) {
-    let within = match out.close_requested() {
-        // Another client waits for the room.
-        Some(Close::Now) => limits.min_idle_before_eviction,
+/// Closes a connection from this side: writes what is queued, shuts down the sending half, then reads and discards until the
+/// peer closes as well. A connection that is closed over unread bytes is reset, and the peer may then lose what was written
+/// to it. Time and bytes are bounded: a peer that exceeds them is disconnected.
+pub async fn close_orderly(mut stream: TcpStream, write_queue: &WriteQueue, limits: &Limits) {
+    let linger = match write_queue.close_mode() {
+        // Another client waits for the slot.
+        Some(CloseMode::Immediately) => limits.min_idle_before_eviction,
         _ => limits.close_linger,
     };
-    out.close(Close::AfterWrite);
-    let end = async {
-        if out.close_requested() != Some(Close::Now) {
-            out.write_all(&stream, limits).await?;
+    write_queue.close(CloseMode::AfterWrite);
+    let close = async {
+        if write_queue.close_mode() != Some(CloseMode::Immediately) {
+            write_queue.write_all(&stream, limits).await?;
         }
         stream.shutdown().await?;
-        let (mut rest, mut left) = (vec![0; limits.read_chunk_bytes], limits.max_message_bytes);
-        loop {
-            stream.readable().await?;
-            match stream.try_read(&mut rest) {
-                Ok(0) => return Ok(()),
-                Ok(n) if n > left => return Ok(()),
-                Ok(n) => left -= n,
-                Err(e) if Retry::after(&e).is_some() => {}
-                Err(e) => return Err(e),
-            }
-        }
+        discard_incoming(&stream, limits).await
     };
-    let _: Result<io::Result<()>, _> = timeout(within, end).await;
+    let _: Result<io::Result<()>, _> = timeout(linger, close).await;
+}
+
+/// Reads and discards until the peer closes, or has sent more than one message may have.
+async fn discard_incoming(stream: &TcpStream, limits: &Limits) -> io::Result<()> {
+    let mut discarded = vec![0; limits.read_chunk_bytes];
+    let mut remaining = limits.max_message_bytes;
+    loop {
+        stream.readable().await?;
+        match stream.try_read(&mut discarded) {
+            Ok(0) => return Ok(()),
+            Ok(count) if count > remaining => return Ok(()),
+            Ok(count) => remaining -= count,
+            Err(error) if SocketRetry::after(&error).is_some() => {}
+            Err(error) => return Err(error),
+        }
+    }
 }
--- a/src/net/connection/frame.rs
+++ b/src/net/connection/frame.rs
@@ -1,4 +1,4 @@
-//! Messages that wait to be written, and what is asked of one as its first byte leaves.
+//! Messages in a write queue, and what is checked before the first byte of one is written.
 
 use crate::core::{AttemptId, Send, Statement};
 use crate::interface::Milliseconds;
@@ -8,95 +8,96 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// An attempt that has waited for longer is worded anew before it leaves.
-const REFRESH_AFTER: Duration = Duration::from_millis(5);
-/// No deadline is further away: a day.
-const LONGEST_MS: Milliseconds = 86_400_000.0;
+/// An attempt that has been queued for longer is encoded again before it is written, so that the engine is given the time
+/// that is left now.
+const ENCODE_AGAIN_AFTER: Duration = Duration::from_millis(5);
+/// No deadline is further away (a day): a longer time may not fit into an `Instant`.
+const MAX_DEADLINE_MS: Milliseconds = 86_400_000.0;
 
-/// A part of a frame: a head written for it, or a body shared with its owner.
+/// A segment of a frame: bytes of its own, or a part of a statement that is shared with its owner.
 #[derive(Debug, Clone)]
-pub enum Part {
+pub enum Segment {
     /// Bytes of its own.
-    Own(Vec<u8>),
+    Owned(Vec<u8>),
     /// The text of a statement.
-    Text(Rc<Statement>),
+    StatementText(Rc<Statement>),
     /// The data of a statement.
-    Data(Rc<Statement>),
+    StatementData(Rc<Statement>),
 }
 
-impl Part {
+impl Segment {
     fn bytes(&self) -> &[u8] {
         match self {
-            Part::Own(bytes) => bytes,
-            Part::Text(statement) => &statement.text,
-            Part::Data(statement) => &statement.data,
+            Self::Owned(bytes) => bytes,
+            Self::StatementText(statement) => &statement.text,
+            Self::StatementData(statement) => &statement.data,
         }
     }
 }
 
-/// A message to be written whole, unless it is withdrawn before its first byte leaves.
+/// A message to be written whole, unless it is withdrawn before its first byte is written.
 #[derive(Debug)]
 pub struct Frame {
-    /// The attempt that it sends, if it does.
+    /// The attempt that it transmits, if any.
     pub attempt: Option<AttemptId>,
     /// Its bytes.
-    pub parts: Vec<Part>,
-    /// What is counted once the last of them has left.
+    pub segments: Vec<Segment>,
+    /// What is counted once its last byte is written.
     pub tally: Option<Tally>,
-    /// Its first byte leaves by then, or never.
-    pub by: Option<Instant>,
-    /// How the attempt is worded, where it tells its engine how much time is left.
-    pub delivery: Option<Delivery>,
+    /// Its first byte is written before this time, or never.
+    pub transmit_before: Option<Instant>,
+    /// Encodes the attempt again where the message gives the engine the time that is left.
+    pub queued_attempt: Option<QueuedAttempt>,
 }
 
-/// An attempt that waits to be written.
+/// An attempt in a write queue, with what is needed to encode it again.
 #[derive(Debug)]
-pub struct Delivery {
+pub struct QueuedAttempt {
     send: Send,
-    encode: fn(&Send) -> Vec<Part>,
+    encode: fn(&Send) -> Vec<Segment>,
     deadline: Instant,
-    /// When it was handed over, which is [`Send::at`].
+    /// When it was queued. By the clock of the reducer this is [`Send::at`].
     queued_at: Instant,
     encoded_at: Instant,
     /// It counts towards the retry budget already.
     admitted: bool,
 }
 
-impl Delivery {
-    /// Now, by the clock of the reducer.
+impl QueuedAttempt {
+    /// The current time by the clock of the reducer.
     fn now(&self) -> Milliseconds {
         self.send.at + self.queued_at.elapsed().as_secs_f64() * 1000.0
     }
 }
 
 impl Frame {
-    /// A message that sends no attempt.
+    /// A message of one segment that transmits no attempt.
     pub fn plain(bytes: Vec<u8>) -> Self {
-        Self::of(vec![bytes])
+        Self::from_parts(vec![bytes])
     }
 
-    /// The same, in parts.
-    pub fn of(parts: Vec<Vec<u8>>) -> Self {
+    /// A message of several segments that transmits no attempt.
+    pub fn from_parts(parts: Vec<Vec<u8>>) -> Self {
         Self {
             attempt: None,
-            parts: parts.into_iter().map(Part::Own).collect(),
+            segments: parts.into_iter().map(Segment::Owned).collect(),
             tally: None,
-            by: None,
-            delivery: None,
+            transmit_before: None,
+            queued_attempt: None,
         }
     }
 
-    /// The message that sends an attempt. It leaves before the attempt's deadline, and before its key may be forgotten.
-    pub fn sending(send: Send, encode: fn(&Send) -> Vec<Part>) -> Self {
+    /// The message that transmits an attempt, before the attempt's deadline and before its engine may forget its key.
+    pub fn for_attempt(send: Send, encode: fn(&Send) -> Vec<Segment>) -> Self {
         let now = Instant::now();
-        let after = |ms: Milliseconds| now + Duration::from_secs_f64(ms.clamp(0.0, LONGEST_MS) / 1000.0);
+        let after = |ms: Milliseconds| now + Duration::from_secs_f64(ms.clamp(0.0, MAX_DEADLINE_MS) / 1000.0);
         let deadline = after(send.budget);
         Self {
             attempt: Some(send.id),
-            parts: encode(&send),
+            segments: encode(&send),
             tally: Some((send.class.0, Count::Sends)),
-            by: Some(send.leave_within.map_or(deadline, after).min(deadline)),
-            delivery: Some(Delivery {
+            transmit_before: Some(send.leave_within.map_or(deadline, after).min(deadline)),
+            queued_attempt: Some(QueuedAttempt {
                 send,
                 encode,
                 deadline,
@@ -107,48 +108,51 @@
         }
     }
 
-    /// Whether its first byte may leave now. A further attempt asks the retry budget, once.
+    /// Checks whether the first byte may be written now. A retry takes from the retry budget, once.
     ///
     /// # Errors
-    /// Why not.
-    pub fn may_leave(&mut self, take_from_retry_budget: impl FnOnce() -> bool) -> Result<(), SendRefusal> {
-        if self.by.is_some_and(|by| by <= Instant::now()) {
+    /// The reason for which the message must not be written.
+    pub fn check_transmit(
+        &mut self,
+        take_from_retry_budget: impl FnOnce() -> bool,
+    ) -> Result<(), SendRefusal> {
+        if self.transmit_before.is_some_and(|limit| limit <= Instant::now()) {
             return Err(SendRefusal::DeadlineOver);
         }
-        let Some(delivery) = &mut self.delivery else { return Ok(()) };
-        delivery.send.permit.check(delivery.now())?;
-        if delivery.send.is_retry && !delivery.admitted && !take_from_retry_budget() {
+        let Some(queued) = &mut self.queued_attempt else { return Ok(()) };
+        queued.send.permit.check(queued.now())?;
+        if queued.send.is_retry && !queued.admitted && !take_from_retry_budget() {
             return Err(SendRefusal::RetryBudgetSpent);
         }
-        delivery.admitted = true;
+        queued.admitted = true;
         Ok(())
     }
 
-    /// Words an attempt anew that has waited: what its engine is told of its time is what is left of it.
-    pub fn refresh(&mut self) {
-        let Some(delivery) = &mut self.delivery else { return };
-        if delivery.encoded_at.elapsed() < REFRESH_AFTER {
+    /// Encodes an attempt again that has been queued for long: its engine is given the time that is left now.
+    pub fn encode_again_if_stale(&mut self) {
+        let Some(queued) = &mut self.queued_attempt else { return };
+        if queued.encoded_at.elapsed() < ENCODE_AGAIN_AFTER {
             return;
         }
         let now = Instant::now();
-        delivery.encoded_at = now;
-        delivery.send.budget = delivery.deadline.saturating_duration_since(now).as_secs_f64() * 1000.0;
-        self.parts = (delivery.encode)(&delivery.send);
+        queued.encoded_at = now;
+        queued.send.budget = queued.deadline.saturating_duration_since(now).as_secs_f64() * 1000.0;
+        self.segments = (queued.encode)(&queued.send);
     }
 
-    /// Its bytes, in order.
+    /// Its bytes by segments, in order.
     pub fn bytes(&self) -> impl Iterator<Item = &[u8]> {
-        self.parts.iter().map(Part::bytes)
+        self.segments.iter().map(Segment::bytes)
     }
 
-    /// Counts that, once it is written.
+    /// The same message, counted under `tally` once it is written.
     pub fn counted(self, tally: Tally) -> Self {
         Self { tally: Some(tally), ..self }
     }
 
-    /// How many bytes it has.
+    /// Its length in bytes.
     #[allow(clippy::len_without_is_empty)]
     pub fn len(&self) -> usize {
-        self.parts.iter().map(|p| p.bytes().len()).sum()
+        self.segments.iter().map(|segment| segment.bytes().len()).sum()
     }
 }
--- a/src/net/connection/mod.rs
+++ b/src/net/connection/mod.rs
@@ -10,8 +10,8 @@
 mod socket_retry;
 mod write_queue;
 
-pub use close::finish;
+pub use close::close_orderly;
 pub use read_buffer::ReadBuffer;
 pub use shared_state::SharedState;
-pub use socket_retry::Retry;
-pub use write_queue::{Close, WriteQueue};
+pub use socket_retry::SocketRetry;
+pub use write_queue::{CloseMode, WriteQueue};
--- a/src/net/connection/read_buffer.rs
+++ b/src/net/connection/read_buffer.rs
@@ -1,93 +1,116 @@
-//! The read buffer of a connection: bytes that have arrived and are not used yet.
+//! The read buffer of a connection: bytes that have arrived and are not consumed yet.
 
 use crate::limits::Limits;
 use crate::net::connection::shared_state::SharedState;
-use crate::net::connection::socket_retry::Retry;
+use crate::net::connection::socket_retry::SocketRetry;
 use std::io;
 use std::rc::Rc;
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// What was read and not yet used. It grows only as bytes arrive.
+/// While the sum over all connections is exceeded, a buffer of more than so many chunks fails.
+const MAX_CHUNKS_UNDER_PRESSURE: usize = 4;
+
+/// Bytes that were read and are not consumed yet. It grows only as bytes arrive. Its capacity counts towards
+/// [`SharedState::buffered_bytes`] until it is dropped.
 #[derive(Debug)]
 pub struct ReadBuffer {
     bytes: Vec<u8>,
-    from: usize,
-    /// What of it is counted in the sum over all connections.
-    counted: usize,
+    /// Bytes at the front that are consumed.
+    consumed: usize,
+    /// Its part of the sum over all connections.
+    counted_bytes: usize,
     shared: Rc<SharedState>,
-    /// When the first of the bytes not yet used came.
-    since: Option<Instant>,
-    /// When the last bytes came.
-    filled: Instant,
+    /// When the first of the bytes that are not consumed arrived.
+    incomplete_since: Option<Instant>,
+    last_filled: Instant,
 }
 
 impl ReadBuffer {
-    /// Nothing was read.
+    /// An empty buffer.
     pub fn new(shared: Rc<SharedState>) -> Self {
-        Self { bytes: Vec::new(), from: 0, counted: 0, shared, since: None, filled: Instant::now() }
+        Self {
+            bytes: Vec::new(),
+            consumed: 0,
+            counted_bytes: 0,
+            shared,
+            incomplete_since: None,
+            last_filled: Instant::now(),
+        }
     }
 
-    /// Since when a message has been incomplete.
-    pub fn since(&self) -> Option<Instant> {
-        self.since.filter(|_| !self.unread().is_empty())
+    /// Since when an incomplete message has been in the buffer; none where it is empty.
+    pub fn incomplete_since(&self) -> Option<Instant> {
+        self.incomplete_since.filter(|_| !self.unread().is_empty())
     }
 
-    /// When the last bytes came.
+    /// When bytes last arrived.
     pub fn last_filled(&self) -> Instant {
-        self.filled
+        self.last_filled
     }
 
-    /// What is not yet used.
+    /// The bytes that are not consumed yet.
     pub fn unread(&self) -> &[u8] {
-        &self.bytes[self.from..]
+        &self.bytes[self.consumed..]
     }
 
-    /// Marks bytes as used.
-    pub fn used(&mut self, n: usize) {
-        self.from = (self.from + n).min(self.bytes.len());
-        self.since = None;
+    /// Removes bytes from the front.
+    pub fn consume(&mut self, count: usize) {
+        self.consumed = (self.consumed + count).min(self.bytes.len());
+        self.incomplete_since = None;
     }
 
-    /// Reads what there is; false at the end of the stream.
+    /// Waits for bytes and reads them; false at the end of the stream.
+    ///
+    /// # Errors
+    /// The connection failed, or the buffer is long while all connections together exceed their memory.
     pub async fn fill(&mut self, stream: &TcpStream, limits: &Limits) -> io::Result<bool> {
-        self.bytes.drain(..self.from);
-        self.from = 0;
-        // Of the many connections most are idle most of the time: none keeps memory while it waits.
-        if self.bytes.is_empty() {
-            self.bytes = Vec::new();
-            self.count();
-        }
+        self.release_consumed();
         loop {
             stream.readable().await?;
             self.bytes.reserve(limits.read_chunk_bytes);
             match stream.try_read_buf(&mut self.bytes) {
-                Ok(n) => {
-                    self.count();
-                    self.filled = Instant::now();
-                    self.since = self.since.or(Some(self.filled));
-                    // Many long messages at once must not take the memory of all: the long ones go first.
-                    let most = self.shared.part(limits.max_buffered_bytes);
-                    if self.shared.held.get() > most && self.counted > 4 * limits.read_chunk_bytes {
+                Ok(count) => {
+                    self.count_capacity();
+                    self.last_filled = Instant::now();
+                    self.incomplete_since = self.incomplete_since.or(Some(self.last_filled));
+                    if self.is_too_long(limits) {
                         return Err(io::ErrorKind::OutOfMemory.into());
                     }
-                    return Ok(n > 0);
+                    return Ok(count > 0);
                 }
-                Err(e) if Retry::after(&e).is_some() => {}
-                Err(e) => return Err(e),
+                Err(error) if SocketRetry::after(&error).is_some() => {}
+                Err(error) => return Err(error),
             }
         }
     }
 
-    fn count(&mut self) {
-        let now = self.bytes.capacity();
-        self.shared.held.set(self.shared.held.get() + now - self.counted);
-        self.counted = now;
+    /// Gives up what is consumed. Most connections are idle most of the time: none keeps memory while it waits.
+    fn release_consumed(&mut self) {
+        self.bytes.drain(..self.consumed);
+        self.consumed = 0;
+        if self.bytes.is_empty() {
+            self.bytes = Vec::new();
+            self.count_capacity();
+        }
+    }
+
+    /// Whether this buffer has to give way: many long messages at once must not take the memory of all connections.
+    fn is_too_long(&self, limits: &Limits) -> bool {
+        let max_bytes = self.shared.process_share(limits.max_buffered_bytes);
+        self.shared.buffered_bytes.get() > max_bytes
+            && self.counted_bytes > MAX_CHUNKS_UNDER_PRESSURE * limits.read_chunk_bytes
+    }
+
+    fn count_capacity(&mut self) {
+        let capacity = self.bytes.capacity();
+        self.shared.buffered_bytes.set(self.shared.buffered_bytes.get() + capacity - self.counted_bytes);
+        self.counted_bytes = capacity;
     }
 }
 
 impl Drop for ReadBuffer {
     fn drop(&mut self) {
-        self.shared.held.set(self.shared.held.get() - self.counted);
+        self.shared.buffered_bytes.set(self.shared.buffered_bytes.get() - self.counted_bytes);
     }
 }
--- a/src/net/connection/socket_retry.rs
+++ b/src/net/connection/socket_retry.rs
@@ -2,21 +2,21 @@
 
 use std::io;
 
-/// What a call on a socket that has failed asks for.
+/// When a failed call on a socket is made again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Retry {
-    /// Nothing is there yet: wait until the socket is ready.
+pub enum SocketRetry {
+    /// The call would block: wait until the socket is ready.
     WhenReady,
     /// A signal interrupted the call before it did anything: make it again.
-    AtOnce,
+    Immediately,
 }
 
-impl Retry {
+impl SocketRetry {
     /// Whether and when the call is made again; none where the connection has failed.
     pub fn after(error: &io::Error) -> Option<Self> {
         match error.kind() {
             io::ErrorKind::WouldBlock => Some(Self::WhenReady),
-            io::ErrorKind::Interrupted => Some(Self::AtOnce),
+            io::ErrorKind::Interrupted => Some(Self::Immediately),
             _ => None,
         }
     }
--- a/src/net/connection/write_queue.rs
+++ b/src/net/connection/write_queue.rs
@@ -1,10 +1,10 @@
-//! The write queue of a connection: frames that go out by gathered writes, in order.
+//! The write queue of a connection: frames that are written in order, by gathered writes.
 
 use crate::core::{AttemptId, FlowControl};
 use crate::limits::Limits;
 use crate::net::connection::frame::Frame;
 use crate::net::connection::shared_state::SharedState;
-use crate::net::connection::socket_retry::Retry;
+use crate::net::connection::socket_retry::SocketRetry;
 use crate::net::log;
 use starlingplank_decision::permission::send::SendRefusal;
 use std::cell::{Cell, RefCell};
@@ -17,251 +17,267 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// How a connection is to end.
+/// How a connection is closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Close {
-    /// Once all that waits is written.
+pub enum CloseMode {
+    /// Once everything queued is written.
     AfterWrite,
-    /// At once.
-    Now,
+    /// At once; what is queued is dropped.
+    Immediately,
 }
 
-/// What waits for one reader. Its bytes count towards its own limit and towards a sum over all connections.
+/// Frames that wait to be written to one peer. Their bytes count towards the limit of the queue and towards
+/// [`SharedState::buffered_bytes`]. One task owns the writing, by [`write_all`](Self::write_all).
 #[derive(Debug)]
 pub struct WriteQueue {
     frames: RefCell<VecDeque<Frame>>,
-    /// Of the first frame, what has left.
-    begun: Cell<usize>,
+    /// Bytes of the first frame that are written.
+    first_frame_written: Cell<usize>,
     bytes: Cell<usize>,
     shared: Rc<SharedState>,
-    closing: Cell<Option<Close>>,
-    wake: Notify,
+    close_mode: Cell<Option<CloseMode>>,
+    /// Wakes the writing task: a frame was queued, or the close was requested.
+    changed: Notify,
+    /// Wakes producers that wait for the queue to become shorter.
     drained: Notify,
-    /// Attempts that were taken back as they were about to leave.
-    overdue: RefCell<Vec<AttemptId>>,
-    late: Notify,
-    /// All that waited is written, or the connection should look again at whether it goes on.
-    nudge: Notify,
+    /// Attempts that were dropped unwritten and are not reported yet.
+    expired_attempts: RefCell<Vec<AttemptId>>,
+    attempt_expired: Notify,
+    /// Wakes the reading task: all is written, or it should check again whether the connection goes on.
+    recheck: Notify,
 }
 
 impl WriteQueue {
-    /// Nothing waits.
+    /// An empty queue.
     pub fn new(shared: Rc<SharedState>) -> Self {
-        let (frames, begun, bytes) = Default::default();
         Self {
-            frames,
-            begun,
-            bytes,
+            frames: RefCell::default(),
+            first_frame_written: Cell::new(0),
+            bytes: Cell::new(0),
             shared,
-            closing: Cell::new(None),
-            wake: Notify::new(),
+            close_mode: Cell::new(None),
+            changed: Notify::new(),
             drained: Notify::new(),
-            overdue: RefCell::default(),
-            late: Notify::new(),
-            nudge: Notify::new(),
+            expired_attempts: RefCell::default(),
+            attempt_expired: Notify::new(),
+            recheck: Notify::new(),
         }
     }
 
-    /// What all connections have in common.
+    /// The state that all connections share.
     pub fn shared(&self) -> Rc<SharedState> {
         self.shared.clone()
     }
 
-    /// Bytes that wait.
-    pub fn waiting(&self) -> usize {
+    /// Bytes that are queued and not written yet.
+    pub fn queued_bytes(&self) -> usize {
         self.bytes.get()
     }
 
-    fn count(&self, more: usize, less: usize) {
-        self.bytes.set(self.bytes.get() + more - less);
-        self.shared.held.set(self.shared.held.get() + more - less);
+    fn count_bytes(&self, added: usize, removed: usize) {
+        self.bytes.set(self.bytes.get() + added - removed);
+        self.shared.buffered_bytes.set(self.shared.buffered_bytes.get() + added - removed);
     }
 
-    /// Adds a message. A reader who lets too much pile up is cut off: it stalls nobody else.
+    /// Queues a message. A peer that lets too much pile up is disconnected, so that it stalls nobody else.
     pub fn push(&self, frame: Frame, limits: &Limits) {
-        if self.closing.get().is_some() {
+        if self.is_closing() {
             return;
         }
-        let len = frame.len();
-        let most = self.shared.part(limits.max_buffered_bytes);
-        if self.bytes.get() + len > limits.max_write_queue_bytes || self.shared.held.get() + len > most {
+        let length = frame.len();
+        let max_buffered_bytes = self.shared.process_share(limits.max_buffered_bytes);
+        if self.bytes.get() + length > limits.max_write_queue_bytes
+            || self.shared.buffered_bytes.get() + length > max_buffered_bytes
+        {
             log::seldom("a connection was closed: its reader is too slow");
-            return self.close(Close::Now);
+            return self.close(CloseMode::Immediately);
         }
-        self.count(len, 0);
+        self.count_bytes(length, 0);
         self.frames.borrow_mut().push_back(frame);
-        self.wake.notify_one();
+        self.changed.notify_one();
     }
 
-    /// Ends the connection; nothing more is taken.
-    pub fn close(&self, how: Close) {
-        if self.closing.get() != Some(Close::Now) {
-            self.closing.set(Some(how));
+    /// Requests the close of the connection; nothing more is queued from now on.
+    pub fn close(&self, mode: CloseMode) {
+        if self.close_mode.get() != Some(CloseMode::Immediately) {
+            self.close_mode.set(Some(mode));
         }
         self.drained.notify_one();
-        self.wake.notify_one();
+        self.changed.notify_one();
     }
 
-    /// Waits, before anything is written, for an end at once.
-    pub async fn closed_now(&self) {
-        while self.closing.get() != Some(Close::Now) {
-            self.wake.notified().await;
+    /// Waits for a request to close immediately. For connections that nothing is written to yet, as it takes the
+    /// notifications of the writing task.
+    pub async fn closed_immediately(&self) {
+        while self.close_mode.get() != Some(CloseMode::Immediately) {
+            self.changed.notified().await;
         }
     }
 
-    /// Has the reader of the connection look again at whether it goes on.
-    pub fn nudge(&self) {
-        self.nudge.notify_one();
+    /// Has the reading task check again whether the connection goes on.
+    pub fn request_recheck(&self) {
+        self.recheck.notify_one();
     }
 
-    /// Waits until all is written, or for a [`nudge`](Self::nudge).
-    pub async fn nudged(&self) {
-        self.nudge.notified().await;
+    /// Waits until everything is written, or for [`request_recheck`](Self::request_recheck).
+    pub async fn recheck_requested(&self) {
+        self.recheck.notified().await;
     }
 
-    /// How the connection is to end, if its end was asked for.
-    pub(super) fn close_requested(&self) -> Option<Close> {
-        self.closing.get()
+    /// How the connection is closed, if its close was requested.
+    pub(super) fn close_mode(&self) -> Option<CloseMode> {
+        self.close_mode.get()
     }
 
-    /// Whether the end was asked for.
-    pub fn closing(&self) -> bool {
-        self.closing.get().is_some()
+    /// Whether the close was requested.
+    pub fn is_closing(&self) -> bool {
+        self.close_mode.get().is_some()
     }
 
-    /// Takes back the message of an attempt if none of it has left.
+    /// Frames at the front that cannot be withdrawn, as some of their bytes are written: 0 or 1.
+    fn partly_written_frames(&self) -> usize {
+        usize::from(self.first_frame_written.get() > 0)
+    }
+
+    /// Withdraws the message of an attempt if none of it is written. Returns whether it was withdrawn.
     pub fn withdraw(&self, attempt: AttemptId) -> bool {
         let mut frames = self.frames.borrow_mut();
-        let from = usize::from(self.begun.get() > 0);
-        let Some(at) = (from..frames.len()).find(|i| frames[*i].attempt == Some(attempt)) else {
+        let mut unwritten = self.partly_written_frames()..frames.len();
+        let Some(index) = unwritten.find(|index| frames[*index].attempt == Some(attempt)) else {
             return false;
         };
-        let len = frames.remove(at).map_or(0, |f| f.len());
-        self.count(0, len);
+        let length = frames.remove(index).map_or(0, |frame| frame.len());
+        self.count_bytes(0, length);
         true
     }
 
-    /// The attempts none of whose bytes have left, nor will: those whose time is over, not told of yet, among them.
-    pub fn unsent(&self) -> Vec<AttemptId> {
+    /// The attempts none of whose bytes are written, those that expired and are not reported yet among them.
+    pub fn unsent_attempts(&self) -> Vec<AttemptId> {
         let frames = self.frames.borrow();
-        let waiting = frames.iter().skip(usize::from(self.begun.get() > 0)).filter_map(|f| f.attempt);
-        waiting.chain(self.overdue.borrow().iter().copied()).collect()
+        let queued = frames.iter().skip(self.partly_written_frames()).filter_map(|frame| frame.attempt);
+        queued.chain(self.expired_attempts.borrow().iter().copied()).collect()
     }
 
-    /// Asks of each attempt that the next write may begin whether it may still be sent, and takes back what may not. Those
-    /// that have waited are worded anew: the engine is told what is left of their time now.
-    fn admit_frames(&self, limits: &Limits) {
-        let begun = usize::from(self.begun.get() > 0);
-        let mut at = begun;
-        while at < limits.max_gathered_slices.min(self.frames.borrow().len()) {
-            match self.admit(at) {
-                Ok(()) => at += 1,
-                Err(refusal) => self.take_back(at, refusal),
+    /// Checks each attempt that the next write may begin, and drops those that must not be written. Those that have
+    /// been queued for long are encoded again.
+    fn check_next_frames(&self, limits: &Limits) {
+        let mut index = self.partly_written_frames();
+        while index < limits.max_gathered_slices.min(self.frames.borrow().len()) {
+            match self.check_frame(index) {
+                Ok(()) => index += 1,
+                Err(refusal) => self.drop_refused(index, refusal),
             }
         }
     }
 
-    fn admit(&self, at: usize) -> Result<(), SendRefusal> {
+    fn check_frame(&self, index: usize) -> Result<(), SendRefusal> {
         let mut frames = self.frames.borrow_mut();
-        let Some(frame) = frames.get_mut(at) else { return Ok(()) };
-        frame.may_leave(|| self.shared.take_from_retry_budget())?;
-        let before = frame.len();
-        frame.refresh();
-        let after = frame.len();
+        let Some(frame) = frames.get_mut(index) else { return Ok(()) };
+        frame.check_transmit(|| self.shared.take_from_retry_budget())?;
+        let length_before = frame.len();
+        frame.encode_again_if_stale();
+        let length = frame.len();
         drop(frames);
-        self.count(after, before);
+        self.count_bytes(length, length_before);
         Ok(())
     }
 
-    fn take_back(&self, at: usize, refusal: SendRefusal) {
-        let Some(frame) = self.frames.borrow_mut().remove(at) else { return };
-        self.count(0, frame.len());
-        self.shared.rules.count(refusal);
-        if let Some((request, number)) = frame.attempt {
-            tracing::debug!("attempt {}.{number} is not written: {}", request.0, refusal.name());
+    fn drop_refused(&self, index: usize, refusal: SendRefusal) {
+        let Some(frame) = self.frames.borrow_mut().remove(index) else { return };
+        self.count_bytes(0, frame.len());
+        self.shared.rule_counters.count(refusal);
+        if let Some((request, attempt)) = frame.attempt {
+            tracing::debug!(request = request.0, attempt, reason = refusal.name(), "attempt not written");
         }
         if refusal.is_violation() {
             log::seldom_error("an attempt was about to be written against the rules", refusal.name());
         }
-        self.overdue.borrow_mut().extend(frame.attempt);
-        self.late.notify_one();
+        self.expired_attempts.borrow_mut().extend(frame.attempt);
+        self.attempt_expired.notify_one();
     }
 
-    /// Waits for an attempt whose time to leave is over; it never left.
-    pub async fn overdue(&self) -> AttemptId {
+    /// Waits for an attempt that was dropped unwritten, as it must no longer be written.
+    pub async fn next_expired_attempt(&self) -> AttemptId {
         loop {
-            if let Some(id) = self.overdue.borrow_mut().pop() {
+            if let Some(id) = self.expired_attempts.borrow_mut().pop() {
                 return id;
             }
-            self.late.notified().await;
+            self.attempt_expired.notified().await;
         }
     }
 
-    fn advance(&self, mut written: usize) {
-        self.count(0, written);
+    /// Removes the frames that are written, and counts them.
+    fn advance(&self, written: usize) {
+        self.count_bytes(0, written);
         let mut frames = self.frames.borrow_mut();
-        written += self.begun.get();
-        while let Some(len) = frames.front().map(Frame::len).filter(|len| *len <= written) {
-            written -= len;
-            let tally = frames.pop_front().and_then(|f| f.tally);
-            tally.into_iter().for_each(|t| self.shared.figures.add(t));
+        let mut written = self.first_frame_written.get() + written;
+        while let Some(length) = frames.front().map(Frame::len).filter(|length| *length <= written) {
+            written -= length;
+            if let Some(tally) = frames.pop_front().and_then(|frame| frame.tally) {
+                self.shared.metrics.add(tally);
+            }
         }
-        self.begun.set(written);
+        self.first_frame_written.set(written);
         drop(frames);
         self.drained.notify_one();
     }
 
-    /// Writes what waits until the connection is to end.
+    /// Writes what is queued until the connection is to be closed.
+    ///
+    /// # Errors
+    /// The connection failed.
     pub async fn write_all(&self, stream: &TcpStream, limits: &Limits) -> io::Result<()> {
         loop {
-            if self.closing.get() == Some(Close::Now) {
+            if self.close_mode.get() == Some(CloseMode::Immediately) {
                 return Ok(());
             }
-            self.admit_frames(limits);
+            self.check_next_frames(limits);
             if self.frames.borrow().is_empty() {
-                if self.closing.get().is_some() {
+                if self.is_closing() {
                     return Ok(());
                 }
-                self.nudge.notify_one();
-                self.wake.notified().await;
+                self.recheck.notify_one();
+                self.changed.notified().await;
                 continue;
             }
-            let written = {
-                let frames = self.frames.borrow();
-                let mut skip = self.begun.get();
-                let mut slices = Vec::new();
-                for bytes in frames.iter().flat_map(Frame::bytes) {
-                    let from = skip.min(bytes.len());
-                    skip -= from;
-                    if from < bytes.len() {
-                        slices.push(IoSlice::new(&bytes[from..]));
-                    }
-                    if slices.len() == limits.max_gathered_slices {
-                        break;
-                    }
-                }
-                stream.try_write_vectored(&slices)
-            };
-            match written {
+            match self.try_write(stream, limits) {
                 Ok(written) => self.advance(written),
-                Err(e) => match Retry::after(&e) {
-                    // Others have their turn, however often it happens.
-                    Some(Retry::AtOnce) => tokio::task::yield_now().await,
-                    Some(Retry::WhenReady) => tokio::select! {
+                Err(error) => match SocketRetry::after(&error) {
+                    // Other tasks run in between, however often it happens.
+                    Some(SocketRetry::Immediately) => tokio::task::yield_now().await,
+                    Some(SocketRetry::WhenReady) => tokio::select! {
                         ready = stream.ready(Interest::WRITABLE) => drop(ready?),
-                        () = self.wake.notified() => {}
+                        () = self.changed.notified() => {}
                     },
-                    None => return Err(e),
+                    None => return Err(error),
                 },
             }
         }
     }
+
+    /// One gathered write of the first frames. Returns the bytes written.
+    fn try_write(&self, stream: &TcpStream, limits: &Limits) -> io::Result<usize> {
+        let frames = self.frames.borrow();
+        let mut skip = self.first_frame_written.get();
+        let mut slices = Vec::new();
+        for bytes in frames.iter().flat_map(Frame::bytes) {
+            let from = skip.min(bytes.len());
+            skip -= from;
+            if from < bytes.len() {
+                slices.push(IoSlice::new(&bytes[from..]));
+            }
+            if slices.len() == limits.max_gathered_slices {
+                break;
+            }
+        }
+        stream.try_write_vectored(&slices)
+    }
 }
 
 impl FlowControl for WriteQueue {
     fn room(&self, bytes: usize) -> Pin<Box<dyn Future<Output = ()> + '_>> {
         Box::pin(async move {
-            while self.bytes.get() > bytes && self.closing.get().is_none() {
+            while self.bytes.get() > bytes && !self.is_closing() {
                 self.drained.notified().await;
             }
         })
@@ -270,6 +286,6 @@
 
 impl Drop for WriteQueue {
     fn drop(&mut self) {
-        self.shared.held.set(self.shared.held.get() - self.bytes.get());
+        self.shared.buffered_bytes.set(self.shared.buffered_bytes.get() - self.bytes.get());
     }
 }
--- a/src/net/discovery/sockets.rs
+++ b/src/net/discovery/sockets.rs
@@ -1,7 +1,7 @@
 //! The sockets of the flows. They are not connected: each asks whatever address the service has, and hears former ones, so
 //! that a change of the address needs no new socket.
 
-use crate::net::connection::Retry;
+use crate::net::connection::SocketRetry;
 use starlingplank_service_discovery::flows::FlowId;
 use std::future::poll_fn;
 use std::io;
@@ -33,7 +33,7 @@
 async fn bind() -> io::Result<UdpSocket> {
     loop {
         match UdpSocket::bind(SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0)).await {
-            Err(e) if Retry::after(&e) == Some(Retry::AtOnce) => {}
+            Err(e) if SocketRetry::after(&e) == Some(SocketRetry::Immediately) => {}
             bound => return bound,
         }
     }
@@ -71,7 +71,7 @@
         let Some((_, socket)) = self.open.iter().find(|(id, _)| *id == flow) else { return Ok(()) };
         loop {
             match socket.send_to(question, to).await {
-                Err(e) if Retry::after(&e) == Some(Retry::AtOnce) => {}
+                Err(e) if SocketRetry::after(&e) == Some(SocketRetry::Immediately) => {}
                 sent => return sent.map(drop),
             }
         }
@@ -107,7 +107,7 @@
                         let len = read.filled().len();
                         return Poll::Ready(Ok(Datagram { len, from, flow: *flow }));
                     }
-                    Poll::Ready(Err(e)) if Retry::after(&e) == Some(Retry::AtOnce) => {}
+                    Poll::Ready(Err(e)) if SocketRetry::after(&e) == Some(SocketRetry::Immediately) => {}
                     Poll::Ready(Err(e)) => return Poll::Ready(Err((*flow, e))),
                 }
             }
--- a/src/net/engine/clickhouse.rs
+++ b/src/net/engine/clickhouse.rs
@@ -4,8 +4,8 @@
 use crate::core::{AttemptEnd, AttemptId, EngineError, Event, FlowControl, ResultRows, Send};
 use crate::interface::{EngineId, Milliseconds, Outcome};
 use crate::limits::Limits;
-use crate::net::connection::frame::{Frame, Part};
-use crate::net::connection::{Close, ReadBuffer, SharedState, WriteQueue};
+use crate::net::connection::frame::{Frame, Segment};
+use crate::net::connection::{CloseMode, ReadBuffer, SharedState, WriteQueue};
 use crate::net::engine::connect::{connect, ConnectError};
 use crate::net::engine::Engines;
 use crate::net::http::{self, Length, Read};
@@ -46,7 +46,7 @@
 
 impl Conn {
     fn free(&self) -> bool {
-        self.job.borrow().is_none() && !self.dead.get() && !self.retired.get() && !self.out.closing()
+        self.job.borrow().is_none() && !self.dead.get() && !self.retired.get() && !self.out.is_closing()
     }
 
     fn holds(&self, id: AttemptId) -> bool {
@@ -75,7 +75,7 @@
         let open = |p: &Vec<Rc<Conn>>| p.iter().filter(|c| !c.dead.get()).count();
         if free.is_none()
             && self.pools.values().map(open).sum::<usize>()
-                >= self.shared.part(self.limits.max_engine_connections)
+                >= self.shared.process_share(self.limits.max_engine_connections)
         {
             return false;
         }
@@ -109,7 +109,7 @@
     fn send(&mut self, send: Send, events: &mut Vec<Event>) {
         let job = Job::Attempt(send.id, send.statement.flow.clone());
         let (id, engine, address) = (send.id, send.engine.clone(), send.address);
-        if !self.start(&engine, address, job, Frame::sending(send, encode_request)) {
+        if !self.start(&engine, address, job, Frame::for_attempt(send, encode_request)) {
             log::seldom_error("no connection is left for an attempt on an engine", &engine.0);
             events.push(Event::AttemptEnded(id, AttemptEnd::plain(Outcome::NotExecuted)));
         }
@@ -119,7 +119,7 @@
         let Some(conn) = self.holder(id) else { return };
         *conn.job.borrow_mut() = None;
         if !conn.out.withdraw(id) {
-            conn.out.close(Close::Now);
+            conn.out.close(CloseMode::Immediately);
         }
     }
 
@@ -136,7 +136,7 @@
     fn shut(&mut self, engine: &EngineId, events: &mut Vec<Event>) {
         for conn in self.pools.get(engine).into_iter().flatten() {
             conn.retired.set(true);
-            for id in conn.out.unsent() {
+            for id in conn.out.unsent_attempts() {
                 if conn.out.withdraw(id) {
                     *conn.job.borrow_mut() = None;
                     events.push(Event::AttemptEnded(id, AttemptEnd::plain(Outcome::NotExecuted)));
@@ -150,14 +150,14 @@
         let probes = |c: &Conn| matches!(&*c.job.borrow(), Some(Job::Probe(_)));
         for conn in self.pools.values().flatten().filter(|c| probes(c)) {
             if conn.used.get().elapsed() >= self.limits.health_check_connection_timeout {
-                conn.out.close(Close::Now);
+                conn.out.close(CloseMode::Immediately);
             }
         }
         for pool in self.pools.values_mut() {
             for conn in pool.iter().filter(|c| !c.dead.get() && c.job.borrow().is_none()) {
                 if conn.retired.get() || conn.used.get().elapsed() >= self.limits.engine_idle_timeout {
                     conn.retired.set(true);
-                    conn.out.close(Close::AfterWrite);
+                    conn.out.close(CloseMode::AfterWrite);
                 }
             }
             pool.retain(|c| !c.dead.get());
@@ -167,7 +167,7 @@
 }
 
 /// The request of an attempt: terms and key as the interface's own settings, credentials as headers.
-fn encode_request(send: &Send) -> Vec<Part> {
+fn encode_request(send: &Send) -> Vec<Segment> {
     let s = &send.statement;
     // A second attempt must not meet the name of the first where that may run still.
     let name = if send.id.1 == 0 { s.name.clone() } else { format!("{}-{}", s.name, send.id.1) };
@@ -205,17 +205,17 @@
         }
     }
     let body = if s.data.is_empty() {
-        Part::Text(s.clone())
+        Segment::StatementText(s.clone())
     } else {
         let _ = write!(target, "&query={}", http::encode(&String::from_utf8_lossy(&s.text)));
-        Part::Data(s.clone())
+        Segment::StatementData(s.clone())
     };
     let length = if s.data.is_empty() { s.text.len() } else { s.data.len() };
     let head = format!(
         "POST {target} HTTP/1.1\r\nHost: {}\r\n{headers}Content-Length: {length}\r\n\r\n",
         send.address
     );
-    vec![Part::Own(head.into_bytes()), body]
+    vec![Segment::Owned(head.into_bytes()), body]
 }
 
 /// The time that is left, in seconds: whole ones where the next is close, else with milliseconds, as more than what the
@@ -231,7 +231,7 @@
 async fn run(conn: Rc<Conn>, limits: Rc<Limits>, events: Sender<Event>) {
     let stream = tokio::select! {
         stream = connect(conn.address, &limits) => stream,
-        () = conn.out.closed_now() => Err(ConnectError::GivenUp),
+        () = conn.out.closed_immediately() => Err(ConnectError::GivenUp),
     };
     if let Ok(stream) = &stream {
         let _ = stream.set_nodelay(true);
@@ -242,8 +242,8 @@
         }
     }
     conn.dead.set(true);
-    let unsent = conn.out.unsent();
-    conn.out.close(Close::Now);
+    let unsent = conn.out.unsent_attempts();
+    conn.out.close(CloseMode::Immediately);
     let job = conn.job.borrow_mut().take();
     let event = match job {
         None => return,
@@ -263,7 +263,7 @@
 /// Tells of attempts that could not leave in time.
 async fn drop_overdue(conn: &Conn, events: &Sender<Event>) {
     loop {
-        let id = conn.out.overdue().await;
+        let id = conn.out.next_expired_attempt().await;
         if conn.holds(id) {
             let _ = events.send(Event::AttemptEnded(id, AttemptEnd::plain(Outcome::NotExecuted))).await;
             *conn.job.borrow_mut() = None;
@@ -312,7 +312,7 @@
                     head.headers.iter().filter(|(n, _)| own(n) || n.eq_ignore_ascii_case("content-type"));
                 let headers: Vec<_> = kept.map(|(n, v)| ((*n).to_owned(), (*v).to_owned())).collect();
                 let all = (status, headers, head.body(Length::Stream)?, head.keeps(head.first));
-                read_buffer.used(used);
+                read_buffer.consume(used);
                 if status != 100 {
                     break all;
                 }
@@ -329,23 +329,23 @@
             Length::Bytes(0) => break,
             Length::Bytes(n) => {
                 let part = read_buffer.unread()[..read_buffer.unread().len().min(n)].to_vec();
-                read_buffer.used(part.len());
+                read_buffer.consume(part.len());
                 left = Length::Bytes(n - part.len());
                 part
             }
             Length::Stream => {
                 let part = read_buffer.unread().to_vec();
-                read_buffer.used(part.len());
+                read_buffer.consume(part.len());
                 part
             }
             Length::Chunked => match http::read_chunk(read_buffer.unread(), 4 * limits.max_message_bytes) {
                 Read::Done([], used) => {
-                    read_buffer.used(used);
+                    read_buffer.consume(used);
                     break;
                 }
                 Read::Done(chunk, used) => {
                     let part = chunk.to_vec();
-                    read_buffer.used(used);
+                    read_buffer.consume(used);
                     part
                 }
                 Read::Bad => return None,
--- a/src/net/engine/connection.rs
+++ b/src/net/engine/connection.rs
@@ -89,7 +89,7 @@
     pub fn accepts(&self, limits: &Limits, name: &str) -> bool {
         !self.closed.get()
             && !self.retired.get()
-            && !self.write_queue.closing()
+            && !self.write_queue.is_closing()
             && self.in_flight_count() < limits.max_attempts_per_connection
             && !self.in_flight.borrow().contains_key(name)
             && !self.retired_ids.borrow().contains(name)
@@ -128,7 +128,7 @@
 
     /// Withdraws the attempts none of whose bytes has left, and returns their ids.
     pub fn withdraw_unsent(&self) -> Vec<AttemptId> {
-        let mut withdrawn = self.write_queue.unsent();
+        let mut withdrawn = self.write_queue.unsent_attempts();
         withdrawn.retain(|id| self.write_queue.withdraw(*id));
         withdrawn.iter().for_each(|id| self.remove_attempt(*id));
         withdrawn
--- a/src/net/engine/driver.rs
+++ b/src/net/engine/driver.rs
@@ -3,7 +3,7 @@
 use crate::core::{AttemptEnd, AttemptId, Event};
 use crate::interface::Outcome;
 use crate::limits::Limits;
-use crate::net::connection::{Close, ReadBuffer};
+use crate::net::connection::{CloseMode, ReadBuffer};
 use crate::net::engine::connect::{connect, ConnectError};
 use crate::net::engine::connection::Connection;
 use crate::net::engine::replies::{handle_reply, ReplyEffect};
@@ -27,8 +27,8 @@
     }
     let never_up = stream.as_ref().err().map(ConnectError::outcome);
     connection.closed.set(true);
-    let unsent = connection.write_queue.unsent();
-    connection.write_queue.close(Close::Now);
+    let unsent = connection.write_queue.unsent_attempts();
+    connection.write_queue.close(CloseMode::Immediately);
     report_ended_attempts(&connection, never_up, &unsent, &events).await;
     report_failed_probes(&connection, &events).await;
 }
@@ -48,7 +48,7 @@
 /// Reports attempts that could not leave in time.
 async fn report_overdue(connection: &Connection, events: &Sender<Event>) {
     loop {
-        let id = connection.write_queue.overdue().await;
+        let id = connection.write_queue.next_expired_attempt().await;
         // It stays in flight until it is reported: if the connection ends meanwhile, its end is reported with it.
         let _ = events.send(Event::AttemptEnded(id, AttemptEnd::plain(Outcome::NotExecuted))).await;
         connection.remove_attempt(id);
@@ -84,7 +84,7 @@
             Read::More if read_buffer.unread().len() <= longest => return ControlFlow::Continue(()),
             Read::More | Read::Bad => (ReplyEffect::ProtocolError, 0),
         };
-        read_buffer.used(used);
+        read_buffer.consume(used);
         match effect {
             ReplyEffect::Ignored => {}
             ReplyEffect::Event(event) => place.send(event),
@@ -104,7 +104,7 @@
     stream: &TcpStream,
     limits: &Limits,
 ) -> ControlFlow<()> {
-    let complete_by = read_buffer.since().map(|since| since + limits.engine_stall_timeout);
+    let complete_by = read_buffer.incomplete_since().map(|since| since + limits.engine_stall_timeout);
     tokio::select! {
         filled = read_buffer.fill(stream, limits) => {
             if !matches!(filled, Ok(true)) {
--- a/src/net/engine/pool.rs
+++ b/src/net/engine/pool.rs
@@ -4,7 +4,7 @@
 use crate::core::{AttemptEnd, AttemptId, Event, Send};
 use crate::interface::{EngineId, Outcome};
 use crate::limits::Limits;
-use crate::net::connection::{Close, SharedState};
+use crate::net::connection::{CloseMode, SharedState};
 use crate::net::engine::connection::{Connection, InFlight};
 use crate::net::engine::{driver, resp, Engines};
 use crate::net::log;
@@ -83,7 +83,7 @@
 
     /// Connections that this process may have open at once.
     fn most_connections(&self) -> usize {
-        self.shared.part(self.limits.max_engine_connections)
+        self.shared.process_share(self.limits.max_engine_connections)
     }
 
     fn open_connections(&self) -> usize {
@@ -106,7 +106,7 @@
                 || connection.last_used.get().elapsed() >= self.limits.engine_idle_timeout
             {
                 connection.retired.set(true);
-                connection.write_queue.close(Close::AfterWrite);
+                connection.write_queue.close(CloseMode::AfterWrite);
             }
         }
     }
--- a/src/net/engine/resp.rs
+++ b/src/net/engine/resp.rs
@@ -2,7 +2,7 @@
 
 use crate::core::Send;
 use crate::interface::LoadReport;
-use crate::net::connection::frame::{Frame, Part};
+use crate::net::connection::frame::{Frame, Segment};
 pub use crate::net::engine::progress::InvalidProgressUpdate;
 use std::io::Write;
 use winnow::ascii::{crlf, dec_uint};
@@ -139,11 +139,11 @@
 
 /// The message of an attempt: the command `want`.
 pub fn want_command(send: Send) -> Frame {
-    Frame::sending(send, encode_want)
+    Frame::for_attempt(send, encode_want)
 }
 
 /// The statement goes out as it came in, shared by all attempts.
-fn encode_want(send: &Send) -> Vec<Part> {
+fn encode_want(send: &Send) -> Vec<Segment> {
     let statement = &send.statement;
     let mut fields = format!("queue={},budget={:.0}", statement.class, send.budget.max(1.0));
     if let Some(key) = &statement.key {
@@ -158,9 +158,9 @@
         Some(statement.text.len() + statement.data.len()),
     );
     vec![
-        Part::Own(head),
-        Part::Text(statement.clone()),
-        Part::Data(statement.clone()),
-        Part::Own(b"\r\n".to_vec()),
+        Segment::Owned(head),
+        Segment::StatementText(statement.clone()),
+        Segment::StatementData(statement.clone()),
+        Segment::Owned(b"\r\n".to_vec()),
     ]
 }
--- a/src/net/front/clickhouse.rs
+++ b/src/net/front/clickhouse.rs
@@ -5,7 +5,7 @@
 use crate::interface::{ClassId, Idempotency, RequestId};
 use crate::limits::Limits;
 use crate::net::connection::frame::Frame;
-use crate::net::connection::{finish, Close, ReadBuffer};
+use crate::net::connection::{close_orderly, CloseMode, ReadBuffer};
 use crate::net::front::rules::ClassRules;
 use crate::net::front::{count_of, Asked, Client, ClientConnection, FrontendState};
 use crate::net::http::{self, Head, Length, Read};
@@ -84,7 +84,7 @@
 
     fn say(&self, status: u16, headers: &[(&str, &str)], body: Vec<Vec<u8>>) {
         let head = self.head(status, headers, Some(body.iter().map(Vec::len).sum()));
-        let frame = Frame::of(std::iter::once(head).chain(body).collect());
+        let frame = Frame::from_parts(std::iter::once(head).chain(body).collect());
         self.connection.say(Frame { tally: self.tally.take(), ..frame }, &self.limits);
     }
 
@@ -118,7 +118,7 @@
     fn part(&self, bytes: Vec<u8>) {
         if !bytes.is_empty() {
             let parts = vec![format!("{:x}\r\n", bytes.len()).into_bytes(), bytes, b"\r\n".to_vec()];
-            self.session.connection.say(Frame::of(parts), &self.session.limits);
+            self.session.connection.say(Frame::from_parts(parts), &self.session.limits);
         }
     }
 
@@ -135,7 +135,7 @@
             // No last chunk: the client sees that the result is not whole.
             Answer::Cut => {
                 s.keep.set(false);
-                s.connection.out.shared().figures.add(tally);
+                s.connection.out.shared().metrics.add(tally);
             }
             Answer::Rejected(later) => {
                 // The header has whole seconds alone. Where the deployment gives no advice there is none.
@@ -184,8 +184,8 @@
         frontend.leave(id).await;
     }
     match gone {
-        true => connection.out.close(Close::Now),
-        false => finish(stream, &connection.out, &limits).await,
+        true => connection.out.close(CloseMode::Immediately),
+        false => close_orderly(stream, &connection.out, &limits).await,
     }
 }
 
@@ -263,7 +263,7 @@
                         .push(Frame::plain(b"HTTP/1.1 100 Continue\r\n\r\n".to_vec()), limits);
                 }
                 let request = Request::new(&head);
-                read_buffer.used(used);
+                read_buffer.consume(used);
                 break (request, length);
             }
             Read::Bad => return bad(BAD_REQUEST, "The request cannot be read"),
@@ -286,7 +286,7 @@
             Length::Bytes(n) => {
                 let part = read_buffer.unread().len().min(n - body.len());
                 body.extend_from_slice(&read_buffer.unread()[..part]);
-                read_buffer.used(part);
+                read_buffer.consume(part);
                 body.len() == n
             }
             Length::Chunked | Length::Stream => {
@@ -294,7 +294,7 @@
                     Read::Done(chunk, used) => {
                         let end = chunk.is_empty();
                         body.extend_from_slice(chunk);
-                        read_buffer.used(used);
+                        read_buffer.consume(used);
                         if body.len() > limits.max_message_bytes {
                             return bad(TOO_LARGE, "The body is too large");
                         }
--- a/src/net/front/client_connection.rs
+++ b/src/net/front/client_connection.rs
@@ -2,7 +2,7 @@
 
 use crate::limits::Limits;
 use crate::net::connection::frame::Frame;
-use crate::net::connection::{Close, ReadBuffer, WriteQueue};
+use crate::net::connection::{CloseMode, ReadBuffer, WriteQueue};
 use crate::net::front::ShutdownPhase;
 use starlingplank_decision::permission::close::{may_close, may_cut_off, ConnectionFacts};
 use std::cell::Cell;
@@ -44,7 +44,7 @@
     /// Another client waits for its place. It looks first whether something has arrived.
     pub fn ask_for_place(&self) {
         self.give_way.set(true);
-        self.out.nudge();
+        self.out.request_recheck();
     }
 
     /// Whether it was asked for its place, and has not looked yet.
@@ -126,7 +126,7 @@
                         return more;
                     }
                 }
-                () = self.out.nudged() => {}
+                () = self.out.recheck_requested() => {}
             }
         }
     }
@@ -135,7 +135,7 @@
     /// and takes a bounded time in all.
     fn silent_by(&self, read_buffer: &ReadBuffer, limits: &Limits) -> Option<Instant> {
         let unanswered = || Some(self.opened).filter(|_| !self.answered.get());
-        match read_buffer.since() {
+        match read_buffer.incomplete_since() {
             Some(begun) => Some(
                 (read_buffer.last_filled() + limits.client_silence_timeout)
                     .min(begun + limits.client_message_timeout),
@@ -167,7 +167,7 @@
             ShutdownPhase::AfterAnswer => self.done.get(),
             ShutdownPhase::Idle | ShutdownPhase::Last => true,
         };
-        due && !self.out.closing() && may_close(&self.facts(read_buffer, stream)).is_ok()
+        due && !self.out.is_closing() && may_close(&self.facts(read_buffer, stream)).is_ok()
     }
 
     /// Whether it ends now, as another client waits for its place. One at which something has arrived does not.
@@ -177,7 +177,7 @@
         }
         let gives_way = may_close(&self.facts(read_buffer, stream)).is_ok();
         match gives_way {
-            true => self.out.close(Close::Now),
+            true => self.out.close(CloseMode::Immediately),
             // It is in use: others are asked before it from now on.
             false => self.active.set(Instant::now()),
         }
@@ -187,7 +187,7 @@
     fn facts(&self, read_buffer: &ReadBuffer, stream: &TcpStream) -> ConnectionFacts {
         ConnectionFacts {
             open_requests: self.open.get(),
-            unwritten: self.out.waiting(),
+            unwritten: self.out.queued_bytes(),
             incomplete: read_buffer.unread().len(),
             // Where the system does not tell, something may have arrived.
             unread: rustix::io::ioctl_fionread(stream).map_or(1, |bytes| bytes as usize),
@@ -201,7 +201,7 @@
 
     /// Since when nothing has been open and nothing has waited to be written.
     pub fn idle(&self) -> Option<Instant> {
-        let idle = self.open.get() == 0 && self.out.waiting() == 0 && !self.out.closing();
+        let idle = self.open.get() == 0 && self.out.queued_bytes() == 0 && !self.out.is_closing();
         idle.then_some(self.active.get())
     }
 }
--- a/src/net/front/mod.rs
+++ b/src/net/front/mod.rs
@@ -114,7 +114,8 @@
     /// something open, for as long as the client can be left waiting.
     pub async fn connect(&self) -> Option<Rc<ClientConnection>> {
         let until = Instant::now() + self.limits.max_wait_for_slot;
-        while self.connections.borrow().len() >= self.shared.part(self.limits.max_client_connections) {
+        while self.connections.borrow().len() >= self.shared.process_share(self.limits.max_client_connections)
+        {
             let longest = self
                 .connections
                 .borrow()
@@ -155,7 +156,7 @@
         if !matches!(how, ShutdownPhase::Not | ShutdownPhase::Alone) {
             self.closing.send_replace(true);
         }
-        self.connections.borrow().iter().for_each(|s| s.out.nudge());
+        self.connections.borrow().iter().for_each(|s| s.out.request_recheck());
     }
 
     /// How far it is.
--- a/src/net/front/thrift.rs
+++ b/src/net/front/thrift.rs
@@ -4,7 +4,7 @@
 use crate::interface::{ClassId, Idempotency, RequestId, TenantId};
 use crate::limits::Limits;
 use crate::net::connection::frame::Frame;
-use crate::net::connection::{finish, Close, ReadBuffer};
+use crate::net::connection::{close_orderly, CloseMode, ReadBuffer};
 use crate::net::front::{count_of, Asked, Client, ClientConnection, FrontendState};
 use crate::net::log;
 use starlingplank_admin::metrics::Count;
@@ -201,7 +201,7 @@
     let mut parts = parts;
     let len: usize = parts.iter().map(Vec::len).sum::<usize>() - 4;
     parts[0][..4].copy_from_slice(&(len as u32).to_be_bytes());
-    Frame::of(parts)
+    Frame::from_parts(parts)
 }
 
 /// An `Answer`: the result's parts go out as they came.
@@ -304,8 +304,8 @@
         frontend.leave(id).await;
     }
     match gone {
-        true => connection.out.close(Close::Now),
-        false => finish(stream, &connection.out, &limits).await,
+        true => connection.out.close(CloseMode::Immediately),
+        false => close_orderly(stream, &connection.out, &limits).await,
     }
 }
 
@@ -326,7 +326,7 @@
                     "a client used a number out of turn, or a name twice; the connection was closed",
                 );
             }
-            read_buffer.used(len);
+            read_buffer.consume(len);
         }
         if !session.connection.read(&mut read_buffer, stream, limits).await {
             return;
--- a/src/net/runtime/peers.rs
+++ b/src/net/runtime/peers.rs
@@ -59,7 +59,7 @@
 
     /// Divides what one process may use among all processes of this gateway.
     fn share_limits(&self, processes: usize, events: &mut Vec<Event>) {
-        if self.frontend.shared.processes.replace(processes) != processes {
+        if self.frontend.shared.process_count.replace(processes) != processes {
             events.push(Event::ProcessCount(processes));
         }
     }
--- a/src/net/runtime/shutdown.rs
+++ b/src/net/runtime/shutdown.rs
@@ -100,7 +100,7 @@
 
     /// Reports which attempts the rules kept back, and how many of them should never have been asked for.
     fn report_rules(&self) {
-        let rules = &self.frontend.shared.rules;
+        let rules = &self.frontend.shared.rule_counters;
         tracing::info!("rules: attempts kept back {:?}, violations {}", rules.by_name(), rules.violations());
     }
 
@@ -116,7 +116,7 @@
         let classes = self.frontend.settings.classes.iter();
         let by_class = classes.zip(self.core.counts()).zip(self.core.waits());
         for (i, ((class, counts), waits)) in by_class.enumerate() {
-            let figure = |count| self.frontend.shared.figures.get(i, count);
+            let figure = |count| self.frontend.shared.metrics.get(i, count);
             tracing::info!(
                 "{}: {} taken, {} attempts, ended {:?}, answered {:?}",
                 class.name,
--- a/src/net/runtime/signals.rs
+++ b/src/net/runtime/signals.rs
@@ -1,7 +1,7 @@
 //! SIGTERM and SIGHUP. Each is marked first and then wakes the loop, which looks at the marks: a wake-up that is lost delays a
 //! signal to the loop's next turn, and none is forgotten.
 
-use crate::net::connection::Retry;
+use crate::net::connection::SocketRetry;
 use crate::net::transient_errors;
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use signal_hook::{flag, low_level::pipe};
@@ -74,6 +74,10 @@
             std::future::pending::<()>().await;
         }
         let mut bytes = [0; WAKE_UPS];
-        while self.wake_ups.try_read(&mut bytes).is_err_and(|e| Retry::after(&e) == Some(Retry::AtOnce)) {}
+        while self
+            .wake_ups
+            .try_read(&mut bytes)
+            .is_err_and(|e| SocketRetry::after(&e) == Some(SocketRetry::Immediately))
+        {}
     }
 }
--- a/src/net/runtime/startup.rs
+++ b/src/net/runtime/startup.rs
@@ -52,7 +52,7 @@
     let frontend = FrontendState::new(settings, limits.clone(), sender.clone());
     let core = Core::new(config.settings.clone(), config.limits.clone(), frontend.clock.now());
     let mut core = core.map_err(io::Error::other)?;
-    core.count_refusals_in(frontend.shared.rules.clone());
+    core.count_refusals_in(frontend.shared.rule_counters.clone());
     let persistence = Persistence::open(&config, &mut core, frontend.clock.now(), &sender)?;
     let engines = open_engines(config.engines, limits.clone(), frontend.shared.clone(), sender.clone());
     let (call_sender, calls) = mpsc::channel(limits.max_admin_connections);
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -355,7 +355,10 @@
         let out = Rc::new(WriteQueue::new(SharedState::new(1)));
         let late = (starlingplank::interface::RequestId(7), 0);
         let over = tokio::time::Instant::now();
-        out.push(Frame { attempt: Some(late), by: Some(over), ..Frame::plain(b"late".to_vec()) }, &limits);
+        out.push(
+            Frame { attempt: Some(late), transmit_before: Some(over), ..Frame::plain(b"late".to_vec()) },
+            &limits,
+        );
         out.push(Frame::plain(b"next".to_vec()), &limits);
         let written = async { drop(out.write_all(&stream, &limits).await) };
         let mut bytes = [0; 4];
@@ -364,8 +367,8 @@
             read = tokio::io::AsyncReadExt::read_exact(&mut engine, &mut bytes) => drop(read.expect("read")),
         }
         assert_eq!(&bytes, b"next");
-        assert_eq!(out.overdue().await, late);
-        assert_eq!(out.waiting(), 0);
+        assert_eq!(out.next_expired_attempt().await, late);
+        assert_eq!(out.queued_bytes(), 0);
     });
 }
 
