--- a/src/net/front/clickhouse.rs
+++ b/src/net/front/clickhouse.rs
@@ -7,7 +7,7 @@
 use crate::net::connection::frame::Frame;
 use crate::net::connection::{close_orderly, CloseMode, ReadBuffer};
 use crate::net::front::rules::ClassRules;
-use crate::net::front::{count_of, Asked, Client, ClientConnection, FrontendState};
+use crate::net::front::{count_of_answer, ClientConnection, FrontendState, ReceivedRequest, ResponseWriter};
 use crate::net::http::{self, Head, Length, Read};
 use crate::net::log;
 use sha2::{Digest, Sha256};
@@ -75,7 +75,7 @@
             None => "Transfer-Encoding: chunked\r\n".to_owned(),
         };
         // The next request is for the process that takes over.
-        if self.connection.ends_after_answer() {
+        if self.connection.closes_after_answer() {
             self.keep.set(false);
         }
         out += if self.keep.get() { "Connection: Keep-Alive\r\n\r\n" } else { "Connection: Close\r\n\r\n" };
@@ -85,7 +85,7 @@
     fn say(&self, status: u16, headers: &[(&str, &str)], body: Vec<Vec<u8>>) {
         let head = self.head(status, headers, Some(body.iter().map(Vec::len).sum()));
         let frame = Frame::from_parts(std::iter::once(head).chain(body).collect());
-        self.connection.say(Frame { tally: self.tally.take(), ..frame }, &self.limits);
+        self.connection.send(Frame { tally: self.tally.take(), ..frame }, &self.limits);
     }
 
     fn fail(&self, (status, code, name): (u16, u32, &str), what: &str, more: &[(&str, &str)]) {
@@ -108,34 +108,34 @@
     }
 }
 
-impl Client for Caller {
-    fn begin(&self, rows: ResultRows) {
+impl ResponseWriter for Caller {
+    fn start(&self, rows: ResultRows) {
         let head = self.session.head(200, &self.headers(&rows), None);
-        self.session.connection.say(Frame::plain(head), &self.session.limits);
-        rows.parts.into_iter().for_each(|part| self.part(part));
+        self.session.connection.send(Frame::plain(head), &self.session.limits);
+        rows.parts.into_iter().for_each(|part| self.send_chunk(part));
     }
 
-    fn part(&self, bytes: Vec<u8>) {
+    fn send_chunk(&self, bytes: Vec<u8>) {
         if !bytes.is_empty() {
             let parts = vec![format!("{:x}\r\n", bytes.len()).into_bytes(), bytes, b"\r\n".to_vec()];
-            self.session.connection.say(Frame::from_parts(parts), &self.session.limits);
+            self.session.connection.send(Frame::from_parts(parts), &self.session.limits);
         }
     }
 
-    fn answer(self: Box<Self>, answer: Answer) {
+    fn finish(self: Box<Self>, answer: Answer) {
         let s = &self.session;
-        let tally = (self.class.0, count_of(&answer));
+        let tally = (self.class.0, count_of_answer(&answer));
         s.tally.set(Some(tally));
         let id = ("X-ClickHouse-Query-Id", &*self.name);
         match answer {
             Answer::Served(rows) => s.say(200, &self.headers(&rows), rows.parts.clone()),
             Answer::Finished => {
-                s.connection.say(Frame::plain(b"0\r\n\r\n".to_vec()).counted(tally), &s.limits)
+                s.connection.send(Frame::plain(b"0\r\n\r\n".to_vec()).counted(tally), &s.limits)
             }
             // No last chunk: the client sees that the result is not whole.
             Answer::Cut => {
                 s.keep.set(false);
-                s.connection.out.shared().metrics.add(tally);
+                s.connection.write_queue.shared().metrics.add(tally);
             }
             Answer::Rejected(later) => {
                 // The header has whole seconds alone. Where the deployment gives no advice there is none.
@@ -153,7 +153,7 @@
             }
         }
         s.tally.set(None);
-        s.connection.ended();
+        s.connection.request_closed();
         s.answered.notify_one();
     }
 }
@@ -176,16 +176,16 @@
     });
     let open = Cell::new(None);
     let gone = tokio::select! {
-        written = connection.out.write_all(&stream, &limits) => written.is_err(),
-        () = read(&stream, &session, &frontend, &rules, &open) => connection.gone(),
+        written = connection.write_queue.write_all(&stream, &limits) => written.is_err(),
+        () = read(&stream, &session, &frontend, &rules, &open) => connection.is_disconnected(),
     };
     // A client that left is waited for no longer, also in the middle of its result.
     if let Some(id) = open.take() {
-        frontend.leave(id).await;
+        frontend.withdraw(id).await;
     }
     match gone {
-        true => connection.out.close(CloseMode::Immediately),
-        false => close_orderly(stream, &connection.out, &limits).await,
+        true => connection.write_queue.close(CloseMode::Immediately),
+        false => close_orderly(stream, &connection.write_queue, &limits).await,
     }
 }
 
@@ -208,12 +208,12 @@
                 // More than one message is not read ahead.
                 more = read_buffer.fill(stream, &session.limits), if read_buffer.unread().len() < session.limits.read_chunk_bytes => {
                     if !matches!(more, Ok(true)) {
-                        return session.connection.has_gone();
+                        return session.connection.set_disconnected();
                     }
                 }
                 // A client that has gone is heard behind what is not read yet.
                 () = closed(stream), if read_buffer.unread().len() >= session.limits.read_chunk_bytes => {
-                    return session.connection.has_gone();
+                    return session.connection.set_disconnected();
                 }
             }
         }
@@ -259,7 +259,7 @@
                 if head.header("expect").is_some() {
                     session
                         .connection
-                        .out
+                        .write_queue
                         .push(Frame::plain(b"HTTP/1.1 100 Continue\r\n\r\n".to_vec()), limits);
                 }
                 let request = Request::new(&head);
@@ -377,8 +377,8 @@
     match (request.method.as_str(), request.path.as_str()) {
         // Load balancers ask here; one that asks a gateway about to end goes elsewhere.
         ("HEAD", "/ping" | "/") => ok(200, ""),
-        ("GET", "/ping") if frontend.turns_away() => ok(503, "Ending.\n"),
-        ("GET", "/ping") if frontend.awaits_list.get() => {
+        ("GET", "/ping") if frontend.reports_unhealthy() => ok(503, "Ending.\n"),
+        ("GET", "/ping") if frontend.awaits_endpoint_list.get() => {
             ok(503, "Starting: the list of engines is awaited.\n")
         }
         ("GET", "/ping") => ok(200, "Ok.\n"),
@@ -415,14 +415,14 @@
     let token = request.take("insert_deduplication_token");
     let key = matches!(of.idempotency, Idempotency::Keyed { .. })
         .then(|| token.clone().unwrap_or_else(|| stable_key(request.param("database"), &text, &data)));
-    let id = frontend.number();
+    let id = frontend.allocate_request_id();
     let name = request.take("query_id").unwrap_or_else(|| format!("{:016x}", fastrand::u64(..)));
     // What goes into a header or a field must not end it.
     if name.len() > 256 || name.contains(|c: char| c.is_control() || c == ',' || c == '=') {
         session.fail(BAD_REQUEST, "The query id cannot be used", &[]);
         return None;
     }
-    if frontend.named(&name).is_some() {
+    if frontend.open_request_named(&name).is_some() {
         session.fail(SAME_NAME, "A query with this id is already running", &[]);
         return None;
     }
@@ -438,14 +438,22 @@
         key,
         data,
         params: request.params,
-        flow: request.parts.then(|| -> Rc<dyn FlowControl> { session.connection.out.clone() }),
+        flow: request.parts.then(|| -> Rc<dyn FlowControl> { session.connection.write_queue.clone() }),
     };
     // The interface has no word for a client's retry.
     let is_retry = false;
-    let asked =
-        Asked { class, tenant: None, arrived, limit, work: None, memory_mb: None, is_retry, statement };
-    session.connection.asked();
-    frontend.take(id, Box::new(Caller { session: session.clone(), name, class }), asked).await;
+    let asked = ReceivedRequest {
+        class,
+        tenant: None,
+        arrived,
+        limit,
+        work: None,
+        memory_mb: None,
+        is_retry,
+        statement,
+    };
+    session.connection.request_opened();
+    frontend.submit(id, Box::new(Caller { session: session.clone(), name, class }), asked).await;
     Some(id)
 }
 
--- a/src/net/front/client_connection.rs
+++ b/src/net/front/client_connection.rs
@@ -13,103 +13,113 @@
 /// A client's connection.
 pub struct ClientConnection {
     /// What waits to be written.
-    pub out: Rc<WriteQueue>,
-    end: Rc<Cell<ShutdownPhase>>,
+    pub write_queue: Rc<WriteQueue>,
+    shutdown_phase: Rc<Cell<ShutdownPhase>>,
     /// It was answered since this process began to leave.
-    done: Cell<bool>,
+    answered_in_shutdown: Cell<bool>,
     opened: Instant,
     /// When it came, at the earliest, until what came with it is read: it may have waited for room.
-    came: Cell<Option<Instant>>,
+    arrived_at: Cell<Option<Instant>>,
     /// It was read from.
-    read: Cell<bool>,
+    was_read: Cell<bool>,
     /// Another client waits for its place.
-    give_way: Cell<bool>,
+    eviction_requested: Cell<bool>,
     /// Its client closed the connection, or it broke.
-    left: Cell<bool>,
-    open: Cell<usize>,
-    answered: Cell<bool>,
+    disconnected: Cell<bool>,
+    open_requests: Cell<usize>,
+    was_answered: Cell<bool>,
     /// When it connected, asked or was answered last.
-    active: Cell<Instant>,
+    last_active: Cell<Instant>,
 }
 
 impl ClientConnection {
     /// A connection that has just been taken.
-    pub fn new(out: Rc<WriteQueue>, end: Rc<Cell<ShutdownPhase>>) -> Self {
+    pub fn new(write_queue: Rc<WriteQueue>, shutdown_phase: Rc<Cell<ShutdownPhase>>) -> Self {
         let opened = Instant::now();
-        let (done, left, give_way, read, came, open, answered) = Default::default();
-        let active = Cell::new(opened);
-        Self { out, end, done, opened, came, read, give_way, left, open, answered, active }
+        Self {
+            write_queue,
+            shutdown_phase,
+            answered_in_shutdown: Cell::new(false),
+            opened,
+            arrived_at: Cell::new(None),
+            was_read: Cell::new(false),
+            eviction_requested: Cell::new(false),
+            disconnected: Cell::new(false),
+            open_requests: Cell::new(0),
+            was_answered: Cell::new(false),
+            last_active: Cell::new(opened),
+        }
     }
 
     /// Another client waits for its place. It looks first whether something has arrived.
-    pub fn ask_for_place(&self) {
-        self.give_way.set(true);
-        self.out.request_recheck();
+    pub fn request_eviction(&self) {
+        self.eviction_requested.set(true);
+        self.write_queue.request_recheck();
     }
 
     /// Whether it was asked for its place, and has not looked yet.
-    pub fn is_asked_for_place(&self) -> bool {
-        self.give_way.get()
+    pub fn is_eviction_requested(&self) -> bool {
+        self.eviction_requested.get()
     }
 
     /// When what is read now may have come with the connection; none: it came later.
     pub fn earliest_arrival(&self) -> Option<Instant> {
-        self.came.get()
+        self.arrived_at.get()
     }
 
     /// It came at that time, at the earliest.
-    pub fn came(&self, at: Instant) {
-        self.came.set(Some(at));
+    pub fn set_arrived_at(&self, at: Instant) {
+        self.arrived_at.set(Some(at));
     }
 
     /// A request was taken from it.
-    pub fn asked(&self) {
-        self.open.set(self.open.get() + 1);
-        self.active.set(Instant::now());
+    pub fn request_opened(&self) {
+        self.open_requests.set(self.open_requests.get() + 1);
+        self.last_active.set(Instant::now());
     }
 
     /// A request that was taken from it has ended.
-    pub fn ended(&self) {
-        self.open.set(self.open.get().saturating_sub(1));
-        self.active.set(Instant::now());
+    pub fn request_closed(&self) {
+        self.open_requests.set(self.open_requests.get().saturating_sub(1));
+        self.last_active.set(Instant::now());
     }
 
     /// Says something to the client.
-    pub fn say(&self, frame: Frame, limits: &Limits) {
-        self.answered.set(true);
-        self.done.set(self.ends_after_answer());
-        self.active.set(Instant::now());
-        self.out.push(frame, limits);
+    pub fn send(&self, frame: Frame, limits: &Limits) {
+        self.was_answered.set(true);
+        self.answered_in_shutdown.set(self.closes_after_answer());
+        self.last_active.set(Instant::now());
+        self.write_queue.push(frame, limits);
     }
 
     /// Reads more; false once the connection is of no more use. Guards against clients that say nothing, stop
     /// inside a message, or ask for nothing that has an answer: they are told so by a close, and soon.
     pub async fn read(&self, read_buffer: &mut ReadBuffer, stream: &TcpStream, limits: &Limits) -> bool {
         // Only what lies there before the first read may have come with the connection.
-        let is_first = !self.read.replace(true);
+        let is_first = !self.was_read.replace(true);
         if !is_first || self.facts(read_buffer, stream).unread == 0 {
-            self.came.set(None);
+            self.arrived_at.set(None);
         }
         loop {
-            if self.is_over(read_buffer, stream) {
+            if self.closes_for_shutdown(read_buffer, stream) {
                 tracing::debug!(
-                    "a client's connection is closed: this process leaves ({:?})",
-                    self.end.get()
+                    phase = ?self.shutdown_phase.get(),
+                    "client connection closed: this process shuts down"
                 );
                 return false;
             }
-            if self.gives_way(read_buffer, stream) {
-                tracing::debug!("a client's connection is closed: another client needs its place");
+            if self.closes_for_eviction(read_buffer, stream) {
+                tracing::debug!("client connection closed: its slot is needed for another client");
                 return false;
             }
             let silent = self.silent_by(read_buffer, limits);
-            let until = silent.unwrap_or(self.active.get() + limits.client_idle_timeout);
+            let until = silent.unwrap_or(self.last_active.get() + limits.client_idle_timeout);
             // What is open is waited for, whatever else the client does.
-            let until = match self.open.get() {
+            let until = match self.open_requests.get() {
                 0 if until <= Instant::now() => match may_cut_off(&self.written_facts(read_buffer, stream)) {
                     Ok(()) => {
-                        let kind = if silent.is_some() { "it is silent" } else { "it is idle" };
-                        tracing::debug!("a client's connection is closed: {kind}");
+                        let reason = if silent.is_some() { "silent" } else { "idle" };
+                        tracing::debug!(reason, "client connection closed");
                         return false;
                     }
                     // What has arrived may be the rest of a request, or a whole one.
@@ -122,11 +132,11 @@
                 filled = timeout_at(until, read_buffer.fill(stream, limits)) => {
                     if let Ok(filled) = filled {
                         let more = matches!(filled, Ok(true));
-                        self.left.set(!more);
+                        self.disconnected.set(!more);
                         return more;
                     }
                 }
-                () = self.out.recheck_requested() => {}
+                () = self.write_queue.recheck_requested() => {}
             }
         }
     }
@@ -134,7 +144,7 @@
     /// By when a client has to go on: with the message that has begun, or with its first one. A message may come in pieces,
     /// and takes a bounded time in all.
     fn silent_by(&self, read_buffer: &ReadBuffer, limits: &Limits) -> Option<Instant> {
-        let unanswered = || Some(self.opened).filter(|_| !self.answered.get());
+        let unanswered = || Some(self.opened).filter(|_| !self.was_answered.get());
         match read_buffer.incomplete_since() {
             Some(begun) => Some(
                 (read_buffer.last_filled() + limits.client_silence_timeout)
@@ -145,49 +155,49 @@
     }
 
     /// Its client has closed the connection, or it broke.
-    pub fn has_gone(&self) {
-        self.left.set(true);
+    pub fn set_disconnected(&self) {
+        self.disconnected.set(true);
     }
 
     /// Whether its client has closed the connection, or it broke.
-    pub fn gone(&self) -> bool {
-        self.left.get()
+    pub fn is_disconnected(&self) -> bool {
+        self.disconnected.get()
     }
 
     /// Whether what this client asks next is for another process.
-    pub fn ends_after_answer(&self) -> bool {
-        !matches!(self.end.get(), ShutdownPhase::Not | ShutdownPhase::Alone)
+    pub fn closes_after_answer(&self) -> bool {
+        !matches!(self.shutdown_phase.get(), ShutdownPhase::Serving | ShutdownPhase::Draining)
     }
 
     /// Whether it ends now, as this process is leaving. What has just arrived is answered first: a request that
     /// meets a closed connection has to be sent again.
-    fn is_over(&self, read_buffer: &ReadBuffer, stream: &TcpStream) -> bool {
-        let due = match self.end.get() {
-            ShutdownPhase::Not | ShutdownPhase::Alone => false,
-            ShutdownPhase::AfterAnswer => self.done.get(),
-            ShutdownPhase::Idle | ShutdownPhase::Last => true,
+    fn closes_for_shutdown(&self, read_buffer: &ReadBuffer, stream: &TcpStream) -> bool {
+        let due = match self.shutdown_phase.get() {
+            ShutdownPhase::Serving | ShutdownPhase::Draining => false,
+            ShutdownPhase::HandingOver => self.answered_in_shutdown.get(),
+            ShutdownPhase::ClosingIdle | ShutdownPhase::Stopping => true,
         };
-        due && !self.out.is_closing() && may_close(&self.facts(read_buffer, stream)).is_ok()
+        due && !self.write_queue.is_closing() && may_close(&self.facts(read_buffer, stream)).is_ok()
     }
 
     /// Whether it ends now, as another client waits for its place. One at which something has arrived does not.
-    fn gives_way(&self, read_buffer: &ReadBuffer, stream: &TcpStream) -> bool {
-        if !self.give_way.take() {
+    fn closes_for_eviction(&self, read_buffer: &ReadBuffer, stream: &TcpStream) -> bool {
+        if !self.eviction_requested.take() {
             return false;
         }
-        let gives_way = may_close(&self.facts(read_buffer, stream)).is_ok();
-        match gives_way {
-            true => self.out.close(CloseMode::Immediately),
+        let closes = may_close(&self.facts(read_buffer, stream)).is_ok();
+        match closes {
+            true => self.write_queue.close(CloseMode::Immediately),
             // It is in use: others are asked before it from now on.
-            false => self.active.set(Instant::now()),
+            false => self.last_active.set(Instant::now()),
         }
-        gives_way
+        closes
     }
 
     fn facts(&self, read_buffer: &ReadBuffer, stream: &TcpStream) -> ConnectionFacts {
         ConnectionFacts {
-            open_requests: self.open.get(),
-            unwritten: self.out.queued_bytes(),
+            open_requests: self.open_requests.get(),
+            unwritten: self.write_queue.queued_bytes(),
             incomplete: read_buffer.unread().len(),
             // Where the system does not tell, something may have arrived.
             unread: rustix::io::ioctl_fionread(stream).map_or(1, |bytes| bytes as usize),
@@ -200,8 +210,10 @@
     }
 
     /// Since when nothing has been open and nothing has waited to be written.
-    pub fn idle(&self) -> Option<Instant> {
-        let idle = self.open.get() == 0 && self.out.queued_bytes() == 0 && !self.out.is_closing();
-        idle.then_some(self.active.get())
+    pub fn idle_since(&self) -> Option<Instant> {
+        let idle = self.open_requests.get() == 0
+            && self.write_queue.queued_bytes() == 0
+            && !self.write_queue.is_closing();
+        idle.then_some(self.last_active.get())
     }
 }
--- a/src/net/front/mod.rs
+++ b/src/net/front/mod.rs
@@ -24,17 +24,17 @@
 use tokio::time::{timeout_at, Instant};
 
 /// Who waits for an answer.
-pub trait Client {
+pub trait ResponseWriter {
     /// Passes on the first part of an answer.
-    fn begin(&self, rows: ResultRows);
+    fn start(&self, rows: ResultRows);
     /// Passes on a further part.
-    fn part(&self, bytes: Vec<u8>);
+    fn send_chunk(&self, bytes: Vec<u8>);
     /// Gives the final answer.
-    fn answer(self: Box<Self>, answer: Answer);
+    fn finish(self: Box<Self>, answer: Answer);
 }
 
 /// Who waits for a request, and what it is.
-type Waiting = (Box<dyn Client>, Rc<Statement>);
+type PendingRequest = (Box<dyn ResponseWriter>, Rc<Statement>);
 
 /// What fronts share: where requests are handed in and answers given out.
 pub struct FrontendState {
@@ -51,39 +51,39 @@
     /// What all connections have in common.
     pub shared: Rc<SharedState>,
     /// How far this process is on its way out.
-    end: Rc<Cell<ShutdownPhase>>,
+    shutdown_phase: Rc<Cell<ShutdownPhase>>,
     /// Nothing can be served before the list is heard.
-    pub awaits_list: Cell<bool>,
+    pub awaits_endpoint_list: Cell<bool>,
     /// Told when it stops listening.
-    pub closing: watch::Sender<bool>,
-    waiting: RefCell<HashMap<RequestId, Waiting>>,
+    pub stop_accepting: watch::Sender<bool>,
+    pending: RefCell<HashMap<RequestId, PendingRequest>>,
     /// Requests that are open, by their clients' names for them, over all connections.
-    names: RefCell<HashMap<String, RequestId>>,
+    ids_by_name: RefCell<HashMap<String, RequestId>>,
     connections: RefCell<Vec<Rc<ClientConnection>>>,
-    listens: Listens,
+    listener_guard: ListenerGuard,
     /// Places for connections for which room is awaited, over all listeners.
-    pub waiting_places: Arc<Semaphore>,
-    freed: Notify,
-    next: Cell<u64>,
+    pub waiting_slots: Arc<Semaphore>,
+    connection_released: Notify,
+    next_request_id: Cell<u64>,
 }
 
 /// Held by all that may still bring a connection: listeners, and connections for which room is awaited.
-pub type Listens = Rc<()>;
+pub type ListenerGuard = Rc<()>;
 
 /// How far a process is on its way out.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum ShutdownPhase {
     /// It serves.
     #[default]
-    Not,
+    Serving,
     /// It was told to end, and nobody takes over: it serves on until its window is over.
-    Alone,
+    Draining,
     /// Another process takes over: a connection ends after its next answer.
-    AfterAnswer,
+    HandingOver,
     /// Connections that are idle end as well.
-    Idle,
+    ClosingIdle,
     /// Its window is over and nobody takes over: it listens no longer, and connections end as they are idle.
-    Last,
+    Stopping,
 }
 
 impl FrontendState {
@@ -92,27 +92,27 @@
         Rc::new(Self {
             shared: SharedState::with_retry_budget(settings.classes.len(), settings.retry_budget),
             settings,
-            waiting_places: Arc::new(Semaphore::new(limits.max_waiting_connections)),
+            waiting_slots: Arc::new(Semaphore::new(limits.max_waiting_connections)),
             limits,
             clock: Clock::start(),
             pauses: PauseDetector::new(Instant::now()),
             events,
-            end: Rc::default(),
-            awaits_list: Cell::new(false),
-            closing: watch::Sender::new(false),
-            waiting: RefCell::default(),
-            names: RefCell::default(),
+            shutdown_phase: Rc::default(),
+            awaits_endpoint_list: Cell::new(false),
+            stop_accepting: watch::Sender::new(false),
+            pending: RefCell::default(),
+            ids_by_name: RefCell::default(),
             connections: RefCell::default(),
-            listens: Listens::default(),
-            freed: Notify::new(),
-            next: Cell::new(1),
+            listener_guard: ListenerGuard::default(),
+            connection_released: Notify::new(),
+            next_request_id: Cell::new(1),
         })
     }
 
     /// A place for a client's new connection. In a full house the connection that has been idle longest gives
     /// way: a new one is likely to bring a request, and its client waits for the answer. None: all have
     /// something open, for as long as the client can be left waiting.
-    pub async fn connect(&self) -> Option<Rc<ClientConnection>> {
+    pub async fn accept_connection(&self) -> Option<Rc<ClientConnection>> {
         let until = Instant::now() + self.limits.max_wait_for_slot;
         while self.connections.borrow().len() >= self.shared.process_share(self.limits.max_client_connections)
         {
@@ -120,69 +120,71 @@
                 .connections
                 .borrow()
                 .iter()
-                .filter(|s| !s.is_asked_for_place())
-                .filter_map(|s| s.idle().map(|at| (at, s.clone())))
+                .filter(|s| !s.is_eviction_requested())
+                .filter_map(|s| s.idle_since().map(|at| (at, s.clone())))
                 .min_by_key(|x| x.0);
             let again = match longest {
                 Some((at, connection)) if at.elapsed() >= self.limits.min_idle_before_eviction => {
                     // It looks first whether something has arrived; if so another one is asked.
-                    connection.ask_for_place();
+                    connection.request_eviction();
                     Instant::now() + self.limits.min_idle_before_eviction
                 }
                 Some((at, _)) => at + self.limits.min_idle_before_eviction,
                 // One may come to rest meanwhile.
                 None => Instant::now() + self.limits.min_idle_before_eviction,
             };
-            if timeout_at(again.min(until), self.freed.notified()).await.is_err() && Instant::now() >= until {
+            if timeout_at(again.min(until), self.connection_released.notified()).await.is_err()
+                && Instant::now() >= until
+            {
                 return None;
             }
         }
         let out = Rc::new(WriteQueue::new(self.shared.clone()));
-        let connection = Rc::new(ClientConnection::new(out, self.end.clone()));
+        let connection = Rc::new(ClientConnection::new(out, self.shutdown_phase.clone()));
         self.connections.borrow_mut().push(connection.clone());
         Some(connection)
     }
 
     /// A client's connection has ended.
-    pub fn disconnect(&self, connection: &Rc<ClientConnection>) {
+    pub fn release_connection(&self, connection: &Rc<ClientConnection>) {
         self.connections.borrow_mut().retain(|s| !Rc::ptr_eq(s, connection));
-        self.freed.notify_one();
+        self.connection_released.notify_one();
     }
 
     /// This process goes one step further on its way out.
-    pub fn leave_by(&self, how: ShutdownPhase) {
-        let before = self.end.replace(how);
-        tracing::info!("on its way out: {before:?}, now {how:?}");
-        if !matches!(how, ShutdownPhase::Not | ShutdownPhase::Alone) {
-            self.closing.send_replace(true);
+    pub fn enter_shutdown_phase(&self, how: ShutdownPhase) {
+        let previous = self.shutdown_phase.replace(how);
+        tracing::info!(?previous, phase = ?how, "shutdown phase changed");
+        if !matches!(how, ShutdownPhase::Serving | ShutdownPhase::Draining) {
+            self.stop_accepting.send_replace(true);
         }
-        self.connections.borrow().iter().for_each(|s| s.out.request_recheck());
+        self.connections.borrow().iter().for_each(|connection| connection.write_queue.request_recheck());
     }
 
     /// How far it is.
     pub fn shutdown_phase(&self) -> ShutdownPhase {
-        self.end.get()
+        self.shutdown_phase.get()
     }
 
     /// Whether those who ask how this gateway does should go elsewhere. While another process takes over they need not:
     /// it listens at the same address.
-    pub fn turns_away(&self) -> bool {
-        matches!(self.end.get(), ShutdownPhase::Alone | ShutdownPhase::Last)
+    pub fn reports_unhealthy(&self) -> bool {
+        matches!(self.shutdown_phase.get(), ShutdownPhase::Draining | ShutdownPhase::Stopping)
     }
 
     /// Something that may bring a connection.
-    pub fn listens(&self) -> Listens {
-        self.listens.clone()
+    pub fn listener_guard(&self) -> ListenerGuard {
+        self.listener_guard.clone()
     }
 
     /// Whether no client is connected, and none can come.
-    pub fn empty(&self) -> bool {
-        self.connections.borrow().is_empty() && Rc::strong_count(&self.listens) == 1
+    pub fn has_no_connections(&self) -> bool {
+        self.connections.borrow().is_empty() && Rc::strong_count(&self.listener_guard) == 1
     }
 
     /// Requests taken and not yet ended.
-    pub fn current(&self) -> usize {
-        self.waiting.borrow().len()
+    pub fn pending_requests(&self) -> usize {
+        self.pending.borrow().len()
     }
 
     /// When what is read now from a connection arrived, at the earliest.
@@ -194,14 +196,14 @@
     }
 
     /// An id for a request that is about to be taken.
-    pub fn number(&self) -> RequestId {
-        let id = self.next.get();
-        self.next.set(id + 1);
+    pub fn allocate_request_id(&self) -> RequestId {
+        let id = self.next_request_id.get();
+        self.next_request_id.set(id + 1);
         RequestId(id)
     }
 
     /// Hands in a request whose client waits up to `limit`.
-    pub async fn take(&self, id: RequestId, client: Box<dyn Client>, asked: Asked) {
+    pub async fn submit(&self, id: RequestId, client: Box<dyn ResponseWriter>, asked: ReceivedRequest) {
         let data = sql::table_group(&asked.statement.text).map(DataSet);
         let details = RequestDetails {
             id,
@@ -218,52 +220,52 @@
         // From here on nothing is waited for: a connection that ends meanwhile leaves no half-taken request behind.
         let Ok(event) = self.events.reserve().await else { return };
         self.shared.count_request();
-        self.names.borrow_mut().insert(statement.name.clone(), id);
-        self.waiting.borrow_mut().insert(id, (client, statement.clone()));
+        self.ids_by_name.borrow_mut().insert(statement.name.clone(), id);
+        self.pending.borrow_mut().insert(id, (client, statement.clone()));
         let request = ClientRequest { details, statement };
         event.send(Event::RequestReceived(request));
     }
 
     /// The open request with that name. Two under one name could not be told apart at their engines.
-    pub fn named(&self, name: &str) -> Option<RequestId> {
-        self.names.borrow().get(name).copied()
+    pub fn open_request_named(&self, name: &str) -> Option<RequestId> {
+        self.ids_by_name.borrow().get(name).copied()
     }
 
-    fn gone(&self, id: RequestId) -> Option<Box<dyn Client>> {
-        let (client, statement) = self.waiting.borrow_mut().remove(&id)?;
-        self.names.borrow_mut().remove(&statement.name);
+    fn remove_pending(&self, id: RequestId) -> Option<Box<dyn ResponseWriter>> {
+        let (client, statement) = self.pending.borrow_mut().remove(&id)?;
+        self.ids_by_name.borrow_mut().remove(&statement.name);
         Some(client)
     }
 
     /// Withdraws a request whose client no longer waits.
-    pub async fn leave(&self, id: RequestId) {
+    pub async fn withdraw(&self, id: RequestId) {
         // The reducer hears of it, also where the connection ends while this waits.
         let Ok(event) = self.events.reserve().await else { return };
-        if self.gone(id).is_some() {
+        if self.remove_pending(id).is_some() {
             event.send(Event::ClientDisconnected(id));
         }
     }
 
     /// Passes on the first part of an answer.
-    pub fn begin(&self, id: RequestId, rows: ResultRows) {
-        self.waiting.borrow().get(&id).into_iter().for_each(|(c, _)| c.begin(rows.clone()));
+    pub fn start_response(&self, id: RequestId, rows: ResultRows) {
+        self.pending.borrow().get(&id).into_iter().for_each(|(c, _)| c.start(rows.clone()));
     }
 
     /// Passes on a further part.
-    pub fn part(&self, id: RequestId, bytes: Vec<u8>) {
-        if let Some((client, _)) = self.waiting.borrow().get(&id) {
-            client.part(bytes);
+    pub fn send_chunk(&self, id: RequestId, bytes: Vec<u8>) {
+        if let Some((client, _)) = self.pending.borrow().get(&id) {
+            client.send_chunk(bytes);
         }
     }
 
     /// Gives the final answer.
-    pub fn answer(&self, id: RequestId, answer: Answer) {
-        self.gone(id).into_iter().for_each(|c| c.answer(answer.clone()));
+    pub fn finish_response(&self, id: RequestId, answer: Answer) {
+        self.remove_pending(id).into_iter().for_each(|c| c.finish(answer.clone()));
     }
 }
 
 /// Under which figure an answer is counted.
-pub fn count_of(answer: &Answer) -> Count {
+pub fn count_of_answer(answer: &Answer) -> Count {
     match answer {
         Answer::Served(_) | Answer::Finished => Count::Answered,
         Answer::Rejected(_) => Count::Deferred,
@@ -272,7 +274,7 @@
 }
 
 /// What a front read from a client.
-pub struct Asked {
+pub struct ReceivedRequest {
     /// Its class.
     pub class: ClassId,
     /// Whose it is, where the settings name tenants.
--- a/src/net/front/thrift.rs
+++ b/src/net/front/thrift.rs
@@ -5,7 +5,7 @@
 use crate::limits::Limits;
 use crate::net::connection::frame::Frame;
 use crate::net::connection::{close_orderly, CloseMode, ReadBuffer};
-use crate::net::front::{count_of, Asked, Client, ClientConnection, FrontendState};
+use crate::net::front::{count_of_answer, ClientConnection, FrontendState, ReceivedRequest, ResponseWriter};
 use crate::net::log;
 use starlingplank_admin::metrics::Count;
 use std::cell::{Cell, RefCell};
@@ -265,23 +265,23 @@
     class: ClassId,
 }
 
-impl Client for Caller {
+impl ResponseWriter for Caller {
     // Answers of this protocol are whole: no statement of this front says that it takes parts.
-    fn begin(&self, _: ResultRows) {}
-    fn part(&self, _: Vec<u8>) {}
+    fn start(&self, _: ResultRows) {}
+    fn send_chunk(&self, _: Vec<u8>) {}
 
-    fn answer(self: Box<Self>, answer: Answer) {
+    fn finish(self: Box<Self>, answer: Answer) {
         if self.session.open.borrow_mut().remove(&self.seq).is_some() {
-            self.session.connection.ended();
+            self.session.connection.request_closed();
         }
-        let count = count_of(&answer);
+        let count = count_of_answer(&answer);
         let frame = match answer {
             Answer::Served(rows) => self::answer("call", self.seq, rows, true),
             Answer::Rejected(later) => overloaded(self.seq, later),
             Answer::Failed(_) | Answer::Cut | Answer::Finished => internal(self.seq, "failed"),
             Answer::Expired => internal(self.seq, "out of time"),
         };
-        self.session.connection.say(frame.counted((self.class.0, count)), &self.session.limits);
+        self.session.connection.send(frame.counted((self.class.0, count)), &self.session.limits);
     }
 }
 
@@ -296,16 +296,16 @@
     });
     let _ = stream.set_nodelay(true);
     let gone = tokio::select! {
-        written = connection.out.write_all(&stream, &limits) => written.is_err(),
-        () = read(&stream, &session, &frontend) => connection.gone(),
+        written = connection.write_queue.write_all(&stream, &limits) => written.is_err(),
+        () = read(&stream, &session, &frontend) => connection.is_disconnected(),
     };
     let open: Vec<_> = session.open.borrow_mut().drain().collect();
     for (_, id) in open {
-        frontend.leave(id).await;
+        frontend.withdraw(id).await;
     }
     match gone {
-        true => connection.out.close(CloseMode::Immediately),
-        false => close_orderly(stream, &connection.out, &limits).await,
+        true => connection.write_queue.close(CloseMode::Immediately),
+        false => close_orderly(stream, &connection.write_queue, &limits).await,
     }
 }
 
@@ -336,12 +336,12 @@
 
 /// False: the client breaks the protocol, and nothing that is open on its connection can be told apart.
 async fn take_message(message: Message<'_>, session: &Rc<Session>, frontend: &Rc<FrontendState>) -> bool {
-    let say = |frame| session.connection.say(frame, &session.limits);
+    let say = |frame| session.connection.send(frame, &session.limits);
     match message {
         Message::Health(seq) => {
             let last = &session.last;
             last.set(if last.get().checked_add(1) == Some(seq) { seq } else { last.get() });
-            let good = !frontend.turns_away() && !frontend.awaits_list.get();
+            let good = !frontend.reports_unhealthy() && !frontend.awaits_endpoint_list.get();
             say(answer("health", seq, ResultRows::default(), good));
         }
         Message::Unknown(seq, name) => say(unknown(seq, name)),
@@ -349,9 +349,9 @@
             let id = session.open.borrow().get(&seq).copied();
             if let Some(id) = id {
                 // It stays open until the reducer is told: the connection may end while this waits.
-                frontend.leave(id).await;
+                frontend.withdraw(id).await;
                 if session.open.borrow_mut().remove(&seq).is_some() {
-                    session.connection.ended();
+                    session.connection.request_closed();
                 }
             }
         }
@@ -367,7 +367,7 @@
                 say(counted(frame, class_of(&fields, frontend), Count::Deferred));
                 return true;
             }
-            let named = fields.get("txn").and_then(|txn| frontend.named(txn));
+            let named = fields.get("txn").and_then(|txn| frontend.open_request_named(txn));
             if named.is_some_and(|id| session.open.borrow().values().any(|open| *open == id)) {
                 return false;
             }
@@ -377,11 +377,13 @@
                     say(counted(frame, Some(asked.class), Count::Errored));
                 }
                 Ok(asked) => {
-                    let id = frontend.number();
+                    let id = frontend.allocate_request_id();
                     session.open.borrow_mut().insert(seq, id);
-                    session.connection.asked();
+                    session.connection.request_opened();
                     let class = asked.class;
-                    frontend.take(id, Box::new(Caller { session: session.clone(), seq, class }), asked).await;
+                    frontend
+                        .submit(id, Box::new(Caller { session: session.clone(), seq, class }), asked)
+                        .await;
                 }
                 Err(why) => say(counted(internal(seq, why), class_of(&fields, frontend), Count::Errored)),
             }
@@ -408,7 +410,7 @@
     body: &[u8],
     session: &Session,
     frontend: &FrontendState,
-) -> Result<Asked, &'static str> {
+) -> Result<ReceivedRequest, &'static str> {
     let arrived = frontend.arrival_time(&session.connection);
     // A figure that is none, or past all sense, makes the request unfit: what it would do is not what was asked.
     let number = |name: &str| match fields.get(name).map(|v| v.parse::<f64>()) {
@@ -435,7 +437,7 @@
     // One that the settings do not name has no share that it could be held to.
     let team = fields.get("team");
     let tenant = team.and_then(|t| frontend.settings.tenants.iter().position(|tenant| tenant.name == *t));
-    Ok(Asked {
+    Ok(ReceivedRequest {
         class: ClassId(class),
         tenant: tenant.map(TenantId),
         arrived,
--- a/src/net/runtime/effects.rs
+++ b/src/net/runtime/effects.rs
@@ -17,9 +17,9 @@
             Effect::SetPriority(id, _, priority) => self.engines.hurry(id, priority),
             Effect::CheckHealth(tag, engine, address) => self.engines.probe(tag, &engine, address, new_events),
             Effect::DropQueued(engine) => self.engines.shut(&engine, new_events),
-            Effect::StartResponse(id, rows) => self.frontend.begin(id, rows),
-            Effect::ResponseChunk(id, bytes) => self.frontend.part(id, bytes),
-            Effect::Answer(id, answer) => self.frontend.answer(id, answer),
+            Effect::StartResponse(id, rows) => self.frontend.start_response(id, rows),
+            Effect::ResponseChunk(id, bytes) => self.frontend.send_chunk(id, bytes),
+            Effect::Answer(id, answer) => self.frontend.finish_response(id, answer),
             Effect::LogRejection(id, class, why, waited) => tracing::debug!(
                 "request {} of {} was refused after {waited:.1} ms: {why}",
                 id.0,
--- a/src/net/runtime/listeners.rs
+++ b/src/net/runtime/listeners.rs
@@ -1,7 +1,7 @@
 //! Listeners for clients: each connection is served by a task of its own, as long as there is room for it.
 
 use crate::config::Config;
-use crate::net::front::{clickhouse, thrift, ClientConnection, FrontendState, Listens};
+use crate::net::front::{clickhouse, thrift, ClientConnection, FrontendState, ListenerGuard};
 use crate::net::log;
 use crate::net::tasks::{TaskName, Tasks};
 use crate::net::transient_errors::{self, Backoff};
@@ -20,7 +20,7 @@
 /// A place among the connections that wait for room.
 type WaitingPlace = Result<OwnedSemaphorePermit, AcquireError>;
 
-/// Listens for clients. Where a new version may take over, both listen at the same address.
+/// ListenerGuard for clients. Where a new version may take over, both listen at the same address.
 ///
 /// # Errors
 /// An address cannot be listened at.
@@ -48,7 +48,7 @@
     Ok(())
 }
 
-/// Listens at an address; a moment without descriptors or memory does not fail it.
+/// ListenerGuard at an address; a moment without descriptors or memory does not fail it.
 ///
 /// # Errors
 /// It cannot be listened at.
@@ -70,7 +70,7 @@
     S: Fn(TcpStream, Rc<ClientConnection>) -> F + Clone + 'static,
     F: Future<Output = ()> + 'static,
 {
-    let acceptor = Acceptor { frontend: frontend.clone(), serve, listens: frontend.listens() };
+    let acceptor = Acceptor { frontend: frontend.clone(), serve, listens: frontend.listener_guard() };
     tasks.spawn(name, acceptor.run(listener));
 }
 
@@ -104,7 +104,7 @@
     /// The front that serves a connection.
     serve: S,
     /// Held while further connections may come.
-    listens: Listens,
+    listens: ListenerGuard,
 }
 
 impl<S, F> Acceptor<S>
@@ -121,7 +121,7 @@
     /// so that one client that waits keeps out nobody for whom there is some. When those that wait now came, at the
     /// earliest.
     async fn accept_until_closing(&self, listener: &TcpListener) -> Instant {
-        let mut closing = self.frontend.closing.subscribe();
+        let mut closing = self.frontend.stop_accepting.subscribe();
         let mut queue = ListenerQueue::default();
         loop {
             let accepted = tokio::select! {
@@ -150,7 +150,7 @@
         listener: &TcpListener,
         queue: &mut ListenerQueue,
     ) -> (WaitingPlace, io::Result<TcpStream>) {
-        let places = self.frontend.waiting_places.clone();
+        let places = self.frontend.waiting_slots.clone();
         let place = match places.clone().try_acquire_owned() {
             Ok(place) => Ok(place),
             Err(_) => {
@@ -182,7 +182,7 @@
     /// closed in the call after the one that found the queue empty.
     async fn empty_backlog(&self, listener: TcpListener, arrived: Instant) {
         let until = Instant::now() + self.frontend.limits.max_wait_for_slot;
-        let waiting = self.frontend.waiting_places.clone();
+        let waiting = self.frontend.waiting_slots.clone();
         let Ok(queue) = listener.into_std() else { return };
         let mut backoff = Backoff::default();
         loop {
@@ -222,16 +222,16 @@
     frontend: Rc<FrontendState>,
     serve: S,
     place: WaitingPlace,
-    _listens: Listens,
+    _listens: ListenerGuard,
 ) where
     S: Fn(TcpStream, Rc<ClientConnection>) -> F,
     F: Future<Output = ()>,
 {
-    let Some(connection) = frontend.connect().await else {
+    let Some(connection) = frontend.accept_connection().await else {
         return log::seldom("a connection was closed: all others have requests open");
     };
     drop(place);
-    connection.came(arrived);
+    connection.set_arrived_at(arrived);
     let served = ServedSeat { frontend, connection };
     serve(stream, served.connection.clone()).await;
 }
@@ -244,6 +244,6 @@
 
 impl Drop for ServedSeat {
     fn drop(&mut self) {
-        self.frontend.disconnect(&self.connection);
+        self.frontend.release_connection(&self.connection);
     }
 }
--- a/src/net/runtime/mod.rs
+++ b/src/net/runtime/mod.rs
@@ -243,7 +243,7 @@
         }
         tracing::info!("SIGTERM: answering what was taken");
         self.terminated = Some(Instant::now());
-        self.frontend.leave_by(ShutdownPhase::Alone);
+        self.frontend.enter_shutdown_phase(ShutdownPhase::Draining);
         events.push(Event::Terminate);
         events.extend(self.observe_peers());
         self.persistence.snapshot(&self.core, self.frontend.clock.now());
--- a/src/net/runtime/peers.rs
+++ b/src/net/runtime/peers.rs
@@ -49,7 +49,7 @@
             events.push(Event::PeerKeys(seen.keys));
         }
         self.share_limits(process_lifecycle::processes(&others), &mut events);
-        if self.frontend.shutdown_phase() == ShutdownPhase::Alone
+        if self.frontend.shutdown_phase() == ShutdownPhase::Draining
             && process_lifecycle::hands_over(own, &others)
         {
             self.hand_over(&mut events);
@@ -67,7 +67,7 @@
     /// Begins to hand over to a newer process: each connection ends after its next answer.
     fn hand_over(&self, events: &mut Vec<Event>) {
         tracing::info!("a new version listens: what is open is answered, and the rest is for it");
-        self.frontend.leave_by(ShutdownPhase::AfterAnswer);
+        self.frontend.enter_shutdown_phase(ShutdownPhase::HandingOver);
         self.publish_stage(Stage::Leaving);
         events.push(Event::SuccessorListens);
     }
--- a/src/net/runtime/shutdown.rs
+++ b/src/net/runtime/shutdown.rs
@@ -21,11 +21,12 @@
         let window = self.drain_window();
         let waited = terminated.elapsed();
         self.advance_leaving(waited, window);
-        let closes_idle = matches!(self.frontend.shutdown_phase(), ShutdownPhase::Idle | ShutdownPhase::Last);
+        let closes_idle =
+            matches!(self.frontend.shutdown_phase(), ShutdownPhase::ClosingIdle | ShutdownPhase::Stopping);
         // Connections that are in use to the end are answered and closed before the program ends.
         may_end(&EndFacts {
             settled: self.settled,
-            unconnected: closes_idle && self.frontend.empty(),
+            unconnected: closes_idle && self.frontend.has_no_connections(),
             // What clients sent while the process stood still is read before it ends.
             overdue: waited >= window + self.frontend.limits.connection_close_wait
                 && !self.frontend.pauses.has_backlog(Instant::now()),
@@ -35,7 +36,7 @@
     /// How long requests are answered after SIGTERM.
     fn drain_window(&self) -> Duration {
         let hands_over =
-            matches!(self.frontend.shutdown_phase(), ShutdownPhase::AfterAnswer | ShutdownPhase::Idle);
+            matches!(self.frontend.shutdown_phase(), ShutdownPhase::HandingOver | ShutdownPhase::ClosingIdle);
         let limits = &self.frontend.limits;
         let window =
             if hands_over { limits.hot_restart_answer_deadline } else { limits.shutdown_answer_deadline };
@@ -45,11 +46,11 @@
     /// Goes a step further in closing clients' connections once its time has come.
     fn advance_leaving(&self, waited: Duration, window: Duration) {
         match self.frontend.shutdown_phase() {
-            ShutdownPhase::Alone if self.settled && !self.awaits_successor(waited, window) => {
-                self.frontend.leave_by(ShutdownPhase::Last);
+            ShutdownPhase::Draining if self.settled && !self.awaits_successor(waited, window) => {
+                self.frontend.enter_shutdown_phase(ShutdownPhase::Stopping);
             }
-            ShutdownPhase::AfterAnswer if waited >= self.frontend.limits.hot_restart_idle_after => {
-                self.frontend.leave_by(ShutdownPhase::Idle);
+            ShutdownPhase::HandingOver if waited >= self.frontend.limits.hot_restart_idle_after => {
+                self.frontend.enter_shutdown_phase(ShutdownPhase::ClosingIdle);
             }
             _ => {}
         }
--- a/src/net/runtime/startup.rs
+++ b/src/net/runtime/startup.rs
@@ -108,7 +108,7 @@
     }
 }
 
-/// Listens at the second address, where operators call.
+/// ListenerGuard at the second address, where operators call.
 async fn listen_to_operators(
     at: SocketAddr,
     name: &str,
@@ -185,7 +185,7 @@
         self.run_decision_cycles(inherited.into_iter().chain(first).chain(observed));
         if self.config.names.is_some() {
             self.core.await_list(self.frontend.clock.now());
-            self.frontend.awaits_list.set(self.core.awaits_list());
+            self.frontend.awaits_endpoint_list.set(self.core.awaits_list());
         }
         // Without a name service the list at the start is the list.
         self.list_received = self.config.names.is_none();
--- a/tests/client_retries.rs
+++ b/tests/client_retries.rs
@@ -45,7 +45,7 @@
         let at = listener.local_addr().expect("bound");
         let mut client = tokio::net::TcpStream::connect(at).await.expect("up");
         let (stream, _) = listener.accept().await.expect("one");
-        let connection = frontend.connect().await.expect("room");
+        let connection = frontend.accept_connection().await.expect("room");
         if speaks_thrift {
             tokio::task::spawn_local(thrift::serve(stream, connection, frontend.clone()));
         } else {
