--- /dev/null
+++ b/src/net/front/clickhouse/query.rs
@@ -0,0 +1,144 @@
+//! Answers what this front answers itself, and submits queries.
+
+use super::request::Request;
+use super::response::{Exception, QueryResponse, Session};
+use crate::core::{FlowControl, Statement};
+use crate::interface::{Class, Idempotency, Milliseconds, RequestId};
+use crate::net::front::rules::ClassRules;
+use crate::net::front::{FrontendState, ReceivedRequest};
+use sha2::{Digest, Sha256};
+use std::rc::Rc;
+
+/// Longest name of a query, in bytes.
+const MAX_NAME_BYTES: usize = 256;
+/// Bytes of a digest that make an idempotency key.
+const STABLE_KEY_BYTES: usize = 16;
+
+/// Handles a request: submits the query, or answers at once. Returns the id of a query that was submitted.
+pub(super) async fn handle(
+    mut request: Request,
+    session: &Rc<Session>,
+    frontend: &Rc<FrontendState>,
+    rules: &ClassRules,
+) -> Option<RequestId> {
+    let query = request.take_param("query");
+    let is_empty = query.is_none() && request.body.is_empty();
+    match (request.method.as_str(), request.path.as_str()) {
+        ("HEAD", "/ping" | "/") => session.send_text(200, ""),
+        ("GET", "/ping") => answer_ping(session, frontend),
+        ("GET", "/") if is_empty => session.send_text(200, "Ok.\n"),
+        ("GET" | "POST", "/") if !is_empty => {
+            return submit(request, query, session, frontend, rules).await;
+        }
+        ("POST", "/") => session.send_exception(Exception::BAD_REQUEST, "Empty query", &[]),
+        ("GET" | "POST", _) => session.send_exception(Exception::NOT_FOUND, "There is no such path", &[]),
+        _ => session.send_exception(Exception::BAD_METHOD, "The method is not served", &[]),
+    }
+    None
+}
+
+/// Answers the health check of a load balancer, which avoids a gateway that is about to end.
+fn answer_ping(session: &Session, frontend: &FrontendState) {
+    if frontend.shutdown_phase().reports_unhealthy() {
+        session.send_text(503, "Ending.\n");
+    } else if frontend.awaits_endpoint_list.get() {
+        session.send_text(503, "Starting: the list of engines is awaited.\n");
+    } else {
+        session.send_text(200, "Ok.\n");
+    }
+}
+
+/// Submits a query. With a query in the target, the body is its data; otherwise the body is the query.
+async fn submit(
+    mut request: Request,
+    query: Option<String>,
+    session: &Rc<Session>,
+    frontend: &Rc<FrontendState>,
+    rules: &ClassRules,
+) -> Option<RequestId> {
+    let arrived = frontend.arrival_time(&session.connection);
+    let body = std::mem::take(&mut request.body);
+    let (text, data) = match query {
+        Some(query) => (query.into_bytes(), body),
+        None => (body, Vec::new()),
+    };
+    let class_id = rules.class(&text, request.param("user"));
+    let class = &frontend.settings.classes[class_id.0];
+    let limit = take_limit(&mut request, class);
+    let key = take_key(&mut request, class, &text, &data);
+    let id = frontend.allocate_request_id();
+    let name = request.take_param("query_id").unwrap_or_else(|| format!("{:016x}", fastrand::u64(..)));
+    if !is_plain(&name) {
+        session.send_exception(Exception::BAD_REQUEST, "The query id cannot be used", &[]);
+        return None;
+    }
+    if frontend.open_request_named(&name).is_some() {
+        session.send_exception(Exception::SAME_NAME, "A query with this id is already running", &[]);
+        return None;
+    }
+    make_get_read_only(&mut request);
+    let statement = Statement {
+        name: name.clone(),
+        class: class.name.clone(),
+        text,
+        key,
+        data,
+        params: request.params,
+        flow: request.may_stream.then(|| -> Rc<dyn FlowControl> { session.connection.write_queue.clone() }),
+    };
+    let received = ReceivedRequest {
+        class: class_id,
+        tenant: None,
+        arrived,
+        limit,
+        work: None,
+        memory_mb: None,
+        // The interface has no mark for a client's retry.
+        is_retry: false,
+        statement,
+    };
+    session.connection.request_opened();
+    let response = QueryResponse { session: session.clone(), name, class: class_id };
+    frontend.submit(id, Box::new(response), received).await;
+    Some(id)
+}
+
+/// How long the client waits: its own limit in seconds, but no longer than requests of the class may take.
+fn take_limit(request: &mut Request, class: &Class) -> Milliseconds {
+    let seconds = request.param("max_execution_time").parse::<f64>().ok().filter(|seconds| *seconds > 0.0);
+    request.take_param("max_execution_time");
+    seconds.map_or(class.client_timeout, |seconds| (seconds * 1000.0).min(class.client_timeout))
+}
+
+/// The idempotency key, where the class has one: the client's token, or a key of what is executed.
+fn take_key(request: &mut Request, class: &Class, text: &[u8], data: &[u8]) -> Option<String> {
+    let token = request.take_param("insert_deduplication_token");
+    if !matches!(class.idempotency, Idempotency::Keyed { .. }) {
+        return None;
+    }
+    Some(token.unwrap_or_else(|| stable_key(request.param("database"), text, data)))
+}
+
+/// Whether a name can stand in a header or a field without ending it.
+fn is_plain(name: &str) -> bool {
+    let ends_field = |character: char| character.is_control() || character == ',' || character == '=';
+    name.len() <= MAX_NAME_BYTES && !name.contains(ends_field)
+}
+
+/// As in ClickHouse, a query that comes by GET may only read.
+fn make_get_read_only(request: &mut Request) {
+    if request.method == "GET" && !matches!(request.param("readonly"), "1" | "2") {
+        request.take_param("readonly");
+        request.params.push(("readonly".into(), "2".into()));
+    }
+}
+
+/// An idempotency key that is the same for the same load, whichever gateway receives it.
+fn stable_key(database: &str, text: &[u8], data: &[u8]) -> String {
+    let mut hash = Sha256::new();
+    for part in [database.as_bytes(), text, data] {
+        hash.update((part.len() as u64).to_be_bytes());
+        hash.update(part);
+    }
+    hash.finalize().iter().take(STABLE_KEY_BYTES).map(|byte| format!("{byte:02x}")).collect()
+}
--- /dev/null
+++ b/src/net/front/clickhouse/request.rs
@@ -0,0 +1,180 @@
+//! Reads HTTP requests: the head, then the body.
+
+use super::response::{Exception, Session};
+use crate::net::connection::frame::Frame;
+use crate::net::connection::ReadBuffer;
+use crate::net::http::{self, Head, Length, Read};
+use tokio::net::TcpStream;
+
+/// Headers that stand for a parameter: the name of the header and of the parameter. A parameter of the target goes before
+/// its header.
+const PARAMETER_HEADERS: [(&str, &str); 5] = [
+    ("X-ClickHouse-User", "user"),
+    ("X-ClickHouse-Key", "password"),
+    ("X-ClickHouse-Database", "database"),
+    ("X-ClickHouse-Format", "default_format"),
+    ("Authorization", "Authorization"),
+];
+
+/// A request, body included.
+pub(super) struct Request {
+    /// The method.
+    pub(super) method: String,
+    /// The path of the target.
+    pub(super) path: String,
+    /// Parameters of the target and of headers.
+    pub(super) params: Vec<(String, String)>,
+    /// Whether the client may send a further request on the connection.
+    pub(super) keep_alive: bool,
+    /// Whether the response may be streamed. HTTP/1.0 has no way to show that a result is cut.
+    pub(super) may_stream: bool,
+    /// The body.
+    pub(super) body: Vec<u8>,
+}
+
+impl Request {
+    /// The request of that head, without its body.
+    fn new(head: &Head<'_>) -> Self {
+        let (path, mut params) = http::target(head.second);
+        for (header, name) in PARAMETER_HEADERS {
+            if let Some(value) =
+                head.header(header).filter(|_| !params.iter().any(|(known, _)| known == name))
+            {
+                params.push((name.to_owned(), value.to_owned()));
+            }
+        }
+        Self {
+            method: head.first.to_owned(),
+            path,
+            params,
+            keep_alive: head.keeps(head.third),
+            may_stream: head.third != "HTTP/1.0",
+            body: Vec::new(),
+        }
+    }
+
+    /// Removes a parameter; none where it is missing or empty.
+    pub(super) fn take_param(&mut self, name: &str) -> Option<String> {
+        let index = self.params.iter().position(|(known, _)| known == name)?;
+        Some(self.params.remove(index).1).filter(|value| !value.is_empty())
+    }
+
+    /// The value of a parameter; empty where it is missing.
+    pub(super) fn param(&self, name: &str) -> &str {
+        self.params.iter().find(|(known, _)| known == name).map_or("", |(_, value)| value)
+    }
+}
+
+/// Why no request was read.
+pub(super) enum ReadError {
+    /// The connection is over or is to be closed.
+    Closed,
+    /// The request is invalid: the exception that answers it, and its message.
+    Invalid(Exception, &'static str),
+}
+
+const BODY_TOO_LARGE: ReadError = ReadError::Invalid(Exception::TOO_LARGE, "The body is too large");
+
+/// Reads the requests of one connection.
+pub(super) struct RequestReader<'a> {
+    stream: &'a TcpStream,
+    session: &'a Session,
+    /// What was read and is not consumed yet.
+    pub(super) buffer: ReadBuffer,
+}
+
+impl<'a> RequestReader<'a> {
+    /// A reader that has read nothing yet.
+    pub(super) fn new(stream: &'a TcpStream, session: &'a Session, buffer: ReadBuffer) -> Self {
+        Self { stream, session, buffer }
+    }
+
+    /// Reads a request.
+    pub(super) async fn read(&mut self) -> Result<Request, ReadError> {
+        let (mut request, length) = self.read_head().await?;
+        request.body = match length {
+            Length::Bytes(length) => self.read_sized_body(length).await?,
+            Length::Chunked | Length::Stream => self.read_chunked_body().await?,
+        };
+        Ok(request)
+    }
+
+    async fn fill(&mut self) -> Result<(), ReadError> {
+        let Session { connection, limits, keep_alive, .. } = self.session;
+        let is_open = connection.read(&mut self.buffer, self.stream, limits).await;
+        keep_alive.set(keep_alive.get() && is_open);
+        if is_open {
+            Ok(())
+        } else {
+            Err(ReadError::Closed)
+        }
+    }
+
+    async fn read_head(&mut self) -> Result<(Request, Length), ReadError> {
+        let invalid = |message| Err(ReadError::Invalid(Exception::BAD_REQUEST, message));
+        let Session { connection, limits, .. } = self.session;
+        loop {
+            match http::read_head(self.buffer.unread()) {
+                Read::Done(head, used) => {
+                    let Some(length) = head.body(Length::Bytes(0)) else {
+                        return invalid("The length of the body is not clear");
+                    };
+                    if head.header("expect").is_some() {
+                        let frame = Frame::plain(b"HTTP/1.1 100 Continue\r\n\r\n".to_vec());
+                        connection.write_queue.push(frame, limits);
+                    }
+                    let request = Request::new(&head);
+                    self.buffer.consume(used);
+                    return Ok((request, length));
+                }
+                Read::Bad => return invalid("The request cannot be read"),
+                Read::More if self.buffer.unread().len() > limits.max_head_bytes => {
+                    return invalid("The head of the request is too long");
+                }
+                Read::More => self.fill().await?,
+            }
+        }
+    }
+
+    async fn read_sized_body(&mut self, length: usize) -> Result<Vec<u8>, ReadError> {
+        if length > self.session.limits.max_message_bytes {
+            return Err(BODY_TOO_LARGE);
+        }
+        let mut body = Vec::new();
+        loop {
+            let unread = self.buffer.unread();
+            let count = unread.len().min(length - body.len());
+            body.extend_from_slice(&unread[..count]);
+            self.buffer.consume(count);
+            if body.len() == length {
+                return Ok(body);
+            }
+            self.fill().await?;
+        }
+    }
+
+    async fn read_chunked_body(&mut self) -> Result<Vec<u8>, ReadError> {
+        let max_bytes = self.session.limits.max_message_bytes;
+        let mut body = Vec::new();
+        loop {
+            match http::read_chunk(self.buffer.unread(), max_bytes) {
+                Read::Done([], used) => {
+                    self.buffer.consume(used);
+                    return Ok(body);
+                }
+                Read::Done(chunk, used) => {
+                    body.extend_from_slice(chunk);
+                    self.buffer.consume(used);
+                    if body.len() > max_bytes {
+                        return Err(BODY_TOO_LARGE);
+                    }
+                }
+                Read::Bad => {
+                    let message = "The body cannot be read or is too large";
+                    return Err(ReadError::Invalid(Exception::BAD_REQUEST, message));
+                }
+                Read::More => self.fill().await?,
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/net/front/clickhouse/response.rs
@@ -0,0 +1,209 @@
+//! Responses, and the exceptions of ClickHouse that this front answers with itself.
+
+use crate::core::{Answer, EngineError, ResultRows};
+use crate::interface::{ClassId, Milliseconds};
+use crate::limits::Limits;
+use crate::net::connection::frame::Frame;
+use crate::net::front::requests::count_of_answer;
+use crate::net::front::{ClientConnection, ResponseWriter};
+use starlingplank_admin::metrics::Tally;
+use std::cell::Cell;
+use std::rc::Rc;
+use tokio::sync::Notify;
+
+const EXCEPTION_CODE_HEADER: &str = "X-ClickHouse-Exception-Code";
+const QUERY_ID_HEADER: &str = "X-ClickHouse-Query-Id";
+const TEXT: (&str, &str) = ("Content-Type", "text/plain; charset=UTF-8");
+
+/// An exception of ClickHouse.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Exception {
+    /// The status of the response.
+    status: u16,
+    /// ClickHouse's code for it.
+    code: u32,
+    /// ClickHouse's name for it.
+    name: &'static str,
+}
+
+impl Exception {
+    pub(super) const BAD_REQUEST: Self = Self { status: 400, code: 36, name: "BAD_ARGUMENTS" };
+    pub(super) const NOT_FOUND: Self = Self { status: 404, code: 36, name: "BAD_ARGUMENTS" };
+    pub(super) const BAD_METHOD: Self = Self { status: 501, code: 48, name: "NOT_IMPLEMENTED" };
+    pub(super) const TOO_LARGE: Self = Self { status: 413, code: 307, name: "TOO_MANY_BYTES" };
+    const TOO_MANY: Self = Self { status: 503, code: 202, name: "TOO_MANY_SIMULTANEOUS_QUERIES" };
+    pub(super) const SAME_NAME: Self =
+        Self { status: 500, code: 216, name: "QUERY_WITH_SAME_ID_IS_ALREADY_RUNNING" };
+    const TIMEOUT: Self = Self { status: 408, code: 159, name: "TIMEOUT_EXCEEDED" };
+    const NETWORK: Self = Self { status: 502, code: 210, name: "NETWORK_ERROR" };
+}
+
+/// A header of a response: its name and its value.
+pub(super) type Header<'a> = (&'a str, &'a str);
+
+fn reason_phrase(status: u16) -> &'static str {
+    match status {
+        200 => "OK",
+        400 => "Bad Request",
+        404 => "Not Found",
+        408 => "Request Timeout",
+        413 => "Payload Too Large",
+        500 => "Internal Server Error",
+        501 => "Not Implemented",
+        502 => "Bad Gateway",
+        503 => "Service Unavailable",
+        _ => "Error",
+    }
+}
+
+/// State of one connection, which has one open request at most.
+pub(super) struct Session {
+    /// The connection.
+    pub(super) connection: Rc<ClientConnection>,
+    /// The limits of the program.
+    pub(super) limits: Rc<Limits>,
+    /// Notified when the open request is answered.
+    pub(super) answered: Notify,
+    /// Whether a further request is read. Cleared by an answer that cannot be followed by another.
+    pub(super) keep_alive: Cell<bool>,
+    /// What the next response is counted as.
+    tally: Cell<Option<Tally>>,
+}
+
+impl Session {
+    /// State of a connection on which nothing was read yet.
+    pub(super) fn new(connection: Rc<ClientConnection>, limits: Rc<Limits>) -> Self {
+        Self {
+            connection,
+            limits,
+            answered: Notify::new(),
+            keep_alive: Cell::new(true),
+            tally: Cell::new(None),
+        }
+    }
+
+    /// The head of a response; without a length its body is sent in chunks.
+    fn head(&self, status: u16, headers: &[Header<'_>], length: Option<usize>) -> Vec<u8> {
+        let mut out = format!("HTTP/1.1 {status} {}\r\n", reason_phrase(status));
+        for (name, value) in headers {
+            out += &format!("{name}: {value}\r\n");
+        }
+        out += &match length {
+            Some(length) => format!("Content-Length: {length}\r\n"),
+            None => "Transfer-Encoding: chunked\r\n".to_owned(),
+        };
+        // The next request is for the process that takes over.
+        if self.connection.closes_after_answer() {
+            self.keep_alive.set(false);
+        }
+        let connection = if self.keep_alive.get() { "Keep-Alive" } else { "Close" };
+        out += &format!("Connection: {connection}\r\n\r\n");
+        out.into_bytes()
+    }
+
+    /// Sends a frame.
+    pub(super) fn send(&self, frame: Frame) {
+        self.connection.send(frame, &self.limits);
+    }
+
+    /// Sends a whole response.
+    pub(super) fn send_response(&self, status: u16, headers: &[Header<'_>], body: Vec<Vec<u8>>) {
+        let head = self.head(status, headers, Some(body.iter().map(Vec::len).sum()));
+        let frame = Frame::from_parts(std::iter::once(head).chain(body).collect());
+        self.send(Frame { tally: self.tally.take(), ..frame });
+    }
+
+    /// Sends a response of one line of text.
+    pub(super) fn send_text(&self, status: u16, text: &str) {
+        self.send_response(status, &[TEXT], vec![text.as_bytes().to_vec()]);
+    }
+
+    /// Sends an exception, with further headers.
+    pub(super) fn send_exception(&self, exception: Exception, message: &str, more: &[Header<'_>]) {
+        let Exception { status, code, name } = exception;
+        let text = format!("Code: {code}. DB::Exception: {message}. ({name})\n");
+        let code = code.to_string();
+        let headers = [TEXT, (EXCEPTION_CODE_HEADER, &*code)];
+        self.send_response(status, &[&headers, more].concat(), vec![text.into_bytes()]);
+    }
+}
+
+/// Writes the response to one query.
+pub(super) struct QueryResponse {
+    /// The connection of the client.
+    pub(super) session: Rc<Session>,
+    /// The client's name for the query.
+    pub(super) name: String,
+    /// The class of the query.
+    pub(super) class: ClassId,
+}
+
+impl QueryResponse {
+    /// The headers of the engine's response, under the name that the client gave the query.
+    fn headers<'a>(&'a self, rows: &'a ResultRows) -> Vec<Header<'a>> {
+        let of_engine = rows.headers.iter().map(|(name, value)| (name.as_str(), value.as_str()));
+        let mut headers: Vec<Header<'_>> =
+            of_engine.filter(|(name, _)| !name.eq_ignore_ascii_case(QUERY_ID_HEADER)).collect();
+        headers.push((QUERY_ID_HEADER, &self.name));
+        headers
+    }
+
+    /// Sends the exception of a query that was rejected. The header has whole seconds; without advice there is none.
+    fn send_rejection(&self, retry_after: Milliseconds) {
+        let seconds = (retry_after / 1000.0).ceil().to_string();
+        let advice = (retry_after > 0.0).then_some(("Retry-After", &*seconds));
+        let headers: Vec<_> = advice.into_iter().chain([(QUERY_ID_HEADER, &*self.name)]).collect();
+        self.session.send_exception(Exception::TOO_MANY, "Too many simultaneous queries", &headers);
+    }
+
+    /// Passes on the error of an engine.
+    fn send_engine_error(&self, error: EngineError) {
+        let EngineError { status, code, text } = error;
+        let code = code.to_string();
+        let headers = [TEXT, (EXCEPTION_CODE_HEADER, &*code), (QUERY_ID_HEADER, &*self.name)];
+        self.session.send_response(status, &headers, vec![text]);
+    }
+}
+
+impl ResponseWriter for QueryResponse {
+    fn start(&self, rows: ResultRows) {
+        let head = self.session.head(200, &self.headers(&rows), None);
+        self.session.send(Frame::plain(head));
+        for part in rows.parts {
+            self.send_chunk(part);
+        }
+    }
+
+    fn send_chunk(&self, bytes: Vec<u8>) {
+        if !bytes.is_empty() {
+            let parts = vec![format!("{:x}\r\n", bytes.len()).into_bytes(), bytes, b"\r\n".to_vec()];
+            self.session.send(Frame::from_parts(parts));
+        }
+    }
+
+    fn finish(self: Box<Self>, answer: Answer) {
+        let session = &self.session;
+        let tally = (self.class.0, count_of_answer(&answer));
+        session.tally.set(Some(tally));
+        let query_id = (QUERY_ID_HEADER, &*self.name);
+        match answer {
+            Answer::Served(rows) => session.send_response(200, &self.headers(&rows), rows.parts.clone()),
+            Answer::Finished => session.send(Frame::plain(b"0\r\n\r\n".to_vec()).counted(tally)),
+            // Without the last chunk the client sees that the result is cut.
+            Answer::Cut => {
+                session.keep_alive.set(false);
+                session.connection.write_queue.shared().metrics.add(tally);
+            }
+            Answer::Rejected(retry_after) => self.send_rejection(retry_after),
+            Answer::Expired => session.send_exception(Exception::TIMEOUT, "Timeout exceeded", &[query_id]),
+            Answer::Failed(None) => {
+                let message = "The query failed at its engine and may have run";
+                session.send_exception(Exception::NETWORK, message, &[query_id]);
+            }
+            Answer::Failed(Some(error)) => self.send_engine_error(error),
+        }
+        session.tally.set(None);
+        session.connection.request_closed();
+        session.answered.notify_one();
+    }
+}
--- a/src/net/front/rules.rs
+++ b/src/net/front/rules.rs
@@ -1,54 +1,66 @@
-//! Which class a statement belongs to, by the operator's rules.
+//! Assigns statements to classes, by the operator's rules.
 
 use crate::interface::{ClassId, Settings};
 use crate::net::sql::first_word;
 use crate::simulator::{Fields, LineError};
 
-/// One rule: all that it names must hold.
+/// One rule: everything that it names must match.
 #[derive(Debug, Clone, PartialEq)]
 struct Rule {
     class: ClassId,
+    /// First words of statements, in lower case; empty: all match.
     verbs: Vec<String>,
+    /// Users; empty: all match.
     users: Vec<String>,
 }
 
-/// Rules, the first that holds decides.
+impl Rule {
+    fn read(fields: &Fields, index: usize, settings: &Settings) -> Result<Self, LineError> {
+        let path = |name: &str| format!("clickhouse.rules.{index}.{name}");
+        let list =
+            |name: &str| fields.list(&path(name)).iter().map(|&item| item.to_owned()).collect::<Vec<_>>();
+        let class_name = fields.text(&path("class"))?;
+        let class = settings.classes.iter().position(|class| class.name == class_name);
+        let class = class.ok_or_else(|| fields.bad(&path("class"), "is not in the settings"))?;
+        Ok(Self {
+            class: ClassId(class),
+            verbs: list("verbs").iter().map(|verb| verb.to_ascii_lowercase()).collect(),
+            users: list("users"),
+        })
+    }
+
+    fn matches(&self, verb: &str, user: &str) -> bool {
+        let names = |list: &[String], item: &str| list.is_empty() || list.iter().any(|known| known == item);
+        names(&self.verbs, verb) && names(&self.users, user)
+    }
+
+    fn matches_all(&self) -> bool {
+        self.verbs.is_empty() && self.users.is_empty()
+    }
+}
+
+/// Rules in their order: the first that matches decides. The last one matches all statements.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClassRules(Vec<Rule>);
 
 impl ClassRules {
-    /// Reads `clickhouse.rules`. The last rule must hold for all.
+    /// Reads `clickhouse.rules`.
     ///
     /// # Errors
-    /// A rule names no class of the settings, or statements are left that no rule holds for.
-    pub fn read(f: &Fields, settings: &Settings) -> Result<Self, LineError> {
-        let count = f.number_or("clickhouse.rules.count", 0.0)? as usize;
-        let mut rules = Vec::new();
-        for i in 0..count {
-            let path = |name: &str| format!("clickhouse.rules.{i}.{name}");
-            let class = f.text(&path("class"))?;
-            let class = settings.classes.iter().position(|c| c.name == class);
-            let list = |name: &str| f.list(&path(name)).iter().map(|s| (*s).to_owned()).collect::<Vec<_>>();
-            rules.push(Rule {
-                class: ClassId(class.ok_or_else(|| f.bad(&path("class"), "is not in the settings"))?),
-                verbs: list("verbs").iter().map(|v| v.to_ascii_lowercase()).collect(),
-                users: list("users"),
-            });
-        }
-        if rules.last().is_none_or(|r| !r.verbs.is_empty() || !r.users.is_empty()) {
-            return Err(f.bad("clickhouse.rules.count", "must end with a rule for all statements"));
+    /// A rule names no class of the settings, or the last rule does not match all statements.
+    pub fn read(fields: &Fields, settings: &Settings) -> Result<Self, LineError> {
+        let count = fields.number_or("clickhouse.rules.count", 0.0)? as usize;
+        let rules = (0..count).map(|index| Rule::read(fields, index, settings));
+        let rules = rules.collect::<Result<Vec<_>, _>>()?;
+        if !rules.last().is_some_and(Rule::matches_all) {
+            return Err(fields.bad("clickhouse.rules.count", "must end with a rule for all statements"));
         }
         Ok(Self(rules))
     }
 
     /// The class of a statement of that user.
     pub fn class(&self, statement: &[u8], user: &str) -> ClassId {
-        let word = first_word(statement).unwrap_or_default();
-        let holds = |r: &&Rule| {
-            (r.verbs.is_empty() || r.verbs.contains(&word))
-                && (r.users.is_empty() || r.users.iter().any(|u| u == user))
-        };
-        // The last rule holds for all.
-        self.0.iter().find(holds).map_or(ClassId(0), |r| r.class)
+        let verb = first_word(statement).unwrap_or_default();
+        self.0.iter().find(|rule| rule.matches(&verb, user)).map_or(ClassId(0), |rule| rule.class)
     }
 }
--- /dev/null
+++ b/src/net/front/state.rs
@@ -0,0 +1,252 @@
+//! The state that all fronts share: pending requests, clients' connections and the phase of a shutdown.
+
+use crate::core::{Answer, ClientRequest, Event, ResultRows, Statement};
+use crate::interface::{DataSet, Milliseconds, RequestDetails, RequestId, Settings};
+use crate::limits::Limits;
+use crate::net::clock::Clock;
+use crate::net::connection::{SharedState, WriteQueue};
+use crate::net::front::client_connection::ClientConnection;
+use crate::net::front::requests::{ReceivedRequest, ResponseWriter};
+use crate::net::front::shutdown_phase::ShutdownPhase;
+use crate::net::pause::PauseDetector;
+use crate::net::sql;
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::rc::Rc;
+use std::sync::Arc;
+use tokio::sync::mpsc::Sender;
+use tokio::sync::{watch, Notify, Semaphore};
+use tokio::time::{timeout_at, Instant};
+
+/// A request without a final answer: how its client is answered, and its statement.
+struct PendingRequest {
+    response_writer: Box<dyn ResponseWriter>,
+    statement: Rc<Statement>,
+}
+
+/// What all fronts share. It owns the pending requests and the list of clients' connections.
+pub struct FrontendState {
+    /// The settings of the decision module.
+    pub settings: Rc<Settings>,
+    /// The limits of the program.
+    pub limits: Rc<Limits>,
+    /// The clock of the gateway.
+    pub clock: Clock,
+    /// Pauses of the process.
+    pub pauses: PauseDetector,
+    /// The queue of events for the reducer.
+    pub events: Sender<Event>,
+    /// The state that all connections share.
+    pub shared: Rc<SharedState>,
+    shutdown_phase: Rc<Cell<ShutdownPhase>>,
+    /// No request can be served before the first endpoint list is received.
+    pub awaits_endpoint_list: Cell<bool>,
+    /// True once listeners are to stop accepting.
+    pub stop_accepting: watch::Sender<bool>,
+    pending: RefCell<HashMap<RequestId, PendingRequest>>,
+    /// Pending requests by their clients' names for them, over all connections.
+    ids_by_name: RefCell<HashMap<String, RequestId>>,
+    connections: RefCell<Vec<Rc<ClientConnection>>>,
+    listener_guard: ListenerGuard,
+    /// Slots for accepted connections that wait to be served, over all listeners.
+    pub waiting_slots: Arc<Semaphore>,
+    /// Notified when a connection has ended.
+    connection_released: Notify,
+    next_request_id: Cell<u64>,
+}
+
+/// Held by everything that may still bring a connection: listeners, and accepted connections that wait for a slot.
+pub type ListenerGuard = Rc<()>;
+
+impl FrontendState {
+    /// A state without requests or connections. Request ids start at 1.
+    pub fn new(settings: Rc<Settings>, limits: Rc<Limits>, events: Sender<Event>) -> Rc<Self> {
+        Rc::new(Self {
+            shared: SharedState::with_retry_budget(settings.classes.len(), settings.retry_budget),
+            settings,
+            waiting_slots: Arc::new(Semaphore::new(limits.max_waiting_connections)),
+            limits,
+            clock: Clock::start(),
+            pauses: PauseDetector::new(Instant::now()),
+            events,
+            shutdown_phase: Rc::default(),
+            awaits_endpoint_list: Cell::new(false),
+            stop_accepting: watch::Sender::new(false),
+            pending: RefCell::default(),
+            ids_by_name: RefCell::default(),
+            connections: RefCell::default(),
+            listener_guard: ListenerGuard::default(),
+            connection_released: Notify::new(),
+            next_request_id: Cell::new(1),
+        })
+    }
+
+    /// Takes a slot for a client's new connection. If all slots are taken, the connection that has been idle longest is
+    /// evicted: a new one is likely to bring a request whose client waits for the answer. None: no slot was released in
+    /// the time for which the client may be kept waiting.
+    pub async fn accept_connection(&self) -> Option<Rc<ClientConnection>> {
+        let deadline = Instant::now() + self.limits.max_wait_for_slot;
+        while !self.has_free_slot() {
+            let next_check = self.request_eviction();
+            let released = timeout_at(next_check.min(deadline), self.connection_released.notified()).await;
+            if released.is_err() && Instant::now() >= deadline {
+                return None;
+            }
+        }
+        let write_queue = Rc::new(WriteQueue::new(self.shared.clone()));
+        let connection = Rc::new(ClientConnection::new(write_queue, self.shutdown_phase.clone()));
+        self.connections.borrow_mut().push(connection.clone());
+        Some(connection)
+    }
+
+    fn has_free_slot(&self) -> bool {
+        self.connections.borrow().len() < self.shared.process_share(self.limits.max_client_connections)
+    }
+
+    /// Requests the eviction of the connection that has been idle longest, once it has been idle long enough. Returns
+    /// when to check again.
+    fn request_eviction(&self) -> Instant {
+        let min_idle = self.limits.min_idle_before_eviction;
+        match self.longest_idle() {
+            Some((idle_since, connection)) if idle_since.elapsed() >= min_idle => {
+                // It checks first whether a request has arrived; if so, the next check chooses another one.
+                connection.request_eviction();
+                Instant::now() + min_idle
+            }
+            Some((idle_since, _)) => idle_since + min_idle,
+            // One may become idle meanwhile.
+            None => Instant::now() + min_idle,
+        }
+    }
+
+    /// The connection that has been idle longest, among those that are not being evicted.
+    fn longest_idle(&self) -> Option<(Instant, Rc<ClientConnection>)> {
+        let connections = self.connections.borrow();
+        let candidates = connections.iter().filter(|connection| !connection.is_eviction_requested());
+        let idle = candidates.filter_map(|connection| Some((connection.idle_since()?, connection.clone())));
+        idle.min_by_key(|(idle_since, _)| *idle_since)
+    }
+
+    /// Gives up the slot of a client's connection that has ended.
+    pub fn release_connection(&self, ended: &Rc<ClientConnection>) {
+        self.connections.borrow_mut().retain(|connection| !Rc::ptr_eq(connection, ended));
+        self.connection_released.notify_one();
+    }
+
+    /// Goes on to a further phase of the shutdown. All connections check whether they close.
+    pub fn enter_shutdown_phase(&self, phase: ShutdownPhase) {
+        let previous = self.shutdown_phase.replace(phase);
+        tracing::info!(?previous, ?phase, "shutdown phase changed");
+        if !phase.keeps_connections() {
+            self.stop_accepting.send_replace(true);
+        }
+        for connection in self.connections.borrow().iter() {
+            connection.write_queue.request_recheck();
+        }
+    }
+
+    /// The phase of the shutdown.
+    pub fn shutdown_phase(&self) -> ShutdownPhase {
+        self.shutdown_phase.get()
+    }
+
+    /// A guard for something that may bring a connection.
+    pub fn listener_guard(&self) -> ListenerGuard {
+        self.listener_guard.clone()
+    }
+
+    /// Whether no client is connected, and none can connect any more.
+    pub fn has_no_connections(&self) -> bool {
+        self.connections.borrow().is_empty() && Rc::strong_count(&self.listener_guard) == 1
+    }
+
+    /// The number of requests that have no final answer yet.
+    pub fn pending_requests(&self) -> usize {
+        self.pending.borrow().len()
+    }
+
+    /// When the bytes that are read now from a connection arrived, at the earliest: they may have arrived while the
+    /// process was paused, or while the connection waited to be accepted.
+    pub fn arrival_time(&self, connection: &ClientConnection) -> Milliseconds {
+        let now = Instant::now();
+        let arrived = self.pauses.arrived(now).min(connection.earliest_arrival().unwrap_or(now));
+        let age = now.saturating_duration_since(arrived);
+        self.clock.now() - age.as_secs_f64() * 1000.0
+    }
+
+    /// An id for a request that is about to be submitted.
+    pub fn allocate_request_id(&self) -> RequestId {
+        let id = self.next_request_id.get();
+        self.next_request_id.set(id + 1);
+        RequestId(id)
+    }
+
+    /// Submits a request to the reducer.
+    pub async fn submit(
+        &self,
+        id: RequestId,
+        response_writer: Box<dyn ResponseWriter>,
+        received: ReceivedRequest,
+    ) {
+        let details = RequestDetails {
+            id,
+            class: received.class,
+            tenant: received.tenant,
+            key: None,
+            deadline: received.arrived + received.limit,
+            work: received.work.filter(|work| *work > 0.0),
+            memory_mb: received.memory_mb.filter(|memory| *memory > 0.0),
+            data: sql::table_group(&received.statement.text).map(DataSet),
+            is_retry: received.is_retry,
+        };
+        let statement = Rc::new(received.statement);
+        // Nothing is awaited after this: a connection that ends meanwhile leaves no request that is submitted in part.
+        let Ok(event) = self.events.reserve().await else { return };
+        self.shared.count_request();
+        self.ids_by_name.borrow_mut().insert(statement.name.clone(), id);
+        let pending = PendingRequest { response_writer, statement: statement.clone() };
+        self.pending.borrow_mut().insert(id, pending);
+        event.send(Event::RequestReceived(ClientRequest { details, statement }));
+    }
+
+    /// The pending request of that name. Two requests of one name could not be told apart at their engines.
+    pub fn open_request_named(&self, name: &str) -> Option<RequestId> {
+        self.ids_by_name.borrow().get(name).copied()
+    }
+
+    fn remove_pending(&self, id: RequestId) -> Option<Box<dyn ResponseWriter>> {
+        let removed = self.pending.borrow_mut().remove(&id)?;
+        self.ids_by_name.borrow_mut().remove(&removed.statement.name);
+        Some(removed.response_writer)
+    }
+
+    /// Withdraws a request whose client disconnected or cancelled it.
+    pub async fn withdraw(&self, id: RequestId) {
+        // The reducer is notified even if the connection ends while this waits: the request stays pending until then.
+        let Ok(event) = self.events.reserve().await else { return };
+        if self.remove_pending(id).is_some() {
+            event.send(Event::ClientDisconnected(id));
+        }
+    }
+
+    /// Writes the first part of a streamed response.
+    pub fn start_response(&self, id: RequestId, rows: ResultRows) {
+        if let Some(pending) = self.pending.borrow().get(&id) {
+            pending.response_writer.start(rows);
+        }
+    }
+
+    /// Writes a further part of a streamed response.
+    pub fn send_chunk(&self, id: RequestId, bytes: Vec<u8>) {
+        if let Some(pending) = self.pending.borrow().get(&id) {
+            pending.response_writer.send_chunk(bytes);
+        }
+    }
+
+    /// Writes the final answer. The request is pending no longer.
+    pub fn finish_response(&self, id: RequestId, answer: Answer) {
+        if let Some(response_writer) = self.remove_pending(id) {
+            response_writer.finish(answer);
+        }
+    }
+}
--- /dev/null
+++ b/src/net/front/thrift/decode.rs
@@ -0,0 +1,153 @@
+//! Reads messages of clients in place.
+
+use super::protocol::*;
+use std::collections::BTreeMap;
+use winnow::binary::{be_i16, be_i32, be_u32, u8};
+use winnow::error::EmptyError;
+use winnow::prelude::*;
+use winnow::token::take;
+
+/// Length of the field that precedes each frame and holds its length.
+pub(super) const FRAME_HEADER_BYTES: usize = 4;
+
+/// Deepest nesting of fields that are skipped.
+const MAX_DEPTH: usize = 16;
+
+/// A message, its parts still in the buffer.
+#[derive(Debug, PartialEq)]
+pub enum Message<'a> {
+    /// `call`: the fields and the statement.
+    Call {
+        /// Its sequence number.
+        seqid: i32,
+        /// Its fields by name.
+        fields: BTreeMap<&'a str, &'a str>,
+        /// The statement.
+        body: &'a [u8],
+    },
+    /// `cancel` of the call with this sequence number.
+    Cancel(i32),
+    /// `health`, with its sequence number.
+    Health(i32),
+    /// A method that is not served, or arguments that cannot be read: the sequence number and the method's name.
+    Unknown(i32, &'a [u8]),
+}
+
+type ParseResult<T> = Result<T, EmptyError>;
+
+/// Length of the first frame, header included, once the header is there.
+pub fn frame_len(bytes: &[u8]) -> Option<usize> {
+    let mut rest = bytes;
+    let length: ParseResult<u32> = be_u32.parse_next(&mut rest);
+    length.ok().map(|length| length as usize + FRAME_HEADER_BYTES)
+}
+
+fn binary<'a>(input: &mut &'a [u8]) -> ParseResult<&'a [u8]> {
+    let length = be_i32.verify(|length: &i32| *length >= 0).parse_next(input)?;
+    take(length as usize).parse_next(input)
+}
+
+fn text<'a>(input: &mut &'a [u8]) -> ParseResult<&'a str> {
+    binary.verify_map(|bytes| std::str::from_utf8(bytes).ok()).parse_next(input)
+}
+
+fn text_map<'a>(input: &mut &'a [u8]) -> ParseResult<BTreeMap<&'a str, &'a str>> {
+    let (key_type, value_type, length) = (u8, u8, be_i32).parse_next(input)?;
+    let mut map = BTreeMap::new();
+    if length == 0 {
+        return Ok(map);
+    }
+    if length < 0 || key_type != STRING || value_type != STRING {
+        return Err(EmptyError);
+    }
+    for _ in 0..length {
+        let (name, value) = (text, text).parse_next(input)?;
+        map.insert(name, value);
+    }
+    Ok(map)
+}
+
+/// Skips the value of a field that is not used.
+fn skip(input: &mut &[u8], field_type: u8, depth: usize) -> ParseResult<()> {
+    if depth == 0 {
+        return Err(EmptyError);
+    }
+    match field_type {
+        BOOL | BYTE => take(1usize).void().parse_next(input),
+        I16 => take(2usize).void().parse_next(input),
+        I32 => take(4usize).void().parse_next(input),
+        DOUBLE | I64 => take(8usize).void().parse_next(input),
+        STRING => binary.void().parse_next(input),
+        STRUCT => skip_struct(input, depth),
+        MAP => skip_map(input, depth),
+        SET | LIST => {
+            let (element_type, length) = (u8, be_i32).parse_next(input)?;
+            (0..length).try_for_each(|_| skip(input, element_type, depth - 1))
+        }
+        _ => Err(EmptyError),
+    }
+}
+
+fn skip_struct(input: &mut &[u8], depth: usize) -> ParseResult<()> {
+    loop {
+        let field_type = u8.parse_next(input)?;
+        if field_type == STOP {
+            return Ok(());
+        }
+        be_i16.void().parse_next(input)?;
+        skip(input, field_type, depth - 1)?;
+    }
+}
+
+fn skip_map(input: &mut &[u8], depth: usize) -> ParseResult<()> {
+    let (key_type, value_type, length) = (u8, u8, be_i32).parse_next(input)?;
+    for _ in 0..length {
+        skip(input, key_type, depth - 1)?;
+        skip(input, value_type, depth - 1)?;
+    }
+    Ok(())
+}
+
+fn arguments<'a>(method: &[u8], seqid: i32, input: &mut &'a [u8]) -> ParseResult<Message<'a>> {
+    let mut fields = BTreeMap::new();
+    let mut body: &[u8] = &[];
+    let mut cancelled = None;
+    loop {
+        let field_type = u8.parse_next(input)?;
+        if field_type == STOP {
+            break;
+        }
+        let field_id = be_i16.parse_next(input)?;
+        match (method, field_id, field_type) {
+            (b"call", 1, MAP) => fields = text_map.parse_next(input)?,
+            (b"call", 2, STRING) => body = binary.parse_next(input)?,
+            (b"cancel", 1, I32) => cancelled = Some(be_i32.parse_next(input)?),
+            _ => skip(input, field_type, MAX_DEPTH)?,
+        }
+    }
+    match method {
+        b"call" => Ok(Message::Call { seqid, fields, body }),
+        b"cancel" => cancelled.map(Message::Cancel).ok_or(EmptyError),
+        _ => Ok(Message::Health(seqid)),
+    }
+}
+
+/// Reads the message in a frame, without the frame's header. None: it is no message of this protocol, or a `cancel` that
+/// cannot be read, which has no answer.
+pub fn message(frame: &[u8]) -> Option<Message<'_>> {
+    let mut input = frame;
+    let head: ParseResult<_> = (be_u32, binary, be_i32).parse_next(&mut input);
+    let (first_word, method, seqid) = head.ok()?;
+    let message_type = (first_word & 0xff) as u8;
+    if first_word & VERSION_MASK != VERSION || !matches!(message_type, CALL | ONEWAY) {
+        return None;
+    }
+    if !matches!(method, b"call" | b"cancel" | b"health") {
+        return Some(Message::Unknown(seqid, method));
+    }
+    match arguments(method, seqid, &mut input) {
+        Ok(message) => Some(message),
+        Err(EmptyError) if method == b"cancel" => None,
+        Err(EmptyError) => Some(Message::Unknown(seqid, method)),
+    }
+}
--- /dev/null
+++ b/src/net/front/thrift/session.rs
@@ -0,0 +1,211 @@
+//! Serves one connection of a client: reads its messages, submits its calls and sends their answers.
+
+use super::call::{class_of, read_request, Fields};
+use super::decode::{frame_len, message, Message, FRAME_HEADER_BYTES};
+use super::encode;
+use crate::core::{Answer, ResultRows};
+use crate::interface::{ClassId, RequestId};
+use crate::limits::Limits;
+use crate::net::connection::frame::Frame;
+use crate::net::connection::{close_orderly, CloseMode, ReadBuffer};
+use crate::net::front::requests::count_of_answer;
+use crate::net::front::{ClientConnection, FrontendState, ResponseWriter};
+use crate::net::log;
+use starlingplank_admin::metrics::Count;
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::rc::Rc;
+use tokio::net::TcpStream;
+
+/// State of one connection.
+struct Session {
+    connection: Rc<ClientConnection>,
+    limits: Rc<Limits>,
+    /// Open calls by their sequence numbers.
+    open_calls: RefCell<HashMap<i32, RequestId>>,
+    /// Sequence number of the last call, or of a health check in sequence; 0 before the first, as sequences start at 1.
+    last_seqid: Cell<i32>,
+}
+
+/// The client used a sequence number out of order, or the name of a request that is open on its connection: the answers
+/// could not be told apart.
+struct ProtocolViolation;
+
+/// Writes the answer to one call.
+struct CallResponse {
+    session: Rc<Session>,
+    seqid: i32,
+    class: ClassId,
+}
+
+impl ResponseWriter for CallResponse {
+    // Answers of this protocol are not streamed: its statements have no flow control.
+    fn start(&self, _: ResultRows) {}
+    fn send_chunk(&self, _: Vec<u8>) {}
+
+    fn finish(self: Box<Self>, answer: Answer) {
+        self.session.close_call(self.seqid);
+        let count = count_of_answer(&answer);
+        let frame = match answer {
+            Answer::Served(rows) => encode::answer("call", self.seqid, rows, true),
+            Answer::Rejected(retry_after) => encode::overloaded(self.seqid, retry_after),
+            Answer::Failed(_) | Answer::Cut | Answer::Finished => encode::internal(self.seqid, "failed"),
+            Answer::Expired => encode::internal(self.seqid, "out of time"),
+        };
+        self.session.send(frame.counted((self.class.0, count)));
+    }
+}
+
+/// Serves one client until its connection ends, then withdraws the calls that are open on it.
+pub async fn serve(stream: TcpStream, connection: Rc<ClientConnection>, frontend: Rc<FrontendState>) {
+    let limits = frontend.limits.clone();
+    let session = Rc::new(Session {
+        connection: connection.clone(),
+        limits: limits.clone(),
+        open_calls: RefCell::default(),
+        last_seqid: Cell::new(0),
+    });
+    let _ = stream.set_nodelay(true);
+    let is_disconnected = tokio::select! {
+        written = connection.write_queue.write_all(&stream, &limits) => written.is_err(),
+        () = read_messages(&stream, &session, &frontend) => connection.is_disconnected(),
+    };
+    let open_calls: Vec<_> = session.open_calls.borrow_mut().drain().collect();
+    for (_, id) in open_calls {
+        frontend.withdraw(id).await;
+    }
+    if is_disconnected {
+        connection.write_queue.close(CloseMode::Immediately);
+    } else {
+        close_orderly(stream, &connection.write_queue, &limits).await;
+    }
+}
+
+/// Reads and handles messages until the connection is over or is to be closed.
+async fn read_messages(stream: &TcpStream, session: &Rc<Session>, frontend: &Rc<FrontendState>) {
+    let limits = &session.limits;
+    let mut read_buffer = ReadBuffer::new(frontend.shared.clone());
+    loop {
+        while let Some(length) = frame_len(read_buffer.unread()) {
+            if length > limits.max_message_bytes {
+                return log::seldom("a client's frame is too long; the connection was closed");
+            }
+            let Some(frame) = read_buffer.unread().get(FRAME_HEADER_BYTES..length) else { break };
+            let Some(message) = message(frame) else {
+                return log::seldom("a client's message cannot be read; the connection was closed");
+            };
+            if let Err(ProtocolViolation) = session.handle_message(message, frontend).await {
+                return log::seldom(
+                    "a client sent a sequence number out of order, or a name twice; the connection was closed",
+                );
+            }
+            read_buffer.consume(length);
+        }
+        if !session.connection.read(&mut read_buffer, stream, limits).await {
+            return;
+        }
+    }
+}
+
+impl Session {
+    fn send(&self, frame: Frame) {
+        self.connection.send(frame, &self.limits);
+    }
+
+    /// Sends an answer that this front gives itself, counted if its class is known.
+    fn send_own_answer(&self, frame: Frame, class: Option<ClassId>, count: Count) {
+        self.send(match class {
+            Some(class) => frame.counted((class.0, count)),
+            None => frame,
+        });
+    }
+
+    fn close_call(&self, seqid: i32) {
+        if self.open_calls.borrow_mut().remove(&seqid).is_some() {
+            self.connection.request_closed();
+        }
+    }
+
+    async fn handle_message(
+        self: &Rc<Self>,
+        message: Message<'_>,
+        frontend: &Rc<FrontendState>,
+    ) -> Result<(), ProtocolViolation> {
+        match message {
+            Message::Health(seqid) => self.answer_health(seqid, frontend),
+            Message::Unknown(seqid, method) => self.send(encode::exception(seqid, method)),
+            Message::Cancel(seqid) => self.cancel(seqid, frontend).await,
+            Message::Call { seqid, fields, body } => {
+                return self.handle_call(seqid, &fields, body, frontend).await;
+            }
+        }
+        Ok(())
+    }
+
+    fn answer_health(&self, seqid: i32, frontend: &FrontendState) {
+        if self.last_seqid.get().checked_add(1) == Some(seqid) {
+            self.last_seqid.set(seqid);
+        }
+        let is_well = !frontend.shutdown_phase().reports_unhealthy() && !frontend.awaits_endpoint_list.get();
+        self.send(encode::answer("health", seqid, ResultRows::default(), is_well));
+    }
+
+    async fn cancel(&self, seqid: i32, frontend: &FrontendState) {
+        let id = self.open_calls.borrow().get(&seqid).copied();
+        if let Some(id) = id {
+            // It stays open until the reducer is notified: the connection may end while this waits.
+            frontend.withdraw(id).await;
+            self.close_call(seqid);
+        }
+    }
+
+    /// Submits a call, or answers it where it cannot become a request.
+    async fn handle_call(
+        self: &Rc<Self>,
+        seqid: i32,
+        fields: &Fields<'_>,
+        body: &[u8],
+        frontend: &Rc<FrontendState>,
+    ) -> Result<(), ProtocolViolation> {
+        self.check_sequence(seqid)?;
+        if self.open_calls.borrow().len() >= self.limits.max_open_per_connection {
+            let frame = encode::overloaded(seqid, frontend.settings.max_retry_after);
+            self.send_own_answer(frame, class_of(fields, frontend), Count::Deferred);
+            return Ok(());
+        }
+        let same_name = fields.get("txn").and_then(|name| frontend.open_request_named(name));
+        if same_name.is_some_and(|id| self.open_calls.borrow().values().any(|open| *open == id)) {
+            return Err(ProtocolViolation);
+        }
+        let request = match read_request(fields, body, &self.connection, frontend) {
+            Ok(request) => request,
+            Err(invalid) => {
+                let frame = encode::internal(seqid, &invalid.to_string());
+                self.send_own_answer(frame, class_of(fields, frontend), Count::Errored);
+                return Ok(());
+            }
+        };
+        if same_name.is_some() {
+            let frame = encode::internal(seqid, "txn is that of another open request");
+            self.send_own_answer(frame, Some(request.class), Count::Errored);
+            return Ok(());
+        }
+        let id = frontend.allocate_request_id();
+        self.open_calls.borrow_mut().insert(seqid, id);
+        self.connection.request_opened();
+        let response = CallResponse { session: self.clone(), seqid, class: request.class };
+        frontend.submit(id, Box::new(response), request).await;
+        Ok(())
+    }
+
+    /// Sequence numbers start at 1 and increase on each connection. A client that begins elsewhere is not valid: what it
+    /// sends earns no retries, and must not spend those of other clients.
+    fn check_sequence(&self, seqid: i32) -> Result<(), ProtocolViolation> {
+        let last = self.last_seqid.get();
+        if seqid <= last || last == 0 && seqid != 1 {
+            return Err(ProtocolViolation);
+        }
+        self.last_seqid.set(seqid);
+        Ok(())
+    }
+}
--- a/src/net/runtime/shutdown.rs
+++ b/src/net/runtime/shutdown.rs
@@ -35,8 +35,7 @@
 
     /// How long requests are answered after SIGTERM.
     fn drain_window(&self) -> Duration {
-        let hands_over =
-            matches!(self.frontend.shutdown_phase(), ShutdownPhase::HandingOver | ShutdownPhase::ClosingIdle);
+        let hands_over = self.frontend.shutdown_phase().hands_over();
         let limits = &self.frontend.limits;
         let window =
             if hands_over { limits.hot_restart_answer_deadline } else { limits.shutdown_answer_deadline };
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -43,7 +43,7 @@
 
 #[test]
 fn a_call_is_read_past_fields_that_nobody_knows_and_no_part_of_it_panics() {
-    let Some(Message::Call { seq: 7, fields, body: b"hi" }) = thrift::message(CALL) else {
+    let Some(Message::Call { seqid: 7, fields, body: b"hi" }) = thrift::message(CALL) else {
         panic!("not read")
     };
     assert_eq!(fields.get("a"), Some(&"b"));
