--- /dev/null
+++ b/src/net/engine/clickhouse/driver.rs
@@ -0,0 +1,55 @@
+//! Drives one connection: opens it, writes and reads until it ends, and reports its job as ended.
+
+use super::connection::{Connection, Job};
+use super::response::ResponseReader;
+use crate::core::{AttemptEnd, Event};
+use crate::interface::Outcome;
+use crate::limits::Limits;
+use crate::net::connection::CloseMode;
+use crate::net::engine::connect::{connect, ConnectError};
+use std::rc::Rc;
+use tokio::sync::mpsc::Sender;
+
+/// Opens a connection, then writes and reads until it ends, and reports the end of its job.
+pub(super) async fn run(connection: Rc<Connection>, limits: Rc<Limits>, events: Sender<Event>) {
+    let stream = tokio::select! {
+        stream = connect(connection.address, &limits) => stream,
+        () = connection.write_queue.closed_immediately() => Err(ConnectError::GivenUp),
+    };
+    if let Ok(stream) = &stream {
+        let _ = stream.set_nodelay(true);
+        let mut reader = ResponseReader::new(&connection, stream, &limits, &events);
+        tokio::select! {
+            written = connection.write_queue.write_all(stream, &limits) => drop(written),
+            () = reader.read_all() => {}
+            () = report_expired_attempts(&connection, &events) => {}
+        }
+    }
+    connection.closed.set(true);
+    let unsent = connection.write_queue.unsent_attempts();
+    connection.write_queue.close(CloseMode::Immediately);
+    let event = match connection.end_job() {
+        None => return,
+        Some(Job::HealthCheck(tag)) => Event::HealthChecked(tag, false, None),
+        Some(Job::Attempt(id, _)) => {
+            let outcome = match &stream {
+                Err(error) => error.outcome(),
+                Ok(_) if unsent.contains(&id) => Outcome::NotExecuted,
+                Ok(_) => Outcome::Reset,
+            };
+            Event::AttemptEnded(id, AttemptEnd::plain(outcome))
+        }
+    };
+    let _ = events.send(event).await;
+}
+
+/// Reports attempts that were dropped unwritten, as it was too late to write them.
+async fn report_expired_attempts(connection: &Connection, events: &Sender<Event>) {
+    loop {
+        let id = connection.write_queue.next_expired_attempt().await;
+        if connection.carries(id) {
+            let _ = events.send(Event::AttemptEnded(id, AttemptEnd::plain(Outcome::NotExecuted))).await;
+            connection.end_job();
+        }
+    }
+}
--- /dev/null
+++ b/src/net/engine/clickhouse/mod.rs
@@ -0,0 +1,164 @@
+//! Engines that speak the ClickHouse HTTP interface. A connection carries one attempt at a time and is used again. An
+//! attempt that is aborted ends its connection, as that is how such an engine is notified.
+//!
+//! [`HttpEngines`] chooses a connection, `request` writes the request of an attempt, `driver` owns the socket, and
+//! `response` reads the response.
+
+mod connection;
+mod driver;
+mod request;
+mod response;
+
+use crate::core::{AttemptEnd, AttemptId, Event, Send};
+use crate::interface::{EngineId, Outcome};
+use crate::limits::Limits;
+use crate::net::connection::frame::Frame;
+use crate::net::connection::{CloseMode, SharedState};
+use crate::net::engine::Engines;
+use crate::net::log;
+use connection::{Connection, Job};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::sync::mpsc::Sender;
+
+/// All connections to engines of this kind. It owns the pools; each connection is driven by a task of its own.
+pub struct HttpEngines {
+    pools: BTreeMap<EngineId, Vec<Rc<Connection>>>,
+    limits: Rc<Limits>,
+    shared: Rc<SharedState>,
+    events: Sender<Event>,
+}
+
+impl HttpEngines {
+    /// Pools without a connection.
+    pub fn new(limits: Rc<Limits>, shared: Rc<SharedState>, events: Sender<Event>) -> Self {
+        Self { pools: BTreeMap::new(), limits, shared, events }
+    }
+
+    /// Hands a job to a connection. False: none is free, and none can be opened.
+    fn assign(&mut self, engine: &EngineId, address: SocketAddr, job: Job, frame: Frame) -> bool {
+        self.retire_other_addresses(engine, address);
+        let connection = match self.free_connection(engine) {
+            Some(connection) => connection,
+            None if self.open_connections() >= self.max_connections() => return false,
+            None => self.open_connection(engine, address),
+        };
+        connection.assign(job, frame, &self.limits);
+        true
+    }
+
+    /// Retires the connections to addresses that the engine had before. The engine has a pool from here on.
+    fn retire_other_addresses(&mut self, engine: &EngineId, address: SocketAddr) {
+        let pool = self.pools.entry(engine.clone()).or_default();
+        for connection in pool.iter().filter(|connection| connection.address != address) {
+            connection.retired.set(true);
+        }
+    }
+
+    /// The free connection that was used last.
+    fn free_connection(&self, engine: &EngineId) -> Option<Rc<Connection>> {
+        let free = self.pools.get(engine)?.iter().filter(|connection| connection.is_free());
+        free.max_by_key(|connection| connection.last_used.get()).cloned()
+    }
+
+    fn open_connections(&self) -> usize {
+        self.pools.values().flatten().filter(|connection| !connection.closed.get()).count()
+    }
+
+    /// Connections that this process may have open at once.
+    fn max_connections(&self) -> usize {
+        self.shared.process_share(self.limits.max_engine_connections)
+    }
+
+    fn open_connection(&mut self, engine: &EngineId, address: SocketAddr) -> Rc<Connection> {
+        let connection = Rc::new(Connection::new(address, self.shared.clone()));
+        self.pools.entry(engine.clone()).or_default().push(connection.clone());
+        let run = driver::run(connection.clone(), self.limits.clone(), self.events.clone());
+        tokio::task::spawn_local(run);
+        connection
+    }
+
+    /// The connection that carries an attempt.
+    fn connection_of(&self, id: AttemptId) -> Option<&Rc<Connection>> {
+        self.pools.values().flatten().find(|connection| connection.carries(id))
+    }
+
+    /// Closes connections on which a health check has had no response for too long: they would stay open for ever.
+    fn close_silent_health_checks(&self) {
+        for connection in self.pools.values().flatten().filter(|connection| connection.carries_health_check())
+        {
+            if connection.last_used.get().elapsed() >= self.limits.health_check_connection_timeout {
+                connection.write_queue.close(CloseMode::Immediately);
+            }
+        }
+    }
+
+    /// Closes connections without a job that are retired or have been idle for long.
+    fn close_unused(&self) {
+        let connections = self.pools.values().flatten();
+        for connection in connections.filter(|connection| !connection.closed.get() && connection.has_no_job())
+        {
+            if connection.retired.get()
+                || connection.last_used.get().elapsed() >= self.limits.engine_idle_timeout
+            {
+                connection.retired.set(true);
+                connection.write_queue.close(CloseMode::AfterWrite);
+            }
+        }
+    }
+
+    fn remove_closed(&mut self) {
+        for pool in self.pools.values_mut() {
+            pool.retain(|connection| !connection.closed.get());
+        }
+        self.pools.retain(|_, pool| !pool.is_empty());
+    }
+}
+
+impl Engines for HttpEngines {
+    fn send(&mut self, send: Send, events: &mut Vec<Event>) {
+        let job = Job::Attempt(send.id, send.statement.flow.clone());
+        let (id, engine, address) = (send.id, send.engine.clone(), send.address);
+        if !self.assign(&engine, address, job, Frame::for_attempt(send, request::encode)) {
+            log::seldom_error("no connection is left for an attempt on an engine", &engine.0);
+            events.push(Event::AttemptEnded(id, AttemptEnd::plain(Outcome::NotExecuted)));
+        }
+    }
+
+    fn abort_attempt(&mut self, id: AttemptId, _: bool) {
+        let Some(connection) = self.connection_of(id) else { return };
+        connection.end_job();
+        if !connection.write_queue.withdraw(id) {
+            connection.write_queue.close(CloseMode::Immediately);
+        }
+    }
+
+    // The interface has no way to change the priority of a query that is running.
+    fn set_priority(&mut self, _: AttemptId, _: u8) {}
+
+    fn check_health(&mut self, tag: u64, engine: &EngineId, address: SocketAddr, events: &mut Vec<Event>) {
+        let frame = Frame::plain(format!("GET /ping HTTP/1.1\r\nHost: {address}\r\n\r\n").into_bytes());
+        if !self.assign(engine, address, Job::HealthCheck(tag), frame) {
+            events.push(Event::HealthChecked(tag, false, None));
+        }
+    }
+
+    fn drop_queued(&mut self, engine: &EngineId, events: &mut Vec<Event>) {
+        for connection in self.pools.get(engine).into_iter().flatten() {
+            connection.retired.set(true);
+            for id in connection.write_queue.unsent_attempts() {
+                if connection.write_queue.withdraw(id) {
+                    connection.end_job();
+                    events.push(Event::AttemptEnded(id, AttemptEnd::plain(Outcome::NotExecuted)));
+                }
+            }
+        }
+    }
+
+    fn maintain(&mut self, _: &mut Vec<Event>) {
+        self.close_silent_health_checks();
+        self.close_unused();
+        self.remove_closed();
+    }
+}
--- a/src/net/engine/connection.rs
+++ b/src/net/engine/connection.rs
@@ -4,8 +4,8 @@
 use crate::interface::Outcome;
 use crate::limits::Limits;
 use crate::net::connection::{SharedState, WriteQueue};
+use crate::net::engine::partial_result::PartialResult;
 use crate::net::engine::resp;
-use crate::net::engine::results::PartialResult;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -54,9 +54,9 @@
     pub in_flight: RefCell<HashMap<String, InFlight>>,
     /// Names of attempts that were cancelled on this connection. None of them is sent here again: a late reply to the
     /// cancelled attempt would be taken for a reply to the new one.
-    pub retired_ids: RefCell<BTreeSet<String>>,
-    /// Probes without a reply, and when they were sent.
-    pub probes: RefCell<BTreeMap<u64, Instant>>,
+    pub retired_names: RefCell<BTreeSet<String>>,
+    /// Health checks without a reply, and when they were sent.
+    pub health_checks: RefCell<BTreeMap<u64, Instant>>,
     /// When something was last sent or ended on it.
     pub last_used: Cell<Instant>,
     /// When bytes last arrived.
@@ -73,8 +73,8 @@
             closed: Cell::new(false),
             retired: Cell::new(false),
             in_flight: RefCell::default(),
-            retired_ids: RefCell::default(),
-            probes: RefCell::default(),
+            retired_names: RefCell::default(),
+            health_checks: RefCell::default(),
             last_used: Cell::new(Instant::now()),
             last_received: Cell::new(Instant::now()),
         }
@@ -82,7 +82,7 @@
 
     /// Whether nothing is open on it.
     pub fn is_idle(&self) -> bool {
-        self.in_flight.borrow().is_empty() && self.probes.borrow().is_empty()
+        self.in_flight.borrow().is_empty() && self.health_checks.borrow().is_empty()
     }
 
     /// Whether it can take an attempt of that name.
@@ -92,7 +92,7 @@
             && !self.write_queue.is_closing()
             && self.in_flight_count() < limits.max_attempts_per_connection
             && !self.in_flight.borrow().contains_key(name)
-            && !self.retired_ids.borrow().contains(name)
+            && !self.retired_names.borrow().contains(name)
     }
 
     /// How many attempts are in flight.
@@ -101,7 +101,7 @@
     }
 
     /// Whether the attempt of that name that is in flight here is this one.
-    pub fn holds(&self, id: AttemptId, name: &str) -> bool {
+    pub fn has_in_flight(&self, id: AttemptId, name: &str) -> bool {
         self.in_flight.borrow().get(name).is_some_and(|attempt| attempt.id == id)
     }
 
@@ -113,10 +113,10 @@
 
     /// Lets no further attempt of that name use this connection: a late or repeated reply to the one that has ended would
     /// pass for a reply to the next. A connection that has collected very many such names takes no more attempts.
-    pub fn retire_id(&self, name: String, limits: &Limits) {
-        let mut retired_ids = self.retired_ids.borrow_mut();
-        retired_ids.insert(name);
-        if retired_ids.len() > limits.event_queue_capacity {
+    pub fn retire_name(&self, name: String, limits: &Limits) {
+        let mut retired_names = self.retired_names.borrow_mut();
+        retired_names.insert(name);
+        if retired_names.len() > limits.event_queue_capacity {
             self.retired.set(true);
         }
     }
@@ -139,7 +139,7 @@
         for name in self.stalled_names(limits) {
             let Some(attempt) = self.end_attempt(&name) else { continue };
             self.write_queue.push(resp::command(&["shut", &name]), limits);
-            self.retire_id(name, limits);
+            self.retire_name(name, limits);
             events.push(Event::AttemptEnded(attempt.id, AttemptEnd::plain(Outcome::Error)));
         }
     }
@@ -150,9 +150,9 @@
         stalled.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Ends the wait for probes that have had no reply for too long.
-    pub fn expire_probes(&self, limits: &Limits) {
-        self.probes.borrow_mut().retain(|_, sent_at| {
+    /// Ends the wait for health checks that have had no reply for too long.
+    pub fn expire_health_checks(&self, limits: &Limits) {
+        self.health_checks.borrow_mut().retain(|_, sent_at| {
             let expired = sent_at.elapsed() >= limits.health_check_connection_timeout;
             if expired {
                 self.retire_if_silent(*sent_at, limits.health_check_connection_timeout);
--- a/src/net/engine/driver.rs
+++ b/src/net/engine/driver.rs
@@ -16,37 +16,37 @@
 use tokio::time::{sleep_until, Instant};
 
 /// A reply that is longer than so many whole results is not waited for.
-const LONGEST_REPLY_IN_RESULTS: usize = 2;
+const MAX_REPLY_IN_RESULTS: usize = 2;
 
 /// Opens a connection, then writes and reads until it ends, and reports the end of everything that was open on it.
 pub async fn run(connection: Rc<Connection>, limits: Rc<Limits>, events: Sender<Event>) {
     let stream = connect(connection.address, &limits).await;
     match &stream {
         Ok(stream) => exchange(&connection, stream, &limits, &events).await,
-        Err(e) => tracing::debug!("no connection to {}: {e}", connection.address),
+        Err(error) => tracing::debug!(address = %connection.address, %error, "connection not opened"),
     }
-    let never_up = stream.as_ref().err().map(ConnectError::outcome);
+    let connect_failure = stream.as_ref().err().map(ConnectError::outcome);
     connection.closed.set(true);
     let unsent = connection.write_queue.unsent_attempts();
     connection.write_queue.close(CloseMode::Immediately);
-    report_ended_attempts(&connection, never_up, &unsent, &events).await;
-    report_failed_probes(&connection, &events).await;
+    report_ended_attempts(&connection, connect_failure, &unsent, &events).await;
+    report_failed_health_checks(&connection, &events).await;
 }
 
 /// Writes and reads until the connection ends.
 async fn exchange(connection: &Connection, stream: &TcpStream, limits: &Limits, events: &Sender<Event>) {
     connection.connected_at.set(Some(Instant::now()));
-    tracing::trace!("connection to {} is up", connection.address);
+    tracing::trace!(address = %connection.address, "connection opened");
     let _ = stream.set_nodelay(true);
     tokio::select! {
         written = connection.write_queue.write_all(stream, limits) => drop(written),
         () = read_replies(connection, stream, limits, events) => {}
-        () = report_overdue(connection, events) => {}
+        () = report_expired_attempts(connection, events) => {}
     }
 }
 
-/// Reports attempts that could not leave in time.
-async fn report_overdue(connection: &Connection, events: &Sender<Event>) {
+/// Reports attempts that were dropped unwritten, as it was too late to write them.
+async fn report_expired_attempts(connection: &Connection, events: &Sender<Event>) {
     loop {
         let id = connection.write_queue.next_expired_attempt().await;
         // It stays in flight until it is reported: if the connection ends meanwhile, its end is reported with it.
@@ -75,22 +75,22 @@
     limits: &Limits,
     events: &Sender<Event>,
 ) -> ControlFlow<()> {
-    let longest = LONGEST_REPLY_IN_RESULTS * limits.max_result_bytes;
+    let max_reply_bytes = MAX_REPLY_IN_RESULTS * limits.max_result_bytes;
     loop {
-        // The place of its event is there before a reply changes anything: this future may be dropped while it waits.
-        let Ok(place) = events.reserve().await else { return ControlFlow::Break(()) };
+        // The slot of its event is reserved before a reply changes anything: this future may be dropped while it waits.
+        let Ok(slot) = events.reserve().await else { return ControlFlow::Break(()) };
         let (effect, used) = match resp::read(read_buffer.unread(), limits.max_result_bytes) {
             Read::Reply(reply, used) => (handle_reply(connection, &reply, limits), used),
-            Read::More if read_buffer.unread().len() <= longest => return ControlFlow::Continue(()),
+            Read::More if read_buffer.unread().len() <= max_reply_bytes => return ControlFlow::Continue(()),
             Read::More | Read::Bad => (ReplyEffect::ProtocolError, 0),
         };
         read_buffer.consume(used);
         match effect {
             ReplyEffect::Ignored => {}
-            ReplyEffect::Event(event) => place.send(event),
+            ReplyEffect::Event(event) => slot.send(event),
             // It is not known which attempts the replies after this one belong to.
             ReplyEffect::ProtocolError => {
-                log::seldom("an engine's answer cannot be used; the connection was closed");
+                log::seldom("an invalid reply of an engine; the connection was closed");
                 return ControlFlow::Break(());
             }
         }
@@ -114,7 +114,7 @@
             ControlFlow::Continue(())
         }
         () = sleep_until_deadline(complete_by) => {
-            log::seldom("an engine stopped inside an answer; the connection was closed");
+            log::seldom("an engine stopped inside a reply; the connection was closed");
             ControlFlow::Break(())
         }
     }
@@ -128,16 +128,16 @@
     }
 }
 
-/// Reports the attempts that were in flight as the connection ended; with that outcome where it was never up.
+/// Reports the attempts that were in flight as the connection ended; with the outcome of the connect failure where it was never established.
 async fn report_ended_attempts(
     connection: &Connection,
-    never_up: Option<Outcome>,
+    connect_failure: Option<Outcome>,
     unsent: &[AttemptId],
     events: &Sender<Event>,
 ) {
     let in_flight: Vec<_> = connection.in_flight.borrow_mut().drain().collect();
     for (_, attempt) in in_flight {
-        let outcome = match never_up {
+        let outcome = match connect_failure {
             Some(outcome) => outcome,
             None if unsent.contains(&attempt.id) => Outcome::NotExecuted,
             None => Outcome::Reset,
@@ -146,10 +146,10 @@
     }
 }
 
-/// Reports the probes that had no reply as the connection ended.
-async fn report_failed_probes(connection: &Connection, events: &Sender<Event>) {
-    let probes = std::mem::take(&mut *connection.probes.borrow_mut());
-    for (tag, _) in probes {
+/// Reports the health checks that had no reply as the connection ended.
+async fn report_failed_health_checks(connection: &Connection, events: &Sender<Event>) {
+    let health_checks = std::mem::take(&mut *connection.health_checks.borrow_mut());
+    for (tag, _) in health_checks {
         let _ = events.send(Event::HealthChecked(tag, false, None)).await;
     }
 }
--- a/src/net/engine/mod.rs
+++ b/src/net/engine/mod.rs
@@ -1,24 +1,17 @@
 //! Engine wires: they turn attempts into the bytes that engines read, and replies of engines into outcomes.
 //!
-//! The parts stand in the order in which data passes. An attempt on an engine of the platform goes through [`pool`]
-//! (choice of a connection) and [`resp`] (bytes of the command) to its `connection`, which a `driver` writes and reads.
-//! A reply goes through `replies` (its meaning), `progress` (progress updates) and `results` (pages of a result) back to
-//! the reducer. [`clickhouse`] is the other wire, complete in itself.
-
-pub mod pool;
+//! An attempt on an engine of the platform goes through [`pool`] (choice of a connection) and [`resp`] (bytes of the
+//! command) to its `connection`, which a `driver` writes and reads. A reply goes through [`resp`] and `replies` (its
+//! meaning; `partial_result` collects pages) back to the reducer. [`clickhouse`] is the other wire.
 
+pub mod clickhouse;
 mod connect;
 mod connection;
 mod driver;
-
-pub mod resp;
-
+mod partial_result;
+pub mod pool;
 mod replies;
-
-mod progress;
-mod results;
-
-pub mod clickhouse;
+pub mod resp;
 
 use crate::core::{AttemptId, Event, Send};
 use crate::interface::EngineId;
@@ -30,13 +23,13 @@
     /// Sends an attempt.
     fn send(&mut self, send: Send, events: &mut Vec<Event>);
     /// Cancels an attempt, because its time is over or because its result is no longer needed.
-    fn abort_attempt(&mut self, id: AttemptId, out_of_time: bool);
+    fn abort_attempt(&mut self, id: AttemptId, timed_out: bool);
     /// Changes the priority of an attempt.
-    fn hurry(&mut self, id: AttemptId, priority: u8);
-    /// Probes an engine.
-    fn probe(&mut self, tag: u64, engine: &EngineId, address: SocketAddr, events: &mut Vec<Event>);
+    fn set_priority(&mut self, id: AttemptId, priority: u8);
+    /// Checks the health of an engine; the result is reported under `tag`.
+    fn check_health(&mut self, tag: u64, engine: &EngineId, address: SocketAddr, events: &mut Vec<Event>);
     /// Withdraws the attempts on an engine that drains or has been removed, as far as none of their bytes has left.
-    fn shut(&mut self, engine: &EngineId, events: &mut Vec<Event>);
-    /// Closes idle connections, and ends attempts and probes whose engine has stopped answering.
+    fn drop_queued(&mut self, engine: &EngineId, events: &mut Vec<Event>);
+    /// Closes idle connections, and ends attempts and health checks whose engine has stopped answering.
     fn maintain(&mut self, events: &mut Vec<Event>);
 }
--- a/src/net/engine/pool.rs
+++ b/src/net/engine/pool.rs
@@ -49,7 +49,7 @@
         if available.as_ref().is_some_and(|connection| !self.wants_another(engine, connection)) {
             return available;
         }
-        if self.open_connections() >= self.most_connections() {
+        if self.open_connections() >= self.max_connections() {
             return available;
         }
         Some(self.open_connection(engine, address))
@@ -76,13 +76,13 @@
 
     /// Whether a connection is so busy that another one beside it is worth opening, within half of the engine's share.
     fn wants_another(&self, engine: &EngineId, connection: &Connection) -> bool {
-        let share = self.most_connections() / self.pools.len().max(1);
+        let share = self.max_connections() / self.pools.len().max(1);
         let open = self.pools.get(engine).map_or(0, |pool| count_open(pool));
         connection.in_flight_count() >= self.limits.preferred_attempts_per_connection && open < share / 2
     }
 
     /// Connections that this process may have open at once.
-    fn most_connections(&self) -> usize {
+    fn max_connections(&self) -> usize {
         self.shared.process_share(self.limits.max_engine_connections)
     }
 
@@ -111,15 +111,15 @@
         }
     }
 
-    fn forget_closed(&mut self) {
+    fn remove_closed(&mut self) {
         for pool in self.pools.values_mut() {
             pool.retain(|connection| !connection.closed.get());
         }
         self.pools.retain(|_, pool| !pool.is_empty());
     }
 
-    fn forget_ended_attempts(&mut self) {
-        self.placements.retain(|id, placement| placement.connection.holds(*id, &placement.name));
+    fn remove_ended_placements(&mut self) {
+        self.placements.retain(|id, placement| placement.connection.has_in_flight(*id, &placement.name));
     }
 }
 
@@ -137,13 +137,13 @@
         connection.last_used.set(Instant::now());
         connection.in_flight.borrow_mut().insert(name.clone(), InFlight::new(send.id));
         let id = send.id;
-        connection.write_queue.push(resp::want_command(send), &self.limits);
+        connection.write_queue.push(resp::attempt_command(send), &self.limits);
         self.placements.insert(id, Placement { connection, name });
     }
 
-    fn abort_attempt(&mut self, id: AttemptId, out_of_time: bool) {
+    fn abort_attempt(&mut self, id: AttemptId, timed_out: bool) {
         let Some(Placement { connection, name }) = self.placements.remove(&id) else { return };
-        if !connection.holds(id, &name) {
+        if !connection.has_in_flight(id, &name) {
             return;
         }
         let Some(attempt) = connection.end_attempt(&name) else { return };
@@ -152,14 +152,14 @@
         }
         // An attempt that is out of time has waited long enough, however short its time was. Any other proves the
         // connection silent only after a silence that no live engine keeps.
-        let silence = if out_of_time { Duration::ZERO } else { self.limits.engine_stall_timeout };
+        let silence = if timed_out { Duration::ZERO } else { self.limits.engine_stall_timeout };
         connection.retire_if_silent(attempt.sent_at, silence);
         let word = if attempt.result.is_some() { "shut" } else { "never_mind" };
         connection.write_queue.push(resp::command(&[word, &name]), &self.limits);
-        connection.retire_id(name, &self.limits);
+        connection.retire_name(name, &self.limits);
     }
 
-    fn hurry(&mut self, id: AttemptId, priority: u8) {
+    fn set_priority(&mut self, id: AttemptId, priority: u8) {
         let Some(Placement { connection, name }) = self.placements.get(&id) else { return };
         let is_running = connection
             .in_flight
@@ -171,15 +171,15 @@
         }
     }
 
-    fn probe(&mut self, tag: u64, engine: &EngineId, address: SocketAddr, events: &mut Vec<Event>) {
+    fn check_health(&mut self, tag: u64, engine: &EngineId, address: SocketAddr, events: &mut Vec<Event>) {
         let Some(connection) = self.choose_connection(engine, address, "") else {
             return events.push(Event::HealthChecked(tag, false, None));
         };
-        connection.probes.borrow_mut().insert(tag, Instant::now());
+        connection.health_checks.borrow_mut().insert(tag, Instant::now());
         connection.write_queue.push(resp::command(&["busy", &format!("p{tag}")]), &self.limits);
     }
 
-    fn shut(&mut self, engine: &EngineId, events: &mut Vec<Event>) {
+    fn drop_queued(&mut self, engine: &EngineId, events: &mut Vec<Event>) {
         for connection in self.pools.get(engine).into_iter().flatten() {
             connection.retired.set(true);
             for id in connection.withdraw_unsent() {
@@ -192,10 +192,10 @@
     fn maintain(&mut self, events: &mut Vec<Event>) {
         for connection in self.pools.values().flatten() {
             connection.end_stalled_results(&self.limits, events);
-            connection.expire_probes(&self.limits);
+            connection.expire_health_checks(&self.limits);
         }
         self.close_unused();
-        self.forget_closed();
-        self.forget_ended_attempts();
+        self.remove_closed();
+        self.remove_ended_placements();
     }
 }
--- a/src/net/engine/replies.rs
+++ b/src/net/engine/replies.rs
@@ -1,31 +1,34 @@
-//! The meaning of a reply: the outcome of an attempt, the result of a probe, or news of an attempt that goes on.
+//! The meaning of a reply: the end of an attempt or of a health check, a page of a result, or a progress update.
 
 use crate::core::{AttemptEnd, Event};
 use crate::interface::Outcome;
 use crate::limits::Limits;
-use crate::net::engine::connection::Connection;
-use crate::net::engine::progress::handle_progress_update;
-use crate::net::engine::resp::Reply;
-use crate::net::engine::results::handle_page;
+use crate::net::engine::connection::{Connection, InFlight};
+use crate::net::engine::partial_result::{positive_integer, PageEffect, PartialResult};
+use crate::net::engine::resp::{self, InvalidProgressUpdate, Reply};
+use crate::net::log;
 use tokio::time::Instant;
 
+/// The kind of a reply that brings the first page of a result.
+const FIRST_PAGE: &[u8] = b"served";
+
 /// What a reply leads to.
 pub enum ReplyEffect {
     /// Nothing: the reply belongs to nothing that is open on the connection (cancelled, unknown, or a duplicate), or
     /// the attempt goes on.
     Ignored,
-    /// News for the reducer.
+    /// An event for the reducer.
     Event(Event),
     /// The reply breaks the protocol: the connection is closed.
     ProtocolError,
 }
 
-/// Applies a reply to the connection that it came on.
+/// Applies a reply to the connection that it arrived on.
 pub fn handle_reply(connection: &Connection, reply: &Reply<'_>, limits: &Limits) -> ReplyEffect {
-    if let Some(tag) = probe_tag(reply) {
-        return handle_probe_reply(connection, tag, reply);
+    if let Some(tag) = health_check_tag(reply) {
+        return handle_health_reply(connection, tag, reply);
     }
-    match reply.word {
+    match reply.kind {
         b"served" | b"rows" => handle_page(connection, reply, limits),
         b"update" => handle_progress_update(connection, reply),
         b"overload" => handle_failure(connection, reply, Outcome::Full, limits),
@@ -35,17 +38,17 @@
     }
 }
 
-/// The tag of the probe that a reply answers, if it answers one.
-fn probe_tag(reply: &Reply<'_>) -> Option<u64> {
+/// The tag of the health check that a reply answers, if it answers one.
+fn health_check_tag(reply: &Reply<'_>) -> Option<u64> {
     reply.id.strip_prefix('p')?.parse().ok()
 }
 
-fn handle_probe_reply(connection: &Connection, tag: u64, reply: &Reply<'_>) -> ReplyEffect {
-    if connection.probes.borrow_mut().remove(&tag).is_none() {
+fn handle_health_reply(connection: &Connection, tag: u64, reply: &Reply<'_>) -> ReplyEffect {
+    if connection.health_checks.borrow_mut().remove(&tag).is_none() {
         return ReplyEffect::Ignored;
     }
     connection.last_used.set(Instant::now());
-    ReplyEffect::Event(Event::HealthChecked(tag, reply.word == b"green", reply.report()))
+    ReplyEffect::Event(Event::HealthChecked(tag, reply.kind == b"green", reply.load_report()))
 }
 
 /// Ends an attempt that has no result.
@@ -56,9 +59,71 @@
     limits: &Limits,
 ) -> ReplyEffect {
     let Some(attempt) = connection.end_attempt(reply.id) else { return ReplyEffect::Ignored };
-    connection.retire_id(reply.id.to_owned(), limits);
+    connection.retire_name(reply.id.to_owned(), limits);
     // An attempt whose result has begun was executed, whatever the reply says.
     let outcome = if attempt.result.is_some() { Outcome::Error } else { outcome };
-    let end = AttemptEnd { report: reply.report(), ..AttemptEnd::plain(outcome) };
+    let end = AttemptEnd { report: reply.load_report(), ..AttemptEnd::plain(outcome) };
     ReplyEffect::Event(Event::AttemptEnded(attempt.id, end))
 }
+
+/// Passes a progress update on to the reducer. An invalid one is dropped; the attempt and the others on its connection go
+/// on.
+fn handle_progress_update(connection: &Connection, reply: &Reply<'_>) -> ReplyEffect {
+    let in_flight = connection.in_flight.borrow();
+    let Some(attempt) = in_flight.get(reply.id) else { return ReplyEffect::Ignored };
+    // The query is over once its result has begun.
+    if attempt.result.is_some() {
+        return ReplyEffect::Ignored;
+    }
+    match reply.progress_update() {
+        Ok(Some(update)) => ReplyEffect::Event(Event::ProgressUpdate(attempt.id, update)),
+        Ok(None) => ReplyEffect::Ignored,
+        Err(InvalidProgressUpdate) => {
+            log::seldom("an invalid progress update of an engine was dropped");
+            ReplyEffect::Ignored
+        }
+    }
+}
+
+/// Applies a page to the result of its attempt. The first one also carries the measures of the result. The attempt
+/// succeeds once all pages have arrived; a page that is lost is an error of an attempt that was executed.
+fn handle_page(connection: &Connection, reply: &Reply<'_>, limits: &Limits) -> ReplyEffect {
+    let mut in_flight = connection.in_flight.borrow_mut();
+    let Some(attempt) = in_flight.get_mut(reply.id) else { return ReplyEffect::Ignored };
+    let is_first = reply.kind == FIRST_PAGE;
+    if is_first && attempt.result.is_none() {
+        let Some(result) = PartialResult::begin(reply, limits) else { return ReplyEffect::ProtocolError };
+        request_further_pages(connection, reply.id, result.page_count(), limits);
+        attempt.result = Some(result);
+    }
+    let number =
+        if is_first { Some(0) } else { positive_integer(reply, "page", limits.event_queue_capacity) };
+    let (Some(result), Some(number)) = (attempt.result.as_mut(), number) else {
+        return ReplyEffect::ProtocolError;
+    };
+    let effect = result.add(number, reply.body, limits);
+    drop(in_flight);
+    match effect {
+        PageEffect::Duplicate | PageEffect::Incomplete => ReplyEffect::Ignored,
+        PageEffect::Complete => end_with_result(connection, reply.id, limits),
+        PageEffect::Invalid => ReplyEffect::ProtocolError,
+    }
+}
+
+/// Requests all pages after the first.
+fn request_further_pages(connection: &Connection, name: &str, count: usize, limits: &Limits) {
+    for page in 1..count {
+        connection.write_queue.push(resp::command(&["turn", name, &page.to_string()]), limits);
+    }
+}
+
+/// Ends an attempt whose result is complete. An engine that sent several pages is told to release them.
+fn end_with_result(connection: &Connection, name: &str, limits: &Limits) -> ReplyEffect {
+    let Some(InFlight { id, result: Some(result), .. }) = connection.end_attempt(name) else {
+        return ReplyEffect::Ignored;
+    };
+    if result.page_count() > 1 {
+        connection.write_queue.push(resp::command(&["shut", name]), limits);
+    }
+    ReplyEffect::Event(Event::AttemptEnded(id, result.into_end()))
+}
--- /dev/null
+++ b/src/net/engine/resp/command.rs
@@ -0,0 +1,57 @@
+//! Writes commands to engines.
+
+use crate::core::Send;
+use crate::net::connection::frame::{Frame, Segment};
+use std::io::Write;
+
+/// Capacity that most commands fit into, in bytes.
+const USUAL_COMMAND_BYTES: usize = 128;
+
+/// The bytes of a command. With `body_length`, a body of that length and an end of line are to follow.
+fn encode(parts: &[&[u8]], body_length: Option<usize>) -> Vec<u8> {
+    let mut out = Vec::with_capacity(USUAL_COMMAND_BYTES);
+    let _ = write!(out, "*{}\r\n", parts.len() + usize::from(body_length.is_some()));
+    for part in parts {
+        let _ = write!(out, "${}\r\n", part.len());
+        out.extend_from_slice(part);
+        out.extend_from_slice(b"\r\n");
+    }
+    if let Some(length) = body_length {
+        let _ = write!(out, "${length}\r\n");
+    }
+    out
+}
+
+/// A command without a body.
+pub fn command(parts: &[&str]) -> Frame {
+    let parts: Vec<&[u8]> = parts.iter().map(|part| part.as_bytes()).collect();
+    Frame::plain(encode(&parts, None))
+}
+
+/// The command that transmits an attempt: `want`.
+pub fn attempt_command(send: Send) -> Frame {
+    Frame::for_attempt(send, encode_attempt)
+}
+
+/// The statement is sent as it was received, shared by all attempts.
+fn encode_attempt(send: &Send) -> Vec<Segment> {
+    let statement = &send.statement;
+    let mut fields = format!("queue={},budget={:.0}", statement.class, send.budget.max(1.0));
+    if let Some(key) = &statement.key {
+        fields += &format!(",uniq={key}");
+    }
+    if send.memory_mb >= 1.0 {
+        fields += &format!(",mem={:.0}", send.memory_mb);
+    }
+    fields += &format!(",prio={}", send.priority);
+    let head = encode(
+        &[b"want", statement.name.as_bytes(), fields.as_bytes()],
+        Some(statement.text.len() + statement.data.len()),
+    );
+    vec![
+        Segment::Owned(head),
+        Segment::StatementText(statement.clone()),
+        Segment::StatementData(statement.clone()),
+        Segment::Owned(b"\r\n".to_vec()),
+    ]
+}
--- /dev/null
+++ b/src/net/engine/resp/reply.rs
@@ -0,0 +1,111 @@
+//! Reads replies of engines in place.
+
+use crate::interface::LoadReport;
+use winnow::ascii::{crlf, dec_uint};
+use winnow::combinator::{delimited, preceded, terminated};
+use winnow::error::{EmptyError, ErrMode};
+use winnow::prelude::*;
+use winnow::token::take;
+use winnow::Partial;
+
+type Input<'a> = Partial<&'a [u8]>;
+type ParseResult<T> = Result<T, ErrMode<EmptyError>>;
+
+/// Stands for the fields of a reply that has none.
+const NO_FIELDS: &str = "-";
+
+/// A reply of an engine, still in the buffer.
+#[derive(Debug, PartialEq)]
+pub struct Reply<'a> {
+    /// The name of the attempt, or the tag of the health check, that it answers.
+    pub id: &'a str,
+    /// Its kind.
+    pub kind: &'a [u8],
+    /// Its fields, `name=value` separated by commas.
+    pub fields: &'a str,
+    /// Its body.
+    pub body: &'a [u8],
+}
+
+/// The result of reading the start of a buffer.
+#[derive(Debug, PartialEq)]
+pub enum Read<'a> {
+    /// A reply, and its length in bytes.
+    Reply(Reply<'a>, usize),
+    /// The reply is incomplete.
+    More,
+    /// This is no reply.
+    Bad,
+}
+
+fn bulk_string<'a>(limit: usize) -> impl FnMut(&mut Input<'a>) -> ParseResult<&'a [u8]> {
+    move |input: &mut Input<'a>| {
+        let length: usize =
+            delimited(b'$', dec_uint, crlf).verify(|length| *length <= limit).parse_next(input)?;
+        terminated(take(length), crlf).parse_next(input)
+    }
+}
+
+fn utf8_string<'a>(limit: usize) -> impl FnMut(&mut Input<'a>) -> ParseResult<&'a str> {
+    move |input: &mut Input<'a>| {
+        bulk_string(limit).verify_map(|bytes| std::str::from_utf8(bytes).ok()).parse_next(input)
+    }
+}
+
+fn reply_array<'a>(limit: usize) -> impl FnMut(&mut Input<'a>) -> ParseResult<Reply<'a>> {
+    move |input: &mut Input<'a>| {
+        let parts: usize = terminated(preceded(b'*', dec_uint), crlf).parse_next(input)?;
+        if !(2..=4).contains(&parts) {
+            return Err(ErrMode::Backtrack(EmptyError));
+        }
+        let (id, kind) = (utf8_string(limit), bulk_string(limit)).parse_next(input)?;
+        let fields = if parts > 2 { utf8_string(limit).parse_next(input)? } else { NO_FIELDS };
+        let body = if parts > 3 { bulk_string(limit).parse_next(input)? } else { &[] };
+        Ok(Reply { id, kind, fields, body })
+    }
+}
+
+/// Reads one reply, no part of which is longer than `limit` bytes.
+pub fn read(bytes: &[u8], limit: usize) -> Read<'_> {
+    let mut input = Partial::new(bytes);
+    match reply_array(limit).parse_next(&mut input) {
+        Ok(reply) => Read::Reply(reply, bytes.len() - input.len()),
+        Err(ErrMode::Incomplete(_)) => Read::More,
+        Err(_) => Read::Bad,
+    }
+}
+
+impl<'a> Reply<'a> {
+    /// The value of a field.
+    pub fn field(&self, name: &str) -> Option<&'a str> {
+        let mut pairs = self.fields.split(',').filter_map(|pair| pair.split_once('='));
+        pairs.find(|(known, _)| *known == name).map(|(_, value)| value)
+    }
+
+    /// The value of a field that is a finite number.
+    pub fn number(&self, name: &str) -> Option<f64> {
+        self.field(name).and_then(|value| value.parse().ok()).filter(|value: &f64| value.is_finite())
+    }
+
+    /// The load report in `use`, if there is one.
+    pub fn load_report(&self) -> Option<LoadReport> {
+        self.field("use").map(parse_load_report)
+    }
+}
+
+/// Reads a load report, like `inflight:7;util:0.61`, by the platform's names or the simulator's.
+pub fn parse_load_report(text: &str) -> LoadReport {
+    let mut report = LoadReport::default();
+    for (name, value) in text.split(';').filter_map(|pair| pair.split_once(':')) {
+        let value = value.parse().ok();
+        match name {
+            "inflight" | "concurrent" => report.inflight = value,
+            "queue" | "depth" => report.queue = value,
+            "util" | "load_share" => report.util = value,
+            "x0" => report.memory = value,
+            "x1" => report.disks = value,
+            _ => {}
+        }
+    }
+    report
+}
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -258,7 +258,7 @@
         let (sender, mut events) = tokio::sync::mpsc::channel(8);
         let mut engines = RespEngines::new(limits, SharedState::new(1), sender);
         let (engine, mut at_once) = (EngineId("s-0".into()), Vec::new());
-        engines.probe(1, &engine, at, &mut at_once);
+        engines.check_health(1, &engine, at, &mut at_once);
         let Some(Event::HealthChecked(1, true, Some(probed))) = events.recv().await else {
             panic!("a report")
         };
--- a/tests/notes.rs
+++ b/tests/notes.rs
@@ -39,7 +39,7 @@
 ) {
     let bytes = update(ID, fields);
     let Read::Reply(read, _) = resp::read(bytes.as_bytes(), 1000) else { panic!("an answer") };
-    assert_eq!(read.note(), expected);
+    assert_eq!(read.progress_update(), expected);
 }
 
 /// An update was taken for a spoilt answer: the connection was closed with all that was open on it.
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -20,7 +20,7 @@
 fn engine_answers(#[case] bytes: &str, #[case] expected: &str) {
     let got = match resp::read(bytes.as_bytes(), 1000) {
         Read::Reply(r, used) => {
-            let word = String::from_utf8_lossy(r.word);
+            let word = String::from_utf8_lossy(r.kind);
             let pages = r.field("pages").unwrap_or("-");
             format!("{} {word} {pages} {} {}", r.id, r.body.len(), &bytes[used..])
         }
@@ -33,7 +33,7 @@
 #[test]
 fn load_reports_are_read_by_either_name() {
     for text in ["inflight:7;util:0.5;new:1", "concurrent:7;load_share:0.5"] {
-        let report = resp::report(text);
+        let report = resp::parse_load_report(text);
         assert_eq!((report.inflight, report.util), (Some(7.0), Some(0.5)));
     }
 }
