--- /dev/null
+++ b/src/config/operator/value.rs
@@ -0,0 +1,133 @@
+//! Values of an operator's file: each is checked against its form and turned into the text of a setting.
+
+use crate::config::schema::Form;
+use hcl_edit::expr::Expression;
+use std::fmt;
+use std::net::SocketAddr;
+use thiserror::Error;
+
+/// Milliseconds of a second.
+const SECOND: f64 = 1_000.0;
+/// Milliseconds of a minute.
+const MINUTE: f64 = 60.0 * SECOND;
+/// Milliseconds of an hour.
+const HOUR: f64 = 60.0 * MINUTE;
+/// Units of durations, in milliseconds.
+const DURATION_UNITS: [(&str, f64); 4] = [("ms", 1.0), ("s", SECOND), ("m", MINUTE), ("h", HOUR)];
+/// Units of sizes, in MiB.
+const SIZE_UNITS: [(&str, f64); 3] = [("KiB", 1.0 / 1024.0), ("MiB", 1.0), ("GiB", 1024.0)];
+
+/// The value of a key in the form of a setting.
+#[derive(Debug, Clone)]
+pub(super) struct SettingValue {
+    /// The text of the setting.
+    pub(super) text: String,
+    /// The items, if it is a list.
+    pub(super) list: Vec<String>,
+}
+
+impl SettingValue {
+    fn scalar(text: String) -> Self {
+        Self { text, list: Vec::new() }
+    }
+}
+
+/// A value that does not have the form of its key.
+#[derive(Debug, Clone, Copy, PartialEq, Error)]
+pub struct InvalidValue {
+    /// The form that it should have.
+    pub expected: Form,
+}
+
+impl fmt::Display for InvalidValue {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self.expected {
+            Form::Word => write!(formatter, "must be text without space or comma"),
+            Form::Text => write!(formatter, "must be text"),
+            Form::OneOf(words) => write!(formatter, "must be one of {}", words.join(", ")),
+            Form::Flag => write!(formatter, "must be true or false"),
+            Form::Count(min, max) => write!(formatter, "must be a whole number from {min} to {max}"),
+            Form::Number(min, max) => write!(formatter, "must be a number from {min} to {max}"),
+            Form::Duration(min, max) => {
+                let (min, max) = (duration_text(min), duration_text(max));
+                write!(formatter, "must be text of a number and ms, s, m or h, from {min} to {max}")
+            }
+            Form::Size(min, max) => {
+                write!(formatter, "must be text of a number and KiB, MiB or GiB, from {min} to {max} MiB")
+            }
+            Form::Address => write!(formatter, "must be an IP address with a port"),
+            Form::Words => write!(formatter, "must be a list of texts without space or comma"),
+            Form::Hex => write!(formatter, "must be text of up to 16 hex digits"),
+        }
+    }
+}
+
+/// A duration in the largest unit that it reaches.
+fn duration_text(milliseconds: f64) -> String {
+    if milliseconds >= HOUR {
+        format!("{}h", milliseconds / HOUR)
+    } else if milliseconds >= SECOND {
+        format!("{}s", milliseconds / SECOND)
+    } else {
+        format!("{milliseconds}ms")
+    }
+}
+
+/// Reads a value.
+///
+/// # Errors
+/// It does not have the form.
+pub(super) fn convert(value: &Expression, form: Form) -> Result<SettingValue, InvalidValue> {
+    let setting = match form {
+        Form::Words => words(value),
+        _ => scalar(value, form).map(SettingValue::scalar),
+    };
+    setting.ok_or(InvalidValue { expected: form })
+}
+
+/// The text of a value that is no list.
+fn scalar(value: &Expression, form: Form) -> Option<String> {
+    let text = value.as_str();
+    let number = || value.as_number().and_then(|number| number.as_f64()).filter(|number| number.is_finite());
+    match form {
+        Form::Word => text.filter(|text| is_word(text)).map(str::to_owned),
+        Form::Text => text.filter(|text| !text.is_empty() && !text.contains('\0')).map(str::to_owned),
+        Form::OneOf(words) => text.filter(|text| words.contains(text)).map(str::to_owned),
+        Form::Flag => value.as_bool().map(|flag| flag.to_string()),
+        Form::Count(min, max) => {
+            let in_range =
+                |number: &f64| number.fract() == 0.0 && *number >= min as f64 && *number <= max as f64;
+            number().filter(in_range).map(|number| format!("{number:.0}"))
+        }
+        Form::Number(min, max) => {
+            number().filter(|number| *number >= min && *number <= max).map(|number| number.to_string())
+        }
+        Form::Duration(min, max) => quantity(text?, &DURATION_UNITS, min, max).map(|ms| ms.to_string()),
+        Form::Size(min, max) => quantity(text?, &SIZE_UNITS, min, max).map(|mib| mib.to_string()),
+        Form::Address => text?.parse::<SocketAddr>().ok().map(|address| address.to_string()),
+        Form::Hex => text.filter(|text| u64::from_str_radix(text, 16).is_ok()).map(str::to_owned),
+        Form::Words => None,
+    }
+}
+
+fn words(value: &Expression) -> Option<SettingValue> {
+    let word = |item: &Expression| item.as_str().filter(|text| is_word(text)).map(str::to_owned);
+    let list: Vec<String> = value.as_array()?.iter().map(word).collect::<Option<_>>()?;
+    Some(SettingValue { text: list.join(","), list })
+}
+
+/// Whether a text has neither space, comma nor control characters.
+pub(super) fn is_word(text: &str) -> bool {
+    let ends_word = |character: char| character.is_whitespace() || character.is_control() || character == ',';
+    !text.is_empty() && !text.contains(ends_word)
+}
+
+/// A number with a unit, in the base unit; none where it is out of range.
+fn quantity(text: &str, units: &[(&str, f64)], min: f64, max: f64) -> Option<f64> {
+    let text = text.trim();
+    let unit_start = text.find(|character: char| character.is_ascii_alphabetic())?;
+    let (number, unit) = text.split_at(unit_start);
+    let (_, factor) = units.iter().find(|(name, _)| *name == unit)?;
+    let value = number.trim().parse::<f64>().ok()? * factor;
+    (value.is_finite() && value >= min && value <= max).then_some(value)
+}
--- a/src/config/schema.rs
+++ b/src/config/schema.rs
@@ -1,8 +1,8 @@
-//! What an operator's file may say: every key with its form, its range and the setting it becomes. One table, read
-//! by the checker; a key that is not here is an error.
+//! The schema of an operator's file: every key with its form, its range and the setting that it becomes. A key that is
+//! not in this table is an error.
 
 /// The form of a value. Bounds are inclusive.
-#[derive(Debug, Clone, Copy)]
+#[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Form {
     /// A name without space, comma or control character.
     Word,
@@ -31,252 +31,254 @@
 /// A key of a block.
 #[derive(Debug)]
 pub struct Key {
-    /// As the operator writes it.
+    /// The key in the operator's file.
     pub name: &'static str,
-    /// The setting that it becomes, under its block's.
-    pub to: &'static str,
+    /// The setting that it becomes, under that of its block.
+    pub setting: &'static str,
     /// Its form.
     pub form: Form,
-    /// Whether it must be there.
-    pub needed: bool,
+    /// Whether it must be present.
+    pub required: bool,
 }
 
-/// A block and what may be in it.
+/// A block, and the keys and blocks that it may have.
 #[derive(Debug)]
 pub struct Block {
-    /// As the operator writes it.
+    /// The block's name in the operator's file.
     pub name: &'static str,
-    /// What its settings are under; of a block that may come often, with its number.
-    pub to: &'static str,
+    /// The prefix of its settings; of a repeatable block, followed by its number.
+    pub setting: &'static str,
     /// The setting that its label becomes, if it has one.
     pub label: Option<&'static str>,
-    /// Whether it may come more than once.
-    pub many: bool,
-    /// Whether it may stand in a file that is read beside the platform's configuration.
-    pub beside: bool,
+    /// Whether there may be more than one.
+    pub repeatable: bool,
+    /// Whether it may be in a file that is read beside the platform's configuration.
+    pub beside_platform: bool,
     /// Its keys.
     pub keys: &'static [Key],
     /// Blocks inside it.
     pub blocks: &'static [Block],
 }
 
-const fn need(name: &'static str, to: &'static str, form: Form) -> Key {
-    Key { name, to, form, needed: true }
+const fn required(name: &'static str, setting: &'static str, form: Form) -> Key {
+    Key { name, setting, form, required: true }
 }
 
-const fn may(name: &'static str, to: &'static str, form: Form) -> Key {
-    Key { name, to, form, needed: false }
+const fn optional(name: &'static str, setting: &'static str, form: Form) -> Key {
+    Key { name, setting, form, required: false }
 }
 
+/// An hour in milliseconds.
 const HOUR: f64 = 3_600_000.0;
+/// A day in milliseconds.
 const DAY: f64 = 24.0 * HOUR;
 
-/// Keys outside all blocks; those of a whole configuration, and of one beside the platform's.
-pub const TOP: &[Key] = &[
-    may("name", "gateway.name", Form::Word),
-    need("listen", "gateway.listen", Form::Address),
-    may("names", "gateway.names", Form::Address),
-    may("operator", "gateway.operator", Form::Address),
-    may("seed", "gateway.seed", Form::Hex),
-    need("zones", "zones", Form::Words),
-    may("zone", "locality", Form::Word),
-    may("gateways", "balancers", Form::Count(1, 1_000_000)),
-    may("rank", "rank", Form::Count(0, 1_000_000)),
-    may("tick", "tick", Form::Duration(0.1, 1_000.0)),
-    may("engines_speak", "engines", Form::OneOf(&["resp", "clickhouse"])),
+/// Keys outside all blocks.
+pub const TOP_KEYS: &[Key] = &[
+    optional("name", "gateway.name", Form::Word),
+    required("listen", "gateway.listen", Form::Address),
+    optional("names", "gateway.names", Form::Address),
+    optional("operator", "gateway.operator", Form::Address),
+    optional("seed", "gateway.seed", Form::Hex),
+    required("zones", "zones", Form::Words),
+    optional("zone", "locality", Form::Word),
+    optional("gateways", "balancers", Form::Count(1, 1_000_000)),
+    optional("rank", "rank", Form::Count(0, 1_000_000)),
+    optional("tick", "tick", Form::Duration(0.1, 1_000.0)),
+    optional("engines_speak", "engines", Form::OneOf(&["resp", "clickhouse"])),
 ];
 
-/// Of [`TOP`], what may stand beside the platform's configuration.
-pub const TOP_BESIDE: &[&str] = &["engines_speak", "operator"];
+/// The keys of [`TOP_KEYS`] that may be in a file that is read beside the platform's configuration.
+pub const TOP_KEYS_BESIDE_PLATFORM: &[&str] = &["engines_speak", "operator"];
 
 /// All blocks.
 pub const BLOCKS: &[Block] = &[
     Block {
         name: "machine",
-        to: "machine",
+        setting: "machine",
         label: None,
-        many: false,
-        beside: false,
+        repeatable: false,
+        beside_platform: false,
         keys: &[
-            may("cores", "cores", Form::Number(0.01, 1024.0)),
-            may("memory", "memory_mb", Form::Size(16.0, 1_048_576.0)),
-            may("sockets", "sockets", Form::Count(64, 1_048_576)),
+            optional("cores", "cores", Form::Number(0.01, 1024.0)),
+            optional("memory", "memory_mb", Form::Size(16.0, 1_048_576.0)),
+            optional("sockets", "sockets", Form::Count(64, 1_048_576)),
         ],
         blocks: &[],
     },
     Block {
         name: "clickhouse",
-        to: "clickhouse",
+        setting: "clickhouse",
         label: None,
-        many: false,
-        beside: true,
-        keys: &[need("listen", "listen", Form::Address)],
+        repeatable: false,
+        beside_platform: true,
+        keys: &[required("listen", "listen", Form::Address)],
         blocks: &[Block {
             name: "rule",
-            to: "rules",
+            setting: "rules",
             label: None,
-            many: true,
-            beside: true,
+            repeatable: true,
+            beside_platform: true,
             keys: &[
-                need("class", "class", Form::Word),
-                may("verbs", "verbs", Form::Words),
-                may("users", "users", Form::Words),
+                required("class", "class", Form::Word),
+                optional("verbs", "verbs", Form::Words),
+                optional("users", "users", Form::Words),
             ],
             blocks: &[],
         }],
     },
     Block {
         name: "engine",
-        to: "engine",
+        setting: "engine",
         label: Some("id"),
-        many: true,
-        beside: false,
+        repeatable: true,
+        beside_platform: false,
         keys: &[
-            need("address", "address", Form::Address),
-            may("zone", "zone", Form::Word),
-            need("kind", "kind", Form::Word),
-            may("cell", "cell", Form::Count(0, u32::MAX as u64)),
-            may("state", "state", Form::OneOf(&["ready", "draining"])),
+            required("address", "address", Form::Address),
+            optional("zone", "zone", Form::Word),
+            required("kind", "kind", Form::Word),
+            optional("cell", "cell", Form::Count(0, u32::MAX as u64)),
+            optional("state", "state", Form::OneOf(&["ready", "draining"])),
         ],
         blocks: &[],
     },
     Block {
         name: "kind",
-        to: "kind",
+        setting: "kind",
         label: Some("name"),
-        many: true,
-        beside: false,
+        repeatable: true,
+        beside_platform: false,
         keys: &[
-            need("cores", "cores", Form::Number(0.1, 100_000.0)),
-            need("memory", "memory_mb", Form::Size(1.0, 1e9)),
+            required("cores", "cores", Form::Number(0.1, 100_000.0)),
+            required("memory", "memory_mb", Form::Size(1.0, 1e9)),
         ],
         blocks: &[],
     },
     Block {
         name: "class",
-        to: "classes",
+        setting: "classes",
         label: Some("name"),
-        many: true,
-        beside: false,
+        repeatable: true,
+        beside_platform: false,
         keys: &[
-            need("aim", "on_time", Form::Duration(1.0, DAY)),
-            may("aim_stretch", "aim_stretch", Form::Number(0.0, 1_000.0)),
-            need("give_up", "give_up", Form::Duration(1.0, DAY)),
-            may("worth", "worth", Form::Number(0.0, 1e9)),
-            may("late_worth", "late_worth", Form::Number(0.0, 1.0)),
-            need("repeat", "idempotency", Form::OneOf(&["safe", "keyed", "unsafe"])),
-            may("scope", "dedup_scope", Form::OneOf(&["all", "zone", "cell"])),
-            may("window", "window", Form::Duration(100.0, DAY)),
-            may("threads", "threads", Form::Number(0.01, 10_000.0)),
-            may("load", "load", Form::Flag),
-            may("waits_for_loads", "waits", Form::Flag),
-            may("ordered", "serial_by_key", Form::Flag),
-            may("kinds", "allowed_on", Form::Words),
-            may("zones", "allowed_in", Form::Words),
+            required("aim", "on_time", Form::Duration(1.0, DAY)),
+            optional("aim_stretch", "aim_stretch", Form::Number(0.0, 1_000.0)),
+            required("give_up", "give_up", Form::Duration(1.0, DAY)),
+            optional("worth", "worth", Form::Number(0.0, 1e9)),
+            optional("late_worth", "late_worth", Form::Number(0.0, 1.0)),
+            required("repeat", "idempotency", Form::OneOf(&["safe", "keyed", "unsafe"])),
+            optional("scope", "dedup_scope", Form::OneOf(&["all", "zone", "cell"])),
+            optional("window", "window", Form::Duration(100.0, DAY)),
+            optional("threads", "threads", Form::Number(0.01, 10_000.0)),
+            optional("load", "load", Form::Flag),
+            optional("waits_for_loads", "waits", Form::Flag),
+            optional("ordered", "serial_by_key", Form::Flag),
+            optional("kinds", "allowed_on", Form::Words),
+            optional("zones", "allowed_in", Form::Words),
         ],
         blocks: &[],
     },
     Block {
         name: "tenant",
-        to: "tenants",
+        setting: "tenants",
         label: Some("name"),
-        many: true,
-        beside: false,
-        keys: &[need("quota_per_s", "quota_per_s", Form::Number(0.0, 1e9))],
+        repeatable: true,
+        beside_platform: false,
+        keys: &[required("quota_per_s", "quota_per_s", Form::Number(0.0, 1e9))],
         blocks: &[],
     },
     Block {
         name: "limits",
-        to: "limits",
+        setting: "limits",
         label: None,
-        many: false,
-        beside: false,
+        repeatable: false,
+        beside_platform: false,
         keys: &[
-            may("send_cap", "send_cap", Form::Count(1, 100)),
-            may("cancel", "cancelling", Form::Flag),
-            may("copies", "may_duplicate", Form::Flag),
-            may("probes", "probes", Form::Flag),
-            may("retry_after", "max_retry_after", Form::Duration(0.0, HOUR)),
-            may("connect_timeout", "connect_timeout", Form::Duration(1.0, 60_000.0)),
-            may("idle_close", "idle_close", Form::Duration(10.0, HOUR)),
-            may("max_open", "max_open", Form::Count(1, 20_000)),
-            may("streams_per_connection", "streams_per_conn", Form::Count(1, 10_000)),
+            optional("send_cap", "send_cap", Form::Count(1, 100)),
+            optional("cancel", "cancelling", Form::Flag),
+            optional("copies", "may_duplicate", Form::Flag),
+            optional("probes", "probes", Form::Flag),
+            optional("retry_after", "max_retry_after", Form::Duration(0.0, HOUR)),
+            optional("connect_timeout", "connect_timeout", Form::Duration(1.0, 60_000.0)),
+            optional("idle_close", "idle_close", Form::Duration(10.0, HOUR)),
+            optional("max_open", "max_open", Form::Count(1, 20_000)),
+            optional("streams_per_connection", "streams_per_conn", Form::Count(1, 10_000)),
         ],
         blocks: &[],
     },
     Block {
         name: "engines_heed",
-        to: "specifics",
+        setting: "specifics",
         label: None,
-        many: false,
-        beside: false,
+        repeatable: false,
+        beside_platform: false,
         keys: &[
-            may("grants", "grants_count", Form::Flag),
-            may("priorities", "takes_priority", Form::Flag),
-            may("most_grant", "most_grant", Form::Number(0.001, 1.0)),
-            may("reports", "how", Form::OneOf(&["none", "answers", "probe"])),
+            optional("grants", "grants_count", Form::Flag),
+            optional("priorities", "takes_priority", Form::Flag),
+            optional("most_grant", "most_grant", Form::Number(0.001, 1.0)),
+            optional("reports", "how", Form::OneOf(&["none", "answers", "probe"])),
         ],
         blocks: &[],
     },
     Block {
         name: "rules",
-        to: "rules",
+        setting: "rules",
         label: None,
-        many: false,
-        beside: false,
+        repeatable: false,
+        beside_platform: false,
         keys: &[
-            may("answer_slack", "answer_slack", Form::Duration(0.0, 60_000.0)),
-            may("ask_within", "ask_within", Form::Duration(0.0, HOUR)),
-            may("drain_grace", "drain_grace", Form::Duration(0.0, 60_000.0)),
-            may("cold_from", "cold_from", Form::Number(0.001, 1.0)),
-            may("warm_within", "warm_within", Form::Duration(0.0, DAY)),
-            may("fall_multiple", "fall_multiple", Form::Number(1.0, 1_000.0)),
-            may("tip_after", "tip_after", Form::Duration(1.0, HOUR)),
-            may("extra_free", "extra_free", Form::Number(0.0, 1e6)),
-            may("extra_per_request", "extra_per_request", Form::Number(0.0, 100.0)),
-            may("ratio_span", "ratio_span", Form::Duration(100.0, HOUR)),
-            may("order_pause", "order_pause", Form::Duration(0.0, HOUR)),
+            optional("answer_slack", "answer_slack", Form::Duration(0.0, 60_000.0)),
+            optional("ask_within", "ask_within", Form::Duration(0.0, HOUR)),
+            optional("drain_grace", "drain_grace", Form::Duration(0.0, 60_000.0)),
+            optional("cold_from", "cold_from", Form::Number(0.001, 1.0)),
+            optional("warm_within", "warm_within", Form::Duration(0.0, DAY)),
+            optional("fall_multiple", "fall_multiple", Form::Number(1.0, 1_000.0)),
+            optional("tip_after", "tip_after", Form::Duration(1.0, HOUR)),
+            optional("extra_free", "extra_free", Form::Number(0.0, 1e6)),
+            optional("extra_per_request", "extra_per_request", Form::Number(0.0, 100.0)),
+            optional("ratio_span", "ratio_span", Form::Duration(100.0, HOUR)),
+            optional("order_pause", "order_pause", Form::Duration(0.0, HOUR)),
         ],
         blocks: &[],
     },
     Block {
         name: "log",
-        to: "log",
+        setting: "log",
         label: None,
-        many: false,
-        beside: true,
+        repeatable: false,
+        beside_platform: true,
         keys: &[
-            may("form", "form", Form::OneOf(&["text", "json"])),
-            may("level", "level", Form::OneOf(&["error", "warn", "info", "debug", "trace"])),
+            optional("form", "form", Form::OneOf(&["text", "json"])),
+            optional("level", "level", Form::OneOf(&["error", "warn", "info", "debug", "trace"])),
         ],
         blocks: &[],
     },
     Block {
         name: "pacing",
-        to: "pacing",
+        setting: "pacing",
         label: None,
-        many: false,
-        beside: true,
-        keys: &[may("list_slowest", "list_slowest", Form::Duration(200.0, 10_000.0))],
+        repeatable: false,
+        beside_platform: true,
+        keys: &[optional("list_slowest", "list_slowest", Form::Duration(200.0, 10_000.0))],
         blocks: &[],
     },
     Block {
         name: "knowledge",
-        to: "knowledge",
+        setting: "knowledge",
         label: None,
-        many: false,
-        beside: true,
+        repeatable: false,
+        beside_platform: true,
         keys: &[
-            need("folder", "folder", Form::Text),
-            may("required", "required", Form::Flag),
-            may("every", "every", Form::Duration(100.0, HOUR)),
-            may("most", "most_mb", Form::Size(0.0625, 1_024.0)),
-            may("restart_within", "restart_within", Form::Duration(0.0, HOUR)),
-            may("keep_for", "keep_for", Form::Duration(1_000.0, 30.0 * DAY)),
-            may("list_wait", "list_wait", Form::Duration(0.0, HOUR)),
-            may("keys", "keys", Form::Flag),
-            may("key_wait", "key_wait", Form::Duration(1.0, 250.0)),
-            may("most_keys", "most_keys", Form::Count(1, 10_000_000)),
+            required("folder", "folder", Form::Text),
+            optional("required", "required", Form::Flag),
+            optional("every", "every", Form::Duration(100.0, HOUR)),
+            optional("most", "most_mb", Form::Size(0.0625, 1_024.0)),
+            optional("restart_within", "restart_within", Form::Duration(0.0, HOUR)),
+            optional("keep_for", "keep_for", Form::Duration(1_000.0, 30.0 * DAY)),
+            optional("list_wait", "list_wait", Form::Duration(0.0, HOUR)),
+            optional("keys", "keys", Form::Flag),
+            optional("key_wait", "key_wait", Form::Duration(1.0, 250.0)),
+            optional("most_keys", "most_keys", Form::Count(1, 10_000_000)),
         ],
         blocks: &[],
     },
