--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -2,7 +2,7 @@
 //! requests wait in.
 
 use crate::limits::Limits;
-use crate::net::conn::{ReadBuffer, Retry, SharedState};
+use crate::net::connection::{ReadBuffer, SharedState, SocketRetry};
 use crate::net::http::{self, Length, Read};
 use crate::net::log;
 use crate::net::transient_errors::Backoff;
@@ -135,9 +135,9 @@
 /// Reads and drops the rest of a rejected call. A connection that is closed with unread bytes is reset, and the reply
 /// may be lost.
 async fn discard(stream: &TcpStream, read_buffer: &mut ReadBuffer, limits: &Limits) {
-    read_buffer.used(read_buffer.unread().len());
+    read_buffer.consume(read_buffer.unread().len());
     while matches!(read_buffer.fill(stream, limits).await, Ok(true)) {
-        read_buffer.used(read_buffer.unread().len());
+        read_buffer.consume(read_buffer.unread().len());
     }
 }
 
@@ -147,7 +147,7 @@
         match stream.write(bytes).await {
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
             Ok(written) => bytes = &bytes[written..],
-            Err(error) if Retry::after(&error).is_some() => {}
+            Err(error) if SocketRetry::after(&error).is_some() => {}
             Err(error) => return Err(error),
         }
     }
--- /dev/null
+++ b/src/net/connection/write_queue.rs
@@ -0,0 +1,291 @@
+//! The write queue of a connection: frames that are written in order, by gathered writes.
+
+use crate::core::{AttemptId, FlowControl};
+use crate::limits::Limits;
+use crate::net::connection::frame::Frame;
+use crate::net::connection::shared_state::SharedState;
+use crate::net::connection::socket_retry::SocketRetry;
+use crate::net::log;
+use starlingplank_decision::permission::send::SendRefusal;
+use std::cell::{Cell, RefCell};
+use std::collections::VecDeque;
+use std::future::Future;
+use std::io::{self, IoSlice};
+use std::pin::Pin;
+use std::rc::Rc;
+use tokio::io::Interest;
+use tokio::net::TcpStream;
+use tokio::sync::Notify;
+
+/// How a connection is closed.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum CloseMode {
+    /// Once everything queued is written.
+    AfterWrite,
+    /// At once; what is queued is dropped.
+    Immediately,
+}
+
+/// Frames that wait to be written to one peer. Their bytes count towards the limit of the queue and towards
+/// [`SharedState::buffered_bytes`]. One task owns the writing, by [`write_all`](Self::write_all).
+#[derive(Debug)]
+pub struct WriteQueue {
+    frames: RefCell<VecDeque<Frame>>,
+    /// Bytes of the first frame that are written.
+    first_frame_written: Cell<usize>,
+    bytes: Cell<usize>,
+    shared: Rc<SharedState>,
+    close_mode: Cell<Option<CloseMode>>,
+    /// Wakes the writing task: a frame was queued, or the close was requested.
+    changed: Notify,
+    /// Wakes producers that wait for the queue to become shorter.
+    drained: Notify,
+    /// Attempts that were dropped unwritten and are not reported yet.
+    expired_attempts: RefCell<Vec<AttemptId>>,
+    attempt_expired: Notify,
+    /// Wakes the reading task: all is written, or it should check again whether the connection goes on.
+    recheck: Notify,
+}
+
+impl WriteQueue {
+    /// An empty queue.
+    pub fn new(shared: Rc<SharedState>) -> Self {
+        Self {
+            frames: RefCell::default(),
+            first_frame_written: Cell::new(0),
+            bytes: Cell::new(0),
+            shared,
+            close_mode: Cell::new(None),
+            changed: Notify::new(),
+            drained: Notify::new(),
+            expired_attempts: RefCell::default(),
+            attempt_expired: Notify::new(),
+            recheck: Notify::new(),
+        }
+    }
+
+    /// The state that all connections share.
+    pub fn shared(&self) -> Rc<SharedState> {
+        self.shared.clone()
+    }
+
+    /// Bytes that are queued and not written yet.
+    pub fn queued_bytes(&self) -> usize {
+        self.bytes.get()
+    }
+
+    fn count_bytes(&self, added: usize, removed: usize) {
+        self.bytes.set(self.bytes.get() + added - removed);
+        self.shared.buffered_bytes.set(self.shared.buffered_bytes.get() + added - removed);
+    }
+
+    /// Queues a message. A peer that lets too much pile up is disconnected, so that it stalls nobody else.
+    pub fn push(&self, frame: Frame, limits: &Limits) {
+        if self.is_closing() {
+            return;
+        }
+        let length = frame.len();
+        let max_buffered_bytes = self.shared.process_share(limits.max_buffered_bytes);
+        if self.bytes.get() + length > limits.max_write_queue_bytes
+            || self.shared.buffered_bytes.get() + length > max_buffered_bytes
+        {
+            log::seldom("a connection was closed: its reader is too slow");
+            return self.close(CloseMode::Immediately);
+        }
+        self.count_bytes(length, 0);
+        self.frames.borrow_mut().push_back(frame);
+        self.changed.notify_one();
+    }
+
+    /// Requests the close of the connection; nothing more is queued from now on.
+    pub fn close(&self, mode: CloseMode) {
+        if self.close_mode.get() != Some(CloseMode::Immediately) {
+            self.close_mode.set(Some(mode));
+        }
+        self.drained.notify_one();
+        self.changed.notify_one();
+    }
+
+    /// Waits for a request to close immediately. For connections that nothing is written to yet, as it takes the
+    /// notifications of the writing task.
+    pub async fn closed_immediately(&self) {
+        while self.close_mode.get() != Some(CloseMode::Immediately) {
+            self.changed.notified().await;
+        }
+    }
+
+    /// Has the reading task check again whether the connection goes on.
+    pub fn request_recheck(&self) {
+        self.recheck.notify_one();
+    }
+
+    /// Waits until everything is written, or for [`request_recheck`](Self::request_recheck).
+    pub async fn recheck_requested(&self) {
+        self.recheck.notified().await;
+    }
+
+    /// How the connection is closed, if its close was requested.
+    pub(super) fn close_mode(&self) -> Option<CloseMode> {
+        self.close_mode.get()
+    }
+
+    /// Whether the close was requested.
+    pub fn is_closing(&self) -> bool {
+        self.close_mode.get().is_some()
+    }
+
+    /// Frames at the front that cannot be withdrawn, as some of their bytes are written: 0 or 1.
+    fn partly_written_frames(&self) -> usize {
+        usize::from(self.first_frame_written.get() > 0)
+    }
+
+    /// Withdraws the message of an attempt if none of it is written. Returns whether it was withdrawn.
+    pub fn withdraw(&self, attempt: AttemptId) -> bool {
+        let mut frames = self.frames.borrow_mut();
+        let mut unwritten = self.partly_written_frames()..frames.len();
+        let Some(index) = unwritten.find(|index| frames[*index].attempt == Some(attempt)) else {
+            return false;
+        };
+        let length = frames.remove(index).map_or(0, |frame| frame.len());
+        self.count_bytes(0, length);
+        true
+    }
+
+    /// The attempts none of whose bytes are written, those that expired and are not reported yet among them.
+    pub fn unsent_attempts(&self) -> Vec<AttemptId> {
+        let frames = self.frames.borrow();
+        let queued = frames.iter().skip(self.partly_written_frames()).filter_map(|frame| frame.attempt);
+        queued.chain(self.expired_attempts.borrow().iter().copied()).collect()
+    }
+
+    /// Checks each attempt that the next write may begin, and drops those that must not be written. Those that have
+    /// been queued for long are encoded again.
+    fn check_next_frames(&self, limits: &Limits) {
+        let mut index = self.partly_written_frames();
+        while index < limits.max_gathered_slices.min(self.frames.borrow().len()) {
+            match self.check_frame(index) {
+                Ok(()) => index += 1,
+                Err(refusal) => self.drop_refused(index, refusal),
+            }
+        }
+    }
+
+    fn check_frame(&self, index: usize) -> Result<(), SendRefusal> {
+        let mut frames = self.frames.borrow_mut();
+        let Some(frame) = frames.get_mut(index) else { return Ok(()) };
+        frame.check_transmit(|| self.shared.take_from_retry_budget())?;
+        let length_before = frame.len();
+        frame.encode_again_if_stale();
+        let length = frame.len();
+        drop(frames);
+        self.count_bytes(length, length_before);
+        Ok(())
+    }
+
+    fn drop_refused(&self, index: usize, refusal: SendRefusal) {
+        let Some(frame) = self.frames.borrow_mut().remove(index) else { return };
+        self.count_bytes(0, frame.len());
+        self.shared.rule_counters.count(refusal);
+        if let Some(AttemptId { request, number: attempt }) = frame.attempt {
+            tracing::debug!(request = request.0, attempt, reason = refusal.name(), "attempt not written");
+        }
+        if refusal.is_violation() {
+            log::seldom_error("an attempt was about to be written against the rules", refusal.name());
+        }
+        self.expired_attempts.borrow_mut().extend(frame.attempt);
+        self.attempt_expired.notify_one();
+    }
+
+    /// Waits for an attempt that was dropped unwritten, as it must no longer be written.
+    pub async fn next_expired_attempt(&self) -> AttemptId {
+        loop {
+            if let Some(id) = self.expired_attempts.borrow_mut().pop() {
+                return id;
+            }
+            self.attempt_expired.notified().await;
+        }
+    }
+
+    /// Removes the frames that are written, and counts them.
+    fn advance(&self, written: usize) {
+        self.count_bytes(0, written);
+        let mut frames = self.frames.borrow_mut();
+        let mut written = self.first_frame_written.get() + written;
+        while let Some(length) = frames.front().map(Frame::len).filter(|length| *length <= written) {
+            written -= length;
+            if let Some(tally) = frames.pop_front().and_then(|frame| frame.tally) {
+                self.shared.metrics.add(tally);
+            }
+        }
+        self.first_frame_written.set(written);
+        drop(frames);
+        self.drained.notify_one();
+    }
+
+    /// Writes what is queued until the connection is to be closed.
+    ///
+    /// # Errors
+    /// The connection failed.
+    pub async fn write_all(&self, stream: &TcpStream, limits: &Limits) -> io::Result<()> {
+        loop {
+            if self.close_mode.get() == Some(CloseMode::Immediately) {
+                return Ok(());
+            }
+            self.check_next_frames(limits);
+            if self.frames.borrow().is_empty() {
+                if self.is_closing() {
+                    return Ok(());
+                }
+                self.recheck.notify_one();
+                self.changed.notified().await;
+                continue;
+            }
+            match self.try_write(stream, limits) {
+                Ok(written) => self.advance(written),
+                Err(error) => match SocketRetry::after(&error) {
+                    // Other tasks run in between, however often it happens.
+                    Some(SocketRetry::Immediately) => tokio::task::yield_now().await,
+                    Some(SocketRetry::WhenReady) => tokio::select! {
+                        ready = stream.ready(Interest::WRITABLE) => drop(ready?),
+                        () = self.changed.notified() => {}
+                    },
+                    None => return Err(error),
+                },
+            }
+        }
+    }
+
+    /// One gathered write of the first frames. Returns the bytes written.
+    fn try_write(&self, stream: &TcpStream, limits: &Limits) -> io::Result<usize> {
+        let frames = self.frames.borrow();
+        let mut skip = self.first_frame_written.get();
+        let mut slices = Vec::new();
+        for bytes in frames.iter().flat_map(Frame::bytes) {
+            let from = skip.min(bytes.len());
+            skip -= from;
+            if from < bytes.len() {
+                slices.push(IoSlice::new(&bytes[from..]));
+            }
+            if slices.len() == limits.max_gathered_slices {
+                break;
+            }
+        }
+        stream.try_write_vectored(&slices)
+    }
+}
+
+impl FlowControl for WriteQueue {
+    fn room(&self, bytes: usize) -> Pin<Box<dyn Future<Output = ()> + '_>> {
+        Box::pin(async move {
+            while self.bytes.get() > bytes && !self.is_closing() {
+                self.drained.notified().await;
+            }
+        })
+    }
+}
+
+impl Drop for WriteQueue {
+    fn drop(&mut self) {
+        self.shared.buffered_bytes.set(self.shared.buffered_bytes.get() - self.bytes.get());
+    }
+}
--- a/src/net/discovery/sockets.rs
+++ b/src/net/discovery/sockets.rs
@@ -1,7 +1,7 @@
 //! The sockets of the flows. They are not connected: each sends to whatever address the service has and receives from previous
 //! ones too, so that a change of the address needs no new socket.
 
-use crate::net::conn::Retry;
+use crate::net::connection::SocketRetry;
 use starlingplank_service_discovery::poll::FlowId;
 use std::future::poll_fn;
 use std::io;
@@ -52,7 +52,7 @@
 
 /// Whether a signal interrupted a call, which is to be made again.
 fn is_interrupted(error: &io::Error) -> bool {
-    Retry::after(error) == Some(Retry::AtOnce)
+    SocketRetry::after(error) == Some(SocketRetry::Immediately)
 }
 
 impl Sockets {
--- a/src/net/persistence/error.rs
+++ b/src/net/persistence/error.rs
@@ -17,12 +17,3 @@
     #[error(transparent)]
     Io(#[from] io::Error),
 }
-
-impl From<PersistenceError> for io::Error {
-    fn from(error: PersistenceError) -> Self {
-        match error {
-            PersistenceError::Io(error) => error,
-            error => io::Error::other(error),
-        }
-    }
-}
--- a/src/net/runtime/startup.rs
+++ b/src/net/runtime/startup.rs
@@ -1,10 +1,10 @@
-//! Everything that is opened and recovered before the loop begins.
+//! Opens and recovers everything before the loop begins.
 
 use crate::config::{Config, EngineWire};
 use crate::core::{Core, Endpoint, Event};
 use crate::limits::Limits;
 use crate::net::admin::{self, Asked};
-use crate::net::conn::SharedState;
+use crate::net::connection::SharedState;
 use crate::net::discovery::sockets::Sockets;
 use crate::net::discovery::{self, Poller};
 use crate::net::engine::clickhouse::HttpEngines;
@@ -12,9 +12,9 @@
 use crate::net::engine::Engines;
 use crate::net::front::FrontendState;
 use crate::net::hot_restart::{self, HotRestart};
-use crate::net::persistence::{self, Persistence};
+use crate::net::persistence::{self, Persistence, PersistenceError};
 use crate::net::runtime::listeners::bind;
-use crate::net::runtime::{LoopStatistics, Runtime};
+use crate::net::runtime::{LoopStatistics, Runtime, ServeError};
 use crate::net::tasks::{TaskName, Tasks};
 use crate::net::transient_errors;
 use starlingplank_admin::inherited_membership::InheritedMembership;
@@ -40,19 +40,18 @@
     pub gateway: Runtime,
 }
 
-/// Opens everything, recovers what earlier processes of this gateway left, and begins with the first list of engines.
+/// Opens everything, recovers the state of earlier processes of this gateway, and begins with the first endpoint list.
 ///
 /// # Errors
 /// An address cannot be listened at, the settings contradict themselves, or the folder of knowledge is required and
 /// cannot be used.
-pub async fn start(config: Config) -> io::Result<Started> {
+pub async fn start(config: Config) -> Result<Started, ServeError> {
     let limits = Rc::new(config.limits.clone());
     let settings = Rc::new(config.settings.clone());
     let (sender, events) = mpsc::channel(limits.event_queue_capacity);
     let frontend = FrontendState::new(settings, limits.clone(), sender.clone());
-    let core = Core::new(config.settings.clone(), config.limits.clone(), frontend.clock.now());
-    let mut core = core.map_err(io::Error::other)?;
-    core.count_refusals_in(frontend.shared.rules.clone());
+    let mut core = Core::new(config.settings.clone(), config.limits.clone(), frontend.clock.now())?;
+    core.count_refusals_in(frontend.shared.rule_counters.clone());
     let persistence = Persistence::open(&config, &mut core, frontend.clock.now(), &sender)?;
     let engines = open_engines(config.engines, limits.clone(), frontend.shared.clone(), sender.clone());
     let (call_sender, calls) = mpsc::channel(limits.max_admin_connections);
@@ -64,7 +63,7 @@
     let mut hot_restart = None;
     if let Some(at) = config.operator {
         listen_to_operators(at, &config.name, &frontend, call_sender, callers.clone(), &tasks).await?;
-        hot_restart = open_handover(&config, &frontend).await;
+        hot_restart = open_hot_restart(&config, &frontend).await;
     }
     let mut gateway = Runtime {
         names: watch::Sender::new(config.names),
@@ -125,9 +124,9 @@
     Ok(())
 }
 
-/// Opens the folder that the processes of this gateway share. A disk that takes no writes for a moment is waited for: what
-/// this process sends must be known to the next. Without the folder the gateway serves on its own.
-async fn open_handover(config: &Config, frontend: &FrontendState) -> Option<HotRestart> {
+/// Opens the folder that the processes of this gateway share. A disk that takes no writes is retried for a while: the next
+/// process must know what this one sends. Without the folder the gateway serves on its own.
+async fn open_hot_restart(config: &Config, frontend: &FrontendState) -> Option<HotRestart> {
     let folder = hot_restart::folder(&std::env::temp_dir(), &config.name, config.listen);
     let open = || HotRestart::open(&folder, frontend.clock.now());
     match transient_errors::retry_while(transient_errors::is_of_disk, frontend.limits.disk_retry, open).await
@@ -170,7 +169,7 @@
     }
 
     /// Takes the folder of knowledge where no other process of this gateway has it.
-    fn claim_knowledge(&mut self) -> io::Result<()> {
+    fn claim_knowledge(&mut self) -> Result<(), PersistenceError> {
         let shared = self.hot_restart.as_ref().is_some_and(|hot_restart| !hot_restart.peers().is_empty());
         if self.persistence.awaits_folder() && !shared && !self.take_over_knowledge() {
             self.persistence.serve_without_folder(&self.config)?;
@@ -187,7 +186,7 @@
         self.run_decision_cycles(inherited.into_iter().chain(first).chain(observed));
         if self.config.names.is_some() {
             self.core.await_list(self.frontend.clock.now());
-            self.frontend.awaits_list.set(self.core.awaits_list());
+            self.frontend.awaits_endpoint_list.set(self.core.awaits_list());
         }
         // Without a name service the list at the start is the list.
         self.list_received = self.config.names.is_none();
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -7,8 +7,8 @@
 use stand::faults::Faults;
 use stand::*;
 use starlingplank::limits::Limits;
-use starlingplank::net::conn::{SharedState, WriteQueue};
-use starlingplank::net::frame::Frame;
+use starlingplank::net::connection::frame::Frame;
+use starlingplank::net::connection::{SharedState, WriteQueue};
 use starlingplank::simulator::Fields;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -356,7 +356,10 @@
         let late =
             starlingplank::core::AttemptId { request: starlingplank::interface::RequestId(7), number: 0 };
         let over = tokio::time::Instant::now();
-        out.push(Frame { attempt: Some(late), by: Some(over), ..Frame::plain(b"late".to_vec()) }, &limits);
+        out.push(
+            Frame { attempt: Some(late), transmit_before: Some(over), ..Frame::plain(b"late".to_vec()) },
+            &limits,
+        );
         out.push(Frame::plain(b"next".to_vec()), &limits);
         let written = async { drop(out.write_all(&stream, &limits).await) };
         let mut bytes = [0; 4];
@@ -365,8 +368,8 @@
             read = tokio::io::AsyncReadExt::read_exact(&mut engine, &mut bytes) => drop(read.expect("read")),
         }
         assert_eq!(&bytes, b"next");
-        assert_eq!(out.overdue().await, late);
-        assert_eq!(out.waiting(), 0);
+        assert_eq!(out.next_expired_attempt().await, late);
+        assert_eq!(out.queued_bytes(), 0);
     });
 }
 
