--- a/crates/experiments/src/bed.rs
+++ b/crates/experiments/src/bed.rs
@@ -4,9 +4,10 @@
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp, LogNormal};
 use rand_pcg::Pcg64Mcg;
-use starlingplank_test_doubles::client::{Answer, Client};
-use starlingplank_test_doubles::engine::{Engine, Fleet, Wire};
-use starlingplank_test_doubles::model::Spec;
+use starlingplank_test_doubles::capacity_model::EngineSpec;
+use starlingplank_test_doubles::client::Client;
+use starlingplank_test_doubles::engine::{Engine, EngineProtocol, Fleet};
+use starlingplank_test_doubles::thrift::Answer;
 use std::cell::RefCell;
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader};
@@ -42,11 +43,15 @@
 }
 
 impl Engines {
-    pub fn start(specs: Vec<Spec>, seed: u64) -> Result<Self, Failure> {
-        Self::start_speaking(Wire::Resp, specs, seed)
+    pub fn start(specs: Vec<EngineSpec>, seed: u64) -> Result<Self, Failure> {
+        Self::start_speaking(EngineProtocol::Resp, specs, seed)
     }
 
-    pub fn start_speaking(wire: Wire, specs: Vec<Spec>, seed: u64) -> Result<Self, Failure> {
+    pub fn start_speaking(
+        protocol: EngineProtocol,
+        specs: Vec<EngineSpec>,
+        seed: u64,
+    ) -> Result<Self, Failure> {
         let fleet = Fleet::new(12_000.0);
         let (tell, told) = std::sync::mpsc::channel();
         let shared = fleet.clone();
@@ -57,7 +62,7 @@
             tokio::task::LocalSet::new().block_on(&runtime, async move {
                 let mut all = Vec::new();
                 for (n, spec) in specs.into_iter().enumerate() {
-                    match Engine::start(wire, spec, shared.clone(), seed ^ n as u64).await {
+                    match Engine::start(protocol, spec, shared.clone(), seed ^ n as u64).await {
                         Ok(engine) => all.push(engine),
                         Err(e) => return drop(tell.send(Err(e))),
                     }
@@ -93,7 +98,7 @@
          rules {{\n  answer_slack = \"20ms\"\n  drain_grace = \"2s\"\n  cold_from = 0.31\n  warm_within = \"15s\"\n  \
          fall_multiple = 3\n  tip_after = \"2s\"\n  extra_free = 2\n  extra_per_request = 0.2\n  \
          ratio_span = \"10s\"\n}}\n",
-        engines.all.first().map_or(12.0, |e| e.look(|m| m.spec.cores))
+        engines.all.first().map_or(12.0, |e| e.with_model(|model| model.spec.cores))
     );
     for (n, e) in engines.all.iter().enumerate() {
         let zone = if n * 2 < engines.all.len() { "a" } else { "b" };
@@ -328,12 +333,12 @@
         let many = door.clients.len() >= CONNECTIONS;
         let least = door.clients.iter_mut().min_by_key(|c| c.open());
         if let Some(client) = least.filter(|c| c.open() < 4 || many && c.open() < 32) {
-            return Some(client.ask(fields, body));
+            return Some(client.send(fields, body));
         }
         door.address?
     };
     let mut client = Client::connect(at).await.ok()?;
-    let told = client.ask(fields, body);
+    let told = client.send(fields, body);
     let mut door = door.borrow_mut();
     if door.address == Some(at) {
         door.clients.push(client);
--- a/crates/experiments/src/experiments.rs
+++ b/crates/experiments/src/experiments.rs
@@ -12,9 +12,10 @@
 use starlingplank_persistence::recovery::{self, EndpointIdentity, RestoredState};
 use starlingplank_persistence::snapshot_records::{Class, Engine as Known, Snapshot};
 use starlingplank_persistence::{snapshot, snapshot_store};
-use starlingplank_test_doubles::client::{Answer, Caller, Speaks};
-use starlingplank_test_doubles::engine::Wire;
-use starlingplank_test_doubles::model::Spec;
+use starlingplank_test_doubles::capacity_model::EngineSpec;
+use starlingplank_test_doubles::closed_loop::{ClientProtocol, ClosedLoopClient};
+use starlingplank_test_doubles::engine::EngineProtocol;
+use starlingplank_test_doubles::thrift::Answer;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -102,7 +103,7 @@
 }
 
 async fn restarts(lab: &Lab, name: &str, keys: bool) -> Result<serde_json::Value, Failure> {
-    let engines = Engines::start(vec![Spec::default(); 4], lab.seed)?;
+    let engines = Engines::start(vec![EngineSpec::default(); 4], lab.seed)?;
     let kept = folder(lab, name);
     let text =
         config(&engines, lab.seed, Some(&knowledge(&kept, &format!("  every = \"200ms\"\n  keys = {keys}"))));
@@ -184,7 +185,7 @@
         _ => false,
     });
     let lost = lost.count();
-    let runs = engines.fleet.runs();
+    let runs = engines.fleet.executions();
     let twice = runs.values().filter(|r| r.len() > 1).count();
     let repeated = all.iter().filter(|t| t.len() > 1).count();
     let count = |what: fn(&Answer) -> bool| {
@@ -200,7 +201,7 @@
             "loads_run_twice": twice,
             "loads_repeated_by_clients": repeated,
             "attempts": engines.fleet.attempts(),
-            "attempts_overlapping": engines.fleet.overlapping(),
+            "attempts_overlapping": engines.fleet.overlaps(),
             "requests": tries.len(),
             "served": count(|a| *a == Answer::Served),
             "refused": count(|a| matches!(a, Answer::Refused(_))),
@@ -225,7 +226,7 @@
 
 /// One life to learn, then the first half of the engines and the program are lost, and come back together.
 async fn come_back(lab: &Lab, name: &str, kept: Option<&str>) -> Result<Returned, Failure> {
-    let silent = Spec { tells: false, ..Spec::default() };
+    let silent = EngineSpec { reports_load: false, ..EngineSpec::default() };
     let engines = Engines::start(vec![silent; 4], lab.seed)?;
     let kept = kept.map(|more| knowledge(&folder(lab, name), more));
     // These engines tell nothing of their load: what is not known about them shows only once they are slow.
@@ -253,12 +254,16 @@
     let done = play(&door, jobs, Instant::now()).await;
     let ratio = |span: f64| {
         let of = |e: &starlingplank_test_doubles::engine::Engine| {
-            e.look(|m| m.arrived(returned, span) / m.budget(returned, span))
+            e.with_model(|model| model.work_received(returned, span) / model.budget(returned, span))
         };
         engines.all[..2].iter().map(of).fold(0.0, f64::max)
     };
-    let falls: Vec<f64> =
-        engines.all.iter().filter_map(|e| e.look(|m| m.fallen)).map(|at| at - returned).collect();
+    let falls: Vec<f64> = engines
+        .all
+        .iter()
+        .filter_map(|e| e.with_model(|model| model.collapsed_at))
+        .map(|at| at - returned)
+        .collect();
     let fallen = falls.len();
     let in_aim = done.iter().filter(|d| d.in_aim()).count() as f64 / done.len().max(1) as f64;
     drop(gateway);
@@ -302,13 +307,13 @@
 // ---- warm-start ---------------------------------------------------------------------------------
 
 async fn started(lab: &Lab, name: &str, keep: bool) -> Result<Vec<Done>, Failure> {
-    let usual = Spec::default();
+    let usual = EngineSpec::default();
     let specs = vec![
-        Spec { slow: 6.0, ..usual.clone() },
+        EngineSpec { slowdown: 6.0, ..usual.clone() },
         usual.clone(),
         usual.clone(),
-        Spec { errors: 0.35, ..usual.clone() },
-        Spec { others: 60.0, ..usual.clone() },
+        EngineSpec { error_share: 0.35, ..usual.clone() },
+        EngineSpec { background_threads: 60.0, ..usual.clone() },
         usual,
     ];
     let engines = Engines::start(specs, lab.seed)?;
@@ -384,7 +389,7 @@
 const COST_SECONDS: f64 = 60.0;
 
 async fn costs(lab: &Lab, name: &str, keep: bool) -> Result<Cost, Failure> {
-    let engines = Engines::start(vec![Spec::default(); 60], lab.seed)?;
+    let engines = Engines::start(vec![EngineSpec::default(); 60], lab.seed)?;
     let kept = keep.then(|| knowledge(&folder(lab, name), "  every = \"1s\""));
     let text = config(&engines, lab.seed, kept.as_deref());
     let door = Door::new(lab.seed);
@@ -495,7 +500,7 @@
 /// Clients on one connection each, spread over those addresses, together so many queries.
 async fn closed_loop(
     all_at: &[SocketAddr],
-    speaks: Speaks,
+    speaks: ClientProtocol,
     clients: usize,
     queries: usize,
     work: f64,
@@ -504,7 +509,7 @@
     for n in 0..clients {
         let at = all_at[n % all_at.len()];
         tasks.spawn_local(async move {
-            let mut caller = Caller::connect(at, speaks).await?;
+            let mut caller = ClosedLoopClient::connect(at, speaks).await?;
             let mut latencies = hdrhistogram::Histogram::<u64>::new_with_bounds(1, 120_000_000_000, 4)
                 .map_err(std::io::Error::other)?;
             let (mut refused, mut failed) = (0, 0);
@@ -535,25 +540,32 @@
 async fn idle(lab: &Lab) -> Result<Figures, Failure> {
     let mut rows = Vec::new();
     let (mut refused, mut failed, mut worst50, mut worst99) = (0, 0, 0.0_f64, 0.0_f64);
-    for wire in [Wire::Resp, Wire::ClickHouse] {
+    for wire in [EngineProtocol::Resp, EngineProtocol::ClickHouse] {
         for engines_n in [2, 8] {
             for (speed, work, queries) in [("fast", 0.1, lab.queries), ("slow", 300.0, lab.queries / 200)] {
                 for clients in [1, 4, 16] {
                     // One client on slow engines would take hours: as many queries as its share of the others'.
                     let queries =
                         if speed == "slow" { (queries / 16 * clients).max(clients) } else { queries };
-                    let silent =
-                        Spec { at_once: speed == "fast", tells: wire == Wire::Resp, ..Spec::default() };
+                    let silent = EngineSpec {
+                        answers_at_once: speed == "fast",
+                        reports_load: wire == EngineProtocol::Resp,
+                        ..EngineSpec::default()
+                    };
                     let engines = Engines::start_speaking(wire, vec![silent; engines_n], lab.seed)?;
                     let mut text = config(&engines, lab.seed, None);
-                    if wire == Wire::ClickHouse {
+                    if wire == EngineProtocol::ClickHouse {
                         text = text.replace("reports = \"answers\"", "reports = \"none\"");
                         text.push_str("engines_speak = \"clickhouse\"\nclickhouse {\n  listen = \"127.0.0.1:0\"\n  rule {\n    class = \"lookup\"\n  }\n}\n");
                     }
                     let mut gateway = Gateway::start(lab, "idle", &text).await?;
                     let (front, speaks, direct) = match wire {
-                        Wire::Resp => (gateway.address, Speaks::Thrift, Speaks::Resp),
-                        Wire::ClickHouse => (gateway.second().await?, Speaks::Http, Speaks::Http),
+                        EngineProtocol::Resp => {
+                            (gateway.address, ClientProtocol::Thrift, ClientProtocol::Resp)
+                        }
+                        EngineProtocol::ClickHouse => {
+                            (gateway.second().await?, ClientProtocol::Http, ClientProtocol::Http)
+                        }
                     };
                     let all_at: Vec<_> = engines.all.iter().map(|e| e.address).collect();
                     let alone = closed_loop(&all_at, direct, clients, queries, work).await?;
@@ -566,7 +578,7 @@
                     (refused, failed) = (refused + through.refused, failed + through.failed);
                     (worst50, worst99) = (worst50.max(added(0.5)), worst99.max(added(0.99)));
                     rows.push(json!({
-                        "front": if wire == Wire::Resp { "thrift" } else { "clickhouse" },
+                        "front": if wire == EngineProtocol::Resp { "thrift" } else { "clickhouse" },
                         "engines": engines_n,
                         "speed": speed,
                         "clients": clients,
--- a/crates/experiments/src/fleet.rs
+++ b/crates/experiments/src/fleet.rs
@@ -8,11 +8,13 @@
 use rand_pcg::Pcg64Mcg;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
-use starlingplank_test_doubles::client::Answer;
-use starlingplank_test_doubles::engine::Door as Entrance;
-use starlingplank_test_doubles::link::Link;
-use starlingplank_test_doubles::list::{Entry, List, Script, Version};
-use starlingplank_test_doubles::model::Spec;
+use starlingplank_test_doubles::capacity_model::EngineSpec;
+use starlingplank_test_doubles::engine::ListenerMode;
+use starlingplank_test_doubles::name_service::{
+    ListVersion, ListedEngine, NameService, SentAnswer, ServiceScript,
+};
+use starlingplank_test_doubles::relay::Relay;
+use starlingplank_test_doubles::thrift::Answer;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -40,7 +42,7 @@
 /// One gateway: its file, its way to the list, its process and where its clients go.
 struct Gateway {
     file: PathBuf,
-    way: Link,
+    way: Relay,
     child: Option<Child>,
     /// Told as each of its lives listens.
     door: Rc<RefCell<Door>>,
@@ -72,7 +74,7 @@
         command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::null());
         let mut child = command.spawn().map_err(|e| format!("{}: {e}", program.display()))?;
         self.life += 1;
-        self.former = self.way.ports().len();
+        self.former = self.way.relay_addresses().len();
         let (life, heard) = (self.life, heard.clone());
         let lines = child.stdout.take().ok_or("it has no output")?;
         self.child = Some(child);
@@ -117,11 +119,18 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64() * 1000.0)
 }
 
-fn script(s: &Scenario, gateways: usize) -> Script {
+fn script(s: &Scenario, gateways: usize) -> ServiceScript {
     let l = &s.list;
     let capacity = if l.capacity > 0.0 { l.capacity * 5.0 * gateways as f64 } else { 1e6 };
-    let silent = (l.silent_from, l.silent_to);
-    Script { up_from: l.up_from, silent, capacity, line: l.line, falls: l.falls, stale_until: l.stale_until }
+    ServiceScript {
+        up_from: l.up_from,
+        silent_from: l.silent_from,
+        silent_to: l.silent_to,
+        capacity,
+        max_queueing: l.line,
+        collapses: l.falls,
+        stale_until: l.stale_until,
+    }
 }
 
 /// Tries that are written down at most. A play that comes so far is cut short, and says so.
@@ -171,7 +180,8 @@
 /// A process, a port or a file cannot be had.
 pub async fn play(stage: &Stage<'_>, s: &Scenario) -> Result<Played, Failure> {
     let count = if s.engines.count > 0 { s.engines.count } else { (stage.gateways / 12).max(2) };
-    let spec = Spec { cores: s.engines.cores, chance_of: usual_work(), ..Spec::default() };
+    let spec =
+        EngineSpec { cores: s.engines.cores, chance_allowance_work: usual_work(), ..EngineSpec::default() };
     let engines = Engines::start(vec![spec; count], stage.seed)?;
     let cold = (s.engines.cold * count as f64).round() as usize;
     let (mut refusing, mute) = (
@@ -185,12 +195,12 @@
     let mut ways = Vec::new();
     if s.fault.values().any(|f| cut(&f)) {
         for e in &engines.all {
-            ways.push(Link::tcp(e.address).await?);
+            ways.push(Relay::tcp(e.address).await?);
         }
     }
     let address = |n: usize| ways.get(n).map_or(engines.all[n].address, |w| w.address);
-    let mut entries: Vec<Entry> = (0..count)
-        .map(|n| Entry {
+    let mut entries: Vec<ListedEngine> = (0..count)
+        .map(|n| ListedEngine {
             id: format!("s-{n}"),
             address: address(n),
             drains: false,
@@ -201,15 +211,15 @@
         if n < cold {
             e.restart();
         }
-        let ill = if n < refusing { Entrance::Shut } else { Entrance::Mute };
+        let ill = if n < refusing { ListenerMode::Refusing } else { ListenerMode::Unresponsive };
         if up(n) > 0.0 {
-            e.set_door(Entrance::Shut);
+            e.set_listener_mode(ListenerMode::Refusing);
         } else if n < refusing + mute {
-            e.set_door(ill);
+            e.set_listener_mode(ill);
         }
     }
-    let first = Version { from: 0.0, serial: 2, engines: entries.clone() };
-    let list = List::start(script(s, stage.gateways), vec![first])?;
+    let first = ListVersion { from: 0.0, serial: 2, engines: entries.clone() };
+    let list = NameService::start(script(s, stage.gateways), vec![first])?;
     let mut text = config(&engines, stage.seed, None);
     for (n, e) in engines.all.iter().enumerate() {
         text = text.replace(&format!("\"{}\"", e.address), &format!("\"{}\"", address(n)));
@@ -217,7 +227,7 @@
     let told = ((stage.gateways as f64 * s.size_told).round() as usize).max(1);
     let mut gateways = Vec::new();
     for rank in 0..stage.gateways {
-        let way = Link::udp(list.address, stage.seed ^ (rank as u64) << 20).await?;
+        let way = Relay::udp(list.address, stage.seed ^ (rank as u64) << 20).await?;
         let mut own = format!("names = \"{}\"\ngateways = {told}\n", way.address);
         if s.ranked && rank < told {
             let _ = writeln!(own, "rank = {rank}");
@@ -246,7 +256,7 @@
     });
     let begun = Instant::now();
     // The clocks of the list, of the engines and of this play, at one moment.
-    let (list_at, engines_at) = (list.begun.elapsed().as_secs_f64(), engines.fleet.now());
+    let (list_at, engines_at) = (list.started_at.elapsed().as_secs_f64(), engines.fleet.now());
     let from = |at: f64| begun + Duration::from_secs_f64(at);
 
     // Clients.
@@ -330,48 +340,48 @@
                 }
             }
             Step::Way(g, what, by) => all[g].way.set(|f| match what {
-                What::Cut => (f.out, f.back) = (true, true),
-                What::CutOut => f.out = true,
-                What::CutBack => f.back = true,
+                What::Cut => f.set_cut(true),
+                What::CutOut => f.cut_to_server = true,
+                What::CutBack => f.cut_to_client = true,
                 What::Lose => f.loss = by,
                 _ => f.delay = Duration::from_secs_f64(by),
             }),
             Step::Mend(g, what) => all[g].way.set(|f| match what {
                 What::Lose => f.loss = 0.0,
                 What::Slow => f.delay = Duration::ZERO,
-                _ => (f.out, f.back) = (false, false),
+                _ => f.set_cut(false),
             }),
             Step::EngineWay(n, What::EngineReset, _) => ways[n].reset(),
             Step::EngineWay(n, What::EngineSlow, by) => {
                 ways[n].set(|f| f.delay = Duration::from_secs_f64(by));
             }
-            Step::EngineWay(n, ..) => ways[n].set(|f| (f.out, f.back) = (true, true)),
+            Step::EngineWay(n, ..) => ways[n].set(|f| f.set_cut(true)),
             Step::EngineMend(_, What::EngineReset) => {}
             Step::EngineMend(n, What::EngineSlow) => ways[n].set(|f| f.delay = Duration::ZERO),
-            Step::EngineMend(n, _) => ways[n].set(|f| (f.out, f.back) = (false, false)),
+            Step::EngineMend(n, _) => ways[n].set(|f| f.set_cut(false)),
             Step::Drain => {
                 entries[0].drains = true;
                 serial += 1;
-                list.say(serial, entries.clone());
+                list.publish(serial, entries.clone());
                 drained = Some((serial, engines.all[0].clone()));
             }
             Step::Away(n) => {
-                engines.all[n].set_door(Entrance::Shut);
+                engines.all[n].set_listener_mode(ListenerMode::Refusing);
                 engines.all[n].stop();
             }
             Step::Up(n) => {
                 engines.all[n].restart();
-                engines.all[n].set_door(Entrance::Open);
+                engines.all[n].set_listener_mode(ListenerMode::Serving);
                 entries[n].started = unix_ms().floor();
                 serial += 1;
                 ups[n] = (serial, now);
-                list.say(serial, entries.clone());
+                list.publish(serial, entries.clone());
             }
-            Step::Well(n) => engines.all[n].set_door(Entrance::Open),
+            Step::Well(n) => engines.all[n].set_listener_mode(ListenerMode::Serving),
         }
     }
     sleep_until(from(s.seconds)).await;
-    let asked = list.asked();
+    let asked = list.queries();
     // Requests still open are given their time: each must get its answer.
     let _ =
         tokio::time::timeout(Duration::from_secs(25), async { while clients.join_next().await.is_some() {} })
@@ -382,16 +392,17 @@
     // A gateway was told once the answer came out of its way.
     let begun_at = begun.into_std();
     let mut heard: std::collections::HashMap<(SocketAddr, u16), Vec<f64>> = Default::default();
-    for (port, id, at) in gateways.borrow().iter().flat_map(|g| g.way.delivered()) {
-        heard.entry((port, id)).or_default().push((at - begun_at).as_secs_f64());
+    for delivery in gateways.borrow().iter().flat_map(|g| g.way.deliveries()) {
+        let at = (delivery.at - begun_at).as_secs_f64();
+        heard.entry((delivery.relay_address, delivery.id)).or_default().push(at);
     }
     let asked: Vec<_> = asked
         .into_iter()
         .map(|mut a| {
             a.at -= list_at;
-            a.told = a.told.and_then(|(serial, at)| {
+            a.answer = a.answer.and_then(|SentAnswer { serial, at }| {
                 let times = heard.get(&(a.from, a.id))?;
-                times.iter().find(|t| **t >= at - list_at - 0.01).map(|t| (serial, *t))
+                times.iter().find(|t| **t >= at - list_at - 0.01).map(|t| SentAnswer { serial, at: *t })
             });
             a
         })
@@ -400,7 +411,7 @@
         .all
         .iter()
         .map(|e| {
-            let mut ledger = e.ledger();
+            let mut ledger = e.arrivals();
             ledger.iter_mut().for_each(|a| a.at = (a.at - engines_at) / 1000.0);
             ledger
         })
@@ -426,32 +437,34 @@
     if tries.len() >= TRIES {
         broken.push(format!("clients tried {TRIES} times, and the play was cut short"));
     }
-    broken.extend(ledger::overlaps(engines.fleet.overlapping()));
+    broken.extend(ledger::overlaps(engines.fleet.overlaps()));
     broken.extend(ledger::retry_budget(&tries, &engine_ledgers, stage.gateways));
     let mut told = BTreeMap::new();
     if let Some((serial, _)) = &drained {
         for (g, gateway) in all.iter().enumerate() {
-            let ports = gateway.way.ports();
+            let ports = gateway.way.relay_addresses();
             let of = asked.iter().filter(|a| ports.contains(&a.from));
             let at = of
-                .filter_map(|a| a.told.filter(|(s, _)| s >= serial).map(|(_, at)| at))
+                .filter_map(|a| a.answer.filter(|answer| answer.serial >= *serial).map(|answer| answer.at))
                 .fold(f64::INFINITY, f64::min);
             told.insert(g, at);
         }
         broken.extend(ledger::drains(&tries, &engine_ledgers[0], &told));
     }
-    let fallen = engines.all.iter().filter(|e| e.look(|m| m.fallen.is_some())).count();
-    let worst_cold = engines.all.iter().map(|e| e.look(|m| m.worst)).fold(0.0, f64::max);
+    let fallen = engines.all.iter().filter(|e| e.with_model(|model| model.collapsed_at.is_some())).count();
+    let worst_cold =
+        engines.all.iter().map(|e| e.with_model(|model| model.max_overload_ratio)).fold(0.0, f64::max);
     // The operators' page: the rule is broken where over two thirds of what pushed one over came from gateways that had
     // been told of its start.
     let told_of = |g: usize, serial: u32| {
-        let ports = all[g].way.ports();
+        let ports = all[g].way.relay_addresses();
         let of = asked.iter().filter(|a| ports.contains(&a.from));
-        of.filter_map(|a| a.told.filter(|t| t.0 >= serial).map(|t| t.1)).fold(f64::INFINITY, f64::min)
+        of.filter_map(|a| a.answer.filter(|answer| answer.serial >= serial).map(|answer| answer.at))
+            .fold(f64::INFINITY, f64::min)
     };
     let mut told_shares = Vec::new();
     for (n, e) in engines.all.iter().enumerate() {
-        let Some(fell) = e.look(|m| m.fallen) else { continue };
+        let Some(fell) = e.with_model(|model| model.collapsed_at) else { continue };
         let fell = (fell - engines_at) / 1000.0;
         let from = ups[n].1.max(fell - 2.0);
         told_shares
@@ -463,7 +476,7 @@
         ));
     }
     let asked: Vec<_> = asked.into_iter().filter(|a| a.at < s.seconds).collect();
-    let ports: Vec<_> = all.iter().map(|g| g.way.ports().split_off(g.former)).collect();
+    let ports: Vec<_> = all.iter().map(|g| g.way.relay_addresses().split_off(g.former)).collect();
     let capacity = script(s, stage.gateways).capacity;
     let mut json = json!({
         "about": s.about,
@@ -473,7 +486,7 @@
         "worst_cold_ratio": ledger::round(worst_cold),
         "fallen": fallen,
         "fallen_share_from_told": told_shares.iter().map(|s| ledger::round(*s)).collect::<Vec<_>>(),
-        "overlapping": engines.fleet.overlapping(),
+        "overlapping": engines.fleet.overlaps(),
         "rules_broken": broken.len(),
     });
     if !tries.is_empty() {
--- a/crates/experiments/src/ledger.rs
+++ b/crates/experiments/src/ledger.rs
@@ -1,9 +1,9 @@
 //! Checkers and figures over what stand-ins and clients saw. Seconds of the play's clock.
 
 use serde_json::{json, Value};
-use starlingplank_test_doubles::client::Answer;
-use starlingplank_test_doubles::engine::{Arrival, Came};
-use starlingplank_test_doubles::list::Asked;
+use starlingplank_test_doubles::engine::{Arrival, ArrivalKind};
+use starlingplank_test_doubles::name_service::ReceivedQuery;
+use starlingplank_test_doubles::thrift::Answer;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
@@ -59,8 +59,8 @@
 }
 
 fn attempts(ledger: &[Arrival]) -> impl Iterator<Item = (f64, &str)> {
-    ledger.iter().filter_map(|a| match &a.what {
-        Came::Attempt(txn, _) => Some((a.at, txn.as_str())),
+    ledger.iter().filter_map(|a| match &a.kind {
+        ArrivalKind::Attempt { request: txn, .. } => Some((a.at, txn.as_str())),
         _ => None,
     })
 }
@@ -96,7 +96,7 @@
     let of = gateways_of(tries);
     let (mut known, mut all) = (0.0, 0.0);
     for a in ledger.iter().filter(|a| a.at >= from && a.at <= to + 0.001) {
-        let Came::Attempt(txn, work) = &a.what else { continue };
+        let ArrivalKind::Attempt { request: txn, usual_work: work } = &a.kind else { continue };
         all += work;
         known += of.get(txn.as_str()).filter(|g| told(**g) <= a.at).map_or(0.0, |_| *work);
     }
@@ -150,11 +150,14 @@
 
 /// What the list service's ledger tells. A gateway holds the list once it was told of it.
 /// `ports`: by gateway, what it asked from in its last life.
-pub fn questions(asked: &[Asked], ports: &[Vec<SocketAddr>], capacity: f64, seconds: f64) -> Value {
+pub fn questions(asked: &[ReceivedQuery], ports: &[Vec<SocketAddr>], capacity: f64, seconds: f64) -> Value {
     let times: Vec<f64> = asked.iter().map(|a| a.at).collect();
     let later: Vec<f64> = times.iter().copied().filter(|at| *at >= 1.0).collect();
-    let told: HashMap<SocketAddr, f64> =
-        asked.iter().rev().filter_map(|a| Some((a.from, a.told.filter(|t| t.0 > 0)?.1))).collect();
+    let told: HashMap<SocketAddr, f64> = asked
+        .iter()
+        .rev()
+        .filter_map(|a| Some((a.from, a.answer.filter(|answer| answer.serial > 0)?.at)))
+        .collect();
     // A gateway whose questions go unanswered asks from one socket after the other: when any of its last life's was told.
     let held =
         |ports: &Vec<SocketAddr>| ports.iter().filter_map(|p| told.get(p).copied()).min_by(f64::total_cmp);
@@ -166,7 +169,7 @@
     };
     let half = times.iter().filter(|at| **at >= seconds / 2.0).count() as f64 / (seconds / 2.0);
     let late = || asked.iter().filter(|a| a.at >= seconds / 2.0);
-    let answered = (late().filter(|a| a.told.is_some()).count() as f64 / (seconds / 2.0)).round();
+    let answered = (late().filter(|a| a.answer.is_some()).count() as f64 / (seconds / 2.0)).round();
     let mut each: HashMap<SocketAddr, usize> = HashMap::new();
     late().for_each(|a| *each.entry(a.from).or_default() += 1);
     let mut each: Vec<usize> = each.into_values().collect();
@@ -193,22 +196,22 @@
 }
 
 pub fn connections(ledgers: &[Vec<Arrival>]) -> impl Iterator<Item = (f64, f64)> + '_ {
-    ledgers.iter().flatten().filter(|a| a.what == Came::Connection).map(|a| (a.at, 1.0))
+    ledgers.iter().flatten().filter(|a| a.kind == ArrivalKind::Connection).map(|a| (a.at, 1.0))
 }
 
 /// Connections and probes at the engine that had most of them.
 pub fn doors(ledgers: &[Vec<Arrival>], seconds: f64) -> Value {
-    let of = |what: fn(&Came) -> bool, width: f64| {
+    let of = |what: fn(&ArrivalKind) -> bool, width: f64| {
         let times = |l: &Vec<Arrival>| -> Vec<f64> {
-            l.iter().filter(|a| a.at < seconds && what(&a.what)).map(|a| a.at).collect()
+            l.iter().filter(|a| a.at < seconds && what(&a.kind)).map(|a| a.at).collect()
         };
         ledgers.iter().map(|l| most_within(&times(l), width)).max().unwrap_or(0)
     };
     json!({
-        "most_connections_in_100_ms": of(|w| *w == Came::Connection, 0.1),
-        "most_connections_in_1_s": of(|w| *w == Came::Connection, 1.0),
-        "most_probes_in_100_ms": of(|w| *w == Came::Probe, 0.1),
-        "most_attempts_in_100_ms": of(|w| matches!(w, Came::Attempt(..)), 0.1),
+        "most_connections_in_100_ms": of(|w| *w == ArrivalKind::Connection, 0.1),
+        "most_connections_in_1_s": of(|w| *w == ArrivalKind::Connection, 1.0),
+        "most_probes_in_100_ms": of(|w| *w == ArrivalKind::HealthCheck, 0.1),
+        "most_attempts_in_100_ms": of(|w| matches!(w, ArrivalKind::Attempt { .. }), 0.1),
     })
 }
 
--- a/crates/experiments/src/ledger/tests.rs
+++ b/crates/experiments/src/ledger/tests.rs
@@ -6,7 +6,7 @@
 }
 
 fn attempt(at: f64, txn: &str) -> Arrival {
-    Arrival { at, what: Came::Attempt(txn.into(), 1.0) }
+    Arrival { at, kind: ArrivalKind::Attempt { request: txn.into(), usual_work: 1.0 } }
 }
 
 #[test]
--- a/crates/experiments/src/soak/client.rs
+++ b/crates/experiments/src/soak/client.rs
@@ -3,7 +3,7 @@
 use super::ledger::{Answer, Class, RequestEnd, RequestRecord};
 use super::Stage;
 use rand::Rng;
-use starlingplank_test_doubles::client::{self as thrift, Answer as Read};
+use starlingplank_test_doubles::thrift::{self, Answer as ThriftAnswer};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -111,7 +111,7 @@
         if class == Class::Keyed {
             fields.push(("unique", key.as_str()));
         }
-        let message = thrift::call(connection.last, &fields, "select 1");
+        let message = thrift::encode_call(connection.last, &fields, "select 1");
         if connection.stream.write_all(&message).await.is_err() {
             return None;
         }
@@ -212,10 +212,10 @@
     let len = u32::from_be_bytes(len) as usize;
     let mut frame = vec![0; len.min(LONGEST)];
     connection.stream.read_exact(&mut frame).await.ok()?;
-    match thrift::read(&frame)?.1 {
-        Read::Served => Some(Answer::Served),
-        Read::Refused(_) => Some(Answer::Refused),
-        Read::Failed => Some(Answer::Failed),
-        Read::Lost => None,
+    match thrift::parse_reply(&frame)?.answer {
+        ThriftAnswer::Served => Some(Answer::Served),
+        ThriftAnswer::Refused(_) => Some(Answer::Refused),
+        ThriftAnswer::Failed => Some(Answer::Failed),
+        ThriftAnswer::Lost => None,
     }
 }
--- a/crates/experiments/src/soak/config.rs
+++ b/crates/experiments/src/soak/config.rs
@@ -2,7 +2,7 @@
 
 use super::run::Play;
 use super::{COLD_FROM, CORES, FALL_MULTIPLE, KEY_WINDOW_MS, TIP_AFTER_MS, WARM_WITHIN_MS};
-use starlingplank_test_doubles::list::Entry;
+use starlingplank_test_doubles::name_service::ListedEngine;
 
 impl Play {
     pub(super) fn write_config(&self, gateway: usize) -> std::io::Result<()> {
@@ -15,7 +15,7 @@
     }
 
     fn config(&self, gateway: usize) -> String {
-        let member = |e: &Entry| {
+        let member = |e: &ListedEngine| {
             let phase = if e.drains { "draining" } else { "ready" };
             format!(
                 r#"{{"id":"{}","host_port":"{}","locality":"a","flavor":"std","cell":0,"phase":"{phase}","size":1,"up_since_ms":{:.0}}}"#,
--- a/crates/experiments/src/soak/discovery.rs
+++ b/crates/experiments/src/soak/discovery.rs
@@ -4,7 +4,7 @@
 use super::ledger::Announcement;
 use super::Stage;
 use rand::Rng;
-use starlingplank_test_doubles::list::{answer, Entry};
+use starlingplank_test_doubles::name_service::{encode_answer, ListedEngine};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -62,12 +62,12 @@
 }
 
 /// A list of engines with its version.
-type Version = (u32, Vec<Entry>);
+type Version = (u32, Vec<ListedEngine>);
 
 /// The list of engines, told by all services with the same words.
 pub struct Discovery {
     /// The list.
-    pub entries: RefCell<Vec<Entry>>,
+    pub entries: RefCell<Vec<ListedEngine>>,
     /// Its version.
     pub version: Cell<u32>,
     /// The list before.
@@ -148,7 +148,7 @@
         if latency > 0.0 {
             sleep(Duration::from_secs_f64(latency)).await;
         }
-        let said = answer(&question, self.version.get(), &self.entries.borrow());
+        let said = encode_answer(&question, self.version.get(), &self.entries.borrow());
         let message = if is_good { Some(said) } else { self.spoil(&question, said, from.port(), gateway) };
         let announcement =
             Announcement { gateway, at: self.stage.now(), version: self.version.get(), is_good };
@@ -179,13 +179,13 @@
             }
             Fate::OlderList => {
                 let former = self.former.borrow();
-                former.as_ref().map(|(version, entries)| answer(question, *version, entries))
+                former.as_ref().map(|(version, entries)| encode_answer(question, *version, entries))
             }
         }
     }
 
     /// Tells another list from now on. Its version.
-    pub fn change(&self, change: impl FnOnce(&mut Vec<Entry>)) -> u32 {
+    pub fn change(&self, change: impl FnOnce(&mut Vec<ListedEngine>)) -> u32 {
         *self.former.borrow_mut() = Some((self.version.get(), self.entries.borrow().clone()));
         change(&mut self.entries.borrow_mut());
         self.version.set(self.version.get() + 1);
--- a/crates/experiments/src/soak/run.rs
+++ b/crates/experiments/src/soak/run.rs
@@ -9,7 +9,7 @@
 use super::{oracle, terms, Stage};
 use crate::bed::Failure;
 use rustix::process::Signal;
-use starlingplank_test_doubles::list::Entry;
+use starlingplank_test_doubles::name_service::ListedEngine;
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -231,6 +231,6 @@
 }
 
 /// An engine that serves, as the list names it.
-pub(super) fn entry(id: &str, address: SocketAddr, started: f64) -> Entry {
-    Entry { id: id.to_owned(), address, drains: false, started }
+pub(super) fn entry(id: &str, address: SocketAddr, started: f64) -> ListedEngine {
+    ListedEngine { id: id.to_owned(), address, drains: false, started }
 }
--- a/crates/test-doubles/src/disk.rs
+++ b/crates/test-doubles/src/disk.rs
@@ -1,6 +1,6 @@
-//! A disk in memory that fails on request. What was not synced is lost at a stop, or kept, in any part: each file
-//! keeps some of its unsynced appends and not others, cut anywhere, and each name that was made, changed or removed
-//! without a sync of the names may or may not be so. It does not rot by itself; tests change its bytes.
+//! A disk in memory that fails on request. At a stop each file keeps any part of its unsynced appends, truncated anywhere, and
+//! each creation, renaming or removal that was not synced may or may not have happened. Bit rot is not modelled: tests change
+//! bytes themselves.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -9,7 +9,7 @@
 use std::io;
 use std::sync::{Arc, Mutex};
 
-/// What a call does in place of what it should.
+/// How a call fails.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     /// The program stops before the call.
@@ -18,17 +18,17 @@
     StopAfter,
     /// The call fails, having done nothing.
     Fail,
-    /// It fails, having done all or part of its work: nobody knows.
+    /// It fails after all or part of its work.
     FailAfter,
-    /// No space is left, from this call on.
+    /// There is no space from this call on.
     Full,
 }
 
 #[derive(Debug, Clone, Default)]
 struct Content {
     durable: Vec<u8>,
-    /// Appended since, a call each.
-    later: Vec<Vec<u8>>,
+    /// Unsynced appends, one for each call.
+    unsynced: Vec<Vec<u8>>,
 }
 
 #[derive(Debug, Clone)]
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 struct State {
     files: Vec<Content>,
-    /// Names that a stop cannot take away.
+    /// Names that were synced.
     durable: BTreeMap<String, usize>,
     /// Names as the program sees them.
     names: BTreeMap<String, usize>,
@@ -50,8 +50,8 @@
     fault: Option<(usize, Fault)>,
     full: bool,
     stopped: bool,
-    /// An append takes so many bytes at most.
-    short: usize,
+    /// The bytes that an append writes at most.
+    max_append: usize,
     rng: Pcg64Mcg,
 }
 
@@ -71,7 +71,7 @@
             fault: None,
             full: false,
             stopped: false,
-            short: usize::MAX,
+            max_append: usize::MAX,
             rng: Pcg64Mcg::seed_from_u64(seed),
         })))
     }
@@ -81,18 +81,18 @@
         self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// The call that has this number from now, the next being 0, does that.
+    /// Fails a later call in that way, where the next call is number 0.
     pub fn fault(&self, call: usize, fault: Fault) {
-        let mut s = self.state();
-        s.fault = Some((s.calls + call, fault));
+        let mut state = self.state();
+        state.fault = Some((state.calls + call, fault));
     }
 
-    /// Appends take so many bytes at most.
-    pub fn short_writes(&self, most: usize) {
-        self.state().short = most;
+    /// Limits appends to so many bytes.
+    pub fn short_writes(&self, max_append: usize) {
+        self.state().max_append = max_append;
     }
 
-    /// Calls that changed or synced something, so far.
+    /// The number of calls that changed or synced something.
     pub fn calls(&self) -> usize {
         self.state().calls
     }
@@ -102,11 +102,11 @@
         self.state().stopped
     }
 
-    /// What a start finds after the program, and the machine with it, stopped: durable bytes and names, and of the
-    /// rest any part, as the seed has it. The disk works again, and there is space.
+    /// Restarts after the program and its machine have stopped: durable bytes and names remain, and of the others any part, as
+    /// drawn from the seed. The disk works again and has space.
     pub fn restart(&self) {
-        let mut s = self.state();
-        let state = &mut *s;
+        let mut guard = self.state();
+        let state = &mut *guard;
         let mut names = state.durable.clone();
         for change in std::mem::take(&mut state.changes) {
             if state.rng.random_bool(0.5) {
@@ -114,24 +114,23 @@
             }
         }
         for file in &mut state.files {
-            // A call's bytes got there whole, in part, not at all, or as zeros. Where later bytes did, the file is as
-            // long as that, with zeros for those that did not.
+            // The bytes of a call are durable, truncated, lost, or zeros. Bytes that are lost before durable ones are zeros.
             let mut hole = 0;
-            for later in std::mem::take(&mut file.later) {
+            for append in std::mem::take(&mut file.unsynced) {
                 let kept = match state.rng.random_range(0..4) {
                     0 => 0,
-                    1 => state.rng.random_range(0..=later.len()),
+                    1 => state.rng.random_range(0..=append.len()),
                     2 => {
-                        hole += later.len();
+                        hole += append.len();
                         continue;
                     }
-                    _ => later.len(),
+                    _ => append.len(),
                 };
                 if kept > 0 {
                     file.durable.extend(std::iter::repeat_n(0, std::mem::take(&mut hole)));
-                    file.durable.extend(&later[..kept]);
+                    file.durable.extend(&append[..kept]);
                 }
-                hole += later.len() - kept;
+                hole += append.len() - kept;
             }
         }
         (state.durable, state.names) = (names.clone(), names);
@@ -140,45 +139,47 @@
 
     /// The bytes of a file as a reader sees them now.
     pub fn bytes(&self, name: &str) -> Option<Vec<u8>> {
-        let s = self.state();
-        s.names.get(name).map(|i| [s.files[*i].durable.clone(), s.files[*i].later.concat()].concat())
+        let state = self.state();
+        state.names.get(name).map(|index| {
+            [state.files[*index].durable.clone(), state.files[*index].unsynced.concat()].concat()
+        })
     }
 
-    /// Puts bytes there, durable.
+    /// Creates a durable file.
     pub fn put(&self, name: &str, bytes: Vec<u8>) {
-        let mut s = self.state();
-        s.files.push(Content { durable: bytes, later: Vec::new() });
-        let at = s.files.len() - 1;
-        s.names.insert(name.to_owned(), at);
-        s.durable.insert(name.to_owned(), at);
+        let mut state = self.state();
+        state.files.push(Content { durable: bytes, unsynced: Vec::new() });
+        let at = state.files.len() - 1;
+        state.names.insert(name.to_owned(), at);
+        state.durable.insert(name.to_owned(), at);
     }
 
-    /// Runs a call under whatever fault is due.
+    /// Makes a call, with the fault that is due.
     fn call(&self, act: impl FnOnce(&mut State) -> io::Result<usize>) -> io::Result<usize> {
-        let mut s = self.state();
-        if s.stopped {
+        let mut state = self.state();
+        if state.stopped {
             return Err(io::Error::other("the program has stopped"));
         }
-        let number = s.calls;
-        s.calls += 1;
-        let fault = s.fault.filter(|(at, _)| *at == number).map(|(_, f)| f);
+        let number = state.calls;
+        state.calls += 1;
+        let fault = state.fault.filter(|(at, _)| *at == number).map(|(_, fault)| fault);
         match fault {
             Some(Fault::StopBefore) => {
-                s.stopped = true;
+                state.stopped = true;
                 Err(io::Error::other("stopped"))
             }
             Some(Fault::StopAfter) => {
-                let done = act(&mut s);
-                s.stopped = true;
+                let done = act(&mut state);
+                state.stopped = true;
                 done.and(Err(io::Error::other("stopped")))
             }
             Some(Fault::Fail) => Err(io::Error::other("the disk failed")),
-            Some(Fault::FailAfter) => act(&mut s).and(Err(io::Error::other("the disk failed"))),
+            Some(Fault::FailAfter) => act(&mut state).and(Err(io::Error::other("the disk failed"))),
             Some(Fault::Full) => {
-                s.full = true;
+                state.full = true;
                 Err(io::ErrorKind::StorageFull.into())
             }
-            None => act(&mut s),
+            None => act(&mut state),
         }
     }
 }
@@ -223,62 +224,62 @@
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
-        let made = self.call(|s| {
-            if s.full {
+        let made = self.call(|state| {
+            if state.full {
                 return Err(io::ErrorKind::StorageFull.into());
             }
-            s.files.push(Content::default());
-            let at = s.files.len() - 1;
-            s.change(NameChange::Set(name.to_owned(), at));
+            state.files.push(Content::default());
+            let at = state.files.len() - 1;
+            state.change(NameChange::Set(name.to_owned(), at));
             Ok(0)
         });
         made.map(drop)
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<usize> {
-        self.call(|s| {
-            if s.full {
+        self.call(|state| {
+            if state.full {
                 return Err(io::ErrorKind::StorageFull.into());
             }
-            let at = s.find(name)?;
-            let taken = bytes.len().min(s.short);
-            s.files[at].later.push(bytes[..taken].to_vec());
+            let at = state.find(name)?;
+            let taken = bytes.len().min(state.max_append);
+            state.files[at].unsynced.push(bytes[..taken].to_vec());
             Ok(taken)
         })
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        let synced = self.call(|s| {
-            let at = s.find(name)?;
-            let later = std::mem::take(&mut s.files[at].later);
-            s.files[at].durable.extend(later.concat());
+        let synced = self.call(|state| {
+            let at = state.find(name)?;
+            let unsynced = std::mem::take(&mut state.files[at].unsynced);
+            state.files[at].durable.extend(unsynced.concat());
             Ok(0)
         });
         synced.map(drop)
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        let renamed = self.call(|s| {
-            s.find(from)?;
-            s.change(NameChange::Move(from.to_owned(), to.to_owned()));
+        let renamed = self.call(|state| {
+            state.find(from)?;
+            state.change(NameChange::Move(from.to_owned(), to.to_owned()));
             Ok(0)
         });
         renamed.map(drop)
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        let removed = self.call(|s| {
-            s.find(name)?;
-            s.change(NameChange::Remove(name.to_owned()));
+        let removed = self.call(|state| {
+            state.find(name)?;
+            state.change(NameChange::Remove(name.to_owned()));
             Ok(0)
         });
         removed.map(drop)
     }
 
     fn sync_names(&mut self) -> io::Result<()> {
-        let synced = self.call(|s| {
-            s.changes.clear();
-            s.durable = s.names.clone();
+        let synced = self.call(|state| {
+            state.changes.clear();
+            state.durable = state.names.clone();
             Ok(0)
         });
         synced.map(drop)
--- /dev/null
+++ b/crates/test-doubles/src/engine/command.rs
@@ -0,0 +1,172 @@
+//! What an engine reads and writes: the platform's RESP commands, and the ClickHouse HTTP interface.
+
+use super::EngineProtocol;
+
+/// The bytes of one message.
+pub(super) const MAX_MESSAGE_BYTES: usize = 4 << 20;
+/// The parts of a command that are read.
+const MAX_PARTS: usize = 8;
+/// The end of the head of an HTTP message.
+pub(crate) const HEAD_END: &[u8] = b"\r\n\r\n";
+
+/// A command of a gateway.
+#[derive(Debug, PartialEq)]
+pub(super) enum Command {
+    /// Execute a statement.
+    Query {
+        /// The name of the request.
+        request: String,
+        /// Its idempotency key.
+        key: Option<String>,
+        statement: String,
+    },
+    /// A health check, with the tag that its answer repeats.
+    HealthCheck(String),
+    /// Cancel the attempt of that request.
+    Cancel(String),
+    /// A command that has no effect here.
+    Other,
+}
+
+/// A command, and the number of bytes that it takes.
+pub(super) struct ParsedCommand {
+    pub(super) command: Command,
+    pub(super) length: usize,
+}
+
+/// What was received is no command.
+#[derive(Debug)]
+pub(super) struct InvalidCommand;
+
+/// Parses the next command; none if more bytes are needed.
+pub(super) fn parse(protocol: EngineProtocol, bytes: &[u8]) -> Result<Option<ParsedCommand>, InvalidCommand> {
+    match protocol {
+        EngineProtocol::Resp => parse_resp(bytes),
+        EngineProtocol::ClickHouse => parse_http(bytes),
+    }
+}
+
+/// Reads lines with a length in an array of bulk strings.
+struct RespReader<'a> {
+    bytes: &'a [u8],
+    position: usize,
+}
+
+impl<'a> RespReader<'a> {
+    /// The number in a line that begins with that mark; none if more bytes are needed.
+    fn length(&mut self, mark: u8) -> Result<Option<usize>, InvalidCommand> {
+        let rest = self.bytes.get(self.position..).unwrap_or_default();
+        let Some(end) = rest.windows(2).position(|window| window == b"\r\n") else { return Ok(None) };
+        if rest[0] != mark {
+            return Err(InvalidCommand);
+        }
+        self.position += end + 2;
+        let number = std::str::from_utf8(&rest[1..end]).ok().and_then(|number| number.parse().ok());
+        number.filter(|number| *number <= MAX_MESSAGE_BYTES).map(Some).ok_or(InvalidCommand)
+    }
+
+    /// The next bulk string; none if more bytes are needed.
+    fn bulk_string(&mut self) -> Result<Option<&'a [u8]>, InvalidCommand> {
+        let Some(length) = self.length(b'$')? else { return Ok(None) };
+        let end = self.position + length;
+        let Some(part) = self.bytes.get(self.position..end) else { return Ok(None) };
+        if self.bytes.len() < end + 2 {
+            return Ok(None);
+        }
+        self.position = end + 2;
+        Ok(Some(part))
+    }
+}
+
+fn parse_resp(bytes: &[u8]) -> Result<Option<ParsedCommand>, InvalidCommand> {
+    let mut reader = RespReader { bytes, position: 0 };
+    let Some(count) = reader.length(b'*')? else { return Ok(None) };
+    let mut parts = Vec::new();
+    for _ in 0..count.min(MAX_PARTS) {
+        let Some(part) = reader.bulk_string()? else { return Ok(None) };
+        parts.push(String::from_utf8_lossy(part).into_owned());
+    }
+    let part = |index: usize| parts.get(index).cloned().unwrap_or_default();
+    let command = match part(0).as_str() {
+        "want" => {
+            let fields = part(2);
+            let key = fields.split(',').find_map(|field| field.strip_prefix("uniq=")).map(str::to_owned);
+            Command::Query { request: part(1), key, statement: part(3) }
+        }
+        "busy" | "there" => Command::HealthCheck(part(1)),
+        "never_mind" => Command::Cancel(part(1)),
+        _ => Command::Other,
+    };
+    Ok(Some(ParsedCommand { command, length: reader.position }))
+}
+
+/// The value of the header `Content-Length`.
+pub(crate) fn http_content_length(head: &str) -> Option<usize> {
+    head.lines().find_map(|line| {
+        let (name, value) = line.split_once(':')?;
+        name.eq_ignore_ascii_case("content-length").then(|| value.trim().parse::<usize>().ok())?
+    })
+}
+
+fn parse_http(bytes: &[u8]) -> Result<Option<ParsedCommand>, InvalidCommand> {
+    let head_end = bytes.windows(HEAD_END.len()).position(|window| window == HEAD_END);
+    let Some(head_end) = head_end else { return Ok(None) };
+    let head = std::str::from_utf8(&bytes[..head_end]).map_err(|_| InvalidCommand)?;
+    let body_start = head_end + HEAD_END.len();
+    let length = body_start + http_content_length(head).unwrap_or(0);
+    if length > MAX_MESSAGE_BYTES {
+        return Err(InvalidCommand);
+    }
+    let Some(body) = bytes.get(body_start..length) else { return Ok(None) };
+    let target = head.split(' ').nth(1).ok_or(InvalidCommand)?;
+    if target == "/ping" {
+        return Ok(Some(ParsedCommand { command: Command::HealthCheck(String::new()), length }));
+    }
+    let request = query_parameter(target, "query_id").unwrap_or_default();
+    let key = query_parameter(target, "insert_deduplication_token");
+    let statement = String::from_utf8_lossy(body).into_owned();
+    Ok(Some(ParsedCommand { command: Command::Query { request, key, statement }, length }))
+}
+
+fn query_parameter(target: &str, name: &str) -> Option<String> {
+    let (_, query) = target.split_once('?')?;
+    query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=').map(str::to_owned))
+}
+
+/// An array of bulk strings.
+pub(crate) fn encode_resp(parts: &[&str]) -> Vec<u8> {
+    let bulk_string = |part: &&str| format!("${}\r\n{part}\r\n", part.len());
+    format!("*{}\r\n{}", parts.len(), parts.iter().map(bulk_string).collect::<String>()).into_bytes()
+}
+
+/// An HTTP answer with that status and body.
+fn encode_http(status: &str, body: &str) -> Vec<u8> {
+    format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
+}
+
+/// The answer to a statement that was executed. `load` is the text of the load report.
+pub(super) fn encode_served(protocol: EngineProtocol, request: &str, work: f64, load: &str) -> Vec<u8> {
+    match protocol {
+        EngineProtocol::Resp => {
+            let fields = format!("pages=1,cost={work:.1},need=8{load}");
+            encode_resp(&[request, "served", &fields, "a\tb\tc\n"])
+        }
+        EngineProtocol::ClickHouse => encode_http("200 OK", "a\tb\tc\n"),
+    }
+}
+
+/// The answer to a statement that failed.
+pub(super) fn encode_failed(protocol: EngineProtocol, request: &str, load: &str) -> Vec<u8> {
+    match protocol {
+        EngineProtocol::Resp => encode_resp(&[request, "crashed", &format!("cost=0{load}"), ""]),
+        EngineProtocol::ClickHouse => encode_http("500 Internal Server Error", "Code: 1000.\n"),
+    }
+}
+
+/// The answer to a health check.
+pub(super) fn encode_healthy(protocol: EngineProtocol, tag: &str, load: &str) -> Vec<u8> {
+    match protocol {
+        EngineProtocol::Resp => encode_resp(&[tag, "green", &format!("cost=0{load}"), ""]),
+        EngineProtocol::ClickHouse => encode_http("200 OK", "Ok.\n"),
+    }
+}
--- /dev/null
+++ b/crates/test-doubles/src/engine/execution.rs
@@ -0,0 +1,108 @@
+//! What an engine does with a command.
+
+use super::command::{encode_failed, encode_healthy, encode_served, Command};
+use super::{ArrivalKind, Engine, Execution, State};
+use crate::capacity_model::{CapacityModel, QueryWork};
+use crate::lock;
+use rand::Rng;
+use tokio::sync::mpsc::UnboundedSender;
+
+/// The work of a statement that states none, and of a duplicate, in milliseconds on one core.
+const DEFAULT_WORK: f64 = 1.0;
+const DEFAULT_THREADS: f64 = 1.0;
+const MIN_THREADS: f64 = 0.1;
+
+/// Where the answers to the commands of one connection go.
+pub(super) struct Connection {
+    pub(super) id: u64,
+    pub(super) answers: UnboundedSender<Vec<u8>>,
+}
+
+/// An attempt as a command describes it.
+struct Attempt<'a> {
+    request: &'a str,
+    key: Option<&'a str>,
+    work: QueryWork,
+}
+
+impl Engine {
+    /// Handles a command. Returns the answer that follows at once.
+    pub(super) fn handle(&self, command: &Command, connection: &Connection) -> Option<Vec<u8>> {
+        let mut state = lock(&self.state);
+        match command {
+            Command::HealthCheck(tag) => {
+                self.record(&mut state, ArrivalKind::HealthCheck);
+                Some(encode_healthy(self.protocol, tag, &load_report(&state.model)))
+            }
+            Command::Cancel(request) => {
+                self.cancel(&mut state, request);
+                None
+            }
+            Command::Other => None,
+            Command::Query { request, key, statement } => {
+                let work = work_of(statement);
+                let kind = ArrivalKind::Attempt { request: request.clone(), usual_work: work.usual };
+                self.record(&mut state, kind);
+                self.execute(&mut state, &Attempt { request, key: key.as_deref(), work }, connection)
+            }
+        }
+    }
+
+    fn cancel(&self, state: &mut State, request: &str) {
+        let mut executions = state.executions.iter();
+        let Some((id, _)) = executions.find(|(_, execution)| execution.request == request) else { return };
+        let id = *id;
+        state.model.cancel(id);
+        self.drop_executions(state, |execution| execution.request == request);
+    }
+
+    /// Starts to execute a statement. Duplicates and injected errors are answered at once.
+    fn execute(&self, state: &mut State, attempt: &Attempt<'_>, connection: &Connection) -> Option<Vec<u8>> {
+        let now = self.fleet.now();
+        self.fleet.begin_attempt(attempt.request, now);
+        let is_duplicate = attempt.key.is_some_and(|key| self.fleet.is_duplicate(key, now));
+        let error_share = state.model.spec.error_share;
+        let is_failed = state.rng.random_bool(error_share);
+        if is_duplicate || is_failed || state.model.spec.answers_at_once {
+            self.fleet.end_attempt(attempt.request, now);
+            let load = load_report(&state.model);
+            return Some(match is_failed && !is_duplicate {
+                true => encode_failed(self.protocol, attempt.request, &load),
+                false => encode_served(self.protocol, attempt.request, DEFAULT_WORK, &load),
+            });
+        }
+        let id = state.next_id();
+        let execution = Execution {
+            request: attempt.request.to_owned(),
+            work: attempt.work.work,
+            connection: connection.id,
+            answers: connection.answers.clone(),
+        };
+        state.executions.insert(id, execution);
+        state.model.start(id, attempt.work, now);
+        None
+    }
+}
+
+/// The work that a statement states: `work=250 usual=300 threads=2`.
+fn work_of(statement: &str) -> QueryWork {
+    let work = number_after(statement, "work=", DEFAULT_WORK);
+    let usual = number_after(statement, "usual=", work);
+    let threads = number_after(statement, "threads=", DEFAULT_THREADS).max(MIN_THREADS);
+    QueryWork { work, usual, threads }
+}
+
+/// The number after the first occurrence of a name; the default where there is none.
+fn number_after(statement: &str, name: &str, default: f64) -> f64 {
+    let Some((_, rest)) = statement.split_once(name) else { return default };
+    let end = rest.find(|char: char| !char.is_ascii_digit() && char != '.').unwrap_or(rest.len());
+    rest[..end].parse().unwrap_or(default)
+}
+
+/// The field of an answer that reports the engine's load.
+pub(super) fn load_report(model: &CapacityModel) -> String {
+    if !model.spec.reports_load {
+        return String::new();
+    }
+    format!(",use=util:{:.3}", model.utilization())
+}
