--- /dev/null
+++ b/tests/decide/harness.rs
@@ -0,0 +1,99 @@
+//! A gateway under test, with a fleet and a clock.
+
+use crate::common::{engine, fleet, incoming, outcome, sends};
+use starlingplank::decide::Balancer;
+use starlingplank::interface::*;
+
+/// A gateway before a fleet of engines. Time passes only when a test says so.
+pub struct TestGateway {
+    pub balancer: Balancer,
+    pub now: Milliseconds,
+    /// The identifier of the next request.
+    pub next: u64,
+}
+
+impl TestGateway {
+    pub fn new(settings: Settings, engines: usize) -> Self {
+        let mut balancer = Balancer::new(settings, 0.0).expect("settings are good");
+        balancer.turn(0.0, &[fleet(engines)], &mut Vec::new());
+        Self { balancer, now: 0.0, next: 0 }
+    }
+
+    /// Runs a decision cycle.
+    pub fn run_cycle(&mut self, events: &[Event]) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.balancer.turn(self.now, events, &mut actions);
+        actions
+    }
+
+    /// Receives a request; returns its identifier, and the engine that it was sent to.
+    pub fn receive(&mut self, class: usize) -> (u64, Option<EngineId>) {
+        let id = self.next;
+        self.next += 1;
+        let client_timeout = if class == 0 { 3_000.0 } else { 20_000.0 };
+        let request = incoming(id, class, self.now + client_timeout);
+        let actions = self.run_cycle(&[Event::Request(request)]);
+        let send = sends(&actions).into_iter().find(|(sent, _)| *sent == id);
+        (id, send.map(|(_, engine)| engine))
+    }
+
+    /// Lets time pass, with cycles in between as in service; returns what was sent in them.
+    pub fn advance(&mut self, mut by: Milliseconds) -> Vec<(u64, EngineId)> {
+        let mut sent = Vec::new();
+        while by > 100.0 {
+            (self.now, by) = (self.now + 100.0, by - 100.0);
+            sent.extend(sends(&self.run_cycle(&[Event::Timer(0)])));
+        }
+        self.now += by;
+        sent
+    }
+
+    /// Serves rounds of requests, each round at once; each request takes so long.
+    pub fn serve_in_rounds(&mut self, rounds: usize, count: usize, took: Milliseconds) {
+        for _ in 0..rounds {
+            let received: Vec<_> = (0..count).map(|_| self.receive(0)).collect();
+            let mut sent: Vec<_> =
+                received.into_iter().filter_map(|(id, engine)| Some((id, engine?))).collect();
+            sent.extend(self.advance(took));
+            while let Some((id, engine)) = sent.pop() {
+                let actions = self.run_cycle(&[outcome(id, 0, &engine, Outcome::Ok, took)]);
+                sent.extend(sends(&actions));
+            }
+        }
+    }
+
+    /// Serves requests one after another; each takes so long.
+    pub fn serve(&mut self, count: usize, class: usize, took: Milliseconds) {
+        for _ in 0..count {
+            let (id, engine) = self.receive(class);
+            self.advance(took);
+            if let Some(engine) = engine {
+                self.run_cycle(&[outcome(id, 0, &engine, Outcome::Ok, took)]);
+            }
+        }
+    }
+}
+
+/// An engine reports that it is busy, with so many queries in flight.
+pub fn report_busy(gateway: &mut TestGateway, engine_number: usize, inflight: f64) {
+    let report = LoadReport { util: Some(1.0), inflight: Some(inflight), ..LoadReport::default() };
+    gateway.run_cycle(&[Event::HealthChecked {
+        engine: engine(engine_number),
+        ok: true,
+        took: 1.0,
+        report: Some(report),
+    }]);
+}
+
+/// Runs cycles when the timers of the gateway expire, until then; appends the actions with their times.
+pub fn run_timers(gateway: &mut TestGateway, until: Milliseconds, actions: &mut Vec<(Milliseconds, Action)>) {
+    while gateway.now < until {
+        let next_timer = actions.iter().rev().find_map(|(at, action)| match action {
+            Action::Timer { after, .. } => Some(at + after),
+            _ => None,
+        });
+        gateway.now = next_timer.unwrap_or(until).clamp(gateway.now + 1.0, until);
+        let now = gateway.now;
+        actions.extend(gateway.run_cycle(&[Event::Timer(0)]).into_iter().map(|action| (now, action)));
+    }
+}
--- /dev/null
+++ b/tests/decide/queueing.rs
@@ -0,0 +1,107 @@
+//! Waiting requests: how long they wait, and in which order they are placed.
+
+use crate::common::{class, engine, incoming, outcome, sends, settings as default_settings};
+use crate::harness::{report_busy, run_timers, TestGateway};
+use starlingplank::interface::*;
+
+#[test]
+fn without_pressure_nothing_is_held() {
+    let mut settings = default_settings();
+    settings.reporting = Reporting::Never;
+    let mut gateway = TestGateway::new(settings, 2);
+    let placed = (0..10).filter(|_| gateway.receive(0).1.is_some()).count();
+    assert_eq!(placed, 10);
+}
+
+#[test]
+fn under_pressure_a_query_waits_its_cap_and_is_then_refused_with_advice() {
+    let mut gateway = TestGateway::new(default_settings(), 1);
+    for _ in 0..10 {
+        report_busy(&mut gateway, 0, 60.0);
+    }
+    let (id, sent_to) = gateway.receive(0);
+    assert!(sent_to.is_none());
+    // 10% of the expected latency is less than a quarter of the objective here, so the longest wait is 125 ms.
+    gateway.now += 120.0;
+    assert!(gateway.run_cycle(&[Event::Timer(0)]).iter().all(|a| !matches!(a, Action::Reject { .. })));
+    gateway.now += 10.0;
+    let actions = gateway.run_cycle(&[Event::Timer(0)]);
+    let rejected = actions.iter().any(
+        |a| matches!(a, Action::Reject { id: r, retry_after, .. } if r.0 == id && *retry_after >= 100.0),
+    );
+    assert!(rejected, "{actions:?}");
+    assert_eq!(gateway.balancer.open_requests(), 0);
+}
+
+#[test]
+fn at_the_bound_the_group_that_ran_more_waits_behind() {
+    let mut settings = default_settings();
+    settings.classes = vec![class("short", 500.0, 3_000.0, 1.0), class("long", 3_000.0, 20_000.0, 1.0)];
+    let mut gateway = TestGateway::new(settings, 1);
+    gateway.serve(30, 0, 20.0);
+    gateway.serve(10, 1, 900.0);
+    for _ in 0..10 {
+        report_busy(&mut gateway, 0, 60.0);
+    }
+    let (long, sent_to) = gateway.receive(1);
+    assert!(sent_to.is_none());
+    let (short, sent_to) = gateway.receive(0);
+    assert!(sent_to.is_none());
+    let report = LoadReport { util: Some(0.2), inflight: Some(0.0), ..LoadReport::default() };
+    let idle = Event::HealthChecked { engine: engine(0), ok: true, took: 1.0, report: Some(report) };
+    let order: Vec<u64> = sends(&gateway.run_cycle(&vec![idle; 120])).into_iter().map(|(id, _)| id).collect();
+    assert_eq!(order.first(), Some(&short), "long was {long}, order {order:?}");
+}
+
+#[test]
+fn a_request_with_little_time_left_finds_an_idle_gateway_in_time() {
+    let mut gateway = TestGateway::new(default_settings(), 1);
+    for _ in 0..10 {
+        report_busy(&mut gateway, 0, 60.0);
+    }
+    let mut actions = Vec::new();
+    run_timers(&mut gateway, 1_010.0, &mut actions);
+    let deadline = gateway.now + 27.0;
+    let now = gateway.now;
+    let received = gateway.run_cycle(&[Event::Request(incoming(900, 0, deadline))]);
+    actions.extend(received.into_iter().map(|a| (now, a)));
+    run_timers(&mut gateway, deadline + 200.0, &mut actions);
+    let answer = actions.iter().find(|(_, a)| matches!(a, Action::Reject { id: RequestId(900), .. }));
+    assert!(answer.is_some_and(|(at, _)| *at < deadline), "{answer:?}");
+}
+
+/// Requests of one key: those too far back to end in time are rejected at once, the others run one after another, and
+/// the wait of each is counted from when it is the first.
+#[test]
+fn behind_its_key_what_cannot_end_in_time_is_answered_at_once_and_the_rest_has_its_turn() {
+    let mut settings = default_settings();
+    settings.classes[0].ordered = true;
+    let mut gateway = TestGateway::new(settings, 2);
+    gateway.serve(40, 0, 500.0);
+    let mut events = Vec::new();
+    for id in 1_000..1_010 {
+        let mut request = incoming(id, 0, gateway.now + 3_000.0);
+        request.key = Some(OrderKey(7));
+        events.push(Event::Request(request));
+    }
+    let actions = gateway.run_cycle(&events);
+    assert_eq!(sends(&actions).len(), 1);
+    let rejected = actions.iter().filter(|a| matches!(a, Action::Reject { .. })).count();
+    assert!((2..7).contains(&rejected), "{rejected} of ten refused at once");
+    let first = sends(&actions)[0].clone();
+    // Both engines are full for a while when the second request is the first of its key: its wait begins then.
+    assert!(gateway.advance(500.0).is_empty());
+    for n in 0..2 {
+        report_busy(&mut gateway, n, 100.0);
+    }
+    let turn = gateway.run_cycle(&[outcome(first.0, 0, &first.1, Outcome::Ok, 500.0)]);
+    assert!(!turn.iter().any(|a| matches!(a, Action::Reject { id: RequestId(1_001), .. })), "{turn:?}");
+}
+
+#[test]
+fn an_empty_list_refuses_after_the_wait() {
+    let mut gateway = TestGateway::new(default_settings(), 0);
+    gateway.receive(0);
+    gateway.now += 130.0;
+    assert!(gateway.run_cycle(&[Event::Timer(0)]).iter().any(|a| matches!(a, Action::Reject { .. })));
+}
