--- a/crates/decision/src/balancer.rs
+++ b/crates/decision/src/balancer.rs
@@ -45,8 +45,8 @@
     pub(crate) next_attempt_check: Milliseconds,
     /// When waiting requests are looked at again.
     pub(crate) next_placement: Milliseconds,
-    /// When to subscribe to the endpoint list; infinity: not needed.
-    pub(crate) subscribe_at: Milliseconds,
+    /// When to subscribe to the endpoint list; `None`: not needed.
+    pub(crate) subscribe_at: Option<Milliseconds>,
     /// Requests that could not be sent at once, by class and reason.
     pub(crate) waits: Vec<[u64; BlockReason::COUNT]>,
 }
--- a/crates/decision/src/decide.rs
+++ b/crates/decision/src/decide.rs
@@ -1,6 +1,6 @@
 //! The decision cycle of a gateway. Its events and actions are in `interface.rs`; read those first.
 //!
-//! A cycle learns from all events, then decides once: [`Balancer::turn`] calls `learn` for each event, and `decide`.
+//! A cycle learns from all events, then decides once: [`Balancer::run_cycle`] calls `learn` for each event, and `decide`.
 //! Each decision has a module of its own; this one holds the order in which they run.
 //!
 //! - Every attempt is sent by `dispatch`, which checks the rules first; every final answer is given by `admission`.
@@ -55,14 +55,14 @@
             next_timer: now,
             next_attempt_check: now,
             next_placement: now,
-            subscribe_at: if settings.subscribes_to_endpoints { now } else { f64::INFINITY },
+            subscribe_at: settings.subscribes_to_endpoints.then_some(now),
             waits: vec![[0; BlockReason::COUNT]; settings.classes.len()],
             settings,
         })
     }
 
     /// Runs a decision cycle: learns from the events, then decides once and appends what is to be done to `actions`.
-    pub fn turn(&mut self, now: Milliseconds, events: &[Event], actions: &mut Vec<Action>) {
+    pub fn run_cycle(&mut self, now: Milliseconds, events: &[Event], actions: &mut Vec<Action>) {
         self.measure_pause(now);
         for event in events {
             self.learn(event);
--- a/crates/decision/src/endpoints.rs
+++ b/crates/decision/src/endpoints.rs
@@ -41,13 +41,14 @@
     /// Plans a new subscription after a failure. The delay is drawn, so that gateways do not all subscribe at once.
     pub(crate) fn resubscribe_soon(&mut self) {
         let draw = 0.5 + self.rng.f64();
-        self.subscribe_at = self.now + draw * self.settings.max_poll_interval * RESUBSCRIBE_SHARE;
+        let delay = draw * self.settings.max_poll_interval * RESUBSCRIBE_SHARE;
+        self.subscribe_at = Some(self.now + delay);
     }
 
     /// Subscribes to the endpoint list at its start and after a failure.
     pub(crate) fn subscribe_if_due(&mut self, actions: &mut Vec<Action>) {
-        if self.now >= self.subscribe_at {
-            self.subscribe_at = f64::INFINITY;
+        if self.subscribe_at.is_some_and(|at| self.now >= at) {
+            self.subscribe_at = None;
             actions.push(Action::Watch);
         }
     }
--- a/crates/experiments/src/turns.rs
+++ b/crates/experiments/src/turns.rs
@@ -84,14 +84,14 @@
     };
     let mut actions = Vec::new();
     let list = Event::Members { complete: true, members: (0..engines).map(member).collect() };
-    balancer.turn(0.0, &[list], &mut actions);
+    balancer.run_cycle(0.0, &[list], &mut actions);
     let (mut now, mut out) = (0.0, BTreeMap::<u64, EngineId>::new());
     let (mut decisions, mut steps, mut sent) = (Vec::new(), Vec::new(), 0);
     for id in 0..ROUNDS as u64 {
         // A step is due each 100 ms, and nothing else in its turn.
         now += 100.0;
         let timed = Instant::now();
-        balancer.turn(now, &[Event::Timer(0)], &mut actions);
+        balancer.run_cycle(now, &[Event::Timer(0)], &mut actions);
         steps.push(timed.elapsed().as_secs_f64() * 1e6);
         actions.clear();
         let mut events = Vec::new();
@@ -109,7 +109,7 @@
                 report,
             });
         }
-        balancer.turn(now + 1.0, &events, &mut actions);
+        balancer.run_cycle(now + 1.0, &events, &mut actions);
         actions.clear();
         let asked = RequestDetails {
             id: RequestId(id),
@@ -123,7 +123,7 @@
             is_retry: false,
         };
         let timed = Instant::now();
-        balancer.turn(now + 2.0, &[Event::Request(asked)], &mut actions);
+        balancer.run_cycle(now + 2.0, &[Event::Request(asked)], &mut actions);
         decisions.push(timed.elapsed().as_secs_f64() * 1e6);
         for action in actions.drain(..) {
             if let Action::Send { id, engine, .. } = action {
--- a/src/bin/starlingplank-wirehost.rs
+++ b/src/bin/starlingplank-wirehost.rs
@@ -104,7 +104,7 @@
                 continue;
             };
             actions.clear();
-            let run = AssertUnwindSafe(|| gateway.turn(wall, &events, &mut actions));
+            let run = AssertUnwindSafe(|| gateway.run_cycle(wall, &events, &mut actions));
             if let Err(panic) = catch_unwind(run) {
                 let text = panic
                     .downcast_ref::<String>()
--- a/src/core/decisions.rs
+++ b/src/core/decisions.rs
@@ -52,7 +52,7 @@
                 return;
             }
             let events = std::mem::take(&mut self.pending_events);
-            self.balancer.turn(now, &events, &mut actions);
+            self.balancer.run_cycle(now, &events, &mut actions);
             for action in actions.drain(..) {
                 self.perform(now, action, effects);
             }
--- a/tests/decide/harness.rs
+++ b/tests/decide/harness.rs
@@ -15,14 +15,14 @@
 impl TestGateway {
     pub fn new(settings: Settings, engines: usize) -> Self {
         let mut balancer = Balancer::new(settings, 0.0).expect("settings are good");
-        balancer.turn(0.0, &[fleet(engines)], &mut Vec::new());
+        balancer.run_cycle(0.0, &[fleet(engines)], &mut Vec::new());
         Self { balancer, now: 0.0, next: 0 }
     }
 
     /// Runs a decision cycle.
     pub fn run_cycle(&mut self, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.balancer.turn(self.now, events, &mut actions);
+        self.balancer.run_cycle(self.now, events, &mut actions);
         actions
     }
 
--- a/tests/decide/retries_and_hedging.rs
+++ b/tests/decide/retries_and_hedging.rs
@@ -134,29 +134,29 @@
     settings.retry_budget = Some(RetryBudgetSettings { free: 0.0, per_request: 0.2, span: 10_000.0 });
     let mut balancer = Balancer::new(settings, 0.0).expect("settings are good");
     let mut actions = Vec::new();
-    balancer.turn(0.0, &[fleet(4)], &mut actions);
-    balancer.turn(100.0, &[Event::Timer(0)], &mut actions);
+    balancer.run_cycle(0.0, &[fleet(4)], &mut actions);
+    balancer.run_cycle(100.0, &[Event::Timer(0)], &mut actions);
     // Ten arrived during a pause of 6 s, perhaps all at its start.
     let arrivals: Vec<Event> = (0..10).map(|i| Event::Request(incoming(i, 0, 30_000.0))).collect();
-    balancer.turn(6_100.0, &arrivals, &mut actions);
+    balancer.run_cycle(6_100.0, &arrivals, &mut actions);
     let ends: Vec<Event> =
         sends(&actions).iter().map(|(id, engine)| outcome(*id, 0, engine, Outcome::Ok, 50.0)).collect();
-    balancer.turn(6_150.0, &ends, &mut actions);
+    balancer.run_cycle(6_150.0, &ends, &mut actions);
     // Ten seconds after the earliest time of their arrival they earn no retries: a request that fails is not retried.
     for (at, retried) in [(9_900.0, true), (10_400.0, false)] {
         let id = at as u64;
         let mut actions = Vec::new();
-        balancer.turn(at, &[Event::Request(incoming(id, 0, at + 3_000.0))], &mut actions);
+        balancer.run_cycle(at, &[Event::Request(incoming(id, 0, at + 3_000.0))], &mut actions);
         let first = sends(&actions);
         assert_eq!(first.len(), 1);
         let mut actions = Vec::new();
         let full = outcome(id, 0, &first[0].1, Outcome::Reset, 10.0);
-        balancer.turn(at + 10.0, &[full], &mut actions);
+        balancer.run_cycle(at + 10.0, &[full], &mut actions);
         let sent = sends(&actions).len();
         assert_eq!(sent, usize::from(retried), "at {at}");
         if retried {
             let (id, engine) = sends(&actions)[0].clone();
-            balancer.turn(at + 20.0, &[outcome(id, 1, &engine, Outcome::Ok, 10.0)], &mut Vec::new());
+            balancer.run_cycle(at + 20.0, &[outcome(id, 1, &engine, Outcome::Ok, 10.0)], &mut Vec::new());
         }
     }
 }
--- a/tests/gate.rs
+++ b/tests/gate.rs
@@ -1,123 +1,132 @@
-//! One small case for each rule's part of the gate.
+//! One small case for each rule that an attempt must keep before it is sent.
 
 mod common;
 
-use common::{engine, fleet, incoming, member, outcome, sends, settings};
+use common::{engine, fleet, incoming, member, outcome, sends, settings as default_settings};
 use starlingplank::decide::Balancer;
 use starlingplank::interface::*;
 
-fn start(s: Settings, engines: usize) -> Balancer {
-    let mut balancer = Balancer::new(s, 0.0).expect("settings are good");
-    balancer.turn(0.0, &[fleet(engines)], &mut Vec::new());
+fn start(settings: Settings, engines: usize) -> Balancer {
+    let mut balancer = Balancer::new(settings, 0.0).expect("settings are good");
+    balancer.run_cycle(0.0, &[fleet(engines)], &mut Vec::new());
     balancer
 }
 
-fn turn(balancer: &mut Balancer, now: Milliseconds, events: &[Event]) -> Vec<Action> {
+fn run_cycle(balancer: &mut Balancer, now: Milliseconds, events: &[Event]) -> Vec<Action> {
     let mut actions = Vec::new();
-    balancer.turn(now, events, &mut actions);
+    balancer.run_cycle(now, events, &mut actions);
     actions
 }
 
-fn down(n: usize, availability: Availability) -> Event {
+fn changed_to(n: usize, availability: Availability) -> Event {
     Event::Members { complete: false, members: vec![Member { availability, ..member(n) }] }
 }
 
 #[test]
 fn rule_1_an_answer_comes_even_if_the_time_out_does_not() {
-    let mut balancer = start(settings(), 1);
-    turn(&mut balancer, 0.0, &[Event::Request(incoming(1, 0, 100.0))]);
-    let actions = turn(&mut balancer, 111.0, &[Event::Timer(0)]);
-    assert!(actions.iter().any(|a| matches!(a, Action::Reject { id: RequestId(1), .. })));
+    let mut balancer = start(default_settings(), 1);
+    run_cycle(&mut balancer, 0.0, &[Event::Request(incoming(1, 0, 100.0))]);
+    let actions = run_cycle(&mut balancer, 111.0, &[Event::Timer(0)]);
+    assert!(actions.iter().any(|action| matches!(action, Action::Reject { id: RequestId(1), .. })));
     // The late outcome ends the record and brings no second answer.
     let late = outcome(1, 0, &engine(0), Outcome::Timeout, 112.0);
-    assert!(turn(&mut balancer, 112.0, &[late]).iter().all(|a| matches!(a, Action::Timer { .. })));
+    assert!(run_cycle(&mut balancer, 112.0, &[late])
+        .iter()
+        .all(|action| matches!(action, Action::Timer { .. })));
     assert_eq!(balancer.open_requests(), 0);
 }
 
 #[test]
 fn rule_2_unsafe_goes_again_only_after_proof() {
-    for (how, again) in [(Outcome::Full, true), (Outcome::ConnectFailed, true), (Outcome::Reset, false)] {
-        let mut s = settings();
-        s.classes[0].idempotency = Idempotency::NotIdempotent;
-        let mut balancer = start(s, 3);
-        let first = sends(&turn(&mut balancer, 0.0, &[Event::Request(incoming(1, 0, 3_000.0))]));
-        let actions = turn(&mut balancer, 10.0, &[outcome(1, 0, &first[0].1, how, 10.0)]);
-        assert_eq!(sends(&actions).len(), usize::from(again), "{how:?}");
-        assert_eq!(actions.contains(&Action::Fail { id: RequestId(1) }), !again, "{how:?}");
+    for (result, is_retried) in
+        [(Outcome::Full, true), (Outcome::ConnectFailed, true), (Outcome::Reset, false)]
+    {
+        let mut settings = default_settings();
+        settings.classes[0].idempotency = Idempotency::NotIdempotent;
+        let mut balancer = start(settings, 3);
+        let first = sends(&run_cycle(&mut balancer, 0.0, &[Event::Request(incoming(1, 0, 3_000.0))]));
+        let actions = run_cycle(&mut balancer, 10.0, &[outcome(1, 0, &first[0].1, result, 10.0)]);
+        assert_eq!(sends(&actions).len(), usize::from(is_retried), "{result:?}");
+        assert_eq!(actions.contains(&Action::Fail { id: RequestId(1) }), !is_retried, "{result:?}");
     }
 }
 
 #[test]
 fn rule_2_keyed_stays_in_its_cell_and_window() {
-    for (after, again) in [(100.0, true), (900.0, false)] {
-        let mut s = settings();
-        s.classes[0].idempotency = Idempotency::Keyed { scope: Scope::Cell, window: 800.0 };
-        let mut balancer = start(s, 6);
-        let first = sends(&turn(&mut balancer, 0.0, &[Event::Request(incoming(1, 0, 3_000.0))]))[0].1.clone();
-        let actions = turn(&mut balancer, after, &[outcome(1, 0, &first, Outcome::Error, after)]);
+    for (after, is_retried) in [(100.0, true), (900.0, false)] {
+        let mut settings = default_settings();
+        settings.classes[0].idempotency = Idempotency::Keyed { scope: Scope::Cell, window: 800.0 };
+        let mut balancer = start(settings, 6);
+        let first =
+            sends(&run_cycle(&mut balancer, 0.0, &[Event::Request(incoming(1, 0, 3_000.0))]))[0].1.clone();
+        let actions = run_cycle(&mut balancer, after, &[outcome(1, 0, &first, Outcome::Error, after)]);
         let second = sends(&actions);
-        assert_eq!(second.len(), usize::from(again));
-        let cell = |e: &EngineId| (0..6).find(|n| engine(*n) == *e).map(|n| n / 2);
-        assert!(second.iter().all(|(_, e)| cell(e) == cell(&first)));
-        assert_eq!(actions.contains(&Action::Fail { id: RequestId(1) }), !again);
+        assert_eq!(second.len(), usize::from(is_retried));
+        let cell = |engine_id: &EngineId| (0..6).find(|n| engine(*n) == *engine_id).map(|n| n / 2);
+        assert!(second.iter().all(|(_, engine_id)| cell(engine_id) == cell(&first)));
+        assert_eq!(actions.contains(&Action::Fail { id: RequestId(1) }), !is_retried);
     }
 }
 
 #[test]
 fn rule_3_nothing_goes_to_what_drains_or_is_gone() {
-    let mut balancer = start(settings(), 3);
-    turn(&mut balancer, 1.0, &[down(0, Availability::Draining), down(1, Availability::Removed)]);
-    for i in 0..5 {
-        let sent = sends(&turn(&mut balancer, 2.0, &[Event::Request(incoming(i, 0, 3_000.0))]));
-        assert!(sent.iter().all(|(_, e)| *e == engine(2)));
+    let mut balancer = start(default_settings(), 3);
+    run_cycle(
+        &mut balancer,
+        1.0,
+        &[changed_to(0, Availability::Draining), changed_to(1, Availability::Removed)],
+    );
+    for id in 0..5 {
+        let sent = sends(&run_cycle(&mut balancer, 2.0, &[Event::Request(incoming(id, 0, 3_000.0))]));
+        assert!(sent.iter().all(|(_, engine_id)| *engine_id == engine(2)));
         assert_eq!(sent.len(), 1);
     }
 }
 
 #[test]
 fn rule_5_a_key_runs_in_turn_and_rests_after_a_reset() {
-    let mut s = settings();
-    s.classes[0].ordered = true;
-    s.max_attempts = 1;
-    let mut balancer = start(s, 3);
-    let ask = |id| Event::Request(RequestDetails { key: Some(OrderKey(4)), ..incoming(id, 0, 3_000.0) });
-    let first = sends(&turn(&mut balancer, 0.0, &[ask(1), ask(2)]));
+    let mut settings = default_settings();
+    settings.classes[0].ordered = true;
+    settings.max_attempts = 1;
+    let mut balancer = start(settings, 3);
+    let ordered = |id| Event::Request(RequestDetails { key: Some(OrderKey(4)), ..incoming(id, 0, 3_000.0) });
+    let first = sends(&run_cycle(&mut balancer, 0.0, &[ordered(1), ordered(2)]));
     assert_eq!(first.len(), 1);
     let reset = outcome(1, 0, &first[0].1, Outcome::Reset, 10.0);
-    assert!(sends(&turn(&mut balancer, 10.0, &[reset])).is_empty());
-    assert!(sends(&turn(&mut balancer, 500.0, &[Event::Timer(0)])).is_empty());
-    assert_eq!(sends(&turn(&mut balancer, 511.0, &[Event::Timer(0)]))[0].0, 2);
+    assert!(sends(&run_cycle(&mut balancer, 10.0, &[reset])).is_empty());
+    assert!(sends(&run_cycle(&mut balancer, 500.0, &[Event::Timer(0)])).is_empty());
+    assert_eq!(sends(&run_cycle(&mut balancer, 511.0, &[Event::Timer(0)]))[0].0, 2);
 }
 
 #[test]
 fn rule_6_placement_holds_even_when_the_place_is_down() {
-    let mut s = settings();
-    s.classes[0].zones = Some(vec![ZoneId(1)]);
-    s.classes[0].kinds = Some(vec![KindId(0)]);
-    let mut balancer = start(s, 4);
-    let sent = sends(&turn(&mut balancer, 0.0, &[Event::Request(incoming(1, 0, 3_000.0))]));
+    let mut settings = default_settings();
+    settings.classes[0].zones = Some(vec![ZoneId(1)]);
+    settings.classes[0].kinds = Some(vec![KindId(0)]);
+    let mut balancer = start(settings, 4);
+    let sent = sends(&run_cycle(&mut balancer, 0.0, &[Event::Request(incoming(1, 0, 3_000.0))]));
     assert_eq!(sent[0].1, engine(1));
-    turn(&mut balancer, 1.0, &[down(1, Availability::Removed)]);
-    assert!(sends(&turn(&mut balancer, 2.0, &[Event::Request(incoming(2, 0, 3_000.0))])).is_empty());
-    let actions = turn(&mut balancer, 130.0, &[Event::Timer(0)]);
-    assert!(actions.iter().any(|a| matches!(a, Action::Reject { id: RequestId(2), .. })));
+    run_cycle(&mut balancer, 1.0, &[changed_to(1, Availability::Removed)]);
+    assert!(sends(&run_cycle(&mut balancer, 2.0, &[Event::Request(incoming(2, 0, 3_000.0))])).is_empty());
+    let actions = run_cycle(&mut balancer, 130.0, &[Event::Timer(0)]);
+    assert!(actions.iter().any(|action| matches!(action, Action::Reject { id: RequestId(2), .. })));
 }
 
 #[test]
 fn rule_7_further_attempts_stay_in_the_ration() {
-    let mut s = settings();
-    s.retry_budget = Some(RetryBudgetSettings { free: 2.0, per_request: 0.0, span: 10_000.0 });
-    let mut balancer = start(s, 6);
-    let mut again = 0;
-    for i in 0..6 {
-        let at = i as f64 * 50.0;
-        let first = sends(&turn(&mut balancer, at, &[Event::Request(incoming(i, 0, 3_000.0))]));
-        let failed = outcome(i, 0, &first[0].1, Outcome::Full, 1.0);
-        let second = sends(&turn(&mut balancer, at + 1.0, &[failed]));
-        again += second.len();
-        if let Some((_, e)) = second.first() {
-            turn(&mut balancer, at + 2.0, &[outcome(i, 1, e, Outcome::Ok, 1.0)]);
+    let mut settings = default_settings();
+    settings.retry_budget = Some(RetryBudgetSettings { free: 2.0, per_request: 0.0, span: 10_000.0 });
+    let mut balancer = start(settings, 6);
+    let mut is_retried = 0;
+    for id in 0..6 {
+        let at = id as f64 * 50.0;
+        let first = sends(&run_cycle(&mut balancer, at, &[Event::Request(incoming(id, 0, 3_000.0))]));
+        let failed = outcome(id, 0, &first[0].1, Outcome::Full, 1.0);
+        let second = sends(&run_cycle(&mut balancer, at + 1.0, &[failed]));
+        is_retried += second.len();
+        if let Some((_, engine_id)) = second.first() {
+            run_cycle(&mut balancer, at + 2.0, &[outcome(id, 1, engine_id, Outcome::Ok, 1.0)]);
         }
     }
-    assert_eq!(again, 2);
+    assert_eq!(is_retried, 2);
 }
--- a/tests/recall.rs
+++ b/tests/recall.rs
@@ -1,22 +1,22 @@
-//! What the module does with records of an earlier life.
+//! What the decision module does with records of an earlier incarnation.
 
 mod common;
 
-use common::{engine, fleet, incoming, outcome, sends, settings};
+use common::{engine, fleet, incoming, outcome, sends, settings as default_settings};
 use starlingplank::decide::Balancer;
 use starlingplank::interface::*;
 use starlingplank_decision::learned::{ClassLearned, EngineLearned, Learned};
 
-fn turn(balancer: &mut Balancer, now: Milliseconds, events: &[Event]) -> Vec<Action> {
+fn run_cycle(balancer: &mut Balancer, now: Milliseconds, events: &[Event]) -> Vec<Action> {
     let mut actions = Vec::new();
-    balancer.turn(now, events, &mut actions);
+    balancer.run_cycle(now, events, &mut actions);
     actions
 }
 
-/// One engine of eight cores, `short` queries known to take 400 ms on one thread; a life that begins at 0.
-fn recalled(from: EngineLearned) -> Balancer {
-    let s = Settings { gateways: 1, ..settings() };
-    let mut balancer = Balancer::new(s, 0.0).expect("sound");
+/// One engine of eight cores, `short` queries known to take 400 ms on one thread; the incarnation begins at 0.
+fn restored(from: EngineLearned) -> Balancer {
+    let settings = Settings { gateways: 1, ..default_settings() };
+    let mut balancer = Balancer::new(settings, 0.0).expect("sound");
     let short =
         ClassLearned { name: "short".into(), threads: 1.0, best: 400.0, steps: 50.0, ..Default::default() };
     let learned = Learned {
@@ -25,57 +25,57 @@
         engines: vec![EngineLearned { id: engine(0).0.to_string(), slow: 1.0, ..from }],
         ..Learned::default()
     };
-    turn(&mut balancer, 0.0, &[fleet(1), Event::Restored(Box::new(learned))]);
+    run_cycle(&mut balancer, 0.0, &[fleet(1), Event::Restored(Box::new(learned))]);
     balancer
 }
 
-/// Queries sent within two seconds while 100 a second come and none is answered.
+/// The number of queries sent within two seconds while 100 a second arrive and none is answered.
 fn sent(balancer: &mut Balancer) -> usize {
     let mut count = 0;
     for n in 0..200_u64 {
         let now = n as f64 * 10.0;
-        let asked = RequestDetails { deadline: now + 2_900.0, ..incoming(n, 0, 0.0) };
-        count += sends(&turn(balancer, now, &[Event::Request(asked), Event::Timer(0)])).len();
+        let details = RequestDetails { deadline: now + 2_900.0, ..incoming(n, 0, 0.0) };
+        count += sends(&run_cycle(balancer, now, &[Event::Request(details), Event::Timer(0)])).len();
     }
     count
 }
 
 #[test]
 fn perhaps_cold_engine_gets_no_more_than_a_cold_one_s_budget() {
-    let cold = sent(&mut recalled(EngineLearned { perhaps_cold: true, ..Default::default() }));
+    let cold = sent(&mut restored(EngineLearned { perhaps_cold: true, ..Default::default() }));
     // 0.8 of three times 0.3 of eight cores for two seconds, in queries of 400 ms; a little more as it warms.
     let budget = 0.8 * 3.0 * 0.3 * 8.0 * 2_000.0 / 400.0;
-    let most = budget * (0.3 + 0.7 * 2.0 / 15.0) / 0.3 + 1.0;
-    assert!(cold >= 3 && (cold as f64) <= most, "{cold} of {most}");
-    let warm = sent(&mut recalled(EngineLearned::default()));
+    let max = budget * (0.3 + 0.7 * 2.0 / 15.0) / 0.3 + 1.0;
+    assert!(cold >= 3 && (cold as f64) <= max, "{cold} of {max}");
+    let warm = sent(&mut restored(EngineLearned::default()));
     assert!(warm > 2 * cold, "{warm} against {cold}");
 }
 
 #[test]
 fn engine_whose_budget_was_spent_gets_nothing_until_the_span_is_over() {
-    let mut balancer = recalled(EngineLearned { perhaps_cold: true, spent: true, ..Default::default() });
+    let mut balancer = restored(EngineLearned { perhaps_cold: true, spent: true, ..Default::default() });
     assert_eq!(sent(&mut balancer), 0);
-    let asked = RequestDetails { deadline: 5_000.0, ..incoming(900, 0, 0.0) };
+    let details = RequestDetails { deadline: 5_000.0, ..incoming(900, 0, 0.0) };
     let later: usize = (0..20)
         .map(|n| {
             let now = 2_100.0 + f64::from(n) * 50.0;
-            let events = if n == 0 { vec![Event::Request(asked.clone())] } else { vec![Event::Timer(0)] };
-            sends(&turn(&mut balancer, now, &events)).len()
+            let events = if n == 0 { vec![Event::Request(details.clone())] } else { vec![Event::Timer(0)] };
+            sends(&run_cycle(&mut balancer, now, &events)).len()
         })
         .sum();
     assert!(later >= 1, "and then it is an engine like others");
 }
 
-/// Queries out at once under a steady crowd whose answers take `took`, after two seconds of such answers.
-fn crowd(took: Milliseconds) -> usize {
-    let mut balancer = recalled(EngineLearned { perhaps_cold: true, ..Default::default() });
-    let mut out: Vec<(f64, u64)> = Vec::new();
-    let mut most = 0;
+/// The most queries in flight at once under steady load whose answers take `took`, after two seconds of such answers.
+fn max_in_flight(took: Milliseconds) -> usize {
+    let mut balancer = restored(EngineLearned { perhaps_cold: true, ..Default::default() });
+    let mut in_flight: Vec<(f64, u64)> = Vec::new();
+    let mut max = 0;
     for n in 0..300_u64 {
         let now = n as f64 * 10.0;
         let mut events =
             vec![Event::Request(RequestDetails { deadline: now + 2_900.0, ..incoming(n, 0, 0.0) })];
-        for (_, id) in out.extract_if(.., |(at, _)| *at + took <= now) {
+        for (_, id) in in_flight.extract_if(.., |(at, _)| *at + took <= now) {
             let Event::Outcome { id, attempt, engine, outcome, took, over, report, .. } =
                 outcome(id, 0, &engine(0), Outcome::Ok, took)
             else {
@@ -92,19 +92,19 @@
                 report,
             });
         }
-        for (id, _) in sends(&turn(&mut balancer, now, &events)) {
-            out.push((now, id));
+        for (id, _) in sends(&run_cycle(&mut balancer, now, &events)) {
+            in_flight.push((now, id));
         }
         if now > 2_000.0 {
-            most = most.max(out.len());
+            max = max.max(in_flight.len());
         }
     }
-    most
+    max
 }
 
 #[test]
 fn answers_show_an_engine_to_be_warm_as_far_as_their_load_goes_and_slow_ones_show_nothing() {
-    let (usual, slow) = (crowd(100.0), crowd(900.0));
+    let (usual, slow) = (max_in_flight(100.0), max_in_flight(900.0));
     assert!(usual >= slow + 2, "{usual} against {slow}");
 }
 
@@ -119,7 +119,7 @@
         ejections: u32::MAX,
         ..Default::default()
     };
-    let balancer = recalled(absurd);
+    let balancer = restored(absurd);
     let back = &balancer.learned().engines[0];
     assert!((back.slow, back.errors, back.others) == (1.0, 0.0, 0.0), "{back:?}");
     assert!(back.ejected.is_none() && back.back.is_none() && back.ejections <= 6, "{back:?}");
