--- a/crates/decision/src/admission.rs
+++ b/crates/decision/src/admission.rs
@@ -5,7 +5,7 @@
 use crate::interface::{Action, BlockReason};
 use crate::load_levels::{LEVELS, MIN_LEVEL};
 use crate::permission::send::may_reject;
-use crate::state::{Attempt, Engine, Request};
+use crate::state::{Attempt, Engine, Request, MIN_CORES};
 use crate::types::{Milliseconds, RequestId};
 
 /// Threads a core past which an engine is under pressure.
@@ -45,7 +45,7 @@
     }
 
     fn pressure_on(&self, engine: &Engine) -> Option<BlockReason> {
-        let cores = self.effective_cores(engine).max(0.1);
+        let cores = self.effective_cores(engine).max(MIN_CORES);
         if engine.busy {
             Some(BlockReason::Busy)
         } else if (engine.own_threads + engine.other_threads) / cores > CROWDED {
--- a/crates/decision/src/checkpoint.rs
+++ b/crates/decision/src/checkpoint.rs
@@ -11,6 +11,7 @@
 use crate::settings::Class;
 use crate::state::{ClassState, Engine, Fleet, LatencyStatistics, SentWork, ThreadTimes, NEVER};
 use crate::types::{ClassId, EngineId, Milliseconds, ZoneId};
+use std::ops::RangeInclusive;
 
 /// Bands with fewer samples than this are not handed out.
 const MIN_BAND_SAMPLES: f64 = 0.01;
@@ -20,6 +21,14 @@
 const MAX_RESTORED_EJECTIONS: u32 = 6;
 /// The longest health check, in milliseconds, that is restored as the shortest of a zone.
 const MAX_RESTORED_CHECK: Milliseconds = 60_000.0;
+/// The weight of restored thread times, as a multiple of the prior: attempts from now on soon outweigh them.
+const RESTORED_TIMES_WEIGHT: f64 = 2.0;
+/// Limits of restored sums and counts: past them a record was damaged.
+const MAX_RESTORED_COUNT: f64 = 1e9;
+const MAX_RESTORED_SAMPLES: f64 = 1e6;
+const MAX_RESTORED_WORK: Milliseconds = 1e12;
+/// The least best latency that is restored: a latency is positive.
+const MIN_RESTORED_LATENCY: Milliseconds = 1e-6;
 
 impl Balancer {
     /// What has been learned so far.
@@ -83,7 +92,7 @@
                 self.restore_class(ClassId(index), class_learned);
             }
         }
-        if let Some(limit) = within(learned.bound, MIN_LEVEL, MAX_LEVEL) {
+        if let Some(limit) = within(learned.bound, MIN_LEVEL..=MAX_LEVEL) {
             self.limit_level = level_index(limit);
             self.restore_fleet(&learned.fleet);
         }
@@ -100,29 +109,29 @@
                 state.bands[level_index(learned.level)] = statistics;
             }
         }
-        restore_value(&mut state.best_latency, from.best, 1e-6, max_latency);
-        restore_value(&mut state.unloaded_latency, from.usual, 0.0, max_latency);
-        restore_value(&mut state.learned_steps, from.steps, 0.0, 1e9);
-        restore_value(&mut state.usual_time_left, from.time_left, 0.0, 1e9);
-        restore_value(&mut state.mean_work, from.size, 0.0, 1e12);
-        restore_value(&mut state.arrivals, from.arrivals, 0.0, 1e9);
-        restore_value(&mut state.runtime, from.runtime, 0.0, 1e12);
-        restore_value(&mut state.grant_factor, from.grant, MIN_GRANT_FACTOR, MAX_GRANT_FACTOR);
+        restore_value(&mut state.best_latency, from.best, MIN_RESTORED_LATENCY..=max_latency);
+        restore_value(&mut state.unloaded_latency, from.usual, 0.0..=max_latency);
+        restore_value(&mut state.learned_steps, from.steps, 0.0..=MAX_RESTORED_COUNT);
+        restore_value(&mut state.usual_time_left, from.time_left, 0.0..=MAX_RESTORED_COUNT);
+        restore_value(&mut state.mean_work, from.size, 0.0..=MAX_RESTORED_WORK);
+        restore_value(&mut state.arrivals, from.arrivals, 0.0..=MAX_RESTORED_COUNT);
+        restore_value(&mut state.runtime, from.runtime, 0.0..=MAX_RESTORED_WORK);
+        restore_value(&mut state.grant_factor, from.grant, MIN_GRANT_FACTOR..=MAX_GRANT_FACTOR);
         state.confirmed_at = from.confirmed;
     }
 
     fn restore_fleet(&mut self, from: &FleetLearned) {
         let fleet: &mut Fleet = &mut self.fleet;
-        restore_value(&mut fleet.mean_own_threads, from.own_seen, 0.0, 1e9);
-        restore_value(&mut fleet.mean_all_threads, from.all_seen, 0.0, 1e9);
-        restore_value(&mut fleet.threads_per_query, from.width, 0.01, 1e4);
-        restore_value(&mut fleet.usual_load, from.usual_load, 0.0, MAX_BELIEVED_LOAD);
-        restore_value(&mut fleet.overloaded_share, from.jammed, 0.0, 1.0);
-        restore_value(&mut fleet.median_slowdown, from.usual_slow, 1.0, MAX_SLOWDOWN);
+        restore_value(&mut fleet.mean_own_threads, from.own_seen, 0.0..=MAX_RESTORED_COUNT);
+        restore_value(&mut fleet.mean_all_threads, from.all_seen, 0.0..=MAX_RESTORED_COUNT);
+        restore_value(&mut fleet.threads_per_query, from.width, 0.01..=1e4);
+        restore_value(&mut fleet.usual_load, from.usual_load, 0.0..=MAX_BELIEVED_LOAD);
+        restore_value(&mut fleet.overloaded_share, from.jammed, 0.0..=1.0);
+        restore_value(&mut fleet.median_slowdown, from.usual_slow, 1.0..=MAX_SLOWDOWN);
         for (name, shortest) in &from.floors {
             let zone = self.settings.zones.iter().position(|zone| zone == name).map(ZoneId);
             let is_known = zone.is_some() || name.is_empty();
-            if let Some(shortest) = within(*shortest, 0.0, MAX_RESTORED_CHECK).filter(|_| is_known) {
+            if let Some(shortest) = within(*shortest, 0.0..=MAX_RESTORED_CHECK).filter(|_| is_known) {
                 fleet.shortest_checks.insert(zone, shortest);
             }
         }
@@ -136,11 +145,11 @@
             return;
         }
         let past = |time: Option<Milliseconds>| time.filter(|time| time.is_finite() && *time <= now);
-        engine.slowdown = within(from.slow, MIN_SLOWDOWN, MAX_SLOWDOWN).unwrap_or(1.0);
+        engine.slowdown = within(from.slow, MIN_SLOWDOWN..=MAX_SLOWDOWN).unwrap_or(1.0);
         engine.thread_times = thread_times_of(engine.slowdown);
-        engine.error_rate = within(from.errors, 0.0, 1.0).unwrap_or(engine.error_rate);
+        engine.error_rate = within(from.errors, 0.0..=1.0).unwrap_or(engine.error_rate);
         engine.other_threads =
-            within(from.others, 0.0, MAX_BELIEVED_LOAD * engine.cores).unwrap_or(engine.other_threads);
+            within(from.others, 0.0..=MAX_BELIEVED_LOAD * engine.cores).unwrap_or(engine.other_threads);
         engine.last_report_at = past(from.heard);
         engine.ejections = from.ejections.min(MAX_RESTORED_EJECTIONS);
         let ejected_until = from.ejected.filter(|until| until.is_finite());
@@ -158,26 +167,26 @@
 }
 
 /// A value that is finite and within those limits.
-fn within(value: f64, min: f64, max: f64) -> Option<f64> {
-    (value.is_finite() && value >= min && value <= max).then_some(value)
+fn within(value: f64, limits: RangeInclusive<f64>) -> Option<f64> {
+    (value.is_finite() && limits.contains(&value)).then_some(value)
 }
 
 /// Replaces a value by a restored one that is finite and within those limits.
-fn restore_value(value: &mut f64, restored: f64, min: f64, max: f64) {
-    *value = within(restored, min, max).unwrap_or(*value);
+fn restore_value(value: &mut f64, restored: f64, limits: RangeInclusive<f64>) {
+    *value = within(restored, limits).unwrap_or(*value);
 }
 
 fn restored_band(learned: &BandLearned, max_latency: Milliseconds) -> Option<LatencyStatistics> {
     Some(LatencyStatistics {
-        count: within(learned.n, 0.0, 1e6)?,
-        mean: within(learned.mean, 0.0, 10.0 * max_latency)?,
-        variance: within(learned.var, 0.0, 100.0 * max_latency * max_latency)?,
+        count: within(learned.n, 0.0..=MAX_RESTORED_SAMPLES)?,
+        mean: within(learned.mean, 0.0..=10.0 * max_latency)?,
+        variance: within(learned.var, 0.0..=100.0 * max_latency * max_latency)?,
     })
 }
 
-/// Thread times that show that slowdown, of twice the prior's weight: attempts from now on soon outweigh them.
+/// Thread times that show that slowdown.
 fn thread_times_of(slowdown: f64) -> ThreadTimes {
-    let alone = 2.0 * SLOWDOWN_PRIOR;
+    let alone = RESTORED_TIMES_WEIGHT * SLOWDOWN_PRIOR;
     ThreadTimes { taken: (slowdown * (alone + SLOWDOWN_PRIOR) - SLOWDOWN_PRIOR).max(0.0), alone }
 }
 
--- a/crates/decision/src/decide.rs
+++ b/crates/decision/src/decide.rs
@@ -23,6 +23,8 @@
 use crate::types::Milliseconds;
 use std::collections::BTreeMap;
 
+/// The interval of timers while requests are open, in the shortest cycles: most cycles are run for other events.
+const CYCLES_PER_TIMER: f64 = 4.0;
 /// The longest interval of timers while requests are open.
 const MAX_BUSY_TIMER: Milliseconds = 20.0;
 /// Timers run this much ahead of the next one that is due, as they may come late by a part of a millisecond.
@@ -173,7 +175,7 @@
         let after = if self.requests.is_empty() {
             CONTROL_PERIOD
         } else {
-            (4.0 * self.settings.tick).clamp(1.0, MAX_BUSY_TIMER)
+            (CYCLES_PER_TIMER * self.settings.tick).clamp(1.0, MAX_BUSY_TIMER)
         };
         if self.now >= self.next_timer || self.now + after < self.next_timer {
             self.next_timer = self.now + after - TIMER_SLACK;
--- a/crates/decision/src/dispatch.rs
+++ b/crates/decision/src/dispatch.rs
@@ -15,7 +15,8 @@
 const MIN_PATIENCE_SIZE: f64 = 0.5;
 
 impl Balancer {
-    /// Whether the rules allow to send the request to that engine now.
+    /// Whether the rules allow to send the request to that engine now: the request is open, the engine accepts work and is
+    /// one of those that the class may use, attempts are within their limits, and there is time left.
     pub(crate) fn rules_allow(&self, request: &Request, engine: &Engine) -> bool {
         let class = self.class_of(request);
         let member = &engine.member;
@@ -81,14 +82,14 @@
     /// Counts a new attempt in the load of its engine.
     fn occupy_engine(&mut self, engine: &EngineId, class: ClassId, data: Option<DataSet>) {
         let work = self.usual_work(class);
-        let of = &self.settings.classes[class.0];
+        let class_settings = &self.settings.classes[class.0];
         let Some(engine) = self.engines.get_mut(engine) else { return };
-        engine.own_threads += of.threads;
-        self.fleet.own_threads += of.threads;
+        engine.own_threads += class_settings.threads;
+        self.fleet.own_threads += class_settings.threads;
         engine.in_flight += 1.0;
         engine.recent_sends.push_back(SentWork { sent_at: self.now, work });
         engine.recent_work += work;
-        if let Some(data) = data.filter(|_| of.is_load) {
+        if let Some(data) = data.filter(|_| class_settings.is_load) {
             *engine.own_loads.entry(data).or_default() += 1;
         }
     }
--- a/crates/decision/src/engine_selection.rs
+++ b/crates/decision/src/engine_selection.rs
@@ -6,7 +6,7 @@
 use crate::interface::BlockReason;
 use crate::load_levels::{LEVELS, MAX_LEVEL, MIN_LEVEL};
 use crate::outlier_ejection::RECOVERY_RAMP;
-use crate::state::{Engine, Request};
+use crate::state::{Engine, Request, MIN_CORES};
 use crate::types::{EngineId, Milliseconds};
 
 /// How much more weight an engine in this gateway's zone has.
@@ -26,8 +26,6 @@
 /// The limits of an engine's slowdown over that of the fleet, as far as it takes away cores.
 const MIN_RELATIVE_SLOWDOWN: f64 = 0.9;
 const MAX_RELATIVE_SLOWDOWN: f64 = 10.0;
-/// The least number of cores that an engine counts as, where cores divide.
-const MIN_CORES: f64 = 0.1;
 
 impl Balancer {
     /// Chooses the engine for a request.
--- a/crates/decision/src/latency_model.rs
+++ b/crates/decision/src/latency_model.rs
@@ -62,10 +62,11 @@
 
     /// The latency objective of a request of that relative size.
     pub(crate) fn latency_objective(&self, class: ClassId, relative_size: f64) -> Milliseconds {
-        let of = &self.settings.classes[class.0];
+        let class_settings = &self.settings.classes[class.0];
         let best_latency = self.classes[class.0].best_latency;
-        (of.latency_objective + of.latency_objective_stretch * best_latency * relative_size)
-            .min(of.client_timeout)
+        (class_settings.latency_objective
+            + class_settings.latency_objective_stretch * best_latency * relative_size)
+            .min(class_settings.client_timeout)
     }
 
     /// Whether the latency objective of a request has passed.
@@ -88,19 +89,21 @@
 
     /// The usual work of a class, in thread time; its whole objective before anything was learned.
     pub(crate) fn usual_work(&self, class: ClassId) -> Milliseconds {
-        let (state, of) = (&self.classes[class.0], &self.settings.classes[class.0]);
-        of.threads * if state.learned_steps > 0.0 { state.best_latency } else { of.latency_objective }
+        let (state, class_settings) = (&self.classes[class.0], &self.settings.classes[class.0]);
+        let is_learned = state.learned_steps > 0.0;
+        class_settings.threads
+            * if is_learned { state.best_latency } else { class_settings.latency_objective }
     }
 
     /// Learns from an ended attempt how long its class runs, and how long a usual query takes on an idle engine.
     pub(crate) fn learn_runtime(&mut self, ended: &EndedAttempt) {
-        let of = &self.settings.classes[ended.class.0];
+        let class_settings = &self.settings.classes[ended.class.0];
         let state = &mut self.classes[ended.class.0];
-        state.runtime += ended.took.clamp(0.0, of.client_timeout);
+        state.runtime += ended.took.clamp(0.0, class_settings.client_timeout);
         let Some(work) = ended.work.filter(|work| ended.outcome == Outcome::Ok && *work > 0.0) else {
             return;
         };
-        let latency = work / of.threads / ended.relative_size;
+        let latency = work / class_settings.threads / ended.relative_size;
         state.unloaded_latency += if state.unloaded_latency > 0.0 {
             SAMPLE_WEIGHT * (latency - state.unloaded_latency)
         } else {
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -22,7 +22,7 @@
 //! restores what was learned ([`learned`]). `balancer` and `state` hold the state, [`settings`] and [`types`] lie below
 //! all else.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![warn(missing_docs, unreachable_pub)]
 
 mod admission;
 mod aperture;
--- a/crates/decision/src/outlier_ejection.rs
+++ b/crates/decision/src/outlier_ejection.rs
@@ -6,6 +6,7 @@
 use crate::latency_model::{unloaded_latency, BEST_LATENCY_LEVEL};
 use crate::load_levels::MAX_LEVEL;
 use crate::settings::Settings;
+use crate::slow_start::AnswerPace;
 use crate::state::{ClassState, EndedAttempt, Engine, Request, RuntimeGroup, ThreadTimes};
 use crate::types::{EngineId, Milliseconds, RequestId};
 use std::collections::BTreeMap;
@@ -24,6 +25,10 @@
 const MAX_EJECTION_DOUBLINGS: u32 = 6;
 /// An engine without an ejection for this long starts again with the first length.
 const EJECTION_MEMORY: Milliseconds = 4.0 * MAX_EJECTION;
+/// The length of an ejection is multiplied by a random factor: the least one ...
+const MIN_LENGTH_FACTOR: f64 = 0.8;
+/// ... and the width of the range.
+const LENGTH_FACTOR_SPREAD: f64 = 0.4;
 /// The time from the end of an ejection to the full share of requests.
 pub(crate) const RECOVERY_RAMP: Milliseconds = 4000.0;
 /// The time over which thread times are remembered.
@@ -99,7 +104,8 @@
                 engine.last_answer_at = now;
                 engine.confirmed_at = Some(now);
                 engine.end_ejection(ended.sent_at, now);
-                engine.learn_warmth(slowdown, threads, now, &self.settings);
+                let answer = AnswerPace { slowdown, threads };
+                engine.learn_warmth(&answer, now, &self.settings);
                 HealthSignal::Success
             }
             // A connection that breaks is one failure, however many attempts it carried.
@@ -143,8 +149,8 @@
         }
     }
 
-    /// Ejects an engine, unless it is ejected already and its trial is not due. The length is drawn from 80% to 120%,
-    /// so that gateways do not all try again at once.
+    /// Ejects an engine, unless it is ejected already and its trial is not due. The length is drawn, so that
+    /// gateways do not all try again at once.
     fn eject(&mut self, engine: &EngineId) {
         let now = self.now;
         let may_eject = |engine: &&mut Engine| engine.ejected_until.is_none_or(|until| until <= now);
@@ -155,7 +161,8 @@
         let doublings = engine.ejections.min(MAX_EJECTION_DOUBLINGS);
         let length = (FIRST_EJECTION * f64::from(1 << doublings)).min(MAX_EJECTION);
         engine.ejections += 1;
-        engine.ejected_until = Some(now + length * (0.8 + 0.4 * self.rng.f64()));
+        engine.ejected_until =
+            Some(now + length * (MIN_LENGTH_FACTOR + LENGTH_FACTOR_SPREAD * self.rng.f64()));
     }
 
     /// Whether an ejected engine may take this request as a trial: one short query after the end of the ejection.
--- a/crates/decision/src/slow_start.rs
+++ b/crates/decision/src/slow_start.rs
@@ -3,7 +3,7 @@
 
 use crate::balancer::Balancer;
 use crate::settings::Settings;
-use crate::state::{Engine, Request, NEVER};
+use crate::state::{Engine, Request, MIN_CORES, NEVER};
 use crate::types::Milliseconds;
 
 /// The share of an engine's budget that is used.
@@ -14,8 +14,14 @@
 const MIN_WARM_ANSWERS: u32 = 8;
 /// The least increase of capacity over a slow start: one that starts at full capacity has none.
 const MIN_CAPACITY_INCREASE: f64 = 0.01;
-/// The least number of cores that an engine counts as, where cores divide.
-const MIN_CORES: f64 = 0.1;
+
+/// The pace at which an engine answered a query.
+pub(crate) struct AnswerPace {
+    /// How many times longer than alone the query took.
+    pub(crate) slowdown: f64,
+    /// The threads that it ran on.
+    pub(crate) threads: f64,
+}
 
 impl Balancer {
     /// The share of its capacity that an engine has now, up to 1. Its start is stated by the endpoint list, suspected,
@@ -85,18 +91,12 @@
     /// Learns from an answer how warm an engine is whose start is only suspected. One that answers at its usual pace
     /// while so many threads run has at least their share of its cores. Light loads show little, as an engine in slow
     /// start serves a few queries as fast as a warm one; and a load shows the warmth for that load only.
-    pub(crate) fn learn_warmth(
-        &mut self,
-        slowdown: f64,
-        threads: f64,
-        now: Milliseconds,
-        settings: &Settings,
-    ) {
+    pub(crate) fn learn_warmth(&mut self, answer: &AnswerPace, now: Milliseconds, settings: &Settings) {
         let Some(started_at) = self.started_at.filter(|_| self.start_suspected) else { return };
         let from = settings.slow_start_from;
         let increase = (1.0 - from).max(MIN_CAPACITY_INCREASE) / settings.slow_start_duration.max(1.0);
-        let load = (self.own_threads + threads) / self.cores.max(MIN_CORES);
-        let shown_warmth = load.min(1.0) / slowdown.max(1.0);
+        let load = (self.own_threads + answer.threads) / self.cores.max(MIN_CORES);
+        let shown_warmth = load.min(1.0) / answer.slowdown.max(1.0);
         if shown_warmth <= from + increase * (now - started_at) {
             self.reset_warm_answers();
             return;
--- a/crates/decision/src/state/engine.rs
+++ b/crates/decision/src/state/engine.rs
@@ -7,6 +7,10 @@
 /// A point in time before any other.
 pub(crate) const NEVER: Milliseconds = -1e15;
 
+/// The least number of cores that an engine counts as where a load is divided by cores: an engine in slow start that
+/// fails may count as next to none.
+pub(crate) const MIN_CORES: f64 = 0.1;
+
 /// Two sums over attempts: the time that their threads took, and the time that they would have taken alone.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct ThreadTimes {
--- a/crates/decision/src/state/mod.rs
+++ b/crates/decision/src/state/mod.rs
@@ -7,6 +7,6 @@
 mod request;
 
 pub(crate) use class::{ClassState, LatencyStatistics, RuntimeGroup};
-pub(crate) use engine::{Engine, SentWork, ThreadTimes, NEVER};
+pub(crate) use engine::{Engine, SentWork, ThreadTimes, MIN_CORES, NEVER};
 pub(crate) use fleet::Fleet;
 pub(crate) use request::{Attempt, EndedAttempt, OrderedKey, Request};
