--- a/crates/decision/src/decide.rs
+++ b/crates/decision/src/decide.rs
@@ -1,6 +1,6 @@
 //! The decision cycle of a gateway. Its events and actions are in `interface.rs`; read those first.
 //!
-//! A cycle learns from all events, then decides once: [`Balancer::turn`] calls `learn` for each event, and `decide`.
+//! A cycle learns from all events, then decides once: [`Balancer::run_cycle`] calls `learn` for each event, and `decide`.
 //! Each decision has a module of its own; this one holds the order in which they run.
 //!
 //! - Every attempt is sent by `dispatch`, which checks the rules first; every final answer is given by `admission`.
@@ -23,6 +23,8 @@
 use crate::types::Milliseconds;
 use std::collections::BTreeMap;
 
+/// The interval of timers while requests are open, in the shortest cycles: most cycles are run for other events.
+const CYCLES_PER_TIMER: f64 = 4.0;
 /// The longest interval of timers while requests are open.
 const MAX_BUSY_TIMER: Milliseconds = 20.0;
 /// Timers run this much ahead of the next one that is due, as they may come late by a part of a millisecond.
@@ -55,14 +57,14 @@
             next_timer: now,
             next_attempt_check: now,
             next_placement: now,
-            subscribe_at: if settings.subscribes_to_endpoints { now } else { f64::INFINITY },
+            subscribe_at: settings.subscribes_to_endpoints.then_some(now),
             waits: vec![[0; BlockReason::COUNT]; settings.classes.len()],
             settings,
         })
     }
 
     /// Runs a decision cycle: learns from the events, then decides once and appends what is to be done to `actions`.
-    pub fn turn(&mut self, now: Milliseconds, events: &[Event], actions: &mut Vec<Action>) {
+    pub fn run_cycle(&mut self, now: Milliseconds, events: &[Event], actions: &mut Vec<Action>) {
         self.measure_pause(now);
         for event in events {
             self.learn(event);
@@ -173,7 +175,7 @@
         let after = if self.requests.is_empty() {
             CONTROL_PERIOD
         } else {
-            (4.0 * self.settings.tick).clamp(1.0, MAX_BUSY_TIMER)
+            (CYCLES_PER_TIMER * self.settings.tick).clamp(1.0, MAX_BUSY_TIMER)
         };
         if self.now >= self.next_timer || self.now + after < self.next_timer {
             self.next_timer = self.now + after - TIMER_SLACK;
--- a/crates/experiments/src/experiments/turns.rs
+++ b/crates/experiments/src/experiments/turns.rs
@@ -94,14 +94,14 @@
         let mut balancer = Balancer::new(settings(gateways, seed), 0.0)?;
         let mut actions = Vec::new();
         let list = Event::Members { complete: true, members: (0..engines).map(member).collect() };
-        balancer.turn(0.0, &[list], &mut actions);
+        balancer.run_cycle(0.0, &[list], &mut actions);
         Ok(Self { balancer, in_flight: BTreeMap::new(), actions })
     }
 
     /// Runs a cycle. Returns its time in microseconds.
     fn cycle(&mut self, now: Milliseconds, events: &[Event]) -> f64 {
         let begun = Instant::now();
-        self.balancer.turn(now, events, &mut self.actions);
+        self.balancer.run_cycle(now, events, &mut self.actions);
         begun.elapsed().as_secs_f64() * 1e6
     }
 
