--- a/crates/persistence/src/idempotency_log/recovery.rs
+++ b/crates/persistence/src/idempotency_log/recovery.rs
@@ -1,6 +1,7 @@
 //! Reads the log of the previous process and decides whether it can be trusted.
 
-use super::{last, unrecorded_sends_possible, LogContents};
+use super::contents::LogContents;
+use super::files::{last, unrecorded_sends_possible};
 use crate::boot_time::BootTime;
 use crate::disk::Disk;
 use crate::idempotency_key::TrustedLog;
--- a/crates/persistence/src/writers/idempotency_log.rs
+++ b/crates/persistence/src/writers/idempotency_log.rs
@@ -1,6 +1,6 @@
 //! The thread that writes the idempotency log.
 
-use super::WriteStatistics;
+use super::statistics::WriteStatistics;
 use crate::clock_offset::ClockOffset;
 use crate::deduplication_window::Rewrite;
 use crate::disk::Disk;
--- a/crates/persistence/src/writers/snapshots.rs
+++ b/crates/persistence/src/writers/snapshots.rs
@@ -1,6 +1,6 @@
 //! The thread that writes snapshots.
 
-use super::WriteStatistics;
+use super::statistics::WriteStatistics;
 use crate::snapshot_records::Snapshot;
 use crate::snapshot_store::Store;
 use std::io;
--- a/src/net/persistence/mod.rs
+++ b/src/net/persistence/mod.rs
@@ -1,7 +1,7 @@
 //! The edge of the state that outlives a process: opens the folder, reads it, and passes what is to be written to the
 //! threads that write. Off unless the operator's file configures it.
 //!
-//! [`snapshots`], [`idempotency_log`] and [`endpoint_cache`] each handle one kind of file, [`takeover`] a folder that
+//! `snapshots`, `idempotency_log` and `endpoint_cache` each handle one kind of file, `takeover` a folder that
 //! another process of this gateway still has.
 
 mod endpoint_cache;
