--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,16 +1,18 @@
 //! The configuration. The platform's JSON and the operator's HCL are both flattened to settings by their paths, which the
 //! [`simulator`]'s reader turns into [`Settings`]: one reader for the simulator's first message and for files.
 //!
-//! `platform` and [`operator`] read the files into `raw`; [`consistency`] checks settings against each other.
+//! `files` loads the texts; `platform` and [`operator`] read them into `raw`; [`consistency`] checks settings against each other.
 
 pub mod consistency;
 mod error;
+mod files;
 pub mod operator;
 mod platform;
 mod raw;
 pub mod schema;
 
 pub use error::ConfigError;
+pub use files::{ConfigFiles, LoadError};
 pub use raw::describe;
 
 use crate::core::Endpoint;
--- a/src/main.rs
+++ b/src/main.rs
@@ -2,15 +2,19 @@
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
-use starlingplank::config::{Config, ConfigError};
+use starlingplank::config::{Config, ConfigFiles, LoadError};
 use starlingplank::net::clock::Clock;
-use starlingplank::net::runtime::Signals;
+use starlingplank::net::runtime::{ServeError, Signals};
 use starlingplank::net::{log, persistence, runtime};
 use starlingplank_persistence::{inspection, recovery};
 use std::error::Error;
-use std::io::Write;
-use std::path::PathBuf;
+use std::io::{self, Write};
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use thiserror::Error;
+
+/// The exit code where there is nothing to show.
+const NOTHING_THERE: u8 = 2;
 
 #[derive(Parser)]
 #[command(version, about)]
@@ -63,109 +67,120 @@
     operator: Option<PathBuf>,
 }
 
+impl Files {
+    /// The files that the environment names.
+    fn from_environment() -> Self {
+        let file = |name| std::env::var_os(name).filter(|path| !path.is_empty()).map(PathBuf::from);
+        Self { config: file("PROXY_CONFIG"), operator: file("STARLINGPLANK_OPERATOR") }
+    }
+}
+
+impl From<Files> for ConfigFiles {
+    fn from(files: Files) -> Self {
+        Self { platform: files.config, operator: files.operator }
+    }
+}
+
+/// Why a command failed.
+#[derive(Debug, Error)]
+enum CommandError {
+    /// The configuration cannot be used.
+    #[error(transparent)]
+    Load(#[from] LoadError),
+    /// The runtime cannot be started, or the output cannot be written.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The gateway could not serve.
+    #[error(transparent)]
+    Serve(#[from] ServeError),
+    /// A folder of persisted state cannot be read.
+    #[error("{}: {source}", .folder.display())]
+    Folder { folder: PathBuf, source: Box<dyn Error> },
+}
+
+impl CommandError {
+    fn folder(folder: &Path, source: impl Into<Box<dyn Error>>) -> Self {
+        Self::Folder { folder: folder.to_owned(), source: source.into() }
+    }
+}
+
 fn main() -> ExitCode {
-    let cli = Cli::parse();
     // Without a command it serves: the platform's run line names the program alone.
-    let command = cli.command.unwrap_or_else(|| {
-        let file = |name| std::env::var_os(name).filter(|f| !f.is_empty()).map(PathBuf::from);
-        Command::Serve(Files { config: file("PROXY_CONFIG"), operator: file("STARLINGPLANK_OPERATOR") })
-    });
+    let command = Cli::parse().command.unwrap_or_else(|| Command::Serve(Files::from_environment()));
     match run(command) {
         Ok(code) => code,
-        Err(e) => {
-            // It ends with its code whether or not this can be told.
-            let _ = writeln!(std::io::stderr(), "starlingplank: {e}");
+        Err(error) => {
+            // It ends with its code whether or not this can be written.
+            let _ = writeln!(io::stderr(), "starlingplank: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn run(command: Command) -> Result<ExitCode, Box<dyn Error>> {
+fn run(command: Command) -> Result<ExitCode, CommandError> {
     match command {
-        Command::Version => writeln!(std::io::stdout(), "starlingplank {}", env!("CARGO_PKG_VERSION"))?,
-        Command::CheckConfig(files) => {
-            let config = read(&files)?;
-            writeln!(
-                std::io::stdout(),
-                "{}: {} engines, {} classes",
-                config.name,
-                config.known.len(),
-                config.settings.classes.len()
-            )?;
-        }
-        Command::Serve(files) => {
-            let threads = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-            // Before the configuration is read, which may take long: a signal without a handler would end the program.
-            let signals = threads.block_on(Signals::register())?;
-            let config = read(&files)?;
-            log::start(&config.log);
-            let reload = || read(&files).map_err(|e| e.to_string());
-            tokio::task::LocalSet::new().block_on(&threads, runtime::serve(config, signals, reload))?;
-        }
+        Command::Serve(files) => serve(&files.into()),
+        Command::CheckConfig(files) => check_config(&files.into()),
         Command::Knowledge(Knowledge::Show { folder, json, operator }) => {
-            let rules = match operator {
-                Some(_) => {
-                    let config = read(&Files { config: None, operator })?;
-                    config.knowledge.map(|k| persistence::rules(&k, config.settings.overload_collapse_after))
-                }
-                None => None,
-            };
-            let now = Clock::start().now();
-            let shown = inspection::show(&folder, now, &rules.unwrap_or(recovery::DEFAULT))
-                .map_err(|e| format!("{}: {e}", folder.display()))?;
-            let Some(shown) = shown else {
-                writeln!(std::io::stderr(), "{}: there is no whole snapshot", folder.display())?;
-                return Ok(ExitCode::from(2));
-            };
-            write!(
-                std::io::stdout(),
-                "{}",
-                if json { format!("{shown:#}\n") } else { inspection::text(&shown) }
-            )?;
+            show_knowledge(&folder, json, operator)
         }
-        Command::Knowledge(Knowledge::Verify { folder }) => {
-            let verdict = inspection::verify(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-            for fault in &verdict.faults {
-                writeln!(std::io::stdout(), "{}/{fault}", folder.display())?;
-            }
-            match verdict.code() {
-                0 => writeln!(
-                    std::io::stdout(),
-                    "{}: whole; {} bytes at the log's end never came to be",
-                    folder.display(),
-                    verdict.torn
-                )?,
-                2 => writeln!(std::io::stdout(), "{}: there is nothing", folder.display())?,
-                _ => {}
-            }
-            return Ok(ExitCode::from(verdict.code()));
+        Command::Knowledge(Knowledge::Verify { folder }) => verify_knowledge(&folder),
+        Command::Version => {
+            writeln!(io::stdout(), "starlingplank {}", env!("CARGO_PKG_VERSION"))?;
+            Ok(ExitCode::SUCCESS)
         }
     }
+}
+
+fn serve(files: &ConfigFiles) -> Result<ExitCode, CommandError> {
+    let threads = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    // Before the configuration is read, which may take long: a signal without a handler would end the program.
+    let signals = threads.block_on(Signals::register())?;
+    let config = files.load()?;
+    log::start(&config.log);
+    let serve = runtime::serve(config, signals, || files.load());
+    tokio::task::LocalSet::new().block_on(&threads, serve)?;
+    Ok(ExitCode::SUCCESS)
+}
+
+fn check_config(files: &ConfigFiles) -> Result<ExitCode, CommandError> {
+    let Config { name, known, settings, .. } = files.load()?;
+    writeln!(io::stdout(), "{name}: {} engines, {} classes", known.len(), settings.classes.len())?;
     Ok(ExitCode::SUCCESS)
 }
 
-fn read(files: &Files) -> Result<Config, Box<dyn Error>> {
-    let text = |file: &Option<PathBuf>| {
-        let read = |file: &PathBuf| {
-            let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-            Ok::<_, String>((file.display().to_string(), text))
-        };
-        file.as_ref().map(read).transpose()
+fn show_knowledge(folder: &Path, json: bool, operator: Option<PathBuf>) -> Result<ExitCode, CommandError> {
+    let rules = match operator {
+        Some(_) => {
+            let config = ConfigFiles { platform: None, operator }.load()?;
+            let overload_collapse_after = config.settings.overload_collapse_after;
+            config.knowledge.map(|knowledge| persistence::rules(&knowledge, overload_collapse_after))
+        }
+        None => None,
+    };
+    let now = Clock::start().now();
+    let shown = inspection::show(folder, now, &rules.unwrap_or(recovery::DEFAULT))
+        .map_err(|error| CommandError::folder(folder, error))?;
+    let Some(shown) = shown else {
+        writeln!(io::stderr(), "{}: there is no whole snapshot", folder.display())?;
+        return Ok(ExitCode::from(NOTHING_THERE));
     };
-    let (platform, operator) = (text(&files.config)?, text(&files.operator)?);
-    let beside = operator.as_ref().map(|(name, text)| (name.as_str(), text.as_str()));
-    let read = Config::load(platform.as_ref().map(|(_, text)| text.as_str()), beside);
-    let mut config = read.map_err(|e| match (e, &platform) {
-        // Its lines name the file already.
-        (e @ ConfigError::Operator(_), _) | (e, None) => e.to_string(),
-        (e, Some((name, _))) => format!("{name}: {e}"),
-    })?;
-    // What a file says goes before the environment.
-    if let (None, Some(at)) =
-        (config.operator, std::env::var("PROXY_OPERATOR").ok().filter(|at| !at.is_empty()))
-    {
-        let at = at.parse().map_err(|_| format!("PROXY_OPERATOR: {at:?} must be an address with a port"))?;
-        config.operator = Some(at);
+    let text = if json { format!("{shown:#}\n") } else { inspection::text(&shown) };
+    write!(io::stdout(), "{text}")?;
+    Ok(ExitCode::SUCCESS)
+}
+
+fn verify_knowledge(folder: &Path) -> Result<ExitCode, CommandError> {
+    let verdict = inspection::verify(folder).map_err(|error| CommandError::folder(folder, error))?;
+    let mut out = io::stdout();
+    for fault in &verdict.faults {
+        writeln!(out, "{}/{fault}", folder.display())?;
+    }
+    let (folder, code) = (folder.display(), verdict.code());
+    match code {
+        0 => writeln!(out, "{folder}: whole; {} bytes at the log's end never came to be", verdict.torn)?,
+        NOTHING_THERE => writeln!(out, "{folder}: there is nothing")?,
+        _ => {}
     }
-    Ok(config)
+    Ok(ExitCode::from(code))
 }
--- a/src/net/runtime/calls.rs
+++ b/src/net/runtime/calls.rs
@@ -1,4 +1,4 @@
-//! Operators' calls, and what they change.
+//! Operators' calls and the changes that they make.
 
 use crate::core::Event;
 use crate::net::hot_restart::ChangeError;
@@ -8,7 +8,7 @@
 use starlingplank_admin::operator_overrides::{OperatorOverrides, OverrideError};
 
 impl Runtime {
-    /// Answers an operator's call. Changes that it makes are events for the reducer.
+    /// Answers an operator's call. Its changes are pushed to `events` for the reducer.
     pub fn answer_call(&mut self, call: Call, events: &mut Vec<Event>) -> Reply {
         match call {
             Call::Ready if self.terminated.is_some() => Reply::line(503, "ending"),
@@ -33,11 +33,12 @@
         }
     }
 
-    /// Excludes an engine or includes it again, and records that for other processes of this gateway.
+    /// Excludes an engine or includes it again, and records that for the other processes of this gateway. `state` names the
+    /// new state of the engine.
     fn change_exclusion(
         &mut self,
         id: &str,
-        what: &str,
+        state: &str,
         events: &mut Vec<Event>,
         change: impl FnOnce(&mut OperatorOverrides) -> Result<bool, OverrideError>,
     ) -> Reply {
@@ -46,16 +47,16 @@
         };
         match hot_restart.change(change) {
             Ok(changed) => {
-                tracing::info!("by hand: {id} is {what}{}", if changed.is_some() { "" } else { " already" });
+                tracing::info!(engine = id, state, changed = changed.is_some(), "operator override");
                 events.extend(changed.map(Event::OperatorOverrides));
-                Reply::line(200, format_args!("{id} is {what}"))
+                Reply::line(200, format_args!("{id} is {state}"))
             }
             Err(ChangeError::Invalid(why @ OverrideError::Unknown)) => {
                 Reply::line(404, format_args!("{id}: {why}"))
             }
             Err(ChangeError::Invalid(why)) => Reply::line(503, format_args!("{id}: {why}")),
             Err(ChangeError::NotStored(why)) => {
-                tracing::error!("by hand: {id} is not {what}: {why}");
+                tracing::error!(engine = id, state, error = %why, "operator override failed");
                 Reply::line(503, format_args!("{id}: the call cannot be kept for the next version: {why}"))
             }
         }
--- a/src/net/runtime/cycle.rs
+++ b/src/net/runtime/cycle.rs
@@ -1,12 +1,12 @@
 //! The decision cycle: events go to the reducer, its effects are performed, and the events that arise from them start the
 //! next cycle.
 
-use crate::core::{Effect, Event};
-use crate::interface::Milliseconds;
+use crate::core::{AttemptEnd, Effect, Event};
+use crate::interface::{Milliseconds, RequestDetails};
 use crate::net::runtime::Runtime;
 
 /// Engines that a line of the log names at most.
-const LOGGED_ENGINES: usize = 8;
+const MAX_LOGGED_ENGINES: usize = 8;
 
 impl Runtime {
     /// Hands events to the reducer and performs its effects, until no further events arise from them.
@@ -23,17 +23,17 @@
                 break;
             }
         }
-        // The next process starts from the list as this one has last received it.
+        // The next process starts from the endpoint list that this one received last.
         if self.core.serial() != serial {
             self.log_members();
             self.persistence.list(&self.core, &self.frontend.settings);
         }
     }
 
-    /// Logs the list of engines that is in use from now on.
+    /// Logs the endpoint list that is used from now on.
     fn log_members(&self) {
         let (version, draining) = (self.core.serial().unwrap_or(0), self.core.draining());
-        let named = draining.iter().take(LOGGED_ENGINES).collect::<Vec<_>>();
+        let named = draining.iter().take(MAX_LOGGED_ENGINES).collect::<Vec<_>>();
         let (engines, drain) = (self.core.engines().0, draining.len());
         tracing::info!("list of engines: version {version}, {engines} engines, {drain} drain {named:?}");
     }
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Tells the reducer of the keys that other processes have just sent: a request with one of them is a repeat.
+    /// Passes the keys that other processes have just sent to the reducer: a request with one of them is a repetition.
     fn read_peer_keys(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
         let Some(hot_restart) = &mut self.hot_restart else { return };
         let keys = hot_restart.peer_keys(now);
@@ -74,20 +74,19 @@
 /// Logs an event in one line at the level `trace`; where that is off, it costs a test of one flag.
 fn trace_event(event: &Event) {
     match event {
-        Event::AttemptEnded((id, n), end) => {
-            tracing::trace!("end {}.{n} {:?} work {:?} {:?}", id.0, end.outcome, end.work, end.report);
+        Event::AttemptEnded((id, attempt), end) => {
+            let AttemptEnd { outcome, work, report, .. } = end;
+            tracing::trace!(request = id.0, attempt, ?outcome, ?work, ?report, "attempt ended");
+        }
+        Event::HealthChecked(tag, ok, report) => tracing::trace!(tag, ok, ?report, "health checked"),
+        Event::EndpointList(version, list) => {
+            tracing::trace!(version, engines = list.len(), "endpoint list received");
         }
-        Event::HealthChecked(tag, ok, report) => tracing::trace!("probed {tag} {ok} {report:?}"),
-        Event::EndpointList(serial, list) => tracing::trace!("list {serial} of {}", list.len()),
         Event::RequestReceived(request) => {
-            tracing::trace!(
-                "taken {} class {} work {:?}",
-                request.details.id.0,
-                request.details.class.0,
-                request.details.work
-            );
+            let RequestDetails { id, class, work, .. } = &request.details;
+            tracing::trace!(request = id.0, class = class.0, ?work, "request received");
         }
-        Event::ClientDisconnected(id) => tracing::trace!("left {}", id.0),
+        Event::ClientDisconnected(id) => tracing::trace!(request = id.0, "client disconnected"),
         _ => {}
     }
 }
--- a/src/net/runtime/effects.rs
+++ b/src/net/runtime/effects.rs
@@ -1,4 +1,4 @@
-//! Performs the effects that the reducer asks for.
+//! Performs the effects that the reducer returns.
 
 use crate::core::{Answer, AttemptEnd, Effect, Event, Send};
 use crate::interface::{Idempotency, Outcome};
@@ -11,23 +11,25 @@
     pub fn perform(&mut self, effect: Effect, new_events: &mut Vec<Event>) {
         trace_effect(&effect);
         match effect {
-            Effect::Send(send) if self.record_for_peers(&send) => self.engines.send(send, new_events),
-            Effect::Send(send) => new_events.push(Event::AttemptEnded(send.id, AttemptEnd::plain(Outcome::NotExecuted))),
-            Effect::AbortAttempt(id, _, outcome) => self.engines.abort_attempt(id, outcome == Outcome::Timeout),
+            Effect::Send(send) => self.send(send, new_events),
+            Effect::AbortAttempt(id, _, outcome) => {
+                self.engines.abort_attempt(id, outcome == Outcome::Timeout)
+            }
             Effect::SetPriority(id, _, priority) => self.engines.set_priority(id, priority),
-            Effect::CheckHealth(tag, engine, address) => self.engines.check_health(tag, &engine, address, new_events),
+            Effect::CheckHealth(tag, engine, address) => {
+                self.engines.check_health(tag, &engine, address, new_events)
+            }
             Effect::DropQueued(engine) => self.engines.drop_queued(&engine, new_events),
             Effect::StartResponse(id, rows) => self.frontend.start_response(id, rows),
             Effect::ResponseChunk(id, bytes) => self.frontend.send_chunk(id, bytes),
             Effect::Answer(id, answer) => self.frontend.finish_response(id, answer),
-            Effect::LogRejection(id, class, why, waited) => tracing::debug!(
-                "request {} of {} was refused after {waited:.1} ms: {why}",
-                id.0,
-                self.frontend.settings.classes[class.0].name
-            ),
-            Effect::LogViolation((id, n), refusal) => log::seldom_error(
+            Effect::LogRejection(id, class, reason, waited_ms) => {
+                let class = &*self.frontend.settings.classes[class.0].name;
+                tracing::debug!(request = id.0, class, reason, waited_ms, "request rejected");
+            }
+            Effect::LogViolation((id, attempt), refusal) => log::seldom_error(
                 "an attempt was asked for against the rules",
-                format_args!("{}.{n}: {}", id.0, refusal.name()),
+                format_args!("{}.{attempt}: {}", id.0, refusal.name()),
             ),
             Effect::WriteRecord(number, key, sent) => {
                 if !self.persistence.record(number, key, sent) {
@@ -41,15 +43,22 @@
                     new_events.push(Event::RecordsFailed(Vec::new()));
                 }
             }
-            Effect::LogListReliability(true) => tracing::info!("the list of engines is confirmed: new work goes on"),
-            Effect::LogListReliability(false) => tracing::warn!(
-                "the list of engines is older than the rule on drains allows: no new work until it is confirmed"
-            ),
+            Effect::LogListReliability(is_reliable) => log_list_reliability(is_reliable),
             Effect::Exit => self.settled = true,
         }
     }
 
-    /// Records a keyed send for other processes of this gateway. False: it is not recorded, and must not leave.
+    /// Sends an attempt. One with a key that cannot be recorded is not sent.
+    fn send(&mut self, send: Send, new_events: &mut Vec<Event>) {
+        if self.record_for_peers(&send) {
+            self.engines.send(send, new_events);
+        } else {
+            let end = AttemptEnd::plain(Outcome::NotExecuted);
+            new_events.push(Event::AttemptEnded(send.id, end));
+        }
+    }
+
+    /// Records a keyed send for the other processes of this gateway. False: it is not recorded, and must not be sent.
     fn record_for_peers(&mut self, send: &Send) -> bool {
         let (Some(hot_restart), Some(key)) = (&mut self.hot_restart, &send.statement.key) else {
             return true;
@@ -60,25 +69,37 @@
         };
         let recorded = hot_restart
             .record(deduplication_window::key(key), KeySend { at: self.frontend.clock.now(), window });
-        if let Err(e) = &recorded {
-            log::seldom_error("a keyed request was not sent, as other versions would not hear of it", e);
+        if let Err(error) = &recorded {
+            log::seldom_error("a keyed request was not sent, as other versions would not hear of it", error);
         }
         recorded.is_ok()
     }
 }
 
-/// Logs an effect in one line at the level `trace`, and each further attempt at the level `debug`.
+fn log_list_reliability(is_reliable: bool) {
+    if is_reliable {
+        tracing::info!("the list of engines is confirmed: new work goes on");
+    } else {
+        tracing::warn!(
+            "the list of engines is older than the rule on drains allows: no new work until it is confirmed"
+        );
+    }
+}
+
+/// Logs an effect in one line at the level `trace`, and each retry at the level `debug`.
 fn trace_effect(effect: &Effect) {
     match effect {
-        Effect::Send(s) => {
-            if s.is_retry {
-                tracing::debug!("request {} goes out again, attempt {} to {}", s.id.0 .0, s.id.1, s.engine.0);
+        Effect::Send(Send { id: (id, attempt), engine, budget, is_retry, .. }) => {
+            if *is_retry {
+                tracing::debug!(request = id.0, attempt, engine = %engine.0, "request is retried");
             }
-            tracing::trace!("send {}.{} to {} for {:.0} ms", s.id.0 .0, s.id.1, s.engine.0, s.budget)
+            tracing::trace!(request = id.0, attempt, engine = %engine.0, budget_ms = budget, "attempt sent");
+        }
+        Effect::AbortAttempt((id, attempt), engine, _) => {
+            tracing::trace!(request = id.0, attempt, engine = %engine.0, "attempt aborted");
         }
-        Effect::AbortAttempt((id, n), engine, _) => tracing::trace!("give up {}.{n} on {}", id.0, engine.0),
-        Effect::CheckHealth(tag, engine, _) => tracing::trace!("probe {tag} to {}", engine.0),
-        Effect::DropQueued(engine) => tracing::trace!("shut {}", engine.0),
+        Effect::CheckHealth(tag, engine, _) => tracing::trace!(tag, engine = %engine.0, "health check sent"),
+        Effect::DropQueued(engine) => tracing::trace!(engine = %engine.0, "queued attempts dropped"),
         Effect::Answer(id, answer) => {
             let kind = match answer {
                 Answer::Served(_) | Answer::Finished => "served",
@@ -86,7 +107,7 @@
                 Answer::Cut | Answer::Failed(_) => "failed",
                 Answer::Expired => "expired",
             };
-            tracing::trace!("answer {} {kind}", id.0);
+            tracing::trace!(request = id.0, kind, "request answered");
         }
         _ => {}
     }
--- a/src/net/runtime/inputs.rs
+++ b/src/net/runtime/inputs.rs
@@ -1,4 +1,4 @@
-//! Everything that the loop waits for: signals, events, operators' calls and timers.
+//! The inputs of the loop: signals, events, operators' calls and timers.
 
 use crate::config::KnowledgeSettings;
 use crate::core::Event;
@@ -18,13 +18,13 @@
     Due,
     /// The maintenance tick of the connections to engines.
     MaintainEngines,
-    /// It is time to look at other processes of this gateway.
+    /// The other processes of this gateway are due to be polled.
     ObservePeers,
     /// An operator calls.
     Call(Asked),
-    /// The maintenance tick of what is kept through restarts.
+    /// The maintenance tick of persisted state.
     MaintainKnowledge,
-    /// It is time for a snapshot.
+    /// A snapshot is due.
     Snapshot,
     /// SIGHUP.
     Reload,
@@ -34,7 +34,7 @@
     TaskFailed(TaskName),
 }
 
-/// The timers of the loop. A tick that comes late delays those after it.
+/// The timers of the loop. A late tick delays those after it.
 pub struct Timers {
     maintain_engines: Interval,
     maintain_knowledge: Interval,
@@ -43,14 +43,14 @@
 }
 
 impl Timers {
-    /// Starts all timers. All but the one for snapshots tick at once.
+    /// Starts all timers. All but the one for snapshots have their first tick at once.
     pub fn start(limits: &Limits, knowledge: Option<&KnowledgeSettings>) -> Self {
-        let every =
+        let snapshot_interval =
             knowledge.map_or(limits.log_maintenance_interval, |k| Duration::from_secs_f64(k.every / 1000.0));
         Self {
             maintain_engines: delayed(interval(limits.maintenance_interval)),
             maintain_knowledge: delayed(interval(limits.log_maintenance_interval)),
-            snapshots: delayed(interval_at(Instant::now() + every, every)),
+            snapshots: delayed(interval_at(Instant::now() + snapshot_interval, snapshot_interval)),
             observe_peers: delayed(interval(limits.peer_poll_interval)),
         }
     }
@@ -61,12 +61,12 @@
     timer
 }
 
-/// Inputs that are waited for only in some gateways.
+/// Inputs that only some gateways have.
 #[derive(Debug, Clone, Copy)]
 pub struct Optional {
-    /// It matters what other processes of this gateway do.
+    /// Other processes of this gateway are polled.
     pub peers: bool,
-    /// Knowledge is kept through restarts.
+    /// State is persisted through restarts.
     pub knowledge: bool,
 }
 
@@ -104,17 +104,17 @@
         }
     }
 
-    /// Takes the events that wait, until there are so many.
-    pub fn drain_events(&mut self, events: &mut Vec<Event>, most: usize) {
+    /// Takes the events that are queued, until there are `max` events.
+    pub fn drain_events(&mut self, events: &mut Vec<Event>, max: usize) {
         while let Ok(event) = self.events.try_recv() {
             events.push(event);
-            if events.len() >= most {
+            if events.len() >= max {
                 break;
             }
         }
     }
 
-    /// A call that waits, if there is one.
+    /// An operator's call that is queued, if there is one.
     pub fn next_waiting_call(&mut self) -> Option<Asked> {
         self.calls.try_recv().ok()
     }
--- a/src/net/runtime/mod.rs
+++ b/src/net/runtime/mod.rs
@@ -1,9 +1,9 @@
 //! The event loop around the reducer: one thread, as the machine has one core.
 //!
-//! The parts stand in the order in which they take part: `startup` opens and recovers everything; `listeners` take
-//! clients' connections; `inputs` tells what happens next; `cycle` hands it to the reducer and `effects` performs what
-//! the reducer asks for; `peers`, `calls` and `reload` deal with other processes of this gateway, operators and SIGHUP;
-//! `shutdown` ends the process.
+//! The modules are in the order in which they take part: `startup` opens and recovers everything; `listeners` accept
+//! clients' connections; `inputs` waits for the next input; `cycle` passes it to the reducer and `effects` performs the
+//! effects that the reducer returns; `peers`, `calls` and `reload` handle other processes of this gateway, operators and
+//! SIGHUP; `shutdown` ends the process.
 
 mod startup;
 
@@ -21,9 +21,9 @@
 
 mod shutdown;
 
-use crate::config::Config;
+use crate::config::{Config, LoadError};
 use crate::core::{Core, Event};
-use crate::interface::Milliseconds;
+use crate::interface::{Milliseconds, SettingsError};
 use crate::net::engine::Engines;
 use crate::net::front::{FrontendState, ShutdownPhase};
 use crate::net::hot_restart::HotRestart;
@@ -41,58 +41,73 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
+/// Why the gateway could not serve, or ended before SIGTERM.
+#[derive(Debug, Error)]
+pub enum ServeError {
+    /// The settings contradict each other.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// An address cannot be listened at, or a required folder cannot be used.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// A task that the process cannot do without has failed.
+    #[error("a task failed")]
+    TaskFailed,
+}
+
 /// Serves until SIGTERM, then until all requests that were accepted are answered. At SIGHUP `reload` reads the
-/// configuration again: the address of the name service may change, while connections, requests and all that was learned
-/// stay.
+/// configuration again: the address of the name service may change, while connections, requests and learned state stay.
 ///
 /// # Errors
-/// An address cannot be listened at, or the settings contradict themselves.
+/// An address cannot be listened at, the settings contradict each other, or a task failed.
 pub async fn serve(
     config: Config,
     signals: Signals,
-    reload: impl Fn() -> Result<Config, String>,
-) -> io::Result<()> {
+    reload: impl Fn() -> Result<Config, LoadError>,
+) -> Result<(), ServeError> {
     let Started { events, calls, failed_tasks, mut gateway } = startup::start(config).await?;
     let timers = Timers::start(&gateway.frontend.limits, gateway.config.knowledge.as_ref());
     let mut inputs = Inputs { signals, events, calls, failed_tasks, timers };
     gateway.run(&mut inputs, &reload).await?;
     gateway.shut_down(inputs).await;
     match gateway.failed {
-        true => Err(io::Error::other("a task failed")),
+        true => Err(ServeError::TaskFailed),
         false => Ok(()),
     }
 }
 
-/// The gateway around its reducer.
+/// The gateway around its reducer. It owns the reducer, the connections to engines and the state that is persisted; one
+/// task runs it.
 struct Runtime {
     config: Config,
     core: Core,
     engines: Box<dyn Engines>,
     frontend: Rc<FrontendState>,
-    /// What is shared with other processes of this gateway, if anything.
+    /// The folder that the processes of this gateway share, if it can be used.
     hot_restart: Option<HotRestart>,
-    /// What is kept through restarts.
+    /// State that is persisted through restarts.
     persistence: Persistence,
     /// The queue of events for the reducer.
     events: mpsc::Sender<Event>,
-    /// Where the name service is, for the task that polls it.
+    /// The address of the name service, for the task that polls it.
     names: watch::Sender<Option<SocketAddr>>,
-    /// Its questions and answers, and the age of the list.
+    /// The queries to the name service, and the age of the endpoint list.
     discovery: Rc<RefCell<Discovery>>,
     /// Starts tasks that the process cannot do without.
     tasks: Tasks,
-    /// A task that the process cannot do without has failed: it ends, and tells so by its exit code.
+    /// A task that the process cannot do without has failed: the process ends with an error.
     failed: bool,
     /// Operators' connections that are open.
     callers: Rc<Cell<usize>>,
-    /// When it began to wait for the list of engines.
+    /// When it began to wait for the endpoint list.
     started: Instant,
     /// It listens to clients.
     listening: bool,
-    /// When SIGTERM came.
+    /// When SIGTERM was received.
     terminated: Option<Instant>,
     /// All requests that were accepted are answered, and the window for that is over.
     settled: bool,
@@ -100,18 +115,18 @@
     list_received: bool,
     /// A reload whose file could not be used yet.
     pending_reload: Option<PendingReload>,
-    /// How far this process is, where the others could not be told.
+    /// The stage of this process, if it could not be published to the others.
     unpublished: Cell<Option<Stage>>,
     statistics: LoopStatistics,
 }
 
-/// How well the loop kept its times.
+/// How long the cycles of the loop took, and how late its timers were.
 #[derive(Debug, Default)]
 struct LoopStatistics {
-    /// The longest that it was busy without a break.
+    /// The longest cycle.
     longest_cycle: Duration,
-    /// The most by which a timer of the reducer was late, in milliseconds.
-    most_late: Milliseconds,
+    /// The largest delay of a timer of the reducer.
+    max_delay: Milliseconds,
 }
 
 impl LoopStatistics {
@@ -119,8 +134,8 @@
         self.longest_cycle = self.longest_cycle.max(begun.elapsed());
     }
 
-    fn count_delay(&mut self, late: Milliseconds) {
-        self.most_late = self.most_late.max(late);
+    fn count_delay(&mut self, delay: Milliseconds) {
+        self.max_delay = self.max_delay.max(delay);
     }
 }
 
@@ -129,7 +144,7 @@
     async fn run(
         &mut self,
         inputs: &mut Inputs,
-        reload: &impl Fn() -> Result<Config, String>,
+        reload: &impl Fn() -> Result<Config, LoadError>,
     ) -> io::Result<()> {
         loop {
             if !self.listening && self.may_listen(self.started.elapsed()) {
@@ -147,7 +162,7 @@
             let mut events = Vec::new();
             self.handle_wake(wake, reload, &mut events);
             inputs.drain_events(&mut events, self.frontend.limits.event_queue_capacity);
-            let late = self.check_delay(due_at);
+            let delay = self.check_delay(due_at);
             while let Some((call, reply_to)) = inputs.next_waiting_call() {
                 drop(reply_to.send(self.answer_call(call, &mut events)));
             }
@@ -155,11 +170,11 @@
             self.settled = false;
             self.run_decision_cycles(events);
             self.statistics.count_cycle(begun);
-            self.statistics.count_delay(late);
+            self.statistics.count_delay(delay);
         }
     }
 
-    /// Begins to listen to clients, and tells that to other processes of this gateway.
+    /// Begins to listen to clients, and publishes that to other processes of this gateway.
     async fn listen_to_clients(&mut self) -> io::Result<()> {
         listeners::listen_to_clients(&self.config, &self.frontend, &self.tasks).await?;
         self.listening = true;
@@ -167,7 +182,7 @@
         Ok(())
     }
 
-    /// When the loop goes on at the latest.
+    /// When the next cycle begins at the latest.
     fn wake_by(&self, due_at: Option<Milliseconds>) -> Instant {
         let due: Instant = match due_at {
             Some(at) => self.frontend.clock.instant(at).into(),
@@ -187,7 +202,7 @@
     fn handle_wake(
         &mut self,
         wake: Wake,
-        reload: &impl Fn() -> Result<Config, String>,
+        reload: &impl Fn() -> Result<Config, LoadError>,
         events: &mut Vec<Event>,
     ) {
         match wake {
@@ -197,7 +212,7 @@
                 self.engines.maintain(events);
                 log::report_lost_lines();
             }
-            Wake::ObservePeers => self.observe_handover(events),
+            Wake::ObservePeers => self.poll_peers(events),
             Wake::Call((call, reply_to)) => drop(reply_to.send(self.answer_call(call, events))),
             Wake::MaintainKnowledge => events.push(Event::MaintenanceTick),
             Wake::Snapshot => self.write_snapshot(),
@@ -207,8 +222,8 @@
         }
     }
 
-    /// Looks at other processes of this gateway, and takes the folder of knowledge over once its owner has ended.
-    fn observe_handover(&mut self, events: &mut Vec<Event>) {
+    /// Polls the other processes of this gateway, and takes over the folder of persisted state once its owner has ended.
+    fn poll_peers(&mut self, events: &mut Vec<Event>) {
         events.extend(self.observe_peers());
         if self.persistence.waits() && self.take_over_knowledge() {
             events.push(Event::MaintenanceTick);
@@ -227,21 +242,19 @@
         self.statistics.count_cycle(begun);
     }
 
-    /// Ends the process as SIGTERM does, so that what was taken is answered: without the task it would live on and not do
-    /// its work.
+    /// Ends the process as SIGTERM does, so that open requests are answered: without the task it would run on and not work.
     fn end_after_failure(&mut self, name: TaskName, events: &mut Vec<Event>) {
-        tracing::error!("the process ends, as it cannot go on without its task {name:?}");
+        tracing::error!(task = name, "the process ends, as a required task has failed");
         self.failed = true;
         self.begin_termination(events);
     }
 
-    /// Begins the end. What ends already goes on as it began: a further SIGTERM changes neither the time that is left nor
-    /// how far this process is on its way out.
+    /// Begins the shutdown. A further SIGTERM changes nothing: neither the time that is left nor the shutdown phase.
     fn begin_termination(&mut self, events: &mut Vec<Event>) {
         if self.terminated.is_some() {
-            return tracing::info!("SIGTERM: this process ends already");
+            return tracing::info!("SIGTERM: already shutting down");
         }
-        tracing::info!("SIGTERM: answering what was taken");
+        tracing::info!("SIGTERM: shutting down");
         self.terminated = Some(Instant::now());
         self.frontend.enter_shutdown_phase(ShutdownPhase::Draining);
         events.push(Event::Terminate);
@@ -249,13 +262,13 @@
         self.persistence.snapshot(&self.core, self.frontend.clock.now());
     }
 
-    /// By how much a timer of the reducer is late. Answers that were due in a pause of the process are late through no
-    /// decision, so the log tells of it.
+    /// By how much a timer of the reducer is late. A pause of the process is logged: answers that were due in it are late
+    /// through no decision.
     fn check_delay(&self, due_at: Option<Milliseconds>) -> Milliseconds {
-        let late = due_at.map_or(0.0, |at| self.frontend.clock.now() - at);
-        if late > self.frontend.limits.pause_threshold {
-            tracing::warn!("stood still for {late:.0} ms");
+        let delay = due_at.map_or(0.0, |at| self.frontend.clock.now() - at);
+        if delay > self.frontend.limits.pause_threshold {
+            tracing::warn!(pause_ms = delay.round(), "the process was paused");
         }
-        late
+        delay
     }
 }
--- a/src/net/runtime/peers.rs
+++ b/src/net/runtime/peers.rs
@@ -1,4 +1,4 @@
-//! Other processes of this gateway: when this one may listen, and when it hands over to a newer one.
+//! Other processes of this gateway: when this process may listen, and when it hands over to a newer one.
 
 use crate::core::Event;
 use crate::net::front::ShutdownPhase;
@@ -20,8 +20,7 @@
         )
     }
 
-    /// Tells other processes of this gateway how far this one is. Where that fails it is tried again with the next look at
-    /// them.
+    /// Publishes the stage of this process to the others of this gateway. A failure is retried at the next poll.
     pub fn publish_stage(&self, stage: Stage) {
         let Some(hot_restart) = &self.hot_restart else { return };
         let said = hot_restart.say(stage);
@@ -31,7 +30,7 @@
         }
     }
 
-    /// Looks at what other processes of this gateway do, and acts on it.
+    /// Polls the other processes of this gateway, and acts on what they do.
     pub fn observe_peers(&mut self) -> Vec<Event> {
         let now = self.frontend.clock.now();
         if let Some(stage) = self.unpublished.get() {
@@ -57,14 +56,14 @@
         events
     }
 
-    /// Divides what one process may use among all processes of this gateway.
+    /// Divides the limits of one process among all processes of this gateway.
     fn share_limits(&self, processes: usize, events: &mut Vec<Event>) {
         if self.frontend.shared.process_count.replace(processes) != processes {
             events.push(Event::ProcessCount(processes));
         }
     }
 
-    /// Begins to hand over to a newer process: each connection ends after its next answer.
+    /// Begins to hand over to a newer process: each connection closes after its next answer.
     fn hand_over(&self, events: &mut Vec<Event>) {
         tracing::info!("a new version listens: what is open is answered, and the rest is for it");
         self.frontend.enter_shutdown_phase(ShutdownPhase::HandingOver);
--- a/src/net/runtime/reload.rs
+++ b/src/net/runtime/reload.rs
@@ -1,17 +1,17 @@
-//! SIGHUP: the configuration is read again, and the new address of the name service is used.
+//! SIGHUP: the configuration is loaded again, and the address of the name service is replaced.
 
-use crate::config::Config;
+use crate::config::{Config, LoadError};
 use crate::interface::Settings;
 use crate::net::runtime::Runtime;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A configuration that cannot be used is read again so often ...
-const ATTEMPTS: u32 = 25;
-/// ... and so long after the last time: it may be that it is just being written, or that a descriptor lacks.
-const RETRY_AFTER: Duration = Duration::from_millis(200);
+/// A configuration that cannot be used is loaded so often ...
+const MAX_ATTEMPTS: u32 = 25;
+/// ... at this interval: the file may be being written, or a descriptor may lack.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A reload that is still to be made.
+/// A reload that failed and is retried.
 #[derive(Debug, Clone, Copy)]
 pub struct PendingReload {
     due: Instant,
@@ -19,57 +19,55 @@
 }
 
 impl PendingReload {
-    /// When it is tried again.
+    /// When it is retried.
     pub fn due(&self) -> Instant {
         self.due
     }
 }
 
 impl Runtime {
-    /// Whether a reload that failed is to be tried again now.
+    /// Whether a reload that failed is to be retried now.
     pub fn reload_is_due(&self) -> bool {
         self.pending_reload.is_some_and(|pending| pending.due <= Instant::now())
     }
 
-    /// Begins a reload; one that is still to be made gives way to it.
-    pub fn begin_reload(&mut self, read: Result<Config, String>) {
+    /// Begins a reload; it replaces one that is to be retried.
+    pub fn begin_reload(&mut self, loaded: Result<Config, LoadError>) {
         self.pending_reload = None;
-        self.reload(read);
+        self.reload(loaded);
     }
 
-    /// Applies a configuration that was read again. What else is new in it waits for the next start. One that cannot be
-    /// used is read again a little later.
-    pub fn reload(&mut self, read: Result<Config, String>) {
-        let before = self.pending_reload.take();
-        let new = match read {
+    /// Applies a configuration that was loaded again: the address of the name service. Other changes need a restart. A
+    /// configuration that cannot be used is loaded again a little later.
+    pub fn reload(&mut self, loaded: Result<Config, LoadError>) {
+        let previous = self.pending_reload.take();
+        let new = match loaded {
             Ok(new) => new,
-            Err(why) => return self.put_reload_off(before, &why),
+            Err(error) => return self.schedule_retry(previous, &error),
         };
-        tracing::info!("SIGHUP: the name service is at {:?}", new.names);
+        tracing::info!(name_service = ?new.names, "SIGHUP: configuration loaded");
         if needs_restart(&self.config, &new) {
-            tracing::warn!("SIGHUP: what else is new in the configuration waits for the next start");
+            tracing::warn!("SIGHUP: further changes of the configuration need a restart");
         }
         self.names.send_replace(new.names);
     }
-}
 
-impl Runtime {
-    fn put_reload_off(&mut self, before: Option<PendingReload>, why: &str) {
-        let attempts = before.map_or(0, |pending| pending.attempts) + 1;
-        if before.is_none() {
-            tracing::warn!("SIGHUP: the old configuration stays: {why}");
+    fn schedule_retry(&mut self, previous: Option<PendingReload>, error: &LoadError) {
+        let attempts = previous.map_or(0, |pending| pending.attempts) + 1;
+        if previous.is_none() {
+            tracing::warn!(%error, "SIGHUP: the old configuration stays");
         }
-        if attempts < ATTEMPTS {
-            self.pending_reload = Some(PendingReload { due: Instant::now() + RETRY_AFTER, attempts });
+        if attempts < MAX_ATTEMPTS {
+            self.pending_reload = Some(PendingReload { due: Instant::now() + RETRY_INTERVAL, attempts });
         } else {
-            tracing::warn!("SIGHUP: the new configuration is given up: {why}");
+            tracing::warn!(%error, "SIGHUP: the new configuration is given up");
         }
     }
 }
 
-/// Whether a new configuration differs from the one in force in more than the name service.
+/// Whether a new configuration differs from the one in use in more than the name service.
 fn needs_restart(old: &Config, new: &Config) -> bool {
-    // A seed that is new alone is no difference.
+    // A new seed is no difference.
     let settings = Settings { seed: old.settings.seed, ..new.settings.clone() };
     (new.listen, new.operator, &new.limits, &new.knowledge)
         != (old.listen, old.operator, &old.limits, &old.knowledge)
--- a/src/net/runtime/shutdown.rs
+++ b/src/net/runtime/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of the process: when it may end, and its last report.
+//! The shutdown of the process: when it may end, and its last report.
 
 use crate::interface::BlockReason;
 use crate::net::front::ShutdownPhase;
@@ -11,23 +11,23 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout, Instant};
 
-/// How often it is checked, within the wait for operators, whether they have all been told.
+/// Checks, within the wait for operators, whether all of them are disconnected.
 const CALLER_CHECKS: u32 = 10;
 
 impl Runtime {
-    /// Whether the process may end: all requests are answered, and either no connection is open and none can come, or the
-    /// time for that is over.
+    /// Whether the process may end: all requests are answered, and either no connection is open and none can be opened, or
+    /// the time for that is over.
     pub fn has_drained(&mut self, terminated: Instant) -> bool {
         let window = self.drain_window();
         let waited = terminated.elapsed();
-        self.advance_leaving(waited, window);
+        self.advance_shutdown_phase(waited, window);
         let closes_idle =
             matches!(self.frontend.shutdown_phase(), ShutdownPhase::ClosingIdle | ShutdownPhase::Stopping);
-        // Connections that are in use to the end are answered and closed before the program ends.
+        // Connections that are in use until the end are answered and closed before the program ends.
         may_end(&EndFacts {
             settled: self.settled,
             unconnected: closes_idle && self.frontend.has_no_connections(),
-            // What clients sent while the process stood still is read before it ends.
+            // What clients sent while the process was paused is read before it ends.
             overdue: waited >= window + self.frontend.limits.connection_close_wait
                 && !self.frontend.pauses.has_backlog(Instant::now()),
         })
@@ -42,8 +42,8 @@
         Duration::from_secs_f64(window / 1000.0)
     }
 
-    /// Goes a step further in closing clients' connections once its time has come.
-    fn advance_leaving(&self, waited: Duration, window: Duration) {
+    /// Goes on to the next phase of the shutdown once it is due.
+    fn advance_shutdown_phase(&self, waited: Duration, window: Duration) {
         match self.frontend.shutdown_phase() {
             ShutdownPhase::Draining if self.settled && !self.awaits_successor(waited, window) => {
                 self.frontend.enter_shutdown_phase(ShutdownPhase::Stopping);
@@ -61,15 +61,15 @@
         process_lifecycle::awaited(hot_restart.own(), &hot_restart.others(), waited, window)
     }
 
-    /// Ends the process: operators hear of it, what was done is reported, and the last snapshot is written.
+    /// Ends the process: operators' calls are answered, the counts are logged, and the last snapshot is written.
     pub async fn shut_down(&mut self, inputs: Inputs) {
-        // Operators whose call is under way are told that it ends; one who says nothing is not waited for.
+        // Operators whose call is under way are answered that it ends; one that sends nothing is not waited for.
         drop(inputs.calls);
         if self.config.operator.is_some() {
             let _ = timeout(self.frontend.limits.peer_poll_interval, self.callers_end()).await;
         }
         self.report_loop();
-        // What the last answers taught is in the last snapshot, if the disk takes it in time.
+        // What was learned from the last answers is in the last snapshot, if the disk takes it in time.
         self.persistence.snapshot(&self.core, self.frontend.clock.now());
         self.report_classes();
         self.report_rules();
@@ -94,39 +94,39 @@
 
     fn report_loop(&self) {
         let longest = self.statistics.longest_cycle.as_secs_f64() * 1000.0;
-        let latest = self.statistics.most_late;
+        let latest = self.statistics.max_delay;
         tracing::info!("loop: longest turn {longest:.3} ms, latest {latest:.3} ms");
     }
 
-    /// Reports which attempts the rules kept back, and how many of them should never have been asked for.
+    /// Logs how many attempts the rules withheld, by reason, and how many of them were violations.
     fn report_rules(&self) {
         let rules = &self.frontend.shared.rule_counters;
         tracing::info!("rules: attempts kept back {:?}, violations {}", rules.by_name(), rules.violations());
     }
 
-    /// Reports the answers of the name service by kind, and how old the list is.
+    /// Logs the answers of the name service by kind, and the age of the endpoint list.
     fn report_discovery(&self) {
         let discovery = self.discovery.borrow();
         let age = discovery.age(self.frontend.clock.now()) / 1000.0;
         tracing::info!("name service: {}; the list is known as of {age:.2} s ago", discovery.counts());
     }
 
-    /// Reports what became of the requests of each class.
+    /// Logs the outcomes of the requests of each class.
     fn report_classes(&self) {
         let classes = self.frontend.settings.classes.iter();
         let by_class = classes.zip(self.core.counts()).zip(self.core.waits());
-        for (i, ((class, counts), waits)) in by_class.enumerate() {
-            let figure = |count| self.frontend.shared.metrics.get(i, count);
+        for (index, ((class, counts), waits)) in by_class.enumerate() {
+            let metric = |count| self.frontend.shared.metrics.get(index, count);
             tracing::info!(
                 "{}: {} taken, {} attempts, ended {:?}, answered {:?}",
                 class.name,
                 counts.taken,
-                figure(Count::Sends),
+                metric(Count::Sends),
                 counts.outcomes,
-                [figure(Count::Answered), figure(Count::Deferred), figure(Count::Errored), counts.left]
+                [metric(Count::Answered), metric(Count::Deferred), metric(Count::Errored), counts.left]
             );
-            let waits =
-                BlockReason::ALL.iter().map(|why| (why.name(), waits[*why as usize])).filter(|(_, n)| *n > 0);
+            let waits = BlockReason::ALL.iter().map(|reason| (reason.name(), waits[*reason as usize]));
+            let waits = waits.filter(|(_, count)| *count > 0);
             let waits: BTreeMap<_, _> = waits.collect();
             tracing::info!("{}: refused for {:?}, waited for {waits:?}", class.name, counts.refusals);
         }
--- a/src/net/runtime/signals.rs
+++ b/src/net/runtime/signals.rs
@@ -1,5 +1,5 @@
-//! SIGTERM and SIGHUP. Each is marked first and then wakes the loop, which looks at the marks: a wake-up that is lost delays a
-//! signal to the loop's next turn, and none is forgotten.
+//! SIGTERM and SIGHUP. A handler sets a flag and then wakes the loop, which checks the flags: a wake-up that is lost delays a
+//! signal until the loop's next cycle, and no signal is lost.
 
 use crate::net::connection::SocketRetry;
 use crate::net::transient_errors;
@@ -12,10 +12,10 @@
 use std::time::Duration;
 use tokio::net::UnixStream;
 
-/// A moment without descriptors is waited out for so long at the start.
-const REGISTER_WITHIN: Duration = Duration::from_secs(1);
-/// Wake-ups that are taken in one read.
-const WAKE_UPS: usize = 64;
+/// How long a lack of descriptors is waited out at the start.
+const REGISTER_RETRY: Duration = Duration::from_secs(1);
+/// Wake-ups that are read at once.
+const MAX_WAKE_UPS: usize = 64;
 
 /// A signal that the program handles.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -37,9 +37,9 @@
     /// Registers the handlers.
     ///
     /// # Errors
-    /// The system does not take a handler, or has no descriptors left for a while.
+    /// The system rejects a handler, or descriptors lack for longer.
     pub async fn register() -> io::Result<Self> {
-        let (wake_ups, handler) = transient_errors::retry(REGISTER_WITHIN, StdStream::pair).await?;
+        let (wake_ups, handler) = transient_errors::retry(REGISTER_RETRY, StdStream::pair).await?;
         wake_ups.set_nonblocking(true)?;
         handler.set_nonblocking(true)?;
         let signals = Self {
@@ -47,7 +47,7 @@
             reload: Arc::default(),
             wake_ups: UnixStream::from_std(wake_ups)?,
         };
-        // The marks come first: handlers of one signal run in the order in which they are registered.
+        // The flags are set first: handlers of one signal run in the order in which they are registered.
         flag::register(SIGTERM, signals.terminate.clone())?;
         flag::register(SIGHUP, signals.reload.clone())?;
         pipe::register(SIGTERM, handler.try_clone()?)?;
@@ -55,7 +55,7 @@
         Ok(signals)
     }
 
-    /// Waits for a signal. Several of one kind that come close together count as one.
+    /// Waits for a signal. Several of one kind that arrive close together count as one.
     pub async fn next(&self) -> Received {
         loop {
             if self.terminate.swap(false, Ordering::SeqCst) {
@@ -70,14 +70,14 @@
 
     async fn wait_for_wake_up(&self) {
         if self.wake_ups.readable().await.is_err() {
-            // The marks are still looked at with each turn of the loop.
+            // The flags are still checked in each cycle of the loop.
             std::future::pending::<()>().await;
         }
-        let mut bytes = [0; WAKE_UPS];
+        let mut bytes = [0; MAX_WAKE_UPS];
         while self
             .wake_ups
             .try_read(&mut bytes)
-            .is_err_and(|e| SocketRetry::after(&e) == Some(SocketRetry::Immediately))
+            .is_err_and(|error| SocketRetry::after(&error) == Some(SocketRetry::Immediately))
         {}
     }
 }
--- a/src/net/runtime/startup.rs
+++ b/src/net/runtime/startup.rs
@@ -1,4 +1,4 @@
-//! Everything that is opened and recovered before the loop begins.
+//! Opens and recovers everything before the loop begins.
 
 use crate::config::{Config, EngineWire};
 use crate::core::{Core, Endpoint, Event};
@@ -14,7 +14,7 @@
 use crate::net::hot_restart::{self, HotRestart};
 use crate::net::persistence::{self, Persistence};
 use crate::net::runtime::listeners::bind;
-use crate::net::runtime::{LoopStatistics, Runtime};
+use crate::net::runtime::{LoopStatistics, Runtime, ServeError};
 use crate::net::tasks::{TaskName, Tasks};
 use crate::net::transient_errors;
 use starlingplank_admin::inherited_membership::InheritedMembership;
@@ -40,18 +40,17 @@
     pub gateway: Runtime,
 }
 
-/// Opens everything, recovers what earlier processes of this gateway left, and begins with the first list of engines.
+/// Opens everything, recovers the state of earlier processes of this gateway, and begins with the first endpoint list.
 ///
 /// # Errors
 /// An address cannot be listened at, the settings contradict themselves, or the folder of knowledge is required and
 /// cannot be used.
-pub async fn start(config: Config) -> io::Result<Started> {
+pub async fn start(config: Config) -> Result<Started, ServeError> {
     let limits = Rc::new(config.limits.clone());
     let settings = Rc::new(config.settings.clone());
     let (sender, events) = mpsc::channel(limits.event_queue_capacity);
     let frontend = FrontendState::new(settings, limits.clone(), sender.clone());
-    let core = Core::new(config.settings.clone(), config.limits.clone(), frontend.clock.now());
-    let mut core = core.map_err(io::Error::other)?;
+    let mut core = Core::new(config.settings.clone(), config.limits.clone(), frontend.clock.now())?;
     core.count_refusals_in(frontend.shared.rule_counters.clone());
     let persistence = Persistence::open(&config, &mut core, frontend.clock.now(), &sender)?;
     let engines = open_engines(config.engines, limits.clone(), frontend.shared.clone(), sender.clone());
@@ -64,7 +63,7 @@
     let mut hot_restart = None;
     if let Some(at) = config.operator {
         listen_to_operators(at, &config.name, &frontend, call_sender, callers.clone(), &tasks).await?;
-        hot_restart = open_handover(&config, &frontend).await;
+        hot_restart = open_hot_restart(&config, &frontend).await;
     }
     let mut gateway = Runtime {
         names: watch::Sender::new(config.names),
@@ -108,7 +107,7 @@
     }
 }
 
-/// ListenerGuard at the second address, where operators call.
+/// Listens at the second address, where operators call.
 async fn listen_to_operators(
     at: SocketAddr,
     name: &str,
@@ -124,9 +123,9 @@
     Ok(())
 }
 
-/// Opens the folder that the processes of this gateway share. A disk that takes no writes for a moment is waited for: what
-/// this process sends must be known to the next. Without the folder the gateway serves on its own.
-async fn open_handover(config: &Config, frontend: &FrontendState) -> Option<HotRestart> {
+/// Opens the folder that the processes of this gateway share. A disk that takes no writes is retried for a while: the next
+/// process must know what this one sends. Without the folder the gateway serves on its own.
+async fn open_hot_restart(config: &Config, frontend: &FrontendState) -> Option<HotRestart> {
     let folder = hot_restart::folder(&std::env::temp_dir(), &config.name, config.listen);
     let open = || HotRestart::open(&folder, frontend.clock.now());
     match transient_errors::retry_while(transient_errors::is_of_disk, frontend.limits.disk_retry, open).await
