--- a/src/bin/starlingplank-wirehost.rs
+++ b/src/bin/starlingplank-wirehost.rs
@@ -2,156 +2,209 @@
 #![forbid(unsafe_code)]
 
 use starlingplank::decide::Balancer;
-use starlingplank::interface::{Action, Event, Settings};
-use starlingplank::simulator::{self, Entry, Front, Line, Registry};
+use starlingplank::interface::{Action, Event, Milliseconds, Settings};
+use starlingplank::simulator::{self, Entry, GatewayId, Line, LineError, Registry};
+use std::any::Any;
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::process::ExitCode;
+use thiserror::Error;
 
+/// Why the input cannot be handled further.
+#[derive(Debug, Error)]
+enum HostError {
+    /// The input cannot be read.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// A line is invalid.
+    #[error(transparent)]
+    Line(#[from] LineError),
+    /// A list is incomplete.
+    #[error("list {bank}: {missing} more ENTRY lines are due")]
+    ListIncomplete { bank: u8, missing: usize },
+    /// A line is not in a turn.
+    #[error("a line outside a turn")]
+    OutsideTurn,
+    /// A turn begins in another one.
+    #[error("TURN: the turn before was never closed")]
+    TurnOpen,
+    /// An entry is not in a list.
+    #[error("ENTRY: no PAGE is open")]
+    NoListOpen,
+    /// The list of that number is not defined.
+    #[error("REGISTRY: bank={0} was never defined")]
+    UnknownList(u8),
+    /// The gateway is not running.
+    #[error("front_id={0} was not provisioned")]
+    UnknownGateway(GatewayId),
+}
+
+/// A gateway.
 struct Instance {
     settings: Settings,
-    gateway: Option<Balancer>,
+    /// Its decision module; none after a failure.
+    balancer: Option<Balancer>,
+    /// Events of the open turn.
     events: Vec<Event>,
-    bail: Option<String>,
+    /// Why its settings cannot be used, until that is reported.
+    failure: Option<String>,
+}
+
+impl Instance {
+    fn start(settings: Settings, now: Milliseconds) -> Self {
+        let (balancer, failure) = match Balancer::new(settings.clone(), now) {
+            Ok(balancer) => (Some(balancer), None),
+            Err(error) => (None, Some(error.to_string())),
+        };
+        Self { settings, balancer, events: Vec::new(), failure }
+    }
+
+    /// Runs a decision cycle over the events of the turn, and writes its actions.
+    fn run_turn(&mut self, id: &GatewayId, now: Milliseconds, actions: &mut Vec<Action>, out: &mut String) {
+        let events = std::mem::take(&mut self.events);
+        if let Some(reason) = self.failure.take() {
+            simulator::write_bail_out(out, id, &reason);
+        }
+        let Some(balancer) = self.balancer.as_mut().filter(|_| !events.is_empty()) else { return };
+        actions.clear();
+        let run = AssertUnwindSafe(|| balancer.turn(now, &events, actions));
+        if let Err(panic) = catch_unwind(run) {
+            self.balancer = None;
+            return simulator::write_bail_out(out, id, &panic_message(&*panic));
+        }
+        for action in actions.iter() {
+            simulator::write_action(out, id, action);
+        }
+    }
+}
+
+fn panic_message(panic: &(dyn Any + Send)) -> String {
+    let owned = panic.downcast_ref::<String>().cloned();
+    let borrowed = || panic.downcast_ref::<&str>().map(|text| (*text).to_owned());
+    owned.or_else(borrowed).unwrap_or_else(|| "panic".to_owned())
+}
+
+/// The turn that is open.
+#[derive(Clone, Copy)]
+struct Turn {
+    now: Milliseconds,
+    number: u64,
 }
 
+/// The list whose entries are being read.
+#[derive(Clone, Copy)]
+struct OpenList {
+    bank: u8,
+    /// Entries that are still to come.
+    missing: usize,
+}
+
+/// All gateways, and what was read of the open turn.
 #[derive(Default)]
 struct Host {
-    instances: BTreeMap<Front, Instance>,
-    pages: BTreeMap<u8, Vec<Entry>>,
-    open_page: Option<(u8, usize)>,
-    turn: Option<(f64, u64)>,
+    instances: BTreeMap<GatewayId, Instance>,
+    lists: BTreeMap<u8, Vec<Entry>>,
+    open_list: Option<OpenList>,
+    turn: Option<Turn>,
 }
 
 impl Host {
-    /// Takes one line; returns the reply when it closes a turn.
-    fn line(&mut self, text: &str) -> Result<Option<String>, String> {
-        let line = simulator::parse(text).map_err(|e| e.to_string())?;
-        if let Some((bank, left)) = self.open_page {
-            let Line::Entry(entry) = line else {
-                return Err(format!("list {bank}: {left} more ENTRY lines are due"));
-            };
-            self.pages.entry(bank).or_default().push(entry);
-            self.open_page = (left > 1).then(|| (bank, left - 1));
+    /// Handles one line; returns the reply when it ends a turn.
+    fn handle_line(&mut self, text: &str) -> Result<Option<String>, HostError> {
+        let line = simulator::parse(text)?;
+        if let Some(open_list) = self.open_list {
+            self.add_entry(open_list, line)?;
             return Ok(None);
         }
-        let Some((wall, turn)) = self.turn else {
-            return match line {
-                Line::Turn { wall, turn } => {
-                    self.turn = Some((wall, turn));
-                    Ok(None)
-                }
-                _ => Err("a line outside a turn".to_owned()),
-            };
+        let Some(turn) = self.turn else {
+            let Line::Turn { wall, turn } = line else { return Err(HostError::OutsideTurn) };
+            self.turn = Some(Turn { now: wall, number: turn });
+            return Ok(None);
         };
         match line {
-            Line::Turn { .. } => return Err("TURN: the turn before was never closed".to_owned()),
-            Line::Entry(_) => return Err("ENTRY: no PAGE is open".to_owned()),
+            Line::Turn { .. } => return Err(HostError::TurnOpen),
+            Line::Entry(_) => return Err(HostError::NoListOpen),
             Line::YourTurn => {
                 self.turn = None;
-                return Ok(Some(self.reply(wall, turn)));
+                return Ok(Some(self.reply(turn)));
             }
             Line::Page { bank, entries } => {
-                self.pages.insert(bank, Vec::new());
-                self.open_page = (entries > 0).then_some((bank, entries));
-            }
-            Line::PowerOff(front) => {
-                self.instances.remove(&front);
+                self.lists.insert(bank, Vec::new());
+                self.open_list = (entries > 0).then_some(OpenList { bank, missing: entries });
             }
-            Line::Provision(front, settings) => {
-                let (gateway, bail) = match Balancer::new((*settings).clone(), wall) {
-                    Ok(gateway) => (Some(gateway), None),
-                    Err(e) => (None, Some(e.to_string())),
-                };
-                let events = Vec::new();
-                let settings = *settings;
-                let instance = Instance { settings, gateway, events, bail };
-                self.instances.insert(front, instance);
+            Line::PowerOff(id) => drop(self.instances.remove(&id)),
+            Line::Provision(id, settings) => {
+                self.instances.insert(id, Instance::start(*settings, turn.now));
             }
-            Line::Registry(front, news) => {
-                let instance = known(&mut self.instances, &front)?;
-                let event = match news {
-                    Registry::Failed => Event::ListFailed,
-                    Registry::List { bank, whole: complete } => {
-                        let page = self.pages.get(&bank);
-                        let page = page.ok_or(format!("REGISTRY: bank={bank} was never defined"))?;
-                        let to_member = |e| simulator::member(e, &instance.settings);
-                        let members = page.iter().map(to_member).collect();
-                        Event::Members { complete, members }
-                    }
-                };
-                instance.events.push(event);
-            }
-            Line::Event(front, fields) => {
-                let instance = known(&mut self.instances, &front)?;
-                let event = simulator::event(&fields, &instance.settings).map_err(|e| e.to_string())?;
-                instance.events.push(event);
+            Line::Registry(id, registry) => self.add_registry_event(&id, registry)?,
+            Line::Event(id, fields) => {
+                let instance = find(&mut self.instances, &id)?;
+                instance.events.push(simulator::event(&fields, &instance.settings)?);
             }
         }
         Ok(None)
     }
 
-    fn reply(&mut self, wall: f64, turn: u64) -> String {
+    fn add_entry(&mut self, open_list: OpenList, line: Line) -> Result<(), HostError> {
+        let OpenList { bank, missing } = open_list;
+        let Line::Entry(entry) = line else { return Err(HostError::ListIncomplete { bank, missing }) };
+        self.lists.entry(bank).or_default().push(entry);
+        self.open_list = (missing > 1).then(|| OpenList { bank, missing: missing - 1 });
+        Ok(())
+    }
+
+    fn add_registry_event(&mut self, id: &GatewayId, registry: Registry) -> Result<(), HostError> {
+        let instance = find(&mut self.instances, id)?;
+        let event = match registry {
+            Registry::Failed => Event::ListFailed,
+            Registry::List { bank, complete } => {
+                let list = self.lists.get(&bank).ok_or(HostError::UnknownList(bank))?;
+                let to_member = |entry| simulator::member(entry, &instance.settings);
+                Event::Members { complete, members: list.iter().map(to_member).collect() }
+            }
+        };
+        instance.events.push(event);
+        Ok(())
+    }
+
+    /// Runs a decision cycle of each gateway that has events.
+    fn reply(&mut self, turn: Turn) -> String {
         let mut out = String::new();
         let mut actions: Vec<Action> = Vec::new();
-        for (front, instance) in &mut self.instances {
-            let events = std::mem::take(&mut instance.events);
-            if let Some(text) = instance.bail.take() {
-                simulator::write_bail_out(&mut out, front, &text);
-            }
-            let Some(gateway) = instance.gateway.as_mut().filter(|_| !events.is_empty()) else {
-                continue;
-            };
-            actions.clear();
-            let run = AssertUnwindSafe(|| gateway.turn(wall, &events, &mut actions));
-            if let Err(panic) = catch_unwind(run) {
-                let text = panic
-                    .downcast_ref::<String>()
-                    .cloned()
-                    .or_else(|| panic.downcast_ref::<&str>().map(|s| (*s).to_owned()))
-                    .unwrap_or_else(|| "panic".to_owned());
-                instance.gateway = None;
-                simulator::write_bail_out(&mut out, front, &text);
-                continue;
-            }
-            for action in &actions {
-                simulator::write(&mut out, front, action);
-            }
+        for (id, instance) in &mut self.instances {
+            instance.run_turn(id, turn.now, &mut actions, &mut out);
         }
-        simulator::write_yield(&mut out, turn);
+        simulator::write_yield(&mut out, turn.number);
         out
     }
 }
 
-fn known<'a>(
-    instances: &'a mut BTreeMap<Front, Instance>,
-    front: &Front,
-) -> Result<&'a mut Instance, String> {
-    let missing = || format!("front_id={front} was not provisioned");
-    instances.get_mut(front).ok_or_else(missing)
+fn find<'a>(
+    instances: &'a mut BTreeMap<GatewayId, Instance>,
+    id: &GatewayId,
+) -> Result<&'a mut Instance, HostError> {
+    instances.get_mut(id).ok_or_else(|| HostError::UnknownGateway(id.clone()))
 }
 
 fn main() -> ExitCode {
     let mut host = Host::default();
     let mut out = io::stdout().lock();
-    for (number, line) in io::stdin().lock().lines().enumerate() {
-        let taken = line.map_err(|e| e.to_string()).and_then(|text| {
-            if text.is_empty() {
-                Ok(None)
-            } else {
-                host.line(&text)
-            }
+    for (index, line) in io::stdin().lock().lines().enumerate() {
+        let handled = line.map_err(HostError::from).and_then(|text| match text.as_str() {
+            "" => Ok(None),
+            text => host.handle_line(text),
         });
-        match taken {
+        match handled {
             Ok(None) => {}
             Ok(Some(reply)) => {
+                // Whoever reads the replies has ended.
                 if out.write_all(reply.as_bytes()).and_then(|()| out.flush()).is_err() {
                     return ExitCode::SUCCESS;
                 }
             }
-            Err(why) => {
-                eprintln!("line {}: {why}", number + 1);
+            Err(error) => {
+                eprintln!("line {}: {error}", index + 1);
                 return ExitCode::FAILURE;
             }
         }
--- /dev/null
+++ b/src/simulator/encode.rs
@@ -0,0 +1,46 @@
+//! Writes lines of output.
+
+use crate::interface::Action;
+use std::fmt::Write as _;
+
+/// Writes an action of a gateway as a line.
+pub fn write_action(out: &mut String, gateway: &str, action: &Action) {
+    let written = match action {
+        Action::Send { id, engine, timeout } => writeln!(
+            out,
+            "ASSIGN\tfront_id={gateway}\tticket={}\ttry_for={timeout:.3}\tengine={}",
+            id.0, engine.0
+        ),
+        Action::Reject { id, retry_after, .. } => {
+            writeln!(out, "OVERLOAD_REPLY\tfront_id={gateway}\tticket={}\tretry_in={retry_after:.3}", id.0)
+        }
+        Action::Fail { id } => writeln!(out, "ABORT\tfront_id={gateway}\tticket={}", id.0),
+        Action::Cancel { id, attempt } => {
+            writeln!(out, "RETRACT\tfront_id={gateway}\tticket={}\tsend_no={attempt}", id.0)
+        }
+        Action::Terms { id, memory_mb, priority } => writeln!(
+            out,
+            "RESOURCES\tfront_id={gateway}\tticket={}\tgrant_mb={memory_mb:.1}\tpriority={priority}",
+            id.0
+        ),
+        Action::Timer { after, token } => {
+            writeln!(out, "TIMER\tfront_id={gateway}\tdelay={after:.3}\tcookie={token}")
+        }
+        Action::Watch => writeln!(out, "SUBSCRIBE\tfront_id={gateway}\ton=1"),
+        Action::CheckHealth { engine } => {
+            writeln!(out, "INSPECT\tfront_id={gateway}\tengine={}", engine.0)
+        }
+    };
+    debug_assert!(written.is_ok(), "writing to a string cannot fail");
+}
+
+/// Writes that the decision module of a gateway failed.
+pub fn write_bail_out(out: &mut String, gateway: &str, reason: &str) {
+    let reason = reason.replace(['\t', '\n', '\r'], " ");
+    out.push_str(&format!("BAIL_OUT\tfront_id={gateway}\tmsg={reason}\n"));
+}
+
+/// Writes the end of a reply.
+pub fn write_yield(out: &mut String, turn: u64) {
+    out.push_str(&format!("YIELD\tturn={turn}\n"));
+}
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -198,7 +198,7 @@
         (Action::CheckHealth { engine }, "INSPECT\tfront_id=f\tengine=e:1\n"),
     ] {
         let mut out = String::new();
-        simulator::write(&mut out, "f", &action);
+        simulator::write_action(&mut out, "f", &action);
         assert_eq!(out, line);
     }
 }
