--- a/src/config/consistency.rs
+++ b/src/config/consistency.rs
@@ -35,7 +35,7 @@
     let classes = fields.number_or("classes.count", 0.0)? as usize;
     check_lists(fields, classes)?;
     check_names(fields, classes)?;
-    check_figures(fields)?;
+    check_numbers(fields)?;
     check_retry_budget(fields)?;
     for index in 0..classes {
         check_class(fields, &|key| format!("classes.{index}.{key}"))?;
@@ -83,7 +83,7 @@
     }
 }
 
-fn check_figures(fields: &Fields) -> Result<(), LineError> {
+fn check_numbers(fields: &Fields) -> Result<(), LineError> {
     for key in NOT_NEGATIVE {
         if fields.number_or(key, 0.0)? < 0.0 {
             return Err(fields.bad(key, "must not be below 0"));
--- a/src/config/operator/settings.rs
+++ b/src/config/operator/settings.rs
@@ -8,7 +8,7 @@
 type Pairs = BTreeMap<String, String>;
 
 /// Blocks that become lists of their own, and no settings under paths.
-const LISTED_BLOCKS: [&str; 2] = ["engine", "kind"];
+const LIST_BLOCKS: [&str; 2] = ["engine", "kind"];
 /// Values of `repeat` and the settings that they become.
 const IDEMPOTENCIES: [(&str, &str); 3] =
     [("safe", "idempotent"), ("keyed", "deduplicated"), ("unsafe", "at_most_once")];
@@ -32,7 +32,7 @@
 /// Adds the settings of all blocks under their paths; repeatable blocks are counted and numbered.
 fn flatten(path: &str, parent: &CheckedBlock, pairs: &mut Pairs) {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
-    for (schema, block) in parent.blocks.iter().filter(|(schema, _)| !LISTED_BLOCKS.contains(&schema.name)) {
+    for (schema, block) in parent.blocks.iter().filter(|(schema, _)| !LIST_BLOCKS.contains(&schema.name)) {
         let mut prefix =
             if path.is_empty() { schema.setting.to_owned() } else { format!("{path}.{}", schema.setting) };
         if schema.repeatable {
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,26 +1,29 @@
-//! The clock of a gateway.
+//! The clock of a gateway: Unix time that is never stepped.
 
 use crate::interface::Milliseconds;
-use std::time::{SystemTime, UNIX_EPOCH};
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The system's Unix clock at the start, carried on by a clock that never jumps.
+/// Unix time as the system's clock had it at the start, advanced by the monotonic clock.
 #[derive(Debug, Clone, Copy)]
-pub struct Clock(Milliseconds, std::time::Instant);
+pub struct Clock {
+    started_at: Milliseconds,
+    started: Instant,
+}
 
 impl Clock {
-    /// Set from the system's clock.
+    /// A clock that is set from the system's clock.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self(unix.as_secs_f64() * 1000.0, std::time::Instant::now())
+        Self { started_at: unix.as_secs_f64() * 1000.0, started: Instant::now() }
     }
 
-    /// Unix milliseconds.
+    /// The current time in Unix milliseconds.
     pub fn now(&self) -> Milliseconds {
-        self.0 + self.1.elapsed().as_secs_f64() * 1000.0
+        self.started_at + self.started.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// The instant of a time.
-    pub fn instant(&self, at: Milliseconds) -> std::time::Instant {
-        self.1 + std::time::Duration::from_secs_f64(((at - self.0) / 1000.0).max(0.0))
+    /// The instant of a time in Unix milliseconds; the start for times before it.
+    pub fn instant(&self, time: Milliseconds) -> Instant {
+        self.started + Duration::from_secs_f64(((time - self.started_at) / 1000.0).max(0.0))
     }
 }
--- a/src/net/engine/clickhouse/response.rs
+++ b/src/net/engine/clickhouse/response.rs
@@ -44,7 +44,7 @@
             status,
             headers: passed_on.map(|(name, value)| ((*name).to_owned(), (*value).to_owned())).collect(),
             length: head.body(Length::Stream).ok_or(ConnectionFailed)?,
-            keep_alive: head.keeps(head.first),
+            keep_alive: head.keeps_alive(head.first),
         })
     }
 }
--- a/src/net/front/clickhouse/request.rs
+++ b/src/net/front/clickhouse/request.rs
@@ -47,7 +47,7 @@
             method: head.first.to_owned(),
             path,
             params,
-            keep_alive: head.keeps(head.third),
+            keep_alive: head.keeps_alive(head.third),
             may_stream: head.third != "HTTP/1.0",
             body: Vec::new(),
         }
--- a/src/net/front/state.rs
+++ b/src/net/front/state.rs
@@ -169,7 +169,7 @@
     /// process was paused, or while the connection waited to be accepted.
     pub fn arrival_time(&self, connection: &ClientConnection) -> Milliseconds {
         let now = Instant::now();
-        let arrived = self.pauses.arrived(now).min(connection.earliest_arrival().unwrap_or(now));
+        let arrived = self.pauses.earliest_arrival(now).min(connection.earliest_arrival().unwrap_or(now));
         let age = now.saturating_duration_since(arrived);
         self.clock.now() - age.as_secs_f64() * 1000.0
     }
--- a/src/net/front/thrift/call.rs
+++ b/src/net/front/thrift/call.rs
@@ -7,7 +7,7 @@
 use thiserror::Error;
 
 /// No time, work or memory is more: weeks in milliseconds, petabytes in megabytes.
-const MAX_FIGURE: f64 = 1e10;
+const MAX_NUMBER: f64 = 1e10;
 /// The one value of `second` that marks a client's retry.
 const RETRY_MARK: &str = "1";
 /// Longest name or key, in bytes.
@@ -21,9 +21,9 @@
 /// Why a call cannot become a request. The texts are sent to the client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub(super) enum InvalidCall {
-    /// A figure is not a number, or out of range. What the request would do is not what was meant.
+    /// A number cannot be read or is out of range: the request would not do what was meant.
     #[error("a figure cannot be used")]
-    Figure,
+    Number,
     /// The class is missing.
     #[error("verb is missing")]
     ClassMissing,
@@ -50,12 +50,12 @@
     frontend.settings.classes.iter().position(|class| class.name == *verb).map(ClassId)
 }
 
-/// The value of a field that is a figure; none where the field is missing.
-fn figure(fields: &Fields<'_>, name: &str) -> Result<Option<f64>, InvalidCall> {
+/// The value of a field that is a number; none where the field is missing.
+fn number(fields: &Fields<'_>, name: &str) -> Result<Option<f64>, InvalidCall> {
     match fields.get(name).map(|value| value.parse::<f64>()) {
         None => Ok(None),
-        Some(Ok(value)) if (0.0..=MAX_FIGURE).contains(&value) => Ok(Some(value)),
-        Some(_) => Err(InvalidCall::Figure),
+        Some(Ok(value)) if (0.0..=MAX_NUMBER).contains(&value) => Ok(Some(value)),
+        Some(_) => Err(InvalidCall::Number),
     }
 }
 
@@ -81,7 +81,7 @@
     if !is_plain(name) || is_keyed && !key.is_some_and(is_plain) {
         return Err(InvalidCall::NameOrKey);
     }
-    let limit = figure(fields, "limit")?.ok_or(InvalidCall::LimitMissing)?;
+    let limit = number(fields, "limit")?.ok_or(InvalidCall::LimitMissing)?;
     if limit > MAX_LIMIT_IN_TIMEOUTS * class.client_timeout {
         return Err(InvalidCall::LimitTooLong);
     }
@@ -90,8 +90,8 @@
         tenant: tenant_of(fields, frontend),
         arrived,
         limit,
-        work: figure(fields, "cpu")?,
-        memory_mb: figure(fields, "mem")?,
+        work: number(fields, "cpu")?,
+        memory_mb: number(fields, "mem")?,
         // Any other value is ignored: the mark is a hint, and the request is valid without it.
         is_retry: fields.get("second").is_some_and(|mark| *mark == RETRY_MARK),
         statement: Statement {
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 messages: heads read in place, bodies by length, in chunks or up to the end of the stream.
+//! HTTP/1.1 messages: heads are read in place, bodies by length, in chunks or up to the end of the stream.
 
 use winnow::ascii::{digit1, hex_uint};
 use winnow::combinator::{opt, preceded, repeat, terminated};
@@ -7,8 +7,8 @@
 use winnow::token::{take, take_till, take_while};
 use winnow::Partial;
 
-type In<'a> = Partial<&'a [u8]>;
-type Res<T> = Result<T, ErrMode<EmptyError>>;
+type Input<'a> = Partial<&'a [u8]>;
+type ParseResult<T> = Result<T, ErrMode<EmptyError>>;
 
 /// The head of a request or a response, still in the buffer.
 #[derive(Debug, PartialEq)]
@@ -19,18 +19,18 @@
     pub second: &'a str,
     /// The version of a request, or the reason of a response.
     pub third: &'a str,
-    /// Names and values, as written.
+    /// Names and values, as they were sent.
     pub headers: Vec<(&'a str, &'a str)>,
 }
 
-/// What reading the start of a buffer brought.
+/// The result of reading the start of a buffer.
 #[derive(Debug, PartialEq)]
 pub enum Read<T> {
-    /// The thing, and the bytes that it took.
+    /// What was read, and its length in bytes.
     Done(T, usize),
-    /// Not all of it is there.
+    /// It is incomplete.
     More,
-    /// This is none.
+    /// It is malformed.
     Bad,
 }
 
@@ -38,31 +38,31 @@
     std::str::from_utf8(bytes).ok()
 }
 
-fn eol(i: &mut In<'_>) -> Res<()> {
-    (opt(b'\r'), b'\n').void().parse_next(i)
+fn end_of_line(input: &mut Input<'_>) -> ParseResult<()> {
+    (opt(b'\r'), b'\n').void().parse_next(input)
 }
 
-fn header<'a>(i: &mut In<'a>) -> Res<(&'a str, &'a str)> {
+fn header<'a>(input: &mut Input<'a>) -> ParseResult<(&'a str, &'a str)> {
     let token = |b: u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b);
-    let name = terminated(take_while(1.., token).verify_map(text), b':').parse_next(i)?;
-    let value = terminated(take_till(0.., (b'\r', b'\n')).verify_map(text), eol).parse_next(i)?;
+    let name = terminated(take_while(1.., token).verify_map(text), b':').parse_next(input)?;
+    let value = terminated(take_till(0.., (b'\r', b'\n')).verify_map(text), end_of_line).parse_next(input)?;
     Ok((name, value.trim()))
 }
 
-fn head<'a>(i: &mut In<'a>) -> Res<Head<'a>> {
-    let word = |i: &mut In<'a>| {
-        terminated(take_till(1.., (b' ', b'\r', b'\n')), b' ').verify_map(text).parse_next(i)
+fn head<'a>(input: &mut Input<'a>) -> ParseResult<Head<'a>> {
+    let word = |input: &mut Input<'a>| {
+        terminated(take_till(1.., (b' ', b'\r', b'\n')), b' ').verify_map(text).parse_next(input)
     };
-    let (first, second) = (word, word).parse_next(i)?;
-    let third = terminated(take_till(0.., (b'\r', b'\n')).verify_map(text), eol).parse_next(i)?;
-    let headers = terminated(repeat(0.., header), eol).parse_next(i)?;
+    let (first, second) = (word, word).parse_next(input)?;
+    let third = terminated(take_till(0.., (b'\r', b'\n')).verify_map(text), end_of_line).parse_next(input)?;
+    let headers = terminated(repeat(0.., header), end_of_line).parse_next(input)?;
     Ok(Head { first, second, third, headers })
 }
 
-fn read<'a, T>(bytes: &'a [u8], parser: impl FnOnce(&mut In<'a>) -> Res<T>) -> Read<T> {
-    let mut i = Partial::new(bytes);
-    match parser(&mut i) {
-        Ok(done) => Read::Done(done, bytes.len() - i.len()),
+fn read<'a, T>(bytes: &'a [u8], parser: impl FnOnce(&mut Input<'a>) -> ParseResult<T>) -> Read<T> {
+    let mut input = Partial::new(bytes);
+    match parser(&mut input) {
+        Ok(done) => Read::Done(done, bytes.len() - input.len()),
         Err(ErrMode::Incomplete(_)) => Read::More,
         Err(_) => Read::Bad,
     }
@@ -76,31 +76,33 @@
 impl<'a> Head<'a> {
     /// The value of a header.
     pub fn header(&self, name: &str) -> Option<&'a str> {
-        self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| *v)
+        self.headers.iter().find(|(known, _)| known.eq_ignore_ascii_case(name)).map(|(_, value)| *value)
     }
 
-    fn lists(&self, name: &str, word: &str) -> bool {
-        self.header(name).is_some_and(|v| v.split(',').any(|w| w.trim().eq_ignore_ascii_case(word)))
+    /// Whether a header that is a list has an item.
+    fn lists(&self, name: &str, item: &str) -> bool {
+        let is_item = |listed: &str| listed.trim().eq_ignore_ascii_case(item);
+        self.header(name).is_some_and(|value| value.split(',').any(is_item))
     }
 
     /// Whether the connection may be used again after this message of that version.
-    pub fn keeps(&self, version: &str) -> bool {
+    pub fn keeps_alive(&self, version: &str) -> bool {
         !self.lists("connection", "close")
             && (version != "HTTP/1.0" || self.lists("connection", "keep-alive"))
     }
 
-    /// How the body ends; none where what is said of it contradicts itself.
-    pub fn body(&self, without: Length) -> Option<Length> {
+    /// How the body ends, `default` without a header for it; none where the headers contradict each other.
+    pub fn body(&self, default: Length) -> Option<Length> {
         let lengths: Vec<_> =
-            self.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case("content-length")).collect();
+            self.headers.iter().filter(|(name, _)| name.eq_ignore_ascii_case("content-length")).collect();
         if self.header("transfer-encoding").is_some() {
-            // Both at once is how requests are smuggled past a gateway.
+            // Both at once could smuggle a request past a gateway.
             return (self.lists("transfer-encoding", "chunked") && lengths.is_empty())
                 .then_some(Length::Chunked);
         }
         match lengths.as_slice() {
-            [] => Some(without),
-            [(_, length)] if length.bytes().all(|b| b.is_ascii_digit()) => {
+            [] => Some(default),
+            [(_, length)] if length.bytes().all(|byte| byte.is_ascii_digit()) => {
                 length.parse().ok().map(Length::Bytes)
             }
             _ => None,
@@ -121,32 +123,32 @@
 
 /// One chunk of a body; an empty one is its end.
 pub fn read_chunk(bytes: &[u8], limit: usize) -> Read<&[u8]> {
-    read(bytes, |i| {
-        let size: u32 = hex_uint.parse_next(i)?;
-        (take_till(0.., (b'\r', b'\n')), eol).void().parse_next(i)?;
+    read(bytes, |input| {
+        let size: u32 = hex_uint.parse_next(input)?;
+        (take_till(0.., (b'\r', b'\n')), end_of_line).void().parse_next(input)?;
         if size as usize > limit {
             return Err(ErrMode::Backtrack(EmptyError));
         }
         if size == 0 {
-            let _: Vec<_> = terminated(repeat(0.., header), eol).parse_next(i)?;
+            let _: Vec<_> = terminated(repeat(0.., header), end_of_line).parse_next(input)?;
             return Ok(&[][..]);
         }
-        terminated(take(size as usize), eol).parse_next(i)
+        terminated(take(size as usize), end_of_line).parse_next(input)
     })
 }
 
 /// The status code of a response.
 pub fn status(head: &Head<'_>) -> Option<u16> {
     let code: Result<&str, EmptyError> = digit1.parse_next(&mut { head.second });
-    code.ok().filter(|_| head.first.starts_with("HTTP/1.")).and_then(|c| c.parse().ok())
+    code.ok().filter(|_| head.first.starts_with("HTTP/1.")).and_then(|code| code.parse().ok())
 }
 
 /// Undoes percent-encoding; `+` is a space.
 pub fn decode(encoded: &str) -> String {
-    fn byte(i: &mut &[u8]) -> Result<u8, EmptyError> {
+    fn byte(input: &mut &[u8]) -> Result<u8, EmptyError> {
         let digits =
             preceded(b'%', take(2usize)).verify_map(|d: &[u8]| u8::from_str_radix(text(d)?, 16).ok());
-        winnow::combinator::alt((digits, b'+'.value(b' '), winnow::token::any)).parse_next(i)
+        winnow::combinator::alt((digits, b'+'.value(b' '), winnow::token::any)).parse_next(input)
     }
     let all: Result<Vec<u8>, EmptyError> = repeat(0.., byte).parse_next(&mut encoded.as_bytes());
     String::from_utf8_lossy(&all.unwrap_or_default()).into_owned()
@@ -155,11 +157,11 @@
 /// The path and the parameters of a target.
 pub fn target(target: &str) -> (String, Vec<(String, String)>) {
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
-    let pair = |p: &str| {
-        let (name, value) = p.split_once('=').unwrap_or((p, ""));
+    let pair = |text: &str| {
+        let (name, value) = text.split_once('=').unwrap_or((text, ""));
         (decode(name), decode(value))
     };
-    (decode(path), query.split('&').filter(|p| !p.is_empty()).map(pair).collect())
+    (decode(path), query.split('&').filter(|text| !text.is_empty()).map(pair).collect())
 }
 
 /// Percent-encodes a value.
--- a/src/net/log.rs
+++ b/src/net/log.rs
@@ -1,6 +1,6 @@
-//! The log: lines through `tracing`, warnings and errors to standard error, the rest to standard output. What others
-//! do wrong is counted: however often they do it, the lines about it stay few. A line that cannot be written, as on a full
-//! disk, is counted and lost; nothing waits for it or fails with it.
+//! The log: lines through `tracing`, warnings and errors to standard error, the rest to standard output. Lines about
+//! faults of peers are limited in rate: what is left out is counted. A line that cannot be written, as on a full disk, is
+//! counted and lost; nothing waits for it or fails with it.
 
 use crate::config::LogSettings;
 use std::cell::{Cell, RefCell};
@@ -12,8 +12,8 @@
 use tracing::Level;
 use tracing_subscriber::fmt::writer::MakeWriterExt;
 
-/// Between two lines that say the same of what others do wrong.
-const GAP: Duration = Duration::from_secs(1);
+/// Shortest time between two lines of the same text, where their rate is limited.
+const MIN_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Lines that could not be written since the start.
 static LOST_LINES: AtomicU64 = AtomicU64::new(0);
@@ -35,7 +35,7 @@
     }
 }
 
-/// Starts the log in the form that the settings ask for. Further calls change nothing.
+/// Starts the log in the form of the settings. Further calls change nothing.
 pub fn start(settings: &LogSettings) {
     let errors = || LossyWriter(io::stderr());
     let writer = errors.with_max_level(Level::WARN).or_else(|| LossyWriter(io::stdout()));
@@ -56,24 +56,24 @@
     LOST_LINES.load(Ordering::Relaxed)
 }
 
-/// Tells of lines that were lost since this was last told. What cannot be written now is told later.
+/// Logs how many lines were lost, if there are more than at the last report. What cannot be written now is reported later.
 pub fn report_lost_lines() {
     const WHAT: &str = "lines of the log could not be written";
     let lost = lost_lines();
-    if lost > REPORTED.get() && is_due(WHAT).is_some() {
-        REPORTED.set(lost);
+    if lost > REPORTED_LOST_LINES.get() && is_due(WHAT).is_some() {
+        REPORTED_LOST_LINES.set(lost);
         tracing::warn!(lost, "{lost} {WHAT} since the start");
     }
 }
 
 thread_local! {
-    /// Lost lines that were told of.
-    static REPORTED: Cell<u64> = const { Cell::new(0) };
-    /// By what is said: when it was last said, and how often it has been left unsaid since.
-    static SAID: RefCell<BTreeMap<&'static str, (Instant, u64)>> = const { RefCell::new(BTreeMap::new()) };
+    /// Lost lines at the last report.
+    static REPORTED_LOST_LINES: Cell<u64> = const { Cell::new(0) };
+    /// Lines whose rate is limited, by their texts.
+    static LIMITED_LINES: RefCell<BTreeMap<&'static str, LimitedLine>> = const { RefCell::new(BTreeMap::new()) };
 }
 
-/// Says something once in a while; between two such lines it is counted alone.
+/// Logs a warning at a limited rate; what is left out is counted.
 pub fn seldom(what: &'static str) {
     if let Some(more) = is_due(what) {
         match more {
@@ -83,7 +83,7 @@
     }
 }
 
-/// Tells an error once in a while, with its cause; between two such lines it is counted alone.
+/// Logs an error with its cause at a limited rate; what is left out is counted.
 pub fn seldom_error(what: &'static str, cause: impl Display) {
     if let Some(more) = is_due(what) {
         match more {
@@ -93,17 +93,24 @@
     }
 }
 
-/// Whether a line of this text is due, and how many were left out since the last one.
+/// A line whose rate is limited.
+struct LimitedLine {
+    last_written: Instant,
+    /// How often it was left out since.
+    left_out: u64,
+}
+
+/// Whether a line of this text is due; if so, how many were left out since the last one.
 fn is_due(what: &'static str) -> Option<u64> {
-    SAID.with_borrow_mut(|said| match said.get_mut(what) {
-        Some((at, more)) if at.elapsed() < GAP => {
-            *more += 1;
+    LIMITED_LINES.with_borrow_mut(|lines| match lines.get_mut(what) {
+        Some(line) if line.last_written.elapsed() < MIN_INTERVAL => {
+            line.left_out += 1;
             None
         }
-        before => {
-            let more = before.map_or(0, |(_, more)| *more);
-            said.insert(what, (Instant::now(), 0));
-            Some(more)
+        previous => {
+            let left_out = previous.map_or(0, |line| line.left_out);
+            lines.insert(what, LimitedLine { last_written: Instant::now(), left_out: 0 });
+            Some(left_out)
         }
     })
 }
--- a/src/net/pause/tests.rs
+++ b/src/net/pause/tests.rs
@@ -8,20 +8,20 @@
 fn what_is_read_while_the_process_runs_has_just_arrived() {
     let start = Instant::now();
     let pauses = PauseDetector::new(start);
-    pauses.alive(after(start, 100));
-    assert_eq!(pauses.arrived(after(start, 200)), after(start, 200));
+    pauses.record_alive(after(start, 100));
+    assert_eq!(pauses.earliest_arrival(after(start, 200)), after(start, 200));
 }
 
 #[test]
 fn what_is_read_right_after_a_pause_is_as_old_as_the_pause() {
     let start = Instant::now();
     let pauses = PauseDetector::new(start);
-    pauses.alive(after(start, 50));
+    pauses.record_alive(after(start, 50));
     // Whether the loop or a connection notices it first.
-    pauses.alive(after(start, 1_050));
-    assert_eq!(pauses.arrived(after(start, 1_060)), after(start, 50));
-    assert_eq!(pauses.arrived(after(start, 1_101)), after(start, 1_101));
-    assert_eq!(pauses.arrived(after(start, 3_000)), after(start, 1_101));
+    pauses.record_alive(after(start, 1_050));
+    assert_eq!(pauses.earliest_arrival(after(start, 1_060)), after(start, 50));
+    assert_eq!(pauses.earliest_arrival(after(start, 1_101)), after(start, 1_101));
+    assert_eq!(pauses.earliest_arrival(after(start, 3_000)), after(start, 1_101));
 }
 
 #[test]
--- a/src/net/runtime/listeners.rs
+++ b/src/net/runtime/listeners.rs
@@ -142,7 +142,7 @@
 
     /// When a connection that is accepted now arrived, at the earliest: it may have arrived in a pause of the process.
     fn earliest(&self) -> Instant {
-        self.frontend.pauses.arrived(Instant::now())
+        self.frontend.pauses.earliest_arrival(Instant::now())
     }
 
     async fn accept_one(
--- a/src/net/runtime/mod.rs
+++ b/src/net/runtime/mod.rs
@@ -155,7 +155,7 @@
             }
             let due_at = self.core.next_due();
             let wake = inputs.next(self.wake_by(due_at), self.optional_inputs()).await;
-            self.frontend.pauses.alive(Instant::now());
+            self.frontend.pauses.record_alive(Instant::now());
             if self.reload_is_due() {
                 self.reload(reload());
             }
--- a/src/net/tasks.rs
+++ b/src/net/tasks.rs
@@ -1,36 +1,36 @@
-//! Tasks that the process cannot do without. One that ends by a panic would otherwise be noticed by nobody: the process
-//! would live on without listening, or without a list of engines.
+//! Tasks that the process cannot do without. A panic that ends one is reported; otherwise the process would run on without
+//! listening, or without an endpoint list.
 
 use std::future::Future;
 use tokio::sync::mpsc::{channel, Receiver, Sender};
 
-/// Failures that wait to be handled: the first ends the process, further ones are only logged.
-const WAITING: usize = 8;
+/// Failures that are queued at most: the first ends the process, further ones are only logged.
+const MAX_QUEUED_FAILURES: usize = 8;
 
 /// The name of a task that ended by a panic.
 pub type TaskName = &'static str;
 
-/// Starts tasks, and tells of those that fail.
+/// Starts tasks, and reports those that fail.
 #[derive(Debug, Clone)]
 pub struct Tasks {
     failures: Sender<TaskName>,
 }
 
 impl Tasks {
-    /// Without a task yet; what is received are the names of the tasks that failed.
+    /// No task yet. The receiver gets the names of the tasks that fail.
     pub fn new() -> (Self, Receiver<TaskName>) {
-        let (failures, failed) = channel(WAITING);
+        let (failures, failed) = channel(MAX_QUEUED_FAILURES);
         (Self { failures }, failed)
     }
 
-    /// Starts a task on this thread that the process cannot do without. It may end, but not by a panic.
+    /// Starts a task on this thread. Its end is no failure, unless it is by a panic.
     pub fn spawn(&self, name: TaskName, task: impl Future<Output = ()> + 'static) {
         let failures = self.failures.clone();
         let running = tokio::task::spawn_local(task);
         tokio::task::spawn_local(async move {
-            if running.await.is_err_and(|e| e.is_panic()) {
+            if running.await.is_err_and(|error| error.is_panic()) {
                 tracing::error!("the task {name:?} has failed");
-                // Where the queue is full the process ends already.
+                // If the queue is full, the process is ending already.
                 let _ = failures.try_send(name);
             }
         });
--- a/src/net/transient_errors/tests.rs
+++ b/src/net/transient_errors/tests.rs
@@ -24,7 +24,7 @@
     let waits: Vec<_> = (0..8).map(|_| backoff.wait_to_accept(&errno.into()).as_millis()).collect();
     assert_eq!(waits, [1, 2, 4, 8, 8, 8, 8, 8]);
     backoff.reset();
-    assert_eq!(backoff.wait_to_accept(&errno.into()), FIRST_WAIT);
+    assert_eq!(backoff.wait_to_accept(&errno.into()), MIN_WAIT);
 }
 
 #[rstest]
--- a/src/simulator/settings.rs
+++ b/src/simulator/settings.rs
@@ -151,7 +151,7 @@
     (0..count).map(tenant).collect()
 }
 
-/// The retry budget, if there is one: its span, and at least one of its figures.
+/// The retry budget, if there is one: its span, and at least one of its amounts.
 fn retry_budget(fields: &Fields) -> Result<Option<RetryBudgetSettings>, LineError> {
     if fields.opt("rules.ratio_span").is_none() {
         return Ok(None);
@@ -161,9 +161,9 @@
         per_request: fields.number_or("rules.extra_per_request", 0.0)?,
         span: fields.number("rules.ratio_span")?,
     };
-    let has_figure =
+    let has_amount =
         ["rules.extra_free", "rules.extra_per_request"].iter().any(|field| fields.opt(field).is_some());
-    Ok(Some(budget).filter(|_| has_figure))
+    Ok(Some(budget).filter(|_| has_amount))
 }
 
 fn subscribes_to_endpoints(fields: &Fields) -> Result<bool, LineError> {
