--- /dev/null
+++ b/tests/stand/config.rs
@@ -0,0 +1,55 @@
+//! Settings of the tests, as the platform gives them.
+
+use std::net::SocketAddr;
+
+const SETTINGS: &str = r#"{"balancers":1,"zones":["a"],"locality":"a","skus":["std"],"tick":1.0,
+ "classes":[
+  {"name":"lookup","on_time":500,"give_up":GIVE_UP,"idempotency":"idempotent","worth":1},
+  {"name":"load","on_time":900,"give_up":GIVE_UP,"idempotency":"deduplicated","dedup_scope":"all","window":12000}],
+ "specifics":{"cpu_of_kind":[8],"memory_by_kind_mb":[8192],"width_by_class":[1,2],"is_load":[false,true],
+  "class_waits":[true,false],"grants_count":true,"takes_priority":true,"most_grant":0.4},
+ "limits":{"send_cap":3,"cancelling":true,"retry_after":true,"max_retry_after":1000,"connect_timeout":250},
+ "rules":{"answer_slack":20,"drain_grace":2000,"extra_free":2,"extra_per_request":0.2,"ratio_span":10000}}"#;
+
+/// The settings of the tests, requests given up after that many milliseconds.
+pub fn config(engines: &[SocketAddr], wire: &str, give_up: u32) -> String {
+    let member = |(i, at): (usize, &SocketAddr)| {
+        format!(
+            r#"{{"id":"s-{i}","host_port":"{at}","locality":"a","flavor":"std","cell":0,"phase":"ready","size":1,"up_since_ms":0}}"#
+        )
+    };
+    let members: Vec<_> = engines.iter().enumerate().map(member).collect();
+    format!(
+        r#"{{"name":"n0","listen":"127.0.0.1:0","seed":"7","engines":"{wire}",
+         "clickhouse":{{"listen":"127.0.0.1:0","rules":[{{"class":"load","verbs":["insert"]}},{{"class":"lookup"}}]}},
+         "limits":{{"cores":1.0,"memory_mb":192,"sockets":256}},
+         "known":{{"cursor":1,"cmds":[{{"cursor":1,"nodes":{{"revision":1,"complete":true,"members":[{}]}}}}]}},
+         "settings":{}}}"#,
+        members.join(","),
+        SETTINGS.replace("GIVE_UP", &give_up.to_string())
+    )
+}
+
+/// The text with one part of it changed; that part is there.
+pub fn changed(text: &str, from: &str, to: &str) -> String {
+    assert!(text.contains(from), "{from} is in the text");
+    text.replacen(from, to, 1)
+}
+
+/// The class `load` must not run twice.
+pub fn at_most_once(config: &str) -> String {
+    let keyed = r#""idempotency":"deduplicated","dedup_scope":"all","window":12000"#;
+    changed(config, keyed, r#""idempotency":"at_most_once""#)
+}
+
+/// No request is late before its own limit, so that nothing but what the test does ends an attempt.
+pub fn never_late(config: &str) -> String {
+    let text = changed(config, r#""on_time":500"#, r#""on_time":60000"#);
+    changed(&text, r#""on_time":900"#, r#""on_time":60000"#)
+}
+
+/// No retry budget, and so many attempts for a request at most.
+pub fn without_retry_budget(config: &str, max_attempts: u32) -> String {
+    let text = changed(config, r#","extra_free":2,"extra_per_request":0.2,"ratio_span":10000"#, "");
+    changed(&text, r#""send_cap":3"#, &format!(r#""send_cap":{max_attempts}"#))
+}
--- /dev/null
+++ b/tests/stand/http.rs
@@ -0,0 +1,60 @@
+//! HTTP messages, as clients and engines write and read them.
+
+use std::collections::BTreeMap;
+use std::io::{BufRead, BufReader, Write};
+use std::net::TcpStream;
+
+/// Head lines and body of an HTTP message; a body cut short ends where the stream does.
+pub fn web_message(reader: &mut impl BufRead) -> Option<(Vec<String>, String)> {
+    let mut head: Vec<String> = Vec::new();
+    loop {
+        let mut line = String::new();
+        reader.read_line(&mut line).ok().filter(|n| *n > 0)?;
+        match line.trim_end() {
+            "" => break,
+            line => head.push(line.to_owned()),
+        }
+    }
+    let headers: BTreeMap<String, String> = head[1..]
+        .iter()
+        .filter_map(|l| l.split_once(": "))
+        .map(|(n, v)| (n.to_lowercase(), v.to_owned()))
+        .collect();
+    let mut body = Vec::new();
+    if let Some(length) = headers.get("content-length") {
+        body = vec![0; length.parse().ok()?];
+        reader.read_exact(&mut body).ok()?;
+    } else if headers.contains_key("transfer-encoding") {
+        loop {
+            let mut line = String::new();
+            if reader.read_line(&mut line).unwrap_or(0) == 0 {
+                body.extend(b"<cut>");
+                break;
+            }
+            let size = usize::from_str_radix(line.trim(), 16).ok()?;
+            let mut chunk = vec![0; size + 2];
+            if reader.read_exact(&mut chunk).is_err() {
+                body.extend(b"<cut>");
+                break;
+            }
+            if size == 0 {
+                break;
+            }
+            body.extend(&chunk[..size]);
+        }
+    }
+    Some((head, String::from_utf8_lossy(&body).into_owned()))
+}
+
+/// An HTTP answer.
+pub fn web_answer(status: &str, headers: &str, body: &str) -> String {
+    format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
+}
+
+/// Sends a request and reads its answer: status line and headers as one text, and the body.
+pub fn ask(stream: &mut TcpStream, request: &str) -> (String, String) {
+    stream.write_all(request.as_bytes()).expect("sent");
+    let mut reader = BufReader::new(stream);
+    let (head, body) = web_message(&mut reader).expect("an answer");
+    (head.join("\n"), body)
+}
--- a/tests/stand/requests.rs
+++ b/tests/stand/requests.rs
@@ -30,6 +30,16 @@
     call(seq, &fields, "insert into s_1.t")
 }
 
+/// A request that may run twice, by its name, whose client waits that many milliseconds.
+pub fn lookup_within(txn: &str, limit: u32) -> Vec<u8> {
+    call(1, &[("verb", "lookup"), ("txn", txn), ("limit", &limit.to_string())], "select 1")
+}
+
+/// How often the request of that name arrived at the engine.
+pub fn attempts_of(log: &Log, txn: &str) -> usize {
+    log.lock().expect("log").iter().filter(|p| p[0] == "want" && p[1] == txn).count()
+}
+
 /// How often each request arrived at the engine.
 pub fn attempts(log: &Log) -> BTreeMap<String, usize> {
     let mut attempts = BTreeMap::new();
