--- a/crates/experiments/src/soak/engine.rs
+++ b/crates/experiments/src/soak/engine.rs
@@ -260,3 +260,6 @@
     }
     (at <= bytes.len() && !parts.is_empty()).then_some((parts, at))
 }
+
+#[cfg(test)]
+mod tests;
