--- a/crates/experiments/src/soak/engine.rs
+++ b/crates/experiments/src/soak/engine.rs
@@ -247,7 +247,7 @@
 /// The first whole command, and the bytes that it took.
 fn command(bytes: &[u8]) -> Option<(Vec<String>, usize)> {
     let line = |at: usize| {
-        let end = bytes[at..].windows(2).position(|w| w == b"\r\n")? + at;
+        let end = bytes.get(at..)?.windows(2).position(|w| w == b"\r\n")? + at;
         let number = std::str::from_utf8(bytes.get(at + 1..end)?).ok()?.parse::<usize>().ok()?;
         Some((number, end + 2))
     };
