--- a/crates/decision/src/checkpoint.rs
+++ b/crates/decision/src/checkpoint.rs
@@ -211,3 +211,6 @@
 fn band_learned(band: &LatencyStatistics, level: f64) -> BandLearned {
     BandLearned { level, n: band.count, mean: band.mean, var: band.variance }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/decision/src/checkpoint/tests.rs
@@ -0,0 +1,35 @@
+use super::*;
+use rstest::rstest;
+
+#[rstest]
+#[case::inside(1.5, 1.5)]
+#[case::at_the_limit(2.0, 2.0)]
+#[case::past_the_limit(2.1, 1.0)]
+#[case::no_number(f64::NAN, 1.0)]
+#[case::unbounded(f64::INFINITY, 1.0)]
+fn values_out_of_range_leave_the_present_one(#[case] restored: f64, #[case] expected: f64) {
+    let mut value = 1.0;
+    restore_value(&mut value, restored, 0.0..=2.0);
+    assert_eq!(value, expected);
+}
+
+#[test]
+fn restored_thread_times_show_the_slowdown_that_they_are_made_for() {
+    for slowdown in [0.5, 1.0, 3.0, MAX_SLOWDOWN] {
+        let shown = thread_times_of(slowdown).slowdown(SLOWDOWN_PRIOR);
+        assert!((shown - slowdown).abs() < 1e-9, "{shown} for {slowdown}");
+    }
+}
+
+#[test]
+fn band_with_one_value_out_of_range_is_left_out() {
+    let band = BandLearned { level: 1.0, n: 5.0, mean: 100.0, var: 4.0 };
+    assert!(restored_band(&band, 1_000.0).is_some());
+    for damaged in [
+        BandLearned { n: -1.0, ..band },
+        BandLearned { mean: f64::NAN, ..band },
+        BandLearned { var: f64::INFINITY, ..band },
+    ] {
+        assert!(restored_band(&damaged, 1_000.0).is_none());
+    }
+}
--- a/crates/decision/src/load_levels.rs
+++ b/crates/decision/src/load_levels.rs
@@ -17,3 +17,6 @@
 pub(crate) fn level_index(load: f64) -> usize {
     ((load / MIN_LEVEL).round().clamp(1.0, LEVELS.len() as f64) as usize).saturating_sub(1)
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/decision/src/load_reports.rs
+++ b/crates/decision/src/load_reports.rs
@@ -184,3 +184,6 @@
         fleet.usual_load += FLEET_WEIGHT * (load - fleet.usual_load);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/decision/src/queueing.rs
+++ b/crates/decision/src/queueing.rs
@@ -204,3 +204,6 @@
         self.ordered_keys.retain(|_, key| !key.queue.is_empty() || key.paused_until > now);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/decision/src/slow_start.rs
+++ b/crates/decision/src/slow_start.rs
@@ -114,3 +114,6 @@
         self.shown_warmth = 1.0;
     }
 }
+
+#[cfg(test)]
+mod tests;
