--- a/crates/decision/src/aperture.rs
+++ b/crates/decision/src/aperture.rs
@@ -86,7 +86,7 @@
         let base_shares = self.shares(&ids, width);
         for (engine, (widened, base)) in live.iter_mut().zip(widened_shares.into_iter().zip(base_shares)) {
             engine.aperture_share = widened;
-            engine.slow_start_share = base / (self.gateways * width * self.processes);
+            engine.slow_start.own_share = base / (self.gateways * width * self.processes);
         }
     }
 
--- a/crates/decision/src/checkpoint.rs
+++ b/crates/decision/src/checkpoint.rs
@@ -62,21 +62,21 @@
     }
 
     fn engine_learned(&self, id: &EngineId, engine: &Engine) -> EngineLearned {
-        let ejection_ended_at = engine.ejection_ended_at;
+        let ejection_ended_at = engine.ejection.ended_at;
         EngineLearned {
             id: id.0.to_string(),
             started: engine.member.started,
             confirmed: engine.confirmed_at,
-            heard: engine.last_report_at,
+            heard: engine.load.last_report_at,
             slow: engine.slowdown,
             errors: engine.error_rate,
-            others: engine.other_threads,
-            ejected: engine.ejected_until,
-            ejections: engine.ejections,
+            others: engine.load.other_threads,
+            ejected: engine.ejection.until,
+            ejections: engine.ejection.count,
             back: (ejection_ended_at > NEVER).then_some(ejection_ended_at),
             lost: engine.connections_refused_at,
             cold: self.warmth(engine) < 1.0,
-            perhaps_cold: engine.start_suspected,
+            perhaps_cold: engine.slow_start.start_suspected,
             spent: false,
         }
     }
@@ -148,20 +148,20 @@
         engine.slowdown = within(from.slow, MIN_SLOWDOWN..=MAX_SLOWDOWN).unwrap_or(1.0);
         engine.thread_times = thread_times_of(engine.slowdown);
         engine.error_rate = within(from.errors, 0.0..=1.0).unwrap_or(engine.error_rate);
-        engine.other_threads =
-            within(from.others, 0.0..=MAX_BELIEVED_LOAD * engine.cores).unwrap_or(engine.other_threads);
-        engine.last_report_at = past(from.heard);
-        engine.ejections = from.ejections.min(MAX_RESTORED_EJECTIONS);
+        engine.load.other_threads =
+            within(from.others, 0.0..=MAX_BELIEVED_LOAD * engine.cores).unwrap_or(engine.load.other_threads);
+        engine.load.last_report_at = past(from.heard);
+        engine.ejection.count = from.ejections.min(MAX_RESTORED_EJECTIONS);
         let ejected_until = from.ejected.filter(|until| until.is_finite());
-        engine.ejected_until = ejected_until.map(|until| until.min(now + MAX_EJECTION));
-        engine.ejection_ended_at = past(from.back).unwrap_or(NEVER);
+        engine.ejection.until = ejected_until.map(|until| until.min(now + MAX_EJECTION));
+        engine.ejection.ended_at = past(from.back).unwrap_or(NEVER);
         engine.connections_refused_at = past(from.lost);
         if from.perhaps_cold {
-            (engine.started_at, engine.start_suspected) = (Some(now), true);
+            (engine.slow_start.started_at, engine.slow_start.start_suspected) = (Some(now), true);
         }
         if from.spent {
-            engine.recent_sends.push_back(SentWork { sent_at: now, work: WORK_PAST_ANY_BUDGET });
-            engine.recent_work += WORK_PAST_ANY_BUDGET;
+            engine.slow_start.recent_sends.push_back(SentWork { sent_at: now, work: WORK_PAST_ANY_BUDGET });
+            engine.slow_start.recent_work += WORK_PAST_ANY_BUDGET;
         }
     }
 }
--- a/crates/decision/src/dispatch.rs
+++ b/crates/decision/src/dispatch.rs
@@ -71,7 +71,7 @@
     fn new_attempt(&self, request: &Request, engine: &Engine) -> Attempt {
         let class = request.details.class;
         let threads = self.settings.classes[class.0].threads;
-        let load_level = (engine.own_threads + engine.other_threads + threads) / engine.cores;
+        let load_level = (engine.load.own_threads + engine.load.other_threads + threads) / engine.cores;
         let latency = self.latency_at(class, load_level);
         let patience = (latency.mean + PATIENCE_DEVIATIONS * latency.deviation).max(MIN_PATIENCE)
             * request.relative_size.max(MIN_PATIENCE_SIZE);
@@ -84,11 +84,11 @@
         let work = self.usual_work(class);
         let class_settings = &self.settings.classes[class.0];
         let Some(engine) = self.engines.get_mut(engine) else { return };
-        engine.own_threads += class_settings.threads;
+        engine.load.own_threads += class_settings.threads;
         self.fleet.own_threads += class_settings.threads;
-        engine.in_flight += 1.0;
-        engine.recent_sends.push_back(SentWork { sent_at: self.now, work });
-        engine.recent_work += work;
+        engine.load.in_flight += 1.0;
+        engine.slow_start.recent_sends.push_back(SentWork { sent_at: self.now, work });
+        engine.slow_start.recent_work += work;
         if let Some(data) = data.filter(|_| class_settings.is_load) {
             *engine.own_loads.entry(data).or_default() += 1;
         }
--- a/crates/decision/src/endpoints.rs
+++ b/crates/decision/src/endpoints.rs
@@ -58,7 +58,8 @@
     pub(crate) fn forget_removed_engines(&mut self) {
         let silent_since = self.now - self.settings.slow_start_duration - RECOVERY_RAMP;
         self.engines.retain(|_, engine| {
-            let is_removed = engine.member.availability == Availability::Removed && engine.in_flight <= 0.0;
+            let is_removed =
+                engine.member.availability == Availability::Removed && engine.load.in_flight <= 0.0;
             !is_removed || engine.last_answer_at.max(engine.checked_at) > silent_since
         });
     }
@@ -67,7 +68,7 @@
 /// When the engine's process started, if the list states a start that is new and later than the known one.
 fn new_start(engine: &Engine, member: &Member, now: Milliseconds) -> Option<Milliseconds> {
     let started_at = member.started.filter(|time| time.is_finite()).map(|time| time.min(now))?;
-    let is_known = engine.started_at.is_some() && engine.member.started == member.started;
-    let is_later = engine.started_at.is_none_or(|known| started_at > known);
+    let is_known = engine.slow_start.started_at.is_some() && engine.member.started == member.started;
+    let is_later = engine.slow_start.started_at.is_none_or(|known| started_at > known);
     (!is_known && is_later).then_some(started_at)
 }
--- a/crates/decision/src/engine_selection.rs
+++ b/crates/decision/src/engine_selection.rs
@@ -69,7 +69,7 @@
     }
 
     fn is_available(&self, engine: &Engine, request: &Request, ignores_ejections: bool) -> bool {
-        if let Some(ejected_until) = engine.ejected_until {
+        if let Some(ejected_until) = engine.ejection.until {
             let is_ejected = !ignores_ejections || engine.connections_refused_at.is_some();
             if is_ejected && !self.may_try_again(engine, ejected_until, request) {
                 return false;
@@ -91,7 +91,7 @@
     /// attempt as full.
     pub fn avoids(&self, engine: &EngineId) -> bool {
         let Some(engine) = self.engines.get(engine) else { return false };
-        let is_ejected = engine.ejected_until.is_some();
+        let is_ejected = engine.ejection.until.is_some();
         is_ejected && (engine.connections_refused_at.is_some() || !self.most_are_ejected())
             || self.is_full(engine)
     }
@@ -130,8 +130,8 @@
         // The share of the queries that were replaced by others since the report was made.
         let turnover = |age: Milliseconds| (REPORT_DELAY + age) / fleet.residence_time.max(1.0);
         let cores = self.effective_cores(engine).max(MIN_CORES);
-        let own = engine.own_threads / cores;
-        let others = engine.other_threads / cores;
+        let own = engine.load.own_threads / cores;
+        let others = engine.load.other_threads / cores;
         let still_valid = (-turnover(engine.report_age(self.now))).exp();
         let load = own + fleet.usual_load + (others - fleet.usual_load) * still_valid;
         let mean = fleet.load().max(MIN_LEVEL);
@@ -141,7 +141,7 @@
 
     /// The cores that count of an engine: fewer in slow start, while it is slow or fails, and after an ejection.
     pub(crate) fn effective_cores(&self, engine: &Engine) -> f64 {
-        let recovery = ((self.now - engine.ejection_ended_at) / RECOVERY_RAMP).clamp(MIN_RECOVERY, 1.0);
+        let recovery = ((self.now - engine.ejection.ended_at) / RECOVERY_RAMP).clamp(MIN_RECOVERY, 1.0);
         let success_rate = (1.0 - engine.error_rate).max(MIN_SUCCESS_RATE);
         let slowdown = (engine.slowdown / self.fleet.median_slowdown)
             .clamp(MIN_RELATIVE_SLOWDOWN, MAX_RELATIVE_SLOWDOWN);
--- a/crates/decision/src/fleet_load.rs
+++ b/crates/decision/src/fleet_load.rs
@@ -43,9 +43,9 @@
             if engine.member.availability != Availability::Live {
                 continue;
             }
-            load.own_threads += engine.own_threads;
-            load.in_flight += engine.in_flight;
-            load.other_threads += engine.other_threads;
+            load.own_threads += engine.load.own_threads;
+            load.in_flight += engine.load.in_flight;
+            load.other_threads += engine.load.other_threads;
             load.cores += self.effective_cores(engine);
             load.report_ages += engine.aperture_share * engine.report_age(self.now);
             load.aperture_shares += engine.aperture_share;
--- a/crates/decision/src/health_checks.rs
+++ b/crates/decision/src/health_checks.rs
@@ -56,5 +56,5 @@
 
 /// When an engine was last checked or last reported its load.
 fn silent_since(engine: &Engine) -> Milliseconds {
-    engine.checked_at.max(engine.last_report_at.unwrap_or(NEVER))
+    engine.checked_at.max(engine.load.last_report_at.unwrap_or(NEVER))
 }
--- a/crates/decision/src/load_reports.rs
+++ b/crates/decision/src/load_reports.rs
@@ -59,7 +59,7 @@
         let was_paused = self.was_paused();
         let Some(engine) = self.engines.get_mut(engine) else { return };
         if let Some(report) = report {
-            engine.busy = is_saturated(report);
+            engine.load.is_saturated = is_saturated(report);
         }
         let report = report.copied().unwrap_or_default();
         // During a pause of this process, time is no measure of the engine.
@@ -67,14 +67,14 @@
         let Some(evidence) = best_evidence(&report, check_time) else { return };
 
         let fleet = &mut self.fleet;
-        let own = engine.mean_in_flight * fleet.threads_per_query / engine.cores;
+        let own = engine.load.mean_in_flight * fleet.threads_per_query / engine.cores;
         let all = estimate_load(engine, fleet, own, &evidence);
         let others = (all - own).clamp(0.0, MAX_BELIEVED_LOAD);
-        let age = engine.last_report_at.map(|at| self.now - at);
+        let age = engine.load.last_report_at.map(|at| self.now - at);
         let weight = age.map_or(1.0, |age| (age / SMOOTHING_TIME).clamp(MIN_REPORT_WEIGHT, 1.0));
-        engine.other_threads += weight * (others * engine.cores - engine.other_threads);
-        learn_fleet_load(fleet, engine.other_threads / engine.cores);
-        engine.last_report_at = Some(self.now);
+        engine.load.other_threads += weight * (others * engine.cores - engine.load.other_threads);
+        learn_fleet_load(fleet, engine.load.other_threads / engine.cores);
+        engine.load.last_report_at = Some(self.now);
     }
 
     /// Lets the load of the fleet fall while this gateway sends nothing and so hears nothing: it must not stay shut
@@ -91,20 +91,20 @@
 impl Engine {
     /// The age of the last report, up to [`MAX_REPORT_AGE`].
     pub(crate) fn report_age(&self, now: Milliseconds) -> Milliseconds {
-        self.last_report_at.map_or(MAX_REPORT_AGE, |at| (now - at).min(MAX_REPORT_AGE))
+        self.load.last_report_at.map_or(MAX_REPORT_AGE, |at| (now - at).min(MAX_REPORT_AGE))
     }
 
     fn is_report_stale(&self, now: Milliseconds) -> bool {
-        self.last_report_at.is_none_or(|at| now - at > MAX_REPORT_AGE)
+        self.load.last_report_at.is_none_or(|at| now - at > MAX_REPORT_AGE)
     }
 
     /// Advances the average number of attempts in flight by a control step. A stale report gives way to the mean load
     /// of the fleet, in threads a core.
     pub(crate) fn renew_load(&mut self, now: Milliseconds, fleet_load: f64) {
-        self.mean_in_flight += IN_FLIGHT_WEIGHT * (self.in_flight - self.mean_in_flight);
+        self.load.mean_in_flight += IN_FLIGHT_WEIGHT * (self.load.in_flight - self.load.mean_in_flight);
         if self.is_report_stale(now) {
-            self.other_threads = fleet_load * self.cores;
-            self.busy = false;
+            self.load.other_threads = fleet_load * self.cores;
+            self.load.is_saturated = false;
         }
     }
 }
@@ -134,7 +134,7 @@
 fn estimate_load(engine: &Engine, fleet: &mut Fleet, own: f64, evidence: &LoadEvidence) -> f64 {
     match evidence {
         LoadEvidence::InFlight(count) => {
-            own + (count - engine.mean_in_flight).max(0.0) * fleet.threads_per_query / engine.cores
+            own + (count - engine.load.mean_in_flight).max(0.0) * fleet.threads_per_query / engine.cores
         }
         LoadEvidence::Utilization(utilization) => load_by_utilization(engine, fleet, *utilization),
         LoadEvidence::CheckTime(took) => load_by_check_time(engine, fleet, own, *took),
--- a/crates/decision/src/outcomes.rs
+++ b/crates/decision/src/outcomes.rs
@@ -70,9 +70,9 @@
     fn release_engine(&mut self, ended: &EndedAttempt) {
         let class = &self.settings.classes[ended.class.0];
         let Some(engine) = self.engines.get_mut(&ended.engine) else { return };
-        engine.own_threads = (engine.own_threads - class.threads).max(0.0);
+        engine.load.own_threads = (engine.load.own_threads - class.threads).max(0.0);
         self.fleet.own_threads = (self.fleet.own_threads - class.threads).max(0.0);
-        engine.in_flight = (engine.in_flight - 1.0).max(0.0);
+        engine.load.in_flight = (engine.load.in_flight - 1.0).max(0.0);
         if let Some(data) = ended.data.filter(|_| class.is_load) {
             engine.release_load(data);
         }
--- a/crates/decision/src/outlier_ejection.rs
+++ b/crates/decision/src/outlier_ejection.rs
@@ -58,7 +58,7 @@
 
 /// Whether an engine is ejected, or attempts sent there no longer come back.
 pub(crate) fn is_outlier(engine: &Engine) -> bool {
-    engine.ejected_until.is_some() || engine.slowdown > MAX_LEVEL
+    engine.ejection.until.is_some() || engine.slowdown > MAX_LEVEL
 }
 
 impl Engine {
@@ -71,8 +71,8 @@
     /// Ends an ejection whose trial succeeded. The recovery ramp starts now, unless the attempt that succeeded was sent
     /// before the last ejection ended.
     fn end_ejection(&mut self, sent_at: Milliseconds, now: Milliseconds) {
-        if self.ejected_until.take().is_some() && sent_at > self.ejection_ended_at {
-            self.ejection_ended_at = now;
+        if self.ejection.until.take().is_some() && sent_at > self.ejection.ended_at {
+            self.ejection.ended_at = now;
         }
     }
 }
@@ -123,9 +123,9 @@
             // same way.
             Outcome::Full => {
                 engine.full_at = now;
-                engine.busy = true;
-                let overloaded = MAX_LEVEL * engine.cores - engine.own_threads;
-                engine.other_threads = engine.other_threads.max(overloaded);
+                engine.load.is_saturated = true;
+                let overloaded = MAX_LEVEL * engine.cores - engine.load.own_threads;
+                engine.load.other_threads = engine.load.other_threads.max(overloaded);
                 HealthSignal::Neutral
             }
             Outcome::Timeout | Outcome::Cancelled | Outcome::NotExecuted => HealthSignal::Neutral,
@@ -142,7 +142,7 @@
         let failed = signal == HealthSignal::Failure;
         let Some(engine) = self.engines.get_mut(&ended.engine) else { return };
         engine.error_rate += ERROR_WEIGHT * (f64::from(failed) - engine.error_rate);
-        let is_ejected = engine.ejected_until.is_some();
+        let is_ejected = engine.ejection.until.is_some();
         let refuses_connections = ended.outcome == Outcome::ConnectFailed;
         if failed && (is_ejected || engine.error_rate > MAX_ERROR_RATE || refuses_connections) {
             self.eject(&ended.engine);
@@ -153,15 +153,15 @@
     /// gateways do not all try again at once.
     fn eject(&mut self, engine: &EngineId) {
         let now = self.now;
-        let may_eject = |engine: &&mut Engine| engine.ejected_until.is_none_or(|until| until <= now);
+        let may_eject = |engine: &&mut Engine| engine.ejection.until.is_none_or(|until| until <= now);
         let Some(engine) = self.engines.get_mut(engine).filter(may_eject) else { return };
-        if now - engine.ejection_ended_at > EJECTION_MEMORY && engine.ejected_until.is_none() {
-            engine.ejections = 0;
+        if now - engine.ejection.ended_at > EJECTION_MEMORY && engine.ejection.until.is_none() {
+            engine.ejection.count = 0;
         }
-        let doublings = engine.ejections.min(MAX_EJECTION_DOUBLINGS);
+        let doublings = engine.ejection.count.min(MAX_EJECTION_DOUBLINGS);
         let length = (FIRST_EJECTION * f64::from(1 << doublings)).min(MAX_EJECTION);
-        engine.ejections += 1;
-        engine.ejected_until =
+        engine.ejection.count += 1;
+        engine.ejection.until =
             Some(now + length * (MIN_LENGTH_FACTOR + LENGTH_FACTOR_SPREAD * self.rng.f64()));
     }
 
@@ -173,14 +173,14 @@
         request: &Request,
     ) -> bool {
         let is_short = self.class_state_of(request).group == RuntimeGroup::Short;
-        self.now >= ejected_until && engine.in_flight == 0.0 && is_short
+        self.now >= ejected_until && engine.load.in_flight == 0.0 && is_short
     }
 
     /// Whether more than half of the engines are ejected. The cause is then shared, and using them beats having none.
     pub(crate) fn most_are_ejected(&self) -> bool {
         let in_aperture = self.engines.values().filter(|engine| engine.is_in_aperture());
         let is_ejected =
-            |engine: &&Engine| engine.ejected_until.is_some() && engine.connections_refused_at.is_none();
+            |engine: &&Engine| engine.ejection.until.is_some() && engine.connections_refused_at.is_none();
         in_aperture.clone().filter(is_ejected).count() * 2 > in_aperture.count()
     }
 
--- a/crates/decision/src/slow_start.rs
+++ b/crates/decision/src/slow_start.rs
@@ -28,13 +28,13 @@
     /// or inferred from refused connections.
     pub(crate) fn warmth(&self, engine: &Engine) -> f64 {
         let refusals_ended_at = engine.connections_refused_at.map_or(NEVER, |refused_at| {
-            if engine.ejection_ended_at > refused_at {
-                engine.ejection_ended_at
+            if engine.ejection.ended_at > refused_at {
+                engine.ejection.ended_at
             } else {
                 self.now
             }
         });
-        let started_at = refusals_ended_at.max(engine.started_at.unwrap_or(NEVER));
+        let started_at = refusals_ended_at.max(engine.slow_start.started_at.unwrap_or(NEVER));
         let progress = (self.now - started_at) / self.settings.slow_start_duration.max(1.0);
         let from = self.settings.slow_start_from;
         from + (1.0 - from) * progress.clamp(0.0, 1.0)
@@ -55,8 +55,8 @@
             * engine.cores
             * self.settings.overload_collapse_after;
         let work = self.usual_work(request.details.class);
-        let own_budget = own_share_of_budget(budget, work, engine.slow_start_share);
-        engine.recent_work + work * engine.budget_draw <= own_budget
+        let own_budget = own_share_of_budget(budget, work, engine.slow_start.own_share);
+        engine.slow_start.recent_work + work * engine.slow_start.budget_draw <= own_budget
     }
 }
 
@@ -80,38 +80,41 @@
         span: Milliseconds,
         rng: &mut fastrand::Rng,
     ) {
-        if now >= self.next_draw_at {
-            self.budget_draw = rng.f64();
-            self.next_draw_at = now + span * (0.5 + rng.f64());
+        if now >= self.slow_start.next_draw_at {
+            self.slow_start.budget_draw = rng.f64();
+            self.slow_start.next_draw_at = now + span * (0.5 + rng.f64());
         }
-        self.recent_sends.retain(|sent| sent.sent_at >= now - span);
-        self.recent_work = self.recent_sends.iter().map(|sent| sent.work).sum();
+        self.slow_start.recent_sends.retain(|sent| sent.sent_at >= now - span);
+        self.slow_start.recent_work = self.slow_start.recent_sends.iter().map(|sent| sent.work).sum();
     }
 
     /// Learns from an answer how warm an engine is whose start is only suspected. One that answers at its usual pace
     /// while so many threads run has at least their share of its cores. Light loads show little, as an engine in slow
     /// start serves a few queries as fast as a warm one; and a load shows the warmth for that load only.
     pub(crate) fn learn_warmth(&mut self, answer: &AnswerPace, now: Milliseconds, settings: &Settings) {
-        let Some(started_at) = self.started_at.filter(|_| self.start_suspected) else { return };
+        let Some(started_at) = self.slow_start.started_at.filter(|_| self.slow_start.start_suspected) else {
+            return;
+        };
         let from = settings.slow_start_from;
         let increase = (1.0 - from).max(MIN_CAPACITY_INCREASE) / settings.slow_start_duration.max(1.0);
-        let load = (self.own_threads + answer.threads) / self.cores.max(MIN_CORES);
+        let load = (self.load.own_threads + answer.threads) / self.cores.max(MIN_CORES);
         let shown_warmth = load.min(1.0) / answer.slowdown.max(1.0);
         if shown_warmth <= from + increase * (now - started_at) {
             self.reset_warm_answers();
             return;
         }
-        self.warm_answers += 1;
-        self.shown_warmth = self.shown_warmth.min(shown_warmth);
-        if self.warm_answers >= MIN_WARM_ANSWERS {
-            self.started_at = Some(started_at.min(now - (self.shown_warmth - from) / increase));
+        self.slow_start.warm_answers += 1;
+        self.slow_start.shown_warmth = self.slow_start.shown_warmth.min(shown_warmth);
+        if self.slow_start.warm_answers >= MIN_WARM_ANSWERS {
+            self.slow_start.started_at =
+                Some(started_at.min(now - (self.slow_start.shown_warmth - from) / increase));
             self.reset_warm_answers();
         }
     }
 
     fn reset_warm_answers(&mut self) {
-        self.warm_answers = 0;
-        self.shown_warmth = 1.0;
+        self.slow_start.warm_answers = 0;
+        self.slow_start.shown_warmth = 1.0;
     }
 }
 
--- a/crates/decision/src/state/engine.rs
+++ b/crates/decision/src/state/engine.rs
@@ -39,22 +39,8 @@
     }
 }
 
-/// What is known of an engine.
-pub(crate) struct Engine {
-    /// Its entry in the endpoint list.
-    pub(crate) member: Member,
-    /// Its number for hashing, the same on every gateway.
-    pub(crate) stable_hash: u64,
-    /// Its cores.
-    pub(crate) cores: f64,
-    /// Its memory in MB.
-    pub(crate) memory_mb: f64,
-    /// The share, from 0 to 1, in which it lies in this gateway's aperture.
-    pub(crate) aperture_share: f64,
-    /// This gateway's share of its slow start budget.
-    pub(crate) slow_start_share: f64,
-    /// A random number from 0 to 1 that tells apart engines which are otherwise alike.
-    pub(crate) jitter: f64,
+/// The load of an engine.
+pub(crate) struct EngineLoad {
     /// Threads of this gateway's attempts there.
     pub(crate) own_threads: f64,
     /// This gateway's attempts in flight there.
@@ -66,32 +52,28 @@
     /// When it last reported its load, or a health check showed it.
     pub(crate) last_report_at: Option<Milliseconds>,
     /// Its last report, or a rejection as full, says that it is saturated.
-    pub(crate) busy: bool,
-    /// How many times longer than alone queries take there, with those in flight.
-    pub(crate) slowdown: f64,
-    /// Thread times of attempts that ended of late.
-    pub(crate) thread_times: ThreadTimes,
-    /// The recent share of failures among outcomes.
-    pub(crate) error_rate: f64,
-    /// When an attempt there last succeeded or reported progress.
-    pub(crate) last_answer_at: Milliseconds,
-    /// When it last rejected an attempt as full.
-    pub(crate) full_at: Milliseconds,
-    /// When a connection to it last broke.
-    pub(crate) reset_at: Milliseconds,
+    pub(crate) is_saturated: bool,
+}
+
+/// The ejections of an engine.
+pub(crate) struct EjectionState {
     /// It is ejected; from this time on a trial may be sent.
-    pub(crate) ejected_until: Option<Milliseconds>,
+    pub(crate) until: Option<Milliseconds>,
     /// Ejections in a row.
-    pub(crate) ejections: u32,
+    pub(crate) count: u32,
     /// When the last ejection ended.
-    pub(crate) ejection_ended_at: Milliseconds,
-    /// When it last refused connections: its process may be a new one, in slow start.
-    pub(crate) connections_refused_at: Option<Milliseconds>,
-    /// What it was sent of late, for its slow start budget.
+    pub(crate) ended_at: Milliseconds,
+}
+
+/// The start of an engine's process, and its budget while it is in slow start.
+pub(crate) struct SlowStartState {
+    /// This gateway's share of the budget.
+    pub(crate) own_share: f64,
+    /// What the engine was sent of late.
     pub(crate) recent_sends: VecDeque<SentWork>,
     /// The sum of the work in it, recomputed each control step.
     pub(crate) recent_work: Milliseconds,
-    /// A random number from 0 to 1: rounds this gateway's share of the slow start budget up or down.
+    /// A random number from 0 to 1: rounds this gateway's share of the budget up or down.
     pub(crate) budget_draw: f64,
     /// When that is drawn anew.
     pub(crate) next_draw_at: Milliseconds,
@@ -103,10 +85,43 @@
     pub(crate) warm_answers: u32,
     /// The lowest warmth that those answers show, as a share of its capacity.
     pub(crate) shown_warmth: f64,
+}
+
+/// What is known of an engine.
+pub(crate) struct Engine {
+    /// Its entry in the endpoint list.
+    pub(crate) member: Member,
+    /// Its number for hashing, the same on every gateway.
+    pub(crate) stable_hash: u64,
+    /// Its cores.
+    pub(crate) cores: f64,
+    /// Its memory in MB.
+    pub(crate) memory_mb: f64,
+    /// The share, from 0 to 1, in which it lies in this gateway's aperture.
+    pub(crate) aperture_share: f64,
+    /// A random number from 0 to 1 that tells apart engines which are otherwise alike.
+    pub(crate) jitter: f64,
+    pub(crate) load: EngineLoad,
+    pub(crate) ejection: EjectionState,
+    pub(crate) slow_start: SlowStartState,
+    /// How many times longer than alone queries take there, with those in flight.
+    pub(crate) slowdown: f64,
+    /// Thread times of attempts that ended of late.
+    pub(crate) thread_times: ThreadTimes,
+    /// The recent share of failures among outcomes.
+    pub(crate) error_rate: f64,
+    /// When an attempt there last succeeded or reported progress.
+    pub(crate) last_answer_at: Milliseconds,
     /// When it last answered anything, in this incarnation of the gateway.
     pub(crate) confirmed_at: Option<Milliseconds>,
     /// When its health was last checked.
     pub(crate) checked_at: Milliseconds,
+    /// When it last rejected an attempt as full.
+    pub(crate) full_at: Milliseconds,
+    /// When a connection to it last broke.
+    pub(crate) reset_at: Milliseconds,
+    /// When it last refused connections: its process may be a new one, in slow start.
+    pub(crate) connections_refused_at: Option<Milliseconds>,
     /// Data sets that a load of another gateway seems to lock here, and until when.
     pub(crate) locked_until: BTreeMap<DataSet, Milliseconds>,
     /// This gateway's loads in flight here, by data set.
@@ -122,6 +137,41 @@
     pub(crate) work: Milliseconds,
 }
 
+impl EngineLoad {
+    fn new() -> Self {
+        Self {
+            own_threads: 0.0,
+            in_flight: 0.0,
+            mean_in_flight: 0.0,
+            other_threads: 0.0,
+            last_report_at: None,
+            is_saturated: false,
+        }
+    }
+}
+
+impl EjectionState {
+    fn new() -> Self {
+        Self { until: None, count: 0, ended_at: NEVER }
+    }
+}
+
+impl SlowStartState {
+    fn new(now: Milliseconds) -> Self {
+        Self {
+            own_share: 0.0,
+            recent_sends: VecDeque::new(),
+            recent_work: 0.0,
+            budget_draw: 1.0,
+            next_draw_at: now,
+            started_at: None,
+            start_suspected: false,
+            warm_answers: 0,
+            shown_warmth: 1.0,
+        }
+    }
+}
+
 impl Engine {
     /// An engine of which nothing is known yet.
     pub(crate) fn new(member: Member, kind: &Kind, now: Milliseconds, jitter: f64) -> Self {
@@ -131,39 +181,39 @@
             cores: kind.cores,
             memory_mb: kind.memory_mb.max(1.0),
             aperture_share: 1.0,
-            slow_start_share: 0.0,
             jitter,
-            own_threads: 0.0,
-            in_flight: 0.0,
-            mean_in_flight: 0.0,
-            other_threads: 0.0,
-            last_report_at: None,
-            busy: false,
+            load: EngineLoad::new(),
+            ejection: EjectionState::new(),
+            slow_start: SlowStartState::new(now),
             slowdown: 1.0,
             thread_times: ThreadTimes::default(),
             error_rate: 0.0,
             last_answer_at: now,
+            confirmed_at: None,
+            checked_at: NEVER,
             full_at: NEVER,
             reset_at: NEVER,
-            ejected_until: None,
-            ejections: 0,
-            ejection_ended_at: NEVER,
             connections_refused_at: None,
-            recent_sends: VecDeque::new(),
-            recent_work: 0.0,
-            budget_draw: 1.0,
-            next_draw_at: now,
-            started_at: None,
-            start_suspected: false,
-            warm_answers: 0,
-            shown_warmth: 1.0,
-            confirmed_at: None,
-            checked_at: NEVER,
             locked_until: BTreeMap::new(),
             own_loads: BTreeMap::new(),
         }
     }
 
+    /// Replaces the record after a restart of the engine's process: nothing that was learned of the earlier
+    /// process holds. Attempts in flight, the aperture and the slow start budget are carried over.
+    pub(crate) fn restart(&mut self, started_at: Milliseconds) {
+        let kind = Kind { name: String::new(), cores: self.cores, memory_mb: self.memory_mb };
+        let mut fresh = Self::new(self.member.clone(), &kind, self.last_answer_at, self.jitter);
+        fresh.aperture_share = self.aperture_share;
+        fresh.load.own_threads = self.load.own_threads;
+        fresh.load.in_flight = self.load.in_flight;
+        fresh.slow_start.own_share = self.slow_start.own_share;
+        fresh.slow_start.recent_sends = std::mem::take(&mut self.slow_start.recent_sends);
+        fresh.slow_start.recent_work = self.slow_start.recent_work;
+        fresh.slow_start.started_at = Some(started_at);
+        *self = fresh;
+    }
+
     /// Whether a load is known or seems to lock that data set here.
     pub(crate) fn is_locked(&self, data: DataSet, now: Milliseconds) -> bool {
         self.own_loads.contains_key(&data) || self.locked_until.get(&data).is_some_and(|until| now < *until)
@@ -186,21 +236,4 @@
     pub(crate) fn is_in_aperture(&self) -> bool {
         self.member.availability == Availability::Live && self.aperture_share > 0.0
     }
-
-    /// Replaces the record after a restart of the engine's process: nothing that was learned of the earlier
-    /// process holds. Attempts in flight and the slow start budget are carried over.
-    pub(crate) fn restart(&mut self, started_at: Milliseconds) {
-        let kind = Kind { name: String::new(), cores: self.cores, memory_mb: self.memory_mb };
-        let fresh = Self::new(self.member.clone(), &kind, self.last_answer_at, self.jitter);
-        *self = Self {
-            own_threads: self.own_threads,
-            in_flight: self.in_flight,
-            recent_sends: std::mem::take(&mut self.recent_sends),
-            recent_work: self.recent_work,
-            aperture_share: self.aperture_share,
-            slow_start_share: self.slow_start_share,
-            started_at: Some(started_at),
-            ..fresh
-        };
-    }
 }
