--- a/crates/decision/src/admission.rs
+++ b/crates/decision/src/admission.rs
@@ -37,7 +37,7 @@
         let limit = LEVELS[self.limit_level] * self.effective_cores(engine);
         let own_limit = (limit * self.fleet.share).max(threads);
         let counted_size = request.relative_size.min(MAX_COUNTED_SIZE) - QUERY_ROUNDING;
-        let all_threads = engine.load.own_threads + engine.load.other_threads + threads * counted_size;
+        let all_threads = engine.load.all_threads() + threads * counted_size;
         if engine.load.own_threads + threads <= own_limit && all_threads <= limit.max(threads) {
             return Ok(());
         }
@@ -48,7 +48,7 @@
         let cores = self.effective_cores(engine).max(MIN_CORES);
         if engine.load.is_saturated {
             Some(BlockReason::Busy)
-        } else if (engine.load.own_threads + engine.load.other_threads) / cores > CROWDED {
+        } else if engine.load.all_threads() / cores > CROWDED {
             Some(BlockReason::Crowded)
         } else if engine.slowdown > SLOW {
             Some(BlockReason::Slow)
--- a/crates/decision/src/dispatch.rs
+++ b/crates/decision/src/dispatch.rs
@@ -71,7 +71,7 @@
     fn new_attempt(&self, request: &Request, engine: &Engine) -> Attempt {
         let class = request.details.class;
         let threads = self.settings.classes[class.0].threads;
-        let load_level = (engine.load.own_threads + engine.load.other_threads + threads) / engine.cores;
+        let load_level = (engine.load.all_threads() + threads) / engine.cores;
         let latency = self.latency_at(class, load_level);
         let patience = (latency.mean + PATIENCE_DEVIATIONS * latency.deviation).max(MIN_PATIENCE)
             * request.relative_size.max(MIN_PATIENCE_SIZE);
--- a/crates/decision/src/state/engine.rs
+++ b/crates/decision/src/state/engine.rs
@@ -148,6 +148,11 @@
             is_saturated: false,
         }
     }
+
+    /// Threads of all gateways.
+    pub(crate) fn all_threads(&self) -> f64 {
+        self.own_threads + self.other_threads
+    }
 }
 
 impl EjectionState {
