--- a/crates/fault-injection/src/calls.rs
+++ b/crates/fault-injection/src/calls.rs
@@ -1,4 +1,4 @@
-//! The functions that stand before the C library's.
+//! The functions that replace the C library's.
 //!
 //! # Safety
 //! Each has the signature of the C library's function and passes its arguments on unchanged, or with a smaller length.
@@ -6,21 +6,25 @@
 #![allow(clippy::missing_safety_doc)]
 
 use crate::original;
-use crate::plan::{fail, one_of, plan, tell};
+use crate::plan::{draw_error, fail, plan, report};
 use libc::{c_int, c_void, iovec, off64_t, sockaddr, socklen_t, ssize_t, timespec};
 use std::sync::atomic::{AtomicI32, AtomicU64, Ordering};
 
+/// The errors that Linux documents for each call.
 const ACCEPT_ERRORS: [c_int; 4] = [libc::ECONNABORTED, libc::ENFILE, libc::ENOBUFS, libc::EINTR];
 const SOCKET_ERRORS: [c_int; 3] = [libc::ENFILE, libc::EMFILE, libc::ENOBUFS];
 const CONNECT_ERRORS: [c_int; 3] = [libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::EINTR];
 const SENDTO_ERRORS: [c_int; 3] = [libc::ENETUNREACH, libc::EHOSTUNREACH, libc::ENOBUFS];
 const DISK_ERRORS: [c_int; 2] = [libc::ENOSPC, libc::EIO];
-const NANOSECONDS: i64 = 1_000_000_000;
-const KIND_MASK: c_int = 0xf;
+const NANOSECONDS_PER_SECOND: i64 = 1_000_000_000;
+const NANOSECONDS_PER_MILLISECOND: i64 = 1_000_000;
+/// The bits of the type of a socket that are no flags.
+const SOCKET_TYPE_MASK: c_int = 0xf;
+/// The value of [`TORN_FILE`] where there is none.
 const NO_FILE: c_int = -1;
 
-/// The file whose last write stopped halfway.
-static TORN: AtomicI32 = AtomicI32::new(NO_FILE);
+/// The descriptor of the file whose last write was torn.
+static TORN_FILE: AtomicI32 = AtomicI32::new(NO_FILE);
 
 fn file_kind(fd: c_int) -> u32 {
     // SAFETY: all zeros is a valid value of this plain structure, and the call writes only to it.
@@ -45,7 +49,7 @@
     fd == libc::STDOUT_FILENO || fd == libc::STDERR_FILENO
 }
 
-/// Whether a socket carries a stream: datagrams are never cut.
+/// Whether a socket carries a stream. Datagrams are never shortened.
 fn is_stream(fd: c_int) -> bool {
     let mut kind: c_int = 0;
     let mut len = size_of::<c_int>() as socklen_t;
@@ -56,47 +60,47 @@
     }
 }
 
-/// How much of a transfer on a socket is tried: all, one byte, or none as the call is interrupted.
-fn transfer(fd: c_int, len: usize) -> Option<usize> {
-    if plan().strikes(plan().interrupt) {
+/// The bytes of a transfer on a socket that are requested: all, or one. None: the call is interrupted.
+fn transfer_length(fd: c_int, len: usize) -> Option<usize> {
+    if plan().draws_fault(plan().interrupt) {
         return None;
     }
-    let is_short = len > 1 && plan().strikes(plan().short) && is_stream(fd);
+    let is_short = len > 1 && plan().draws_fault(plan().short) && is_stream(fd);
     Some(if is_short { 1 } else { len })
 }
 
 /// The error with which a write to a file or to the log fails, if it does.
 fn write_error(fd: c_int) -> Option<c_int> {
     if is_log(fd) {
-        let is_full = plan().strikes(plan().log);
+        let is_full = plan().draws_fault(plan().log);
         if is_full {
-            tell("log");
+            report("log");
         }
         return is_full.then_some(libc::ENOSPC);
     }
-    if TORN.compare_exchange(fd, NO_FILE, Ordering::Relaxed, Ordering::Relaxed).is_ok() {
+    if TORN_FILE.compare_exchange(fd, NO_FILE, Ordering::Relaxed, Ordering::Relaxed).is_ok() {
         return Some(libc::ENOSPC);
     }
-    let fails = plan().disk > 0.0 && is_regular(fd) && plan().strikes(plan().disk);
+    let fails = plan().disk > 0.0 && is_regular(fd) && plan().draws_fault(plan().disk);
     if fails {
-        tell("disk");
+        report("disk");
     }
-    fails.then(|| one_of(&DISK_ERRORS))
+    fails.then(|| draw_error(&DISK_ERRORS))
 }
 
-/// How many bytes of a write are written: half of them where the write is torn.
-fn torn(fd: c_int, len: usize) -> usize {
-    if len < 2 || plan().torn == 0.0 || !is_regular(fd) || !plan().strikes(plan().torn) {
+/// The bytes of a write that are written: half of them where the write is torn.
+fn write_length(fd: c_int, len: usize) -> usize {
+    if len < 2 || plan().torn == 0.0 || !is_regular(fd) || !plan().draws_fault(plan().torn) {
         return len;
     }
-    TORN.store(fd, Ordering::Relaxed);
-    tell("torn");
+    TORN_FILE.store(fd, Ordering::Relaxed);
+    report("torn");
     len / 2
 }
 
 #[no_mangle]
 pub unsafe extern "C" fn recv(fd: c_int, buffer: *mut c_void, len: usize, flags: c_int) -> ssize_t {
-    match transfer(fd, len) {
+    match transfer_length(fd, len) {
         Some(len) => unsafe { original::recv(fd, buffer, len, flags) },
         None => fail(libc::EINTR),
     }
@@ -104,7 +108,7 @@
 
 #[no_mangle]
 pub unsafe extern "C" fn send(fd: c_int, buffer: *const c_void, len: usize, flags: c_int) -> ssize_t {
-    match transfer(fd, len) {
+    match transfer_length(fd, len) {
         Some(len) => unsafe { original::send(fd, buffer, len, flags) },
         None => fail(libc::EINTR),
     }
@@ -119,13 +123,13 @@
     from: *mut sockaddr,
     from_len: *mut socklen_t,
 ) -> ssize_t {
-    match transfer(fd, len) {
+    match transfer_length(fd, len) {
         Some(len) => unsafe { original::recvfrom(fd, buffer, len, flags, from, from_len) },
         None => fail(libc::EINTR),
     }
 }
 
-/// A datagram may find no route, as a connection may.
+/// For a datagram there may be no route, as for a connection.
 #[no_mangle]
 pub unsafe extern "C" fn sendto(
     fd: c_int,
@@ -135,10 +139,10 @@
     to: *const sockaddr,
     to_len: socklen_t,
 ) -> ssize_t {
-    if !to.is_null() && plan().strikes(plan().connect) {
-        return fail(one_of(&SENDTO_ERRORS));
+    if !to.is_null() && plan().draws_fault(plan().connect) {
+        return fail(draw_error(&SENDTO_ERRORS));
     }
-    match transfer(fd, len) {
+    match transfer_length(fd, len) {
         Some(len) => unsafe { original::sendto(fd, buffer, len, flags, to, to_len) },
         None => fail(libc::EINTR),
     }
@@ -149,7 +153,7 @@
     if plan().interrupt + plan().short == 0.0 || !is_socket(fd) {
         return unsafe { original::read(fd, buffer, len) };
     }
-    match transfer(fd, len) {
+    match transfer_length(fd, len) {
         Some(len) => unsafe { original::read(fd, buffer, len) },
         None => fail(libc::EINTR),
     }
@@ -160,7 +164,7 @@
     if let Some(error) = write_error(fd) {
         return fail(error);
     }
-    unsafe { original::write(fd, buffer, torn(fd, len)) }
+    unsafe { original::write(fd, buffer, write_length(fd, len)) }
 }
 
 #[no_mangle]
@@ -179,10 +183,10 @@
     if plan().interrupt + plan().short == 0.0 || !is_socket(fd) {
         return unsafe { original::writev(fd, parts, count) };
     }
-    // SAFETY: the caller hands over as many parts as it says.
-    let parts_given = unsafe { std::slice::from_raw_parts(parts, count.max(0) as usize) };
-    let first = parts_given.iter().find(|part| part.iov_len > 0);
-    match (transfer(fd, 2), first) {
+    // SAFETY: by the contract of the call there are `count` parts.
+    let buffers = unsafe { std::slice::from_raw_parts(parts, count.max(0) as usize) };
+    let first = buffers.iter().find(|part| part.iov_len > 0);
+    match (transfer_length(fd, 2), first) {
         (None, _) => fail(libc::EINTR),
         (Some(1), Some(part)) => unsafe { original::write(fd, part.iov_base, 1) },
         _ => unsafe { original::writev(fd, parts, count) },
@@ -191,9 +195,9 @@
 
 #[no_mangle]
 pub unsafe extern "C" fn accept4(fd: c_int, from: *mut sockaddr, len: *mut socklen_t, flags: c_int) -> c_int {
-    if plan().strikes(plan().accept) {
-        tell("accept");
-        return fail(one_of(&ACCEPT_ERRORS)) as c_int;
+    if plan().draws_fault(plan().accept) {
+        report("accept");
+        return fail(draw_error(&ACCEPT_ERRORS)) as c_int;
     }
     unsafe { original::accept4(fd, from, len, flags) }
 }
@@ -201,27 +205,27 @@
 #[no_mangle]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     static STREAMS: AtomicU64 = AtomicU64::new(0);
-    let is_stream = domain == libc::AF_INET && kind & KIND_MASK == libc::SOCK_STREAM;
+    let is_stream = domain == libc::AF_INET && kind & SOCKET_TYPE_MASK == libc::SOCK_STREAM;
     if is_stream && STREAMS.fetch_add(1, Ordering::Relaxed) < plan().socket_first {
         return fail(libc::ENFILE) as c_int;
     }
-    if domain == libc::AF_INET && plan().strikes(plan().socket) {
-        return fail(one_of(&SOCKET_ERRORS)) as c_int;
+    if domain == libc::AF_INET && plan().draws_fault(plan().socket) {
+        return fail(draw_error(&SOCKET_ERRORS)) as c_int;
     }
     unsafe { original::socket(domain, kind, protocol) }
 }
 
 #[no_mangle]
 pub unsafe extern "C" fn connect(fd: c_int, to: *const sockaddr, len: socklen_t) -> c_int {
-    if plan().strikes(plan().connect) {
-        return fail(one_of(&CONNECT_ERRORS)) as c_int;
+    if plan().draws_fault(plan().connect) {
+        return fail(draw_error(&CONNECT_ERRORS)) as c_int;
     }
     unsafe { original::connect(fd, to, len) }
 }
 
 #[no_mangle]
 pub unsafe extern "C" fn fsync(fd: c_int) -> c_int {
-    if plan().strikes(plan().disk) {
+    if plan().draws_fault(plan().disk) {
         return fail(libc::EIO) as c_int;
     }
     unsafe { original::fsync(fd) }
@@ -229,7 +233,7 @@
 
 #[no_mangle]
 pub unsafe extern "C" fn fdatasync(fd: c_int) -> c_int {
-    if plan().strikes(plan().disk) {
+    if plan().draws_fault(plan().disk) {
         return fail(libc::EIO) as c_int;
     }
     unsafe { original::fdatasync(fd) }
@@ -238,14 +242,15 @@
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: c_int, now: *mut timespec) -> c_int {
     let result = unsafe { original::clock_gettime(clock, now) };
-    // The plan reads the monotonic clock, and is not asked about it.
-    if result != 0 || clock != libc::CLOCK_REALTIME || plan().wall_step_ms == 0 || !plan().is_on() {
+    // The plan itself reads the monotonic clock, which is never changed.
+    if result != 0 || clock != libc::CLOCK_REALTIME || plan().wall_step_ms == 0 || !plan().is_active() {
         return result;
     }
     // SAFETY: the call has just written to it.
     let now = unsafe { &mut *now };
-    let nanoseconds = now.tv_sec * NANOSECONDS + now.tv_nsec + plan().wall_step_ms * 1_000_000;
-    now.tv_sec = nanoseconds.div_euclid(NANOSECONDS);
-    now.tv_nsec = nanoseconds.rem_euclid(NANOSECONDS);
+    let nanoseconds =
+        now.tv_sec * NANOSECONDS_PER_SECOND + now.tv_nsec + plan().wall_step_ms * NANOSECONDS_PER_MILLISECOND;
+    now.tv_sec = nanoseconds.div_euclid(NANOSECONDS_PER_SECOND);
+    now.tv_nsec = nanoseconds.rem_euclid(NANOSECONDS_PER_SECOND);
     result
 }
--- a/crates/fault-injection/src/original.rs
+++ b/crates/fault-injection/src/original.rs
@@ -1,4 +1,4 @@
-//! The C library's own functions, behind those of this library.
+//! The C library's own functions, which those of this library replace.
 
 /// Declares a function that calls the next definition of a symbol: the C library's.
 macro_rules! original {
@@ -18,7 +18,7 @@
             }
             // SAFETY: the C library defines this symbol with this signature.
             let next: unsafe extern "C" fn($($type),*) -> $result = unsafe { std::mem::transmute(next) };
-            // SAFETY: the arguments are passed on as they came.
+            // SAFETY: the arguments are passed on unchanged.
             unsafe { next($($argument),*) }
         }
     };
--- a/crates/fault-injection/src/plan.rs
+++ b/crates/fault-injection/src/plan.rs
@@ -1,4 +1,4 @@
-//! What fails, how often, and when: read once from the environment.
+//! The plan: which calls fail, how often, and when. It is read once from the environment.
 
 use std::ffi::CString;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -7,37 +7,40 @@
 /// The environment variable that holds the plan: `name=value` pairs, separated by commas.
 pub const VARIABLE: &str = "STARLINGPLANK_FAULTS";
 
-/// Probabilities per call, 0 to 1, and the times between which faults happen.
+/// Probabilities for each call, 0 to 1, and the time in which faults occur.
 #[derive(Debug, Default)]
 pub struct Plan {
     /// Reads and writes on sockets return `EINTR`.
     pub interrupt: f64,
     /// Reads and writes on sockets transfer one byte.
     pub short: f64,
-    /// `accept` fails for a moment.
+    /// `accept` fails with a transient error.
     pub accept: f64,
-    /// `socket` fails for a moment.
+    /// `socket` fails with a transient error.
     pub socket: f64,
-    /// The first so many calls of `socket` for a stream fail.
+    /// The number of first calls of `socket` for a stream that fail.
     pub socket_first: u64,
-    /// `connect` fails for a moment.
+    /// `connect` fails with a transient error.
     pub connect: f64,
     /// Writes and syncs of regular files fail with `ENOSPC` or `EIO`.
     pub disk: f64,
-    /// Writes of regular files stop halfway, and what is written next to the same file fails with `ENOSPC`.
+    /// Writes of regular files write half of their bytes, and the next write to the same file fails with `ENOSPC`.
     pub torn: f64,
     /// Writes to standard output and standard error fail with `ENOSPC`.
     pub log: f64,
     /// By how much the wall clock is stepped, in milliseconds.
     pub wall_step_ms: i64,
-    /// Faults happen from then on, in milliseconds since the first call.
+    /// Faults occur from this time on, in milliseconds since the first call ...
     pub from_ms: u64,
-    /// And until then; 0 for ever.
+    /// ... until this one; 0 for no end.
     pub until_ms: u64,
-    /// Faults happen only while this file exists.
+    /// Faults occur only while this file exists.
     pub switch: Option<CString>,
 }
 
+/// The 64-bit golden ratio, which spreads the bits of small seeds.
+const SEED_FACTOR: u64 = 0x9E37_79B9_7F4A_7C15;
+
 static PLAN: OnceLock<Plan> = OnceLock::new();
 static STARTED_MS: AtomicU64 = AtomicU64::new(0);
 static RANDOM: AtomicU64 = AtomicU64::new(0);
@@ -46,11 +49,11 @@
 pub fn plan() -> &'static Plan {
     PLAN.get_or_init(|| {
         STARTED_MS.store(monotonic_ms(), Ordering::Relaxed);
-        read(&std::env::var(VARIABLE).unwrap_or_default())
+        parse(&std::env::var(VARIABLE).unwrap_or_default())
     })
 }
 
-fn read(text: &str) -> Plan {
+fn parse(text: &str) -> Plan {
     let mut plan = Plan::default();
     let mut seed = 1u64;
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
@@ -73,26 +76,27 @@
             _ => {}
         }
     }
-    RANDOM.store(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1, Ordering::Relaxed);
+    // The generator needs a state other than 0.
+    RANDOM.store(seed.wrapping_mul(SEED_FACTOR) | 1, Ordering::Relaxed);
     plan
 }
 
 impl Plan {
-    /// Whether faults happen now.
-    pub fn is_on(&self) -> bool {
+    /// Whether faults occur now.
+    pub fn is_active(&self) -> bool {
         let age = monotonic_ms().saturating_sub(STARTED_MS.load(Ordering::Relaxed));
-        let in_time = age >= self.from_ms && (self.until_ms == 0 || age < self.until_ms);
-        in_time && self.switch.as_ref().is_none_or(exists)
+        let is_in_time = age >= self.from_ms && (self.until_ms == 0 || age < self.until_ms);
+        is_in_time && self.switch.as_ref().is_none_or(exists)
     }
 
-    /// Whether a fault of this probability happens now.
-    pub fn strikes(&self, probability: f64) -> bool {
-        probability > 0.0 && self.is_on() && unit() < probability
+    /// Draws whether a fault of this probability occurs now.
+    pub fn draws_fault(&self, probability: f64) -> bool {
+        probability > 0.0 && self.is_active() && random_share() < probability
     }
 }
 
-/// Tells the test that a fault of this name has happened: a file beside the switch, by the fault's name.
-pub fn tell(fault: &str) {
+/// Reports to the test that a fault has occurred: by a file beside the switch, with the fault's name.
+pub fn report(fault: &str) {
     let Some(switch) = &plan().switch else { return };
     let Ok(path) = CString::new([switch.as_bytes(), b".", fault.as_bytes()].concat()) else { return };
     // SAFETY: the path ends with a zero byte and outlives the call; the descriptor is closed at once.
@@ -104,9 +108,9 @@
     }
 }
 
-/// One of these error numbers, by chance.
-pub fn one_of(errors: &[i32]) -> i32 {
-    errors[(next() % errors.len() as u64) as usize]
+/// Draws one of these error numbers.
+pub fn draw_error(errors: &[i32]) -> i32 {
+    errors[(next_random() % errors.len() as u64) as usize]
 }
 
 /// Sets the error number of the calling thread, and returns what a failed call returns.
@@ -128,17 +132,19 @@
     now.tv_sec as u64 * 1000 + now.tv_nsec as u64 / 1_000_000
 }
 
-/// A xorshift generator: the same seed gives the same draws, whichever thread asks.
-fn next() -> u64 {
-    let step = |mut x: u64| {
-        x ^= x << 13;
-        x ^= x >> 7;
-        x ^ (x << 17)
-    };
-    let before = RANDOM.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |x| Some(step(x)));
-    step(before.unwrap_or(1))
+/// A xorshift generator, whose draws follow from the seed whichever thread draws.
+fn next_random() -> u64 {
+    let before = RANDOM.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |state| Some(xorshift(state)));
+    xorshift(before.unwrap_or(1))
+}
+
+fn xorshift(mut state: u64) -> u64 {
+    state ^= state << 13;
+    state ^= state >> 7;
+    state ^ (state << 17)
 }
 
-fn unit() -> f64 {
-    (next() >> 11) as f64 / (1u64 << 53) as f64
+/// A number from 0 to 1.
+fn random_share() -> f64 {
+    (next_random() >> 11) as f64 / (1u64 << 53) as f64
 }
