--- a/crates/experiments/src/soak/client.rs
+++ b/crates/experiments/src/soak/client.rs
@@ -1,220 +1,246 @@
-//! A client in a closed loop, on connections that it uses again, rests on, or leaves. It writes down every request.
+//! A client in a closed loop, on connections that it uses again, leaves idle, or closes. It records every request.
 
+use super::context::RunContext;
 use super::ledger::{Answer, Class, RequestEnd, RequestRecord};
-use super::Stage;
 use rand::Rng;
+use rand_pcg::Pcg64Mcg;
 use starlingplank_test_doubles::thrift::{self, Answer as ThriftAnswer};
+use std::ops::Range;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
-use tokio::time::{sleep, timeout};
-
-/// Time between two requests, in milliseconds.
-const THINKS_MS: std::ops::Range<u64> = 5..80;
-/// Time for which a client rests now and then.
-const RESTS_MS: std::ops::Range<u64> = 500..3_500;
-/// Past its limit an answer is waited for so long, to tell a late one from none.
+use tokio::time::{error::Elapsed, sleep, timeout};
+
+/// The time between two requests, in milliseconds.
+const THINK_TIME_MS: Range<u64> = 5..80;
+/// The time for which a client is idle in place of that, and how seldom: once in so many pauses.
+const IDLE_TIME_MS: Range<u64> = 500..3_500;
+const IDLE_EVERY: u32 = 25;
+/// A client closes its connection once in so many pauses.
+const CLOSE_EVERY: u32 = 6;
+/// How much longer a pause is after a request that was not served, in milliseconds.
+const BACKOFF_MS: u64 = 200;
+/// The share of requests that clients abandon, and how long after they sent them, in milliseconds.
+const ABANDONED_SHARE: f64 = 0.05;
+const IMPATIENT_ABANDONED_SHARE: f64 = 0.3;
+const ABANDON_AFTER_MS: Range<u64> = 0..200;
+/// How much longer than its timeout a client waits, to tell a late answer from none.
 const OVERTIME: Duration = Duration::from_secs(4);
-/// An answer that nobody waits for is listened to for so long.
-const AFTERTHOUGHT: Duration = Duration::from_millis(2);
-/// Bytes of an answer at most.
-const LONGEST: usize = 1 << 20;
-
-/// A connection, and the number of its last call.
+/// How long a client waits for a second answer, which must not come.
+const SECOND_ANSWER_WAIT: Duration = Duration::from_millis(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// The pauses after a connection that failed, and between attempts to be served.
+const CONNECT_PAUSE: Duration = Duration::from_millis(50);
+const ATTEMPT_PAUSE: Duration = Duration::from_millis(100);
+/// The bytes of an answer.
+const MAX_ANSWER_BYTES: usize = 1 << 20;
+
+/// A connection, and the sequence number of its last call.
 struct Connection {
     stream: TcpStream,
-    last: i32,
+    last_sequence: i32,
     incarnation: u32,
 }
 
-/// One client.
-pub struct Client {
-    stage: Rc<Stage>,
+/// One client. It owns its connection.
+pub(super) struct Client {
+    context: Rc<RunContext>,
     gateway: usize,
     connection: Option<Connection>,
 }
 
-/// What a client means to do with a request.
-enum Intention {
+/// How a client behaves after it sent a request.
+enum Behaviour {
     Wait,
     CancelAfter(Duration),
-    LeaveAfter(Duration),
+    DisconnectAfter(Duration),
+}
+
+/// A client's pause between two requests.
+struct Pause {
+    think_ms: u64,
+    idle_ms: Option<u64>,
+    closes_connection: bool,
 }
 
 impl Client {
     /// A client of that gateway.
-    pub fn new(stage: Rc<Stage>, gateway: usize) -> Self {
-        Self { stage, gateway, connection: None }
+    pub(super) fn new(context: Rc<RunContext>, gateway: usize) -> Self {
+        Self { context, gateway, connection: None }
     }
 
-    /// Asks one after the other until the play is over.
-    pub async fn run(mut self) {
-        while !self.stage.over.get() {
-            let intention = self.draw_intention();
-            let refused = self.ask(intention).await.is_none_or(|end| {
-                !matches!(end, RequestEnd::Answered(_, Answer::Served) | RequestEnd::Gone(_))
-            });
-            self.pause(refused).await;
+    /// Sends one request after the other until the run is over.
+    pub(super) async fn run(mut self) {
+        while !self.context.is_over.get() {
+            let behaviour = self.draw_behaviour();
+            let end = self.request(behaviour).await;
+            let is_satisfied =
+                matches!(end, Some(RequestEnd::Answered(_, Answer::Served) | RequestEnd::Abandoned(_)));
+            self.pause(is_satisfied).await;
         }
     }
 
-    /// Asks until served, so many times at most.
-    pub async fn is_served_within(&mut self, tries: usize) -> bool {
-        for _ in 0..tries {
-            let end = self.ask(Intention::Wait).await;
+    /// Sends requests until one is served, so many at most.
+    pub(super) async fn is_served_within(&mut self, attempts: usize) -> bool {
+        for _ in 0..attempts {
+            let end = self.request(Behaviour::Wait).await;
             if matches!(end, Some(RequestEnd::Answered(_, Answer::Served))) {
                 return true;
             }
-            sleep(Duration::from_millis(100)).await;
+            sleep(ATTEMPT_PAUSE).await;
         }
         false
     }
 
-    fn draw_intention(&self) -> Intention {
-        let share = if self.stage.clients_leave.get() { 0.3 } else { 0.05 };
-        self.stage.draw(|rng| {
-            let after = Duration::from_millis(rng.random_range(0..200));
+    fn draw_behaviour(&self) -> Behaviour {
+        let is_impatient = self.context.clients_are_impatient.get();
+        let share = if is_impatient { IMPATIENT_ABANDONED_SHARE } else { ABANDONED_SHARE };
+        self.context.draw(|rng| {
+            let after = Duration::from_millis(rng.random_range(ABANDON_AFTER_MS));
             match rng.random_range(0.0..1.0) {
-                x if x < share / 2.0 => Intention::CancelAfter(after),
-                x if x < share => Intention::LeaveAfter(after),
-                _ => Intention::Wait,
+                draw if draw < share / 2.0 => Behaviour::CancelAfter(after),
+                draw if draw < share => Behaviour::DisconnectAfter(after),
+                _ => Behaviour::Wait,
             }
         })
     }
 
-    async fn pause(&mut self, refused: bool) {
-        let (thinks, rests, leaves) = self.stage.draw(|rng| {
-            let rests = (rng.random_range(0..25) == 0).then(|| rng.random_range(RESTS_MS));
-            (rng.random_range(THINKS_MS), rests, rng.random_range(0..6) == 0)
-        });
-        if leaves {
+    async fn pause(&mut self, is_satisfied: bool) {
+        let pause = self.context.draw(draw_pause);
+        if pause.closes_connection {
             self.connection = None;
         }
-        let backs_off = if refused { 200 } else { 0 };
-        sleep(Duration::from_millis(rests.unwrap_or(thinks) + backs_off)).await;
+        let backoff_ms = if is_satisfied { 0 } else { BACKOFF_MS };
+        sleep(Duration::from_millis(pause.idle_ms.unwrap_or(pause.think_ms) + backoff_ms)).await;
     }
 
-    /// One request. None: nobody listens. A request that crosses the close of a resting connection is sent once more.
-    async fn ask(&mut self, intention: Intention) -> Option<RequestEnd> {
+    /// Sends one request. None: there is no connection, or it was closed while it was idle.
+    async fn request(&mut self, behaviour: Behaviour) -> Option<RequestEnd> {
         let mut connection = match self.connection.take() {
             Some(connection) => connection,
             None => self.connect().await?,
         };
-        connection.last += 1;
-        let (class, limit) = self.stage.draw(draw_request);
-        let txn = format!("{:016x}", self.stage.draw(|rng| rng.random::<u64>()));
-        let key = format!("k{txn}");
-        let milliseconds = format!("{:.0}", limit * 1000.0);
-        let mut fields =
-            vec![("verb", class.name()), ("txn", txn.as_str()), ("limit", milliseconds.as_str())];
-        if class == Class::Keyed {
-            fields.push(("unique", key.as_str()));
-        }
-        let message = thrift::encode_call(connection.last, &fields, "select 1");
-        if connection.stream.write_all(&message).await.is_err() {
-            return None;
-        }
-        let sent = self.stage.now();
-        let end = self.wait(&mut connection, limit, intention).await;
-        let further_answers = u32::from(self.more_is_said(&mut connection, end).await);
+        connection.last_sequence += 1;
+        let (class, timeout) = self.context.draw(draw_request);
+        let txn = format!("{:016x}", self.context.draw(|rng| rng.random::<u64>()));
+        let message = encode_request(connection.last_sequence, class, &txn, timeout);
+        connection.stream.write_all(&message).await.ok()?;
+        let sent = self.context.now();
+        let end = self.wait(&mut connection, timeout, behaviour).await;
+        let further_answers = u32::from(receives_second_answer(&mut connection, end).await);
         let record = RequestRecord {
             gateway: self.gateway,
             incarnation: connection.incarnation,
             class,
             sent,
-            limit,
+            timeout,
             end,
             further_answers,
-            on_used_connection: connection.last > 1,
+            on_used_connection: connection.last_sequence > 1,
         };
-        self.stage.ledger.borrow_mut().requests.insert(txn, record);
-        let goes_on = matches!(end, RequestEnd::Answered(..)) && further_answers == 0;
-        self.connection = goes_on.then_some(connection);
+        self.context.ledger.borrow_mut().requests.insert(txn, record);
+        let is_reusable = matches!(end, RequestEnd::Answered(..)) && further_answers == 0;
+        self.connection = is_reusable.then_some(connection);
         Some(end)
     }
 
     async fn connect(&self) -> Option<Connection> {
-        let incarnation = self.stage.incarnation(self.gateway);
-        let connecting = TcpStream::connect(self.stage.addresses[self.gateway]);
-        let connected = timeout(Duration::from_secs(2), connecting).await;
-        let Ok(Ok(stream)) = connected else {
-            sleep(Duration::from_millis(50)).await;
+        let incarnation = self.context.incarnation(self.gateway);
+        let connecting = TcpStream::connect(self.context.addresses[self.gateway]);
+        let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, connecting).await else {
+            sleep(CONNECT_PAUSE).await;
             return None;
         };
         let _ = stream.set_nodelay(true);
-        Some(Connection { stream, last: 0, incarnation })
+        Some(Connection { stream, last_sequence: 0, incarnation })
     }
 
-    async fn wait(&self, connection: &mut Connection, limit: f64, intention: Intention) -> RequestEnd {
-        let answer = timeout(Duration::from_secs_f64(limit) + OVERTIME, read_answer(connection));
-        match intention {
-            Intention::Wait => self.ended(answer.await),
-            Intention::CancelAfter(after) => tokio::select! {
+    async fn wait(&self, connection: &mut Connection, limit: f64, behaviour: Behaviour) -> RequestEnd {
+        let answer = timeout(Duration::from_secs_f64(limit) + OVERTIME, receive_answer(connection));
+        match behaviour {
+            Behaviour::Wait => self.ended(answer.await),
+            Behaviour::CancelAfter(after) => tokio::select! {
                 answer = answer => self.ended(answer),
                 () = sleep(after) => {
-                    let cancel = cancel(connection.last);
+                    let cancel = encode_cancel(connection.last_sequence);
                     let _ = connection.stream.write_all(&cancel).await;
-                    RequestEnd::Gone(self.stage.now())
+                    RequestEnd::Abandoned(self.context.now())
                 }
             },
-            Intention::LeaveAfter(after) => tokio::select! {
+            Behaviour::DisconnectAfter(after) => tokio::select! {
                 answer = answer => self.ended(answer),
-                () = sleep(after) => RequestEnd::Gone(self.stage.now()),
+                () = sleep(after) => RequestEnd::Abandoned(self.context.now()),
             },
         }
     }
 
-    fn ended(&self, answer: Result<Option<Answer>, tokio::time::error::Elapsed>) -> RequestEnd {
-        let now = self.stage.now();
+    fn ended(&self, answer: Result<Option<Answer>, Elapsed>) -> RequestEnd {
+        let now = self.context.now();
         match answer {
             Ok(Some(answer)) => RequestEnd::Answered(now, answer),
             Ok(None) => RequestEnd::ConnectionLost(now),
-            Err(_) => RequestEnd::Nothing(now),
+            Err(_) => RequestEnd::NoAnswer(now),
         }
     }
+}
 
-    /// Whether another answer follows the first.
-    async fn more_is_said(&self, connection: &mut Connection, end: RequestEnd) -> bool {
-        matches!(end, RequestEnd::Answered(..))
-            && matches!(timeout(AFTERTHOUGHT, read_answer(connection)).await, Ok(Some(_)))
-    }
+fn draw_pause(rng: &mut Pcg64Mcg) -> Pause {
+    let idle_ms = (rng.random_range(0..IDLE_EVERY) == 0).then(|| rng.random_range(IDLE_TIME_MS));
+    let think_ms = rng.random_range(THINK_TIME_MS);
+    Pause { think_ms, idle_ms, closes_connection: rng.random_range(0..CLOSE_EVERY) == 0 }
 }
 
-fn draw_request(rng: &mut rand_pcg::Pcg64Mcg) -> (Class, f64) {
+/// The class and the timeout of a request.
+fn draw_request(rng: &mut Pcg64Mcg) -> (Class, f64) {
     let class = match rng.random_range(0..10) {
-        0..5 => Class::Safe,
-        5..8 => Class::Unsafe,
+        0..5 => Class::Idempotent,
+        5..8 => Class::NotIdempotent,
         _ => Class::Keyed,
     };
-    let limit = match rng.random_range(0..12) {
+    let timeout = match rng.random_range(0..12) {
         0 => rng.random_range(0.03..0.2),
         _ => rng.random_range(0.8..3.5),
     };
-    (class, limit)
+    (class, timeout)
+}
+
+fn encode_request(sequence: i32, class: Class, txn: &str, timeout: f64) -> Vec<u8> {
+    let (key, limit) = (format!("k{txn}"), format!("{:.0}", timeout * 1000.0));
+    let mut fields = vec![("verb", class.name()), ("txn", txn), ("limit", limit.as_str())];
+    if class == Class::Keyed {
+        fields.push(("unique", key.as_str()));
+    }
+    thrift::encode_call(sequence, &fields, "select 1")
+}
+
+/// The oneway message `cancel` of a call.
+fn encode_cancel(sequence: i32) -> Vec<u8> {
+    let mut message = vec![0x80, 1, 0, 4, 0, 0, 0, 6];
+    message.extend(b"cancel");
+    message.extend(0_i32.to_be_bytes());
+    message.extend([8, 0, 1]);
+    message.extend(sequence.to_be_bytes());
+    message.push(0);
+    [&(message.len() as u32).to_be_bytes()[..], &message].concat()
 }
 
-/// The `cancel` of a call.
-fn cancel(seq: i32) -> Vec<u8> {
-    let mut out = vec![0x80, 1, 0, 4, 0, 0, 0, 6];
-    out.extend(b"cancel");
-    out.extend(0_i32.to_be_bytes());
-    out.extend([8, 0, 1]);
-    out.extend(seq.to_be_bytes());
-    out.push(0);
-    [&(out.len() as u32).to_be_bytes()[..], &out].concat()
+/// Whether another answer follows the first.
+async fn receives_second_answer(connection: &mut Connection, end: RequestEnd) -> bool {
+    matches!(end, RequestEnd::Answered(..))
+        && matches!(timeout(SECOND_ANSWER_WAIT, receive_answer(connection)).await, Ok(Some(_)))
 }
 
-/// The next answer; none: the connection ends first.
-async fn read_answer(connection: &mut Connection) -> Option<Answer> {
-    let mut len = [0; 4];
-    connection.stream.read_exact(&mut len).await.ok()?;
-    let len = u32::from_be_bytes(len) as usize;
-    let mut frame = vec![0; len.min(LONGEST)];
+/// The next answer; none if the connection ends first.
+async fn receive_answer(connection: &mut Connection) -> Option<Answer> {
+    let mut length = [0; 4];
+    connection.stream.read_exact(&mut length).await.ok()?;
+    let length = u32::from_be_bytes(length) as usize;
+    let mut frame = vec![0; length.min(MAX_ANSWER_BYTES)];
     connection.stream.read_exact(&mut frame).await.ok()?;
     match thrift::parse_reply(&frame)?.answer {
         ThriftAnswer::Served => Some(Answer::Served),
-        ThriftAnswer::Refused(_) => Some(Answer::Refused),
+        ThriftAnswer::Refused(_) => Some(Answer::Rejected),
         ThriftAnswer::Failed => Some(Answer::Failed),
         ThriftAnswer::Lost => None,
     }
--- a/crates/experiments/src/soak/config.rs
+++ b/crates/experiments/src/soak/configuration.rs
@@ -1,29 +1,29 @@
-//! The configuration of a play's gateways.
+//! The configuration of the gateways.
 
-use super::run::Play;
-use super::{COLD_FROM, CORES, FALL_MULTIPLE, KEY_WINDOW_MS, TIP_AFTER_MS, WARM_WITHIN_MS};
+use super::run::SoakRun;
+use super::{COLLAPSE_AFTER_MS, COLLAPSE_MULTIPLE, CORES, KEY_WINDOW_MS, SLOW_START_FROM, SLOW_START_MS};
 use starlingplank_test_doubles::name_service::ListedEngine;
 
-impl Play {
-    pub(super) fn write_config(&self, gateway: usize) -> std::io::Result<()> {
-        let folder = self.stage.folder.join(format!("g{gateway}"));
+impl SoakRun {
+    /// Writes the configuration of a gateway. It replaces the file at once, as a reload may read it at any moment.
+    pub(super) fn write_configuration(&self, gateway: usize) -> std::io::Result<()> {
+        let folder = self.context.gateway_folder(gateway);
         std::fs::create_dir_all(&folder)?;
-        // Whole or not at all: a reload may read it at any moment.
         let new = folder.join("config.new");
-        std::fs::write(&new, self.config(gateway))?;
+        std::fs::write(&new, self.configuration(gateway))?;
         std::fs::rename(new, folder.join("config.json"))
     }
 
-    fn config(&self, gateway: usize) -> String {
-        let member = |e: &ListedEngine| {
-            let phase = if e.drains { "draining" } else { "ready" };
+    fn configuration(&self, gateway: usize) -> String {
+        let member = |engine: &ListedEngine| {
+            let phase = if engine.drains { "draining" } else { "ready" };
             format!(
                 r#"{{"id":"{}","host_port":"{}","locality":"a","flavor":"std","cell":0,"phase":"{phase}","size":1,"up_since_ms":{:.0}}}"#,
-                e.id, e.address, e.started
+                engine.id, engine.address, engine.started
             )
         };
         let view = &self.discovery.views[gateway];
-        let members: Vec<_> = self.discovery.entries.borrow().iter().map(member).collect();
+        let members: Vec<_> = self.discovery.engines.borrow().iter().map(member).collect();
         format!(
             r#"{{"name":"g{gateway}","listen":"{}","operator":"127.0.0.1:0","seed":"{:x}","names":"{}",
             "limits":{{"cores":1.0,"memory_mb":64,"sockets":256}},
@@ -38,8 +38,8 @@
              "reporting":{{"how":"answers","columns":["load_share"]}},
              "limits":{{"send_cap":3,"cancelling":true,"probes":true,"retry_after":true,"max_retry_after":400,"connect_timeout":250,"idle_close":4000}},
              "rules":{{"answer_slack":20,"drain_grace":2000,"extra_free":2,"extra_per_request":0.2,"ratio_span":10000,
-              "cold_from":{COLD_FROM},"warm_within":{WARM_WITHIN_MS},"fall_multiple":{FALL_MULTIPLE},"tip_after":{TIP_AFTER_MS}}}}}}}"#,
-            self.stage.addresses[gateway],
+              "cold_from":{SLOW_START_FROM},"warm_within":{SLOW_START_MS},"fall_multiple":{COLLAPSE_MULTIPLE},"tip_after":{COLLAPSE_AFTER_MS}}}}}}}"#,
+            self.context.addresses[gateway],
             self.seed ^ gateway as u64,
             view.addresses[view.present.get()],
             members.join(","),
--- /dev/null
+++ b/crates/experiments/src/soak/context.rs
@@ -0,0 +1,74 @@
+//! What all parts of a run share.
+
+use super::ledger::Ledger;
+use super::run::SoakOptions;
+use rand::SeedableRng;
+use rand_pcg::Pcg64Mcg;
+use std::cell::{Cell, RefCell};
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use tokio::time::Instant;
+
+/// The shared state of a run. It owns the ledger and the random draws.
+pub(super) struct RunContext {
+    /// The program.
+    pub(super) program: PathBuf,
+    /// The library of system-call faults.
+    pub(super) faults_library: PathBuf,
+    /// The folder with a folder for each gateway.
+    folder: PathBuf,
+    /// Where the gateways listen.
+    pub(super) addresses: Vec<SocketAddr>,
+    begun: Instant,
+    rng: RefCell<Pcg64Mcg>,
+    /// What was recorded.
+    pub(super) ledger: RefCell<Ledger>,
+    /// Whether clients cancel and disconnect far more often.
+    pub(super) clients_are_impatient: Cell<bool>,
+    /// Whether clients send no more requests.
+    pub(super) is_over: Cell<bool>,
+    /// Errors that processes logged.
+    pub(super) errors: RefCell<Vec<String>>,
+}
+
+impl RunContext {
+    pub(super) fn new(options: &SoakOptions, addresses: Vec<SocketAddr>) -> Self {
+        let processes = vec![Vec::new(); addresses.len()];
+        Self {
+            program: options.program.clone(),
+            faults_library: options.faults_library.clone(),
+            folder: options.folder.clone(),
+            addresses,
+            begun: Instant::now(),
+            rng: RefCell::new(Pcg64Mcg::seed_from_u64(options.seed)),
+            ledger: RefCell::new(Ledger { processes, ..Ledger::default() }),
+            clients_are_impatient: Cell::new(false),
+            is_over: Cell::new(false),
+            errors: RefCell::default(),
+        }
+    }
+
+    /// Seconds since the run began.
+    pub(super) fn now(&self) -> f64 {
+        self.begun.elapsed().as_secs_f64()
+    }
+
+    pub(super) fn draw<T>(&self, draw: impl FnOnce(&mut Pcg64Mcg) -> T) -> T {
+        draw(&mut self.rng.borrow_mut())
+    }
+
+    /// The folder of a gateway.
+    pub(super) fn gateway_folder(&self, gateway: usize) -> PathBuf {
+        self.folder.join(format!("g{gateway}"))
+    }
+
+    /// The number of a gateway's last process.
+    pub(super) fn incarnation(&self, gateway: usize) -> u32 {
+        (self.ledger.borrow().processes[gateway].len() as u32).saturating_sub(1)
+    }
+
+    pub(super) fn record_errors(&self, gateway: usize, process: usize, lines: &[String]) {
+        let named = lines.iter().map(|line| format!("gateway {gateway} process {process}: {line}"));
+        self.errors.borrow_mut().extend(named);
+    }
+}
--- a/crates/experiments/src/soak/discovery.rs
+++ b/crates/experiments/src/soak/discovery.rs
@@ -1,8 +1,8 @@
-//! The name service of a play: two addresses for each gateway, with troubles for each gateway by itself. What it told each
-//! gateway, and what a good answer would have told, is written into the ledger.
+//! The name service of a run: two addresses for each gateway, with faults for each gateway. The lists that it sent to each
+//! gateway, or would have sent with a valid response, are recorded in the ledger.
 
+use super::context::RunContext;
 use super::ledger::Announcement;
-use super::Stage;
 use rand::Rng;
 use starlingplank_test_doubles::name_service::{encode_answer, ListedEngine};
 use std::cell::{Cell, RefCell};
@@ -13,182 +13,207 @@
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 
-/// Bytes of the head of a question.
-const QUESTION_HEAD: usize = 12;
-/// The byte of a message's head with the response code, and "server failure".
-const CODE_BYTE: usize = 3;
+/// The bytes of a poll, and of the header of a message.
+const MAX_POLL_BYTES: usize = 512;
+const HEADER_BYTES: usize = 12;
+/// The byte of a header with the response code, and the code "server failure".
+const RESPONSE_CODE_BYTE: usize = 3;
 const SERVER_FAILURE: u8 = 2;
 
-/// What happens to an answer that is not good.
+/// What happens to an invalid response.
 #[derive(Debug, Clone, Copy)]
-enum Fate {
+enum Corruption {
     Lost,
     CutShort,
     OtherId,
     Failure,
-    OlderList,
+    OutdatedList,
 }
 
-impl Fate {
-    const ALL: [Self; 5] = [Self::Lost, Self::CutShort, Self::OtherId, Self::Failure, Self::OlderList];
+impl Corruption {
+    const ALL: [Self; 5] = [Self::Lost, Self::CutShort, Self::OtherId, Self::Failure, Self::OutdatedList];
 }
 
-/// What one gateway meets.
+/// The name service as one gateway finds it.
 #[derive(Debug)]
-pub struct View {
-    /// Its two addresses of the service.
-    pub addresses: [SocketAddr; 2],
-    /// Which of them its configuration names.
-    pub present: Cell<usize>,
-    /// The other one answers as well.
-    pub both_answer: Cell<bool>,
-    /// Its questions are not answered until then.
-    pub silent_until: Cell<f64>,
-    /// Seconds that an answer takes.
-    pub latency: Cell<f64>,
-    /// The share of answers that are not good.
-    pub loss: Cell<f64>,
-    /// Ports that it has asked from.
-    seen: RefCell<BTreeSet<u16>>,
-    /// Ports whose questions are not answered any more.
-    dead: RefCell<BTreeSet<u16>>,
+pub(super) struct GatewayView {
+    /// Its two addresses.
+    pub(super) addresses: [SocketAddr; 2],
+    /// The index of the address in the gateway's configuration.
+    pub(super) present: Cell<usize>,
+    /// Whether the other address responds as well.
+    pub(super) both_respond: Cell<bool>,
+    /// It responds to no poll before.
+    pub(super) silent_until: Cell<f64>,
+    /// The time that a response takes, in seconds.
+    pub(super) latency: Cell<f64>,
+    /// The share of invalid responses.
+    pub(super) invalid_share: Cell<f64>,
+    /// The ports from which the gateway has polled.
+    used_ports: RefCell<BTreeSet<u16>>,
+    /// The ports whose polls get no response any more.
+    dead_ports: RefCell<BTreeSet<u16>>,
 }
 
-impl View {
-    /// All flows that have been used are dead from now on.
-    pub fn kill_flows(&self) {
-        self.dead.borrow_mut().extend(self.seen.borrow().iter());
+impl GatewayView {
+    fn new(addresses: [SocketAddr; 2]) -> Self {
+        Self {
+            addresses,
+            present: Cell::new(0),
+            both_respond: Cell::new(false),
+            silent_until: Cell::new(0.0),
+            latency: Cell::new(0.0),
+            invalid_share: Cell::new(0.0),
+            used_ports: RefCell::default(),
+            dead_ports: RefCell::default(),
+        }
+    }
+
+    /// Kills all flows that have been used so far.
+    pub(super) fn kill_flows(&self) {
+        self.dead_ports.borrow_mut().extend(self.used_ports.borrow().iter());
+    }
+
+    fn is_dead(&self, port: u16) -> bool {
+        self.dead_ports.borrow().contains(&port)
     }
 }
 
-/// A list of engines with its version.
-type Version = (u32, Vec<ListedEngine>);
+/// A version of the list.
+struct ListVersion {
+    version: u32,
+    engines: Vec<ListedEngine>,
+}
 
-/// The list of engines, told by all services with the same words.
-pub struct Discovery {
+/// A poll of a gateway.
+struct Poll {
+    gateway: usize,
+    socket: Rc<UdpSocket>,
+    from: SocketAddr,
+    bytes: Vec<u8>,
+}
+
+/// The name service, whose addresses all hold the same list.
+pub(super) struct Discovery {
     /// The list.
-    pub entries: RefCell<Vec<ListedEngine>>,
+    pub(super) engines: RefCell<Vec<ListedEngine>>,
     /// Its version.
-    pub version: Cell<u32>,
+    pub(super) version: Cell<u32>,
     /// The list before.
-    former: RefCell<Option<Version>>,
-    /// Since when no service answers.
-    pub silent_since: Cell<Option<f64>>,
+    previous: RefCell<Option<ListVersion>>,
+    /// Since when no address responds.
+    pub(super) silent_since: Cell<Option<f64>>,
     /// By gateway.
-    pub views: Vec<View>,
-    stage: Rc<Stage>,
+    pub(super) views: Vec<GatewayView>,
+    context: Rc<RunContext>,
 }
 
 impl Discovery {
-    /// Starts the services of that many gateways.
+    /// Starts the addresses for that many gateways.
     ///
     /// # Errors
-    /// There is no port.
-    pub async fn start(stage: Rc<Stage>, gateways: usize) -> std::io::Result<Rc<Self>> {
+    /// No port is available.
+    pub(super) async fn start(context: Rc<RunContext>, gateways: usize) -> std::io::Result<Rc<Self>> {
         let (mut views, mut sockets) = (Vec::new(), Vec::new());
         for _ in 0..gateways {
             let pair = [UdpSocket::bind("127.0.0.1:0").await?, UdpSocket::bind("127.0.0.1:0").await?];
-            views.push(View {
-                addresses: [pair[0].local_addr()?, pair[1].local_addr()?],
-                present: Cell::new(0),
-                both_answer: Cell::new(false),
-                silent_until: Cell::new(0.0),
-                latency: Cell::new(0.0),
-                loss: Cell::new(0.0),
-                seen: RefCell::default(),
-                dead: RefCell::default(),
-            });
+            views.push(GatewayView::new([pair[0].local_addr()?, pair[1].local_addr()?]));
             sockets.push(pair);
         }
         let discovery = Rc::new(Self {
-            entries: RefCell::default(),
+            engines: RefCell::default(),
             version: Cell::new(1),
-            former: RefCell::default(),
+            previous: RefCell::default(),
             silent_since: Cell::new(None),
             views,
-            stage,
+            context,
         });
         for (gateway, pair) in sockets.into_iter().enumerate() {
-            for (place, socket) in pair.into_iter().enumerate() {
-                tokio::task::spawn_local(discovery.clone().serve(gateway, place, Rc::new(socket)));
+            for (index, socket) in pair.into_iter().enumerate() {
+                tokio::task::spawn_local(discovery.clone().serve(gateway, index, Rc::new(socket)));
             }
         }
         Ok(discovery)
     }
 
-    async fn serve(self: Rc<Self>, gateway: usize, place: usize, socket: Rc<UdpSocket>) {
-        let mut question = [0; 512];
+    async fn serve(self: Rc<Self>, gateway: usize, index: usize, socket: Rc<UdpSocket>) {
+        let mut buffer = [0; MAX_POLL_BYTES];
         loop {
-            let Ok((len, from)) = socket.recv_from(&mut question).await else { continue };
-            let view = &self.views[gateway];
-            view.seen.borrow_mut().insert(from.port());
-            let answers = view.present.get() == place || view.both_answer.get();
-            let silent = self.silent_since.get().is_some() || self.stage.now() < view.silent_until.get();
-            // Less than a head is no question.
-            if len < QUESTION_HEAD || !answers || silent {
+            let Ok((length, from)) = socket.recv_from(&mut buffer).await else { continue };
+            self.views[gateway].used_ports.borrow_mut().insert(from.port());
+            if length < HEADER_BYTES || !self.responds(gateway, index) {
                 continue;
             }
-            let is_good = !view.dead.borrow().contains(&from.port())
-                && self.stage.draw(|rng| rng.random_range(0.0..1.0)) >= view.loss.get();
-            let reply = self.clone().reply(gateway, socket.clone(), question[..len].to_vec(), from, is_good);
-            tokio::task::spawn_local(reply);
+            let is_valid = self.draw_is_valid(gateway, from.port());
+            let poll = Poll { gateway, socket: socket.clone(), from, bytes: buffer[..length].to_vec() };
+            tokio::task::spawn_local(self.clone().respond(poll, is_valid));
         }
     }
 
-    /// Answers a question after the present latency with the list as it is then.
-    async fn reply(
-        self: Rc<Self>,
-        gateway: usize,
-        socket: Rc<UdpSocket>,
-        question: Vec<u8>,
-        from: SocketAddr,
-        is_good: bool,
-    ) {
-        let latency = self.views[gateway].latency.get();
+    fn responds(&self, gateway: usize, index: usize) -> bool {
+        let view = &self.views[gateway];
+        let is_in_use = view.present.get() == index || view.both_respond.get();
+        let is_silent = self.silent_since.get().is_some() || self.context.now() < view.silent_until.get();
+        is_in_use && !is_silent
+    }
+
+    fn draw_is_valid(&self, gateway: usize, port: u16) -> bool {
+        let view = &self.views[gateway];
+        !view.is_dead(port) && self.context.draw(|rng| rng.random_range(0.0..1.0)) >= view.invalid_share.get()
+    }
+
+    /// Responds to a poll after the present latency, with the list as it is then.
+    async fn respond(self: Rc<Self>, poll: Poll, is_valid: bool) {
+        let latency = self.views[poll.gateway].latency.get();
         if latency > 0.0 {
             sleep(Duration::from_secs_f64(latency)).await;
         }
-        let said = encode_answer(&question, self.version.get(), &self.entries.borrow());
-        let message = if is_good { Some(said) } else { self.spoil(&question, said, from.port(), gateway) };
-        let announcement =
-            Announcement { gateway, at: self.stage.now(), version: self.version.get(), is_good };
-        self.stage.ledger.borrow_mut().announcements.push(announcement);
+        let valid = encode_answer(&poll.bytes, self.version.get(), &self.engines.borrow());
+        let message = if is_valid { Some(valid) } else { self.corrupt(&poll, valid) };
+        self.context.ledger.borrow_mut().announcements.push(Announcement {
+            gateway: poll.gateway,
+            at: self.context.now(),
+            version: self.version.get(),
+            is_valid,
+        });
         if let Some(message) = message {
-            let _ = socket.send_to(&message, from).await;
+            let _ = poll.socket.send_to(&message, poll.from).await;
         }
     }
 
-    /// What arrives in place of a good answer, if anything does.
-    fn spoil(&self, question: &[u8], mut said: Vec<u8>, port: u16, gateway: usize) -> Option<Vec<u8>> {
-        if self.views[gateway].dead.borrow().contains(&port) {
+    /// What is sent in place of a valid response, if anything is.
+    fn corrupt(&self, poll: &Poll, mut response: Vec<u8>) -> Option<Vec<u8>> {
+        if self.views[poll.gateway].is_dead(poll.from.port()) {
             return None;
         }
-        match Fate::ALL[self.stage.draw(|rng| rng.random_range(0..Fate::ALL.len()))] {
-            Fate::Lost => None,
-            Fate::CutShort => {
-                said.truncate(said.len() / 2);
-                Some(said)
+        let kinds = Corruption::ALL;
+        match kinds[self.context.draw(|rng| rng.random_range(0..kinds.len()))] {
+            Corruption::Lost => None,
+            Corruption::CutShort => {
+                response.truncate(response.len() / 2);
+                Some(response)
             }
-            Fate::OtherId => {
-                said[1] = said[1].wrapping_add(1);
-                Some(said)
+            Corruption::OtherId => {
+                response[1] = response[1].wrapping_add(1);
+                Some(response)
             }
-            Fate::Failure => {
-                said[CODE_BYTE] |= SERVER_FAILURE;
-                Some(said)
+            Corruption::Failure => {
+                response[RESPONSE_CODE_BYTE] |= SERVER_FAILURE;
+                Some(response)
             }
-            Fate::OlderList => {
-                let former = self.former.borrow();
-                former.as_ref().map(|(version, entries)| encode_answer(question, *version, entries))
+            Corruption::OutdatedList => {
+                let previous = self.previous.borrow();
+                previous.as_ref().map(|list| encode_answer(&poll.bytes, list.version, &list.engines))
             }
         }
     }
 
-    /// Tells another list from now on. Its version.
-    pub fn change(&self, change: impl FnOnce(&mut Vec<ListedEngine>)) -> u32 {
-        *self.former.borrow_mut() = Some((self.version.get(), self.entries.borrow().clone()));
-        change(&mut self.entries.borrow_mut());
-        self.version.set(self.version.get() + 1);
+    /// Changes the list. Returns its new version.
+    pub(super) fn change_list(&self, change: impl FnOnce(&mut Vec<ListedEngine>)) -> u32 {
+        let (version, engines) = (self.version.get(), self.engines.borrow().clone());
+        *self.previous.borrow_mut() = Some(ListVersion { version, engines });
+        change(&mut self.engines.borrow_mut());
+        self.version.set(version + 1);
         self.version.get()
     }
 }
--- a/crates/experiments/src/soak/engine.rs
+++ b/crates/experiments/src/soak/engine.rs
@@ -1,9 +1,10 @@
-//! An engine of the platform that serves by a clock, with troubles that can be switched on, and writes down every attempt.
+//! An engine of the platform whose requests take a random time, with faults that can be switched on. It records every attempt.
 
-use super::ledger::{AttemptEnd, AttemptRecord};
-use super::Stage;
+use super::context::RunContext;
+use super::ledger::{AttemptEnd, AttemptOutcome, AttemptRecord};
 use rand::Rng;
 use rustix::net::sockopt::set_socket_linger;
+use starlingplank_test_doubles::resp;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,101 +17,119 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// The shortest and the longest time that a request takes here.
-const SERVICE_MS: std::ops::Range<u64> = 60..260;
+/// The time that a request takes, in milliseconds.
+const SERVICE_TIME_MS: std::ops::Range<u64> = 60..260;
 /// The mean of that, in seconds.
-pub const MEAN_SERVICE: f64 = 0.16;
-/// Bytes of a command at most.
-const LONGEST: usize = 1 << 16;
+pub(super) const MEAN_SERVICE_TIME: f64 = 0.16;
+/// The bytes of a command.
+const MAX_COMMAND_BYTES: usize = 1 << 16;
+/// The pause after a port that could not be bound again.
+const BIND_PAUSE: Duration = Duration::from_millis(5);
+/// How often an engine that hangs checks whether it still does.
+const HANG_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// The time in which an answer is sent before its connection is closed.
+const SEND_TIME: Duration = Duration::from_millis(1);
 
-/// How it behaves.
+/// How an engine behaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Mode {
+pub(super) enum Behaviour {
     /// It serves.
-    Well,
+    Serve,
     /// It answers nothing.
     Hang,
-    /// It turns everything away.
+    /// It rejects everything.
     Overload,
-    /// It closes connections on which nothing is open.
+    /// It closes connections without open requests.
     CloseIdle,
 }
 
 /// An engine.
-pub struct Engine {
+pub(super) struct Engine {
     /// Where it listens.
-    pub address: SocketAddr,
-    stage: Rc<Stage>,
-    /// Its number in the ledger; another after each start.
-    pub number: Cell<usize>,
-    mode: Cell<Mode>,
-    /// Connections of an earlier value are reset.
-    generation: watch::Sender<u64>,
-    up: watch::Sender<bool>,
+    pub(super) address: SocketAddr,
+    context: Rc<RunContext>,
+    /// Its number in the ledger, another after each start.
+    pub(super) number: Cell<usize>,
+    behaviour: Cell<Behaviour>,
+    /// A change of this number resets all open connections.
+    resets: watch::Sender<u64>,
+    is_up: watch::Sender<bool>,
 }
 
-/// An attempt that is out.
-struct Open {
+/// An attempt in flight.
+struct InFlight {
     txn: String,
-    place: usize,
+    /// Its index among the attempts of its request.
+    index: usize,
 }
 
-type Table = Rc<RefCell<HashMap<String, Open>>>;
+/// A connection: its attempts in flight by request, and the queue of its answers.
+#[derive(Clone)]
+struct Connection {
+    in_flight: Rc<RefCell<HashMap<String, InFlight>>>,
+    answers: UnboundedSender<Vec<u8>>,
+}
+
+impl Connection {
+    fn answer(&self, parts: &[&str]) {
+        let _ = self.answers.send(resp::encode(parts));
+    }
+}
 
 impl Engine {
     /// Starts it on a port of its own.
     ///
     /// # Errors
-    /// There is no port.
-    pub async fn start(stage: Rc<Stage>, number: usize) -> std::io::Result<Rc<Self>> {
+    /// No port is available.
+    pub(super) async fn start(context: Rc<RunContext>, number: usize) -> std::io::Result<Rc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let engine = Rc::new(Self {
             address: listener.local_addr()?,
-            stage,
+            context,
             number: Cell::new(number),
-            mode: Cell::new(Mode::Well),
-            generation: watch::Sender::new(0),
-            up: watch::Sender::new(true),
+            behaviour: Cell::new(Behaviour::Serve),
+            resets: watch::Sender::new(0),
+            is_up: watch::Sender::new(true),
         });
-        tokio::task::spawn_local(engine.clone().run(listener));
+        tokio::task::spawn_local(engine.clone().accept_connections(listener));
         Ok(engine)
     }
 
-    /// Behaves so from now on.
-    pub fn behave(&self, mode: Mode) {
-        self.mode.set(mode);
+    /// Sets how it behaves from now on.
+    pub(super) fn set_behaviour(&self, behaviour: Behaviour) {
+        self.behaviour.set(behaviour);
     }
 
     /// Resets all connections.
-    pub fn reset(&self) {
-        self.generation.send_modify(|generation| *generation += 1);
+    pub(super) fn reset(&self) {
+        self.resets.send_modify(|resets| *resets += 1);
     }
 
-    /// Ends as a process that dies.
-    pub fn crash(&self) {
-        self.up.send_replace(false);
+    /// Ends it as a process that crashes.
+    pub(super) fn crash(&self) {
+        self.is_up.send_replace(false);
         self.reset();
     }
 
-    /// Starts anew under that number.
-    pub fn restart(&self, number: usize) {
+    /// Restarts it under that number.
+    pub(super) fn restart(&self, number: usize) {
         self.number.set(number);
-        self.up.send_replace(true);
+        self.is_up.send_replace(true);
     }
 
-    async fn run(self: Rc<Self>, listener: TcpListener) {
+    async fn accept_connections(self: Rc<Self>, listener: TcpListener) {
         let mut listener = Some(listener);
-        let mut up = self.up.subscribe();
+        let mut is_up = self.is_up.subscribe();
         loop {
-            if !*up.borrow_and_update() {
+            if !*is_up.borrow_and_update() {
                 listener = None;
-                if up.wait_for(|up| *up).await.is_err() {
+                if is_up.wait_for(|is_up| *is_up).await.is_err() {
                     return;
                 }
             }
             let Some(open) = listener.take() else {
                 listener = TcpListener::bind(self.address).await.ok();
-                sleep(Duration::from_millis(5)).await;
+                sleep(BIND_PAUSE).await;
                 continue;
             };
             tokio::select! {
@@ -120,143 +139,136 @@
                     }
                     listener = Some(open);
                 }
-                _ = up.changed() => {}
+                _ = is_up.changed() => {}
             }
         }
     }
 
     async fn serve(self: Rc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let mut generation = self.generation.subscribe();
-        generation.borrow_and_update();
-        let table = Table::default();
-        // A reset takes all bytes with it that were not sent.
-        let resettable = stream.into_std().ok().and_then(|s| {
-            let copy = s.try_clone().ok()?;
-            TcpStream::from_std(s).ok().map(|stream| (stream, copy))
-        });
-        let Some((stream, copy)) = resettable else { return };
+        let mut resets = self.resets.subscribe();
+        resets.borrow_and_update();
+        let Some((stream, resettable)) = with_copy(stream) else { return };
         let (reader, mut writer) = stream.into_split();
-        let (say, mut said) = unbounded_channel::<Vec<u8>>();
-        let writes = async {
-            while let Some(bytes) = said.recv().await {
+        let (answers, mut queue) = unbounded_channel::<Vec<u8>>();
+        let connection = Connection { in_flight: Rc::default(), answers };
+        let in_flight = connection.in_flight.clone();
+        let write_answers = async {
+            while let Some(bytes) = queue.recv().await {
                 if writer.write_all(&bytes).await.is_err() {
                     return;
                 }
             }
         };
         tokio::select! {
-            () = writes => {}
-            () = self.read(reader, &table, say) => {}
-            _ = generation.changed() => {
-                let _ = set_socket_linger(&copy, Some(Duration::ZERO));
+            () = write_answers => {}
+            () = self.read_commands(reader, connection) => {}
+            _ = resets.changed() => {
+                let _ = set_socket_linger(&resettable, Some(Duration::ZERO));
             }
         }
-        let open: Vec<Open> = table.borrow_mut().drain().map(|(_, open)| open).collect();
-        open.iter().for_each(|open| self.end(open, AttemptEnd::ConnectionClosed));
+        let ended: Vec<InFlight> = in_flight.borrow_mut().drain().map(|(_, attempt)| attempt).collect();
+        for attempt in ended {
+            self.record_end(&attempt, AttemptOutcome::ConnectionClosed);
+        }
     }
 
-    async fn read(self: &Rc<Self>, mut reader: OwnedReadHalf, table: &Table, say: UnboundedSender<Vec<u8>>) {
-        let mut bytes = Vec::new();
+    async fn read_commands(self: &Rc<Self>, mut reader: OwnedReadHalf, connection: Connection) {
+        let mut received = Vec::new();
         loop {
-            while let Some((parts, used)) = command(&bytes) {
-                bytes.drain(..used);
-                if !self.act(&parts, table, &say) {
-                    return;
+            loop {
+                match resp::parse(&received) {
+                    Ok(Some(command)) => {
+                        received.drain(..command.length);
+                        self.handle(&command.parts, &connection);
+                    }
+                    Ok(None) => break,
+                    Err(_) => return,
                 }
             }
-            if bytes.len() > LONGEST || !matches!(reader.read_buf(&mut bytes).await, Ok(1..)) {
+            let is_too_long = received.len() > MAX_COMMAND_BYTES;
+            if is_too_long || !matches!(reader.read_buf(&mut received).await, Ok(1..)) {
                 return;
             }
         }
     }
 
-    /// Does what a command asks for; false closes the connection.
-    fn act(self: &Rc<Self>, parts: &[String], table: &Table, say: &UnboundedSender<Vec<u8>>) -> bool {
-        match parts[0].as_str() {
-            "want" if parts.len() > 2 => self.begin(&parts[1], &parts[2], table, say),
+    fn handle(self: &Rc<Self>, parts: &[String], connection: &Connection) {
+        match parts.first().map_or("", String::as_str) {
+            "want" if parts.len() > 2 => self.begin(&parts[1], &parts[2], connection),
             "never_mind" if parts.len() > 1 => {
-                let open = table.borrow_mut().remove(&parts[1]);
-                open.iter().for_each(|open| self.end(open, AttemptEnd::GivenUp));
+                let cancelled = connection.in_flight.borrow_mut().remove(&parts[1]);
+                if let Some(attempt) = cancelled {
+                    self.record_end(&attempt, AttemptOutcome::Cancelled);
+                }
             }
-            "busy" if parts.len() > 1 && self.mode.get() != Mode::Hang => {
-                drop(say.send(reply(&[&parts[1], "green", "use=util:0.3", ""])));
+            "busy" if parts.len() > 1 && self.behaviour.get() != Behaviour::Hang => {
+                connection.answer(&[&parts[1], "green", "use=util:0.3", ""]);
             }
             _ => {}
         }
-        true
     }
 
-    fn begin(self: &Rc<Self>, txn: &str, fields: &str, table: &Table, say: &UnboundedSender<Vec<u8>>) {
-        let budget = fields.split(',').find_map(|f| f.strip_prefix("budget=")?.parse::<f64>().ok());
+    fn begin(self: &Rc<Self>, txn: &str, fields: &str, connection: &Connection) {
+        let attempt = self.record_attempt(txn, fields);
+        if self.behaviour.get() == Behaviour::Overload {
+            self.record_end(&attempt, AttemptOutcome::NotExecuted);
+            return connection.answer(&[txn, "overload", "-", ""]);
+        }
+        connection.in_flight.borrow_mut().insert(txn.to_owned(), attempt);
+        let (engine, connection, txn) = (self.clone(), connection.clone(), txn.to_owned());
+        let service_time_ms = self.context.draw(|rng| rng.random_range(SERVICE_TIME_MS));
+        tokio::task::spawn_local(async move {
+            sleep(Duration::from_millis(service_time_ms)).await;
+            engine.finish(&txn, service_time_ms, &connection).await;
+        });
+    }
+
+    fn record_attempt(&self, txn: &str, fields: &str) -> InFlight {
+        let budget_ms =
+            fields.split(',').find_map(|field| field.strip_prefix("budget=")?.parse::<f64>().ok());
         let attempt = AttemptRecord {
             engine: self.number.get(),
-            arrived: self.stage.now(),
-            budget: budget.unwrap_or(f64::INFINITY) / 1000.0,
+            arrived: self.context.now(),
+            budget: budget_ms.unwrap_or(f64::INFINITY) / 1000.0,
             end: None,
         };
-        let mut ledger = self.stage.ledger.borrow_mut();
+        let mut ledger = self.context.ledger.borrow_mut();
         let attempts = ledger.attempts.entry(txn.to_owned()).or_default();
         attempts.push(attempt);
-        let open = Open { txn: txn.to_owned(), place: attempts.len() - 1 };
-        drop(ledger);
-        if self.mode.get() == Mode::Overload {
-            self.end(&open, AttemptEnd::NeverRan);
-            return drop(say.send(reply(&[txn, "overload", "-", ""])));
-        }
-        table.borrow_mut().insert(txn.to_owned(), open);
-        let (engine, table, say, txn) = (self.clone(), table.clone(), say.clone(), txn.to_owned());
-        let takes = self.stage.draw(|rng| rng.random_range(SERVICE_MS));
-        tokio::task::spawn_local(async move {
-            sleep(Duration::from_millis(takes)).await;
-            engine.finish(&txn, takes, &table, &say).await;
-        });
+        InFlight { txn: txn.to_owned(), index: attempts.len() - 1 }
     }
 
-    async fn finish(&self, txn: &str, took: u64, table: &Table, say: &UnboundedSender<Vec<u8>>) {
-        // What hangs is served once the trouble is over, if anybody still waits for it.
-        while self.mode.get() == Mode::Hang {
-            sleep(Duration::from_millis(20)).await;
+    async fn finish(&self, txn: &str, service_time_ms: u64, connection: &Connection) {
+        // A request that hangs is served once the fault is over, if it was not cancelled.
+        while self.behaviour.get() == Behaviour::Hang {
+            sleep(HANG_CHECK_INTERVAL).await;
         }
-        let Some(open) = table.borrow_mut().remove(txn) else { return };
-        self.end(&open, AttemptEnd::Served);
-        let _ = say.send(reply(&[txn, "served", &format!("pages=1,cost={took},need=8"), "a\tb\tc\n"]));
-        if self.mode.get() == Mode::CloseIdle && table.borrow().is_empty() {
-            // The answer leaves first; what was on its way meets the close.
-            sleep(Duration::from_millis(1)).await;
+        let Some(attempt) = connection.in_flight.borrow_mut().remove(txn) else { return };
+        self.record_end(&attempt, AttemptOutcome::Served);
+        let fields = format!("pages=1,cost={service_time_ms},need=8");
+        connection.answer(&[txn, "served", &fields, "a\tb\tc\n"]);
+        if self.behaviour.get() == Behaviour::CloseIdle && connection.in_flight.borrow().is_empty() {
+            // The answer is sent first. Requests that are on their way cross the close.
+            sleep(SEND_TIME).await;
             self.reset();
         }
     }
 
-    fn end(&self, open: &Open, how: AttemptEnd) {
-        let now = self.stage.now();
-        let mut ledger = self.stage.ledger.borrow_mut();
-        let attempt = ledger.attempts.get_mut(&open.txn).and_then(|all| all.get_mut(open.place));
-        if let Some(attempt) = attempt {
-            attempt.end.get_or_insert((now, how));
+    /// Records the end of an attempt; a later end of the same attempt changes nothing.
+    fn record_end(&self, attempt: &InFlight, outcome: AttemptOutcome) {
+        let at = self.context.now();
+        let mut ledger = self.context.ledger.borrow_mut();
+        let attempts = ledger.attempts.get_mut(&attempt.txn);
+        if let Some(record) = attempts.and_then(|attempts| attempts.get_mut(attempt.index)) {
+            record.end.get_or_insert(AttemptEnd { at, outcome });
         }
     }
 }
 
-/// An array of bulk strings.
-fn reply(parts: &[&str]) -> Vec<u8> {
-    let bulk = |part: &&str| format!("${}\r\n{part}\r\n", part.len());
-    format!("*{}\r\n{}", parts.len(), parts.iter().map(bulk).collect::<String>()).into_bytes()
-}
-
-/// The first whole command, and the bytes that it took.
-fn command(bytes: &[u8]) -> Option<(Vec<String>, usize)> {
-    let line = |at: usize| {
-        let end = bytes[at..].windows(2).position(|w| w == b"\r\n")? + at;
-        let number = std::str::from_utf8(bytes.get(at + 1..end)?).ok()?.parse::<usize>().ok()?;
-        Some((number, end + 2))
-    };
-    let (count, mut at) = line(0)?;
-    let mut parts = Vec::new();
-    for _ in 0..count {
-        let (len, from) = line(at)?;
-        parts.push(String::from_utf8_lossy(bytes.get(from..from + len)?).into_owned());
-        at = from + len + 2;
-    }
-    (at <= bytes.len() && !parts.is_empty()).then_some((parts, at))
+/// A connection, and a copy of its descriptor by which it can be reset: that discards all bytes that were not sent.
+fn with_copy(stream: TcpStream) -> Option<(TcpStream, std::net::TcpStream)> {
+    let stream = stream.into_std().ok()?;
+    let copy = stream.try_clone().ok()?;
+    Some((TcpStream::from_std(stream).ok()?, copy))
 }
--- /dev/null
+++ b/crates/experiments/src/soak/faults.rs
@@ -0,0 +1,274 @@
+//! How the faults of a schedule are injected and ended.
+
+use super::engine::{Behaviour, Engine};
+use super::ledger::{ConnectionFlood, Drain, EngineRecord, Relocation, Silence};
+use super::process::Process;
+use super::run::{listed_engine, SoakRun};
+use super::schedule::{Fault, PlannedFault, ReloadKind, Reloads};
+use rustix::process::Signal;
+use std::rc::Rc;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use tokio::net::TcpStream;
+use tokio::time::sleep;
+
+/// When SIGKILL follows SIGTERM, as early as the pages allow: the longest deadline, 3 s at most, and 0.7 s, in seconds.
+const KILL_AFTER: f64 = 3.7;
+/// The time between the signals of one series.
+const SIGNAL_INTERVAL: Duration = Duration::from_millis(15);
+/// The connections of a flood: more than a process accepts.
+const FLOOD_CONNECTIONS: usize = 170;
+/// How often, and how many times, it is checked whether the new process of a hot restart listens.
+const HOT_RESTART_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+const MAX_HOT_RESTART_CHECKS: usize = 500;
+/// The time between resets of an engine's connections.
+const RESET_INTERVAL: Duration = Duration::from_millis(150);
+
+fn unix_milliseconds() -> f64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0
+}
+
+impl SoakRun {
+    /// Injects a fault when it begins, and ends it.
+    pub(super) async fn inject(self: Rc<Self>, planned: PlannedFault) {
+        self.wait_until(planned.from).await;
+        let to = planned.to;
+        match planned.fault {
+            Fault::Restart { gateway, reloads, terminations } => {
+                self.restart(gateway, reloads, terminations).await;
+            }
+            Fault::HotRestart(gateway) => self.hot_restart(gateway).await,
+            Fault::Kill(gateway) => self.signal(gateway, Signal::KILL),
+            Fault::Pause(gateway) => self.pause(gateway, to).await,
+            Fault::Reload(gateway, reloads) => self.reload(gateway, &reloads).await,
+            Fault::SystemCalls(gateway) => self.fail_system_calls(gateway, to).await,
+            Fault::ConnectionFlood(gateway) => self.flood(gateway, to).await,
+            Fault::SlowNameService(gateway, latency) => self.slow_name_service(gateway, latency, to).await,
+            Fault::LossyNameService(gateway, share) => self.lossy_name_service(gateway, share, to).await,
+            Fault::DeadFlows(gateway) => self.discovery.views[gateway].kill_flows(),
+            Fault::SilentNameService => self.silence_name_service(to).await,
+            Fault::ReplaceEngine(engine) => self.replace_engine(engine, to).await,
+            Fault::CrashEngine(engine) => self.crash_engines(&[engine], to).await,
+            Fault::CrashHalf => {
+                let half: Vec<usize> = (0..self.engines.len()).step_by(2).collect();
+                self.crash_engines(&half, to).await;
+            }
+            Fault::HangEngine(engine) => self.behave(&self.engine(engine), Behaviour::Hang, to).await,
+            Fault::OverloadEngine(engine) => {
+                self.behave(&self.engine(engine), Behaviour::Overload, to).await;
+            }
+            Fault::OverloadAllEngines => self.overload_all_engines(to).await,
+            Fault::CloseIdleConnections(engine) => {
+                self.behave(&self.engine(engine), Behaviour::CloseIdle, to).await;
+            }
+            Fault::ResetConnections(engine) => self.reset_connections(&self.engine(engine), to).await,
+            Fault::ImpatientClients => self.make_clients_impatient(to).await,
+        }
+    }
+
+    async fn wait_until(&self, at: f64) {
+        sleep(Duration::from_secs_f64((at - self.context.now()).max(0.0))).await;
+    }
+
+    fn engine(&self, number: usize) -> Rc<Engine> {
+        self.engines[number].borrow().clone()
+    }
+
+    /// Terminates the processes of a gateway by a series of signals, and by SIGKILL as early as that may come.
+    async fn restart(&self, gateway: usize, reloads: u32, terminations: u32) {
+        for _ in 0..reloads {
+            self.signal(gateway, Signal::HUP);
+            sleep(SIGNAL_INTERVAL).await;
+        }
+        let numbers: Vec<usize> = self.processes[gateway].borrow().iter().map(Process::number).collect();
+        let terminated = self.context.now();
+        for _ in 0..terminations {
+            self.signal(gateway, Signal::TERM);
+            sleep(SIGNAL_INTERVAL).await;
+            self.signal(gateway, Signal::HUP);
+        }
+        while let Some(left) = self.time_to_kill(gateway, &numbers, terminated) {
+            sleep(Duration::from_secs_f64(left)).await;
+        }
+        let processes = self.processes[gateway].borrow();
+        for process in processes.iter().filter(|process| numbers.contains(&process.number())) {
+            process.kill_overdue();
+        }
+    }
+
+    /// The time until the processes with these numbers are killed; time in which they are paused does not count.
+    fn time_to_kill(&self, gateway: usize, numbers: &[usize], terminated: f64) -> Option<f64> {
+        let ledger = self.context.ledger.borrow();
+        let now = self.context.now();
+        let processes = numbers.iter().filter_map(|number| ledger.processes[gateway].get(*number));
+        let pauses = processes.map(|process| process.paused_within(terminated, now));
+        let left = terminated + KILL_AFTER + pauses.fold(0.0, f64::max) - now;
+        (left > 0.0).then_some(left)
+    }
+
+    async fn pause(&self, gateway: usize, to: f64) {
+        self.signal(gateway, Signal::STOP);
+        self.wait_until(to).await;
+        self.signal(gateway, Signal::CONT);
+    }
+
+    /// Starts a process beside the running one, and terminates that one once the new one listens.
+    async fn hot_restart(&self, gateway: usize) {
+        let running = self.processes[gateway].borrow().len();
+        if running != 1 || self.start_process(gateway).is_err() {
+            return;
+        }
+        for _ in 0..MAX_HOT_RESTART_CHECKS {
+            sleep(HOT_RESTART_CHECK_INTERVAL).await;
+            let processes = self.processes[gateway].borrow();
+            let [old, new] = &processes[..] else { return };
+            if new.is_listening() {
+                return old.signal(Signal::TERM);
+            }
+        }
+    }
+
+    async fn reload(&self, gateway: usize, reloads: &Reloads) {
+        for _ in 0..reloads.count {
+            self.change_name_service(gateway, reloads.kind);
+            let _ = self.write_configuration(gateway);
+            self.signal(gateway, Signal::HUP);
+            sleep(Duration::from_secs_f64(reloads.interval)).await;
+        }
+        if reloads.kind != ReloadKind::Unchanged {
+            let at = self.context.now() - reloads.interval;
+            self.context.ledger.borrow_mut().relocations.push(Relocation { gateway, at });
+        }
+    }
+
+    fn change_name_service(&self, gateway: usize, kind: ReloadKind) {
+        let view = &self.discovery.views[gateway];
+        let now = self.context.now();
+        match kind {
+            ReloadKind::Unchanged => {}
+            ReloadKind::ToHealthyAddress => {
+                view.both_respond.set(true);
+                view.present.set(1 - view.present.get());
+            }
+            ReloadKind::ToSilentAddress(silence) => {
+                view.both_respond.set(false);
+                view.present.set(1 - view.present.get());
+                view.silent_until.set(now + silence);
+                let silence = Silence { gateway: Some(gateway), from: now, to: now + silence };
+                self.context.ledger.borrow_mut().silences.push(silence);
+            }
+        }
+    }
+
+    async fn fail_system_calls(&self, gateway: usize, to: f64) {
+        self.switch_faults(gateway, true);
+        self.wait_until(to).await;
+        self.switch_faults(gateway, false);
+    }
+
+    /// Fills a gateway's descriptors with idle connections.
+    async fn flood(&self, gateway: usize, to: f64) {
+        let from = self.context.now();
+        let mut connections = Vec::new();
+        for _ in 0..FLOOD_CONNECTIONS {
+            connections.extend(TcpStream::connect(self.context.addresses[gateway]).await.ok());
+        }
+        self.wait_until(to).await;
+        drop(connections);
+        let flood = ConnectionFlood { gateway, from, to: self.context.now() };
+        self.context.ledger.borrow_mut().connection_floods.push(flood);
+    }
+
+    async fn slow_name_service(&self, gateway: usize, latency: f64, to: f64) {
+        self.discovery.views[gateway].latency.set(latency);
+        self.wait_until(to).await;
+        self.discovery.views[gateway].latency.set(0.0);
+    }
+
+    async fn lossy_name_service(&self, gateway: usize, share: f64, to: f64) {
+        self.discovery.views[gateway].invalid_share.set(share);
+        self.wait_until(to).await;
+        self.discovery.views[gateway].invalid_share.set(0.0);
+    }
+
+    async fn silence_name_service(&self, to: f64) {
+        let from = self.context.now();
+        self.discovery.silent_since.set(Some(from));
+        self.wait_until(to).await;
+        self.discovery.silent_since.set(None);
+        let silence = Silence { gateway: None, from, to: self.context.now() };
+        self.context.ledger.borrow_mut().silences.push(silence);
+    }
+
+    async fn make_clients_impatient(&self, to: f64) {
+        self.context.clients_are_impatient.set(true);
+        self.wait_until(to).await;
+        self.context.clients_are_impatient.set(false);
+    }
+
+    async fn behave(&self, engine: &Engine, behaviour: Behaviour, to: f64) {
+        engine.set_behaviour(behaviour);
+        self.wait_until(to).await;
+        engine.set_behaviour(Behaviour::Serve);
+    }
+
+    async fn overload_all_engines(&self, to: f64) {
+        let engines: Vec<_> = (0..self.engines.len()).map(|number| self.engine(number)).collect();
+        for engine in &engines {
+            engine.set_behaviour(Behaviour::Overload);
+        }
+        self.wait_until(to).await;
+        for engine in &engines {
+            engine.set_behaviour(Behaviour::Serve);
+        }
+    }
+
+    async fn reset_connections(&self, engine: &Engine, to: f64) {
+        while self.context.now() < to {
+            engine.reset();
+            sleep(RESET_INTERVAL).await;
+        }
+    }
+
+    /// Records an engine that starts now. Returns its number.
+    fn record_cold_engine(&self) -> usize {
+        let mut ledger = self.context.ledger.borrow_mut();
+        ledger.engines.push(EngineRecord { cold_since: Some(self.context.now()), drain: None });
+        ledger.engines.len() - 1
+    }
+
+    /// Drains an engine, which stays up for a while, and adds another in its place.
+    async fn replace_engine(&self, position: usize, to: f64) {
+        let old = self.engine(position);
+        let number = self.record_cold_engine();
+        let Ok(new) = Engine::start(self.context.clone(), number).await else { return };
+        let version = self.discovery.change_list(|engines| {
+            for engine in engines.iter_mut().filter(|engine| engine.address == old.address) {
+                engine.drains = true;
+            }
+            engines.push(listed_engine(&format!("s-{position}-{number}"), new.address, unix_milliseconds()));
+        });
+        let drain = Some(Drain { at: self.context.now(), version });
+        self.context.ledger.borrow_mut().engines[old.number.get()].drain = drain;
+        *self.engines[position].borrow_mut() = new;
+        self.wait_until(to).await;
+        self.discovery.change_list(|engines| engines.retain(|engine| engine.address != old.address));
+    }
+
+    /// Crashes engines and restarts them. The list then holds their starts.
+    async fn crash_engines(&self, positions: &[usize], to: f64) {
+        let crashed: Vec<_> = positions.iter().map(|position| self.engine(*position)).collect();
+        for engine in &crashed {
+            engine.crash();
+        }
+        self.wait_until(to).await;
+        for engine in &crashed {
+            engine.restart(self.record_cold_engine());
+        }
+        self.discovery.change_list(|engines| {
+            let is_crashed = |address| crashed.iter().any(|engine| engine.address == address);
+            for engine in engines.iter_mut().filter(|engine| is_crashed(engine.address)) {
+                engine.started = unix_milliseconds();
+            }
+        });
+    }
+}
--- a/crates/experiments/src/soak/ledger.rs
+++ b/crates/experiments/src/soak/ledger.rs
@@ -1,26 +1,26 @@
-//! What clients, engines, the list service and the processes' parent saw in a play. The oracle reads nothing else.
-//! All times are seconds since the play began, by one monotonic clock.
+//! What clients, engines, the name service and the parent of the processes recorded in a run. The oracle reads nothing else.
+//! All times are seconds since the run began, by one monotonic clock.
 
 use std::collections::BTreeMap;
 
-/// What a second execution of a request would do.
+/// The class of a request, by the effect of a second execution.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
 pub enum Class {
-    /// No harm.
-    Safe,
-    /// Engines drop repeats of its key within the window.
+    /// A second execution has no effect.
+    Idempotent,
+    /// Engines drop repeats of its key within the deduplication window.
     Keyed,
-    /// Harm.
-    Unsafe,
+    /// A second execution does harm.
+    NotIdempotent,
 }
 
 impl Class {
     /// The class's name in the settings.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Safe => "lookup",
+            Self::Idempotent => "lookup",
             Self::Keyed => "load",
-            Self::Unsafe => "order",
+            Self::NotIdempotent => "order",
         }
     }
 }
@@ -30,78 +30,85 @@
 pub enum Answer {
     /// With all rows.
     Served,
-    /// With a refusal: a retry is harmless.
-    Refused,
+    /// With a rejection: a retry is harmless.
+    Rejected,
     /// With a failure.
     Failed,
 }
 
-/// How a client's wait for an answer ended.
+/// How a client's wait for an answer ended, and when.
 #[derive(Debug, Clone, Copy, PartialEq, serde::Serialize)]
 pub enum RequestEnd {
-    /// By an answer, at that time.
+    /// By an answer.
     Answered(f64, Answer),
-    /// The client cancelled it or closed its connection, at that time.
-    Gone(f64),
-    /// The gateway closed or reset the connection, at that time.
+    /// The client cancelled it or disconnected.
+    Abandoned(f64),
+    /// The gateway closed or reset the connection.
     ConnectionLost(f64),
-    /// Nothing came until that time.
-    Nothing(f64),
+    /// There was no answer until then.
+    NoAnswer(f64),
 }
 
 /// One request of a client.
 #[derive(Debug, Clone, serde::Serialize)]
 pub struct RequestRecord {
-    /// The gateway, and which of its processes took the connection, counted from 0.
+    /// The number of its gateway.
     pub gateway: usize,
-    /// See `gateway`.
+    /// The process of the gateway that accepted the connection, counted from 0.
     pub incarnation: u32,
     /// Its class.
     pub class: Class,
     /// When its last byte was written.
     pub sent: f64,
-    /// How long its client waits.
-    pub limit: f64,
+    /// The client's timeout.
+    pub timeout: f64,
     /// How the wait ended.
     pub end: RequestEnd,
-    /// Answers under its number after the first.
+    /// Answers with its sequence number after the first.
     pub further_answers: u32,
-    /// It was not the first on its connection.
+    /// Whether it was not the first on its connection.
     pub on_used_connection: bool,
 }
 
-/// How an attempt ended, as its engine saw it.
+/// How an attempt ended, as its engine recorded it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize)]
-pub enum AttemptEnd {
-    /// Served.
+pub enum AttemptOutcome {
+    /// It was served.
     Served,
-    /// Turned away unseen.
-    NeverRan,
-    /// It failed while it ran.
-    Crashed,
-    /// The gateway gave it up.
-    GivenUp,
+    /// It was rejected before execution.
+    NotExecuted,
+    /// The gateway cancelled it.
+    Cancelled,
     /// Its connection ended.
     ConnectionClosed,
 }
 
+/// The end of an attempt.
+#[derive(Debug, Clone, Copy, PartialEq, serde::Serialize)]
+pub struct AttemptEnd {
+    /// When.
+    pub at: f64,
+    /// How.
+    pub outcome: AttemptOutcome,
+}
+
 /// One attempt at an engine.
 #[derive(Debug, Clone, serde::Serialize)]
 pub struct AttemptRecord {
     /// The engine, by its number over all starts.
     pub engine: usize,
-    /// When it had arrived whole.
+    /// When it had arrived completely.
     pub arrived: f64,
-    /// The time that the gateway said it would wait, in seconds.
+    /// The time to its deadline, as the gateway stated it.
     pub budget: f64,
-    /// When and how it ended; none: it is out at the end of the play.
-    pub end: Option<(f64, AttemptEnd)>,
+    /// None: it is in flight at the end of the run.
+    pub end: Option<AttemptEnd>,
 }
 
 impl AttemptRecord {
-    /// Whether it may have run, or may run still.
+    /// Whether it may have been executed, or may be being executed.
     pub fn may_have_run(&self) -> bool {
-        self.end.is_none_or(|(_, end)| end != AttemptEnd::NeverRan)
+        self.end.is_none_or(|end| end.outcome != AttemptOutcome::NotExecuted)
     }
 }
 
@@ -112,89 +119,135 @@
     Started,
     /// It listens.
     Listening,
-    /// It was stopped.
-    Stopped,
-    /// It goes on.
-    Continued,
-    /// It was told to end.
+    /// It was paused by SIGSTOP.
+    Paused,
+    /// It was resumed by SIGCONT.
+    Resumed,
+    /// It was sent SIGTERM.
     Terminated,
-    /// It was killed by the play, as a process that dies.
+    /// It was killed as a fault of the run.
     Killed,
-    /// It was killed because its time after SIGTERM was over.
+    /// It was killed as its time after SIGTERM was over.
     Overdue,
     /// It ended with that code; none: by a signal.
     Exited(Option<i32>),
 }
 
-/// The life of one process.
+/// The record of one process.
 #[derive(Debug, Clone, Default, serde::Serialize)]
 pub struct ProcessRecord {
-    /// What happened, in order.
+    /// What happened and when, in order.
     pub events: Vec<(f64, ProcessEvent)>,
-    /// Lines of log that it wrote.
+    /// The lines of its log.
     pub log_lines: usize,
-    /// Violations that it counted itself, as it told at its end.
+    /// The violations that it counted itself, as it logged at its end.
     pub violations: Option<u64>,
 }
 
 impl ProcessRecord {
-    /// When that first happened.
+    /// When an event first happened.
     pub fn first(&self, wanted: ProcessEvent) -> Option<f64> {
         self.events.iter().find(|(_, event)| *event == wanted).map(|(at, _)| *at)
     }
 
-    /// For how long it was stopped between two times.
-    pub fn stopped_within(&self, from: f64, to: f64) -> f64 {
+    /// When it ended, and with which code.
+    pub fn exit(&self) -> Option<(f64, Option<i32>)> {
+        self.events.iter().find_map(|(at, event)| match event {
+            ProcessEvent::Exited(code) => Some((*at, *code)),
+            _ => None,
+        })
+    }
+
+    /// For how long it was paused between two times.
+    pub fn paused_within(&self, from: f64, to: f64) -> f64 {
         let mut total = 0.0;
-        let mut since = None;
+        let mut paused_at = None;
         for (at, event) in &self.events {
             match event {
-                ProcessEvent::Stopped => since = Some(*at),
-                ProcessEvent::Continued => {
-                    let begun: Option<f64> = since.take();
+                ProcessEvent::Paused => paused_at = Some(*at),
+                ProcessEvent::Resumed => {
+                    let begun: Option<f64> = paused_at.take();
                     total += begun.map_or(0.0, |begun| (at.min(to) - begun.max(from)).max(0.0));
                 }
                 _ => {}
             }
         }
-        total + since.map_or(0.0, |begun| (to - begun.max(from)).max(0.0))
+        total + paused_at.map_or(0.0, |begun| (to - begun.max(from)).max(0.0))
     }
 }
 
+/// A change of the list by which an engine drains.
+#[derive(Debug, Clone, Copy, PartialEq, serde::Serialize)]
+pub struct Drain {
+    /// When.
+    pub at: f64,
+    /// The first version of the list with it.
+    pub version: u32,
+}
+
 /// An engine, from its start to its end.
 #[derive(Debug, Clone, serde::Serialize)]
 pub struct EngineRecord {
     /// When it was first listed; none: it was there from the start, and is warm.
     pub cold_since: Option<f64>,
-    /// When it began to drain, and the version of the list that tells so.
-    pub drained: Option<(f64, u32)>,
+    /// Its drain.
+    pub drain: Option<Drain>,
 }
 
-/// What a name service told a gateway, or a good answer would have told it.
+/// A list that a name service sent to a gateway, or would have sent with a valid response.
 #[derive(Debug, Clone, Copy, serde::Serialize)]
 pub struct Announcement {
-    /// The gateway.
+    /// The number of the gateway.
     pub gateway: usize,
-    /// When the answer was sent, or would have been.
+    /// When the response was sent, or would have been.
     pub at: f64,
     /// The version of the list.
     pub version: u32,
-    /// It was sent whole, and holds that version.
-    pub is_good: bool,
+    /// Whether the response was valid, and held that version.
+    pub is_valid: bool,
 }
 
-/// A span in which a name service answered no question.
+/// A span in which a name service responded to no poll.
 #[derive(Debug, Clone, Copy, serde::Serialize)]
 pub struct Silence {
-    /// Of that gateway; none: of all.
+    /// The number of the gateway; none: of all.
     pub gateway: Option<usize>,
-    /// It began.
+    /// When it began.
     pub from: f64,
-    /// It ended.
+    /// When it ended.
     pub to: f64,
 }
 
-/// Everything that was seen.
+/// A series of SIGHUPs that relocated the name service of a gateway.
+#[derive(Debug, Clone, Copy, serde::Serialize)]
+pub struct Relocation {
+    /// The number of the gateway.
+    pub gateway: usize,
+    /// When the last of them was sent.
+    pub at: f64,
+}
+
+/// A span in which idle connections filled a gateway's descriptors.
+#[derive(Debug, Clone, Copy, serde::Serialize)]
+pub struct ConnectionFlood {
+    /// The number of the gateway.
+    pub gateway: usize,
+    /// When it began.
+    pub from: f64,
+    /// When it ended.
+    pub to: f64,
+}
+
+/// The requests to a gateway after the last fault.
+#[derive(Debug, Clone, Copy, serde::Serialize)]
+pub struct RecoveryCheck {
+    /// How many were served.
+    pub served: usize,
+    /// How many were sent.
+    pub sent: usize,
+}
+
+/// Everything that was recorded.
 #[derive(Debug, Clone, Default, serde::Serialize)]
 pub struct Ledger {
     /// Requests by transaction id.
@@ -205,16 +258,16 @@
     pub processes: Vec<Vec<ProcessRecord>>,
     /// Engines by number.
     pub engines: Vec<EngineRecord>,
-    /// What the name services told.
+    /// The lists that the name services sent.
     pub announcements: Vec<Announcement>,
-    /// Spans in which the name services did not answer.
+    /// Spans in which the name services did not respond.
     pub silences: Vec<Silence>,
-    /// SIGHUPs that moved the name service of a gateway, and when the last of each series came.
-    pub moves: Vec<(usize, f64)>,
-    /// Spans in which clients that say nothing filled a gateway's descriptors.
-    pub crowds: Vec<(usize, f64, f64)>,
-    /// Requests of the last check by gateway: how many were served of how many.
-    pub recovered: Vec<(usize, usize)>,
-    /// When the last trouble ended.
-    pub last_trouble: f64,
+    /// Relocations of name services.
+    pub relocations: Vec<Relocation>,
+    /// Floods of connections.
+    pub connection_floods: Vec<ConnectionFlood>,
+    /// The check of each gateway after the last fault.
+    pub recovery_checks: Vec<RecoveryCheck>,
+    /// When the last fault ended.
+    pub last_fault_ended: f64,
 }
--- a/crates/experiments/src/soak/oracle.rs
+++ b/crates/experiments/src/soak/oracle.rs
@@ -1,64 +1,107 @@
-//! The rules, checked in what clients and engines saw. Each check returns a line for each break, with the transaction id.
+//! The rules, checked in what clients and engines recorded. Each check returns a line for each violation, with the transaction id.
 
-use super::ledger::{AttemptRecord, Class, Ledger, ProcessEvent, ProcessRecord, RequestEnd, RequestRecord};
+use super::ledger::{
+    AttemptRecord, Class, ConnectionFlood, Ledger, ProcessEvent, RecoveryCheck, RequestEnd, RequestRecord,
+};
 use std::collections::BTreeMap;
 
 mod drains;
+mod processes;
 mod retry_budgets;
 pub use drains::drains;
+pub use processes::processes;
 pub use retry_budgets::retry_budgets;
 
-/// The settings that the rules are counted with, as the play writes them.
+/// The parameters of the rules, as the run's settings have them. Times are in seconds.
 #[derive(Debug, Clone)]
-pub struct Terms {
-    /// An answer may be so much later than its client's limit, in seconds.
+pub struct RuleParameters {
+    /// How long after the client's timeout an answer may arrive.
     pub answer_grace: f64,
-    /// An attempt may arrive so long after its client has gone.
-    pub gone_slack: f64,
-    /// What a deadline told may lie over what is left.
+    /// How long after its client has abandoned it an attempt of a request may arrive.
+    pub abandoned_slack: f64,
+    /// How much a stated deadline may exceed what is left.
     pub budget_slack: f64,
-    /// Window of keys.
+    /// The deduplication window.
     pub key_window: f64,
-    /// Time to stop sending to a drained engine.
+    /// The time to stop sending to a draining engine.
     pub drain_grace: f64,
-    /// A change of the list counts as told so long after it happened, or after a good answer would have told it ...
-    pub told_within: f64,
-    /// ... so long after the name service has moved ...
-    pub told_after_move: f64,
+    /// A change of the list counts as propagated so long after it happened, or after a valid response would have held it ...
+    pub propagation_delay: f64,
+    /// ... so long after the name service was relocated ...
+    pub relocation_propagation_delay: f64,
     /// ... and so long after it happened in any case.
-    pub told_by_all_means: f64,
-    /// Free further attempts, those for each request, and the span.
-    pub retry_budget: (f64, f64, f64),
-    /// Requests that a cold engine may be sent within a span, and the span.
-    pub cold_budget: (f64, f64),
-    /// The cold budget at the start as a share of the warm one, and the time to be warm.
-    pub cold_ramp: (f64, f64),
-    /// A process listens by then.
+    pub max_propagation_delay: f64,
+    /// The retry budget of a process.
+    pub retry_budget: RetryBudget,
+    /// The slow start of engines.
+    pub slow_start: SlowStart,
+    /// A process listens so long after its start.
     pub ready_by: f64,
-    /// A process has ended by then after SIGTERM.
+    /// A process has ended so long after SIGTERM.
     pub ended_by: f64,
-    /// Lines of log of a process a second, at most.
-    pub log_lines: f64,
+    /// The lines that a process may log in a second.
+    pub max_log_lines: f64,
 }
 
-/// Two ends may be seen in the other order on two connections.
-const ORDER_SLACK: f64 = 0.03;
-/// A request that crosses the close of a connection without open requests within this is the client's to send again.
-const CROSSING: f64 = 0.05;
-/// A connection is used so long after its process was killed, before its client sees that.
-const CONNECTED: f64 = 0.1;
-/// The connections of a crowd are gone so long after its end.
-const CROWD_LEAVES_WITHIN: f64 = 1.0;
-/// The least share of the requests of the last check that are served.
-const RECOVERED: f64 = 0.8;
+/// A retry budget.
+#[derive(Debug, Clone, Copy)]
+pub struct RetryBudget {
+    /// Retries that are free.
+    pub free: f64,
+    /// Further retries for each request.
+    pub per_request: f64,
+    /// The span over which they count.
+    pub span: f64,
+}
+
+/// The slow start of an engine.
+#[derive(Debug, Clone, Copy)]
+pub struct SlowStart {
+    /// The requests that a warm engine may be sent within a span.
+    pub warm_budget: f64,
+    /// The span.
+    pub span: f64,
+    /// The share of that budget at the engine's start.
+    pub from_share: f64,
+    /// The time until it is warm.
+    pub duration: f64,
+}
+
+impl SlowStart {
+    /// The greatest number of requests within a span at whose end the engine has that share of the slow start behind it: by
+    /// the users' rule for the sum of all gateways, N + 2 x root of N + 2, and under 30 N + 3 x root of N + 3.
+    fn max_requests(&self, progress: f64) -> SlowStartBound {
+        let budget = self.warm_budget * (self.from_share + (1.0 - self.from_share) * progress);
+        let factor = if budget < SMALL_BUDGET { 3.0 } else { 2.0 };
+        SlowStartBound { budget, max_requests: budget + factor * budget.sqrt() + factor }
+    }
+}
+
+struct SlowStartBound {
+    budget: f64,
+    max_requests: f64,
+}
+
+/// A slow-start budget is small below this.
+const SMALL_BUDGET: f64 = 30.0;
+/// Two ends may be recorded in the other order on two connections.
+const REORDERING_SLACK: f64 = 0.03;
+/// A request that crosses the close of a connection without open requests within this time is the client's to send again.
+const CLOSE_CROSSING: f64 = 0.05;
+/// How long a client may use a connection after its process was killed, before it notices.
+const KILL_NOTICE: f64 = 0.1;
+/// How long after the end of a flood its connections are closed.
+const FLOOD_CLOSE_TIME: f64 = 1.0;
+/// The least share of the requests after the last fault that are served.
+const MIN_RECOVERED_SHARE: f64 = 0.8;
 
-/// All breaks of all rules.
-pub fn breaks(ledger: &Ledger, terms: &Terms) -> Vec<String> {
+/// All violations of all rules.
+pub fn violations(ledger: &Ledger, parameters: &RuleParameters) -> Vec<String> {
     let checks = [
         answers,
         single_attempts,
         repeats,
-        gone_clients,
+        abandoned_requests,
         deadlines,
         drains,
         slow_starts,
@@ -66,209 +109,153 @@
         processes,
         recoveries,
     ];
-    checks.iter().flat_map(|check| check(ledger, terms)).collect()
+    checks.iter().flat_map(|check| check(ledger, parameters)).collect()
 }
 
-/// One final answer for each request that a process took, in time. A process that was stopped answers later by that time; one
-/// that was killed answers nothing.
-pub fn answers(ledger: &Ledger, terms: &Terms) -> Vec<String> {
-    let lost = |(txn, request): (&String, &RequestRecord)| {
-        let lives = ledger.processes.get(request.gateway).map_or(&[][..], Vec::as_slice);
-        if request.further_answers > 0 {
-            return Some(format!("{txn}: answered more than once"));
+/// Each request that a process accepted gets one final answer, in time. A process that was paused answers later by that time;
+/// one that was killed answers nothing.
+pub fn answers(ledger: &Ledger, parameters: &RuleParameters) -> Vec<String> {
+    let violation = |(txn, request): (&String, _)| answer_violation(ledger, parameters, txn, request);
+    ledger.requests.iter().filter_map(violation).collect()
+}
+
+fn answer_violation(
+    ledger: &Ledger,
+    parameters: &RuleParameters,
+    txn: &str,
+    request: &RequestRecord,
+) -> Option<String> {
+    if request.further_answers > 0 {
+        return Some(format!("{txn}: answered more than once"));
+    }
+    let processes = ledger.processes.get(request.gateway).map_or(&[][..], Vec::as_slice);
+    // During a hot restart it is not known which of two processes accepted a connection: both excuse it.
+    let is_killed = |at: f64| {
+        let mut kills = processes.iter().filter_map(|process| process.first(ProcessEvent::Killed));
+        kills.any(|kill| kill >= request.sent - KILL_NOTICE && kill <= at + parameters.answer_grace)
+    };
+    let delay = |at: f64| {
+        let pauses = processes.iter().map(|process| process.paused_within(request.sent, at));
+        at - request.sent - request.timeout - pauses.fold(0.0, f64::max)
+    };
+    match request.end {
+        RequestEnd::Answered(at, _) => {
+            let delay = delay(at);
+            (delay > parameters.answer_grace).then(|| format!("{txn}: answered {delay:.3} s too late"))
         }
-        // Where one process takes over from another it is not known which of them took a connection.
-        let killed = || lives.iter().filter_map(|life| life.first(ProcessEvent::Killed));
-        let excused =
-            |at: f64| killed().any(|k| k >= request.sent - CONNECTED && k <= at + terms.answer_grace);
-        // A process that stands still answers later by that time.
-        let stopped =
-            |at: f64| lives.iter().map(|life| life.stopped_within(request.sent, at)).fold(0.0, f64::max);
-        match request.end {
-            RequestEnd::Answered(at, _) => {
-                let late = at - request.sent - request.limit - stopped(at);
-                (late > terms.answer_grace).then(|| format!("{txn}: answered {late:.3} s too late"))
-            }
-            RequestEnd::ConnectionLost(at) => {
-                let crossed = request.on_used_connection && at - request.sent <= CROSSING;
-                let shut_unread = is_shut_in_a_crowd(ledger, txn, request);
-                (!crossed && !shut_unread && !excused(at))
-                    .then(|| format!("{txn}: connection ended without an answer: {request:?}"))
-            }
-            RequestEnd::Nothing(at) => {
-                let late = at - request.sent - request.limit - stopped(at);
-                (!excused(at) && late > terms.answer_grace).then(|| format!("{txn}: no answer: {request:?}"))
-            }
-            RequestEnd::Gone(_) => None,
+        RequestEnd::ConnectionLost(at) => {
+            let is_crossing = request.on_used_connection && at - request.sent <= CLOSE_CROSSING;
+            let is_excused = is_crossing || is_closed_unread(ledger, txn, request) || is_killed(at);
+            (!is_excused).then(|| format!("{txn}: connection ended without an answer: {request:?}"))
         }
-    };
-    ledger.requests.iter().filter_map(lost).collect()
+        RequestEnd::NoAnswer(at) => {
+            let is_late = delay(at) > parameters.answer_grace;
+            (!is_killed(at) && is_late).then(|| format!("{txn}: no answer: {request:?}"))
+        }
+        RequestEnd::Abandoned(_) => None,
+    }
 }
 
-/// Where descriptors are full, a new connection may be shut unread: then nothing of its request was sent on.
-fn is_shut_in_a_crowd(ledger: &Ledger, txn: &str, request: &RequestRecord) -> bool {
-    let is_in = |(gateway, from, to): &(usize, f64, f64)| {
-        *gateway == request.gateway && (*from..*to + CROWD_LEAVES_WITHIN).contains(&request.sent)
+/// Whether a new connection may have been closed unread as the descriptors were full: then there was no attempt.
+fn is_closed_unread(ledger: &Ledger, txn: &str, request: &RequestRecord) -> bool {
+    let is_during = |flood: &ConnectionFlood| {
+        let span = flood.from..flood.to + FLOOD_CLOSE_TIME;
+        flood.gateway == request.gateway && span.contains(&request.sent)
     };
-    !request.on_used_connection && !ledger.attempts.contains_key(txn) && ledger.crowds.iter().any(is_in)
+    !request.on_used_connection
+        && !ledger.attempts.contains_key(txn)
+        && ledger.connection_floods.iter().any(is_during)
 }
 
-/// At most one attempt of a request is out.
-pub fn single_attempts(ledger: &Ledger, _: &Terms) -> Vec<String> {
-    let overlaps = |attempts: &Vec<AttemptRecord>| {
-        attempts
-            .windows(2)
-            .any(|pair| pair[0].end.is_none_or(|(ended, _)| ended > pair[1].arrived + ORDER_SLACK))
-    };
-    let broken = ledger.attempts.iter().filter(|(_, attempts)| overlaps(attempts));
-    broken.map(|(txn, attempts)| format!("{txn}: two attempts out at once: {attempts:?}")).collect()
+/// At most one attempt of a request is in flight.
+pub fn single_attempts(ledger: &Ledger, _: &RuleParameters) -> Vec<String> {
+    let overlap =
+        |pair: &[AttemptRecord]| pair[0].end.is_none_or(|end| end.at > pair[1].arrived + REORDERING_SLACK);
+    let violating = ledger.attempts.iter().filter(|(_, attempts)| attempts.windows(2).any(overlap));
+    violating.map(|(txn, attempts)| format!("{txn}: two attempts out at once: {attempts:?}")).collect()
 }
 
-/// What may have run is sent again only where its class allows it.
-pub fn repeats(ledger: &Ledger, terms: &Terms) -> Vec<String> {
-    let broken = |txn: &String, attempts: &Vec<AttemptRecord>| {
+/// What may have been executed is sent again only where its class allows it.
+pub fn repeats(ledger: &Ledger, parameters: &RuleParameters) -> Vec<String> {
+    let violation = |(txn, attempts): (&String, &Vec<AttemptRecord>)| {
         let class = ledger.requests.get(txn)?.class;
         let first = attempts.iter().position(AttemptRecord::may_have_run)?;
-        let later = &attempts[first + 1..];
-        let past = |attempt: &AttemptRecord| attempt.arrived > attempts[first].arrived + terms.key_window;
-        let is_broken = match class {
-            Class::Safe => false,
-            Class::Unsafe => !later.is_empty(),
-            Class::Keyed => later.iter().any(past),
+        let repeats = &attempts[first + 1..];
+        let window_end = attempts[first].arrived + parameters.key_window;
+        let is_violation = match class {
+            Class::Idempotent => false,
+            Class::NotIdempotent => !repeats.is_empty(),
+            Class::Keyed => repeats.iter().any(|attempt| attempt.arrived > window_end),
         };
-        is_broken.then(|| format!("{txn}: sent again though it may have run: {attempts:?}"))
+        is_violation.then(|| format!("{txn}: sent again though it may have run: {attempts:?}"))
     };
-    ledger.attempts.iter().filter_map(|(txn, attempts)| broken(txn, attempts)).collect()
+    ledger.attempts.iter().filter_map(violation).collect()
 }
 
-/// No attempt begins over 0.1 s after its client has gone.
-pub fn gone_clients(ledger: &Ledger, terms: &Terms) -> Vec<String> {
-    let late = |(txn, request): (&String, &RequestRecord)| {
-        let RequestEnd::Gone(gone) = request.end else { return None };
+/// No attempt begins over 0.1 s after its client has abandoned the request.
+pub fn abandoned_requests(ledger: &Ledger, parameters: &RuleParameters) -> Vec<String> {
+    let violation = |(txn, request): (&String, &RequestRecord)| {
+        let RequestEnd::Abandoned(abandoned) = request.end else { return None };
         let attempts = ledger.attempts.get(txn)?;
-        let last = attempts.iter().map(|a| a.arrived).fold(0.0, f64::max);
-        (last > gone + terms.gone_slack)
-            .then(|| format!("{txn}: an attempt arrived {:.3} s after its client had gone", last - gone))
+        let last = attempts.iter().map(|attempt| attempt.arrived).fold(0.0, f64::max);
+        let delay = last - abandoned;
+        (last > abandoned + parameters.abandoned_slack)
+            .then(|| format!("{txn}: an attempt arrived {delay:.3} s after its client had gone"))
     };
-    ledger.requests.iter().filter_map(late).collect()
+    ledger.requests.iter().filter_map(violation).collect()
 }
 
-/// The deadline told to an engine is at most what the client has left.
-pub fn deadlines(ledger: &Ledger, terms: &Terms) -> Vec<String> {
-    let over = |(txn, attempts): (&String, &Vec<AttemptRecord>)| {
+/// The deadline stated to an engine is at most what the client has left.
+pub fn deadlines(ledger: &Ledger, parameters: &RuleParameters) -> Vec<String> {
+    let violation = |(txn, attempts): (&String, &Vec<AttemptRecord>)| {
         let request = ledger.requests.get(txn)?;
-        let left = |a: &AttemptRecord| request.sent + request.limit - a.arrived;
-        let worst = attempts.iter().map(|a| a.budget - left(a)).fold(f64::NEG_INFINITY, f64::max);
-        (worst > terms.budget_slack)
-            .then(|| format!("{txn}: an engine was told {worst:.3} s more than was left"))
+        let left = |attempt: &AttemptRecord| request.sent + request.timeout - attempt.arrived;
+        let excesses = attempts.iter().map(|attempt| attempt.budget - left(attempt));
+        let excess = excesses.fold(f64::NEG_INFINITY, f64::max);
+        (excess > parameters.budget_slack)
+            .then(|| format!("{txn}: an engine was told {excess:.3} s more than was left"))
     };
-    ledger.attempts.iter().filter_map(over).collect()
+    ledger.attempts.iter().filter_map(violation).collect()
 }
 
-/// A cold engine gets no more within a span than N + 2 x root of N + 2, over all gateways.
-pub fn slow_starts(ledger: &Ledger, terms: &Terms) -> Vec<String> {
+/// A cold engine gets no more requests within a span than its slow start allows, over all gateways.
+pub fn slow_starts(ledger: &Ledger, parameters: &RuleParameters) -> Vec<String> {
     let mut arrivals: BTreeMap<usize, Vec<f64>> = BTreeMap::new();
     for attempt in ledger.attempts.values().flatten() {
         arrivals.entry(attempt.engine).or_default().push(attempt.arrived);
     }
-    let (warm_budget, span) = terms.cold_budget;
-    let (slow_start_from, slow_start_duration) = terms.cold_ramp;
-    let mut broken = Vec::new();
-    for (engine, times) in &mut arrivals {
-        let Some(since) = ledger.engines.get(*engine).and_then(|e| e.cold_since) else { continue };
+    let violation = |(engine, mut times): (usize, Vec<f64>)| {
+        let cold_since = ledger.engines.get(engine)?.cold_since?;
         times.sort_by(f64::total_cmp);
-        for (i, from) in times.iter().enumerate() {
-            let count = times[i..].iter().take_while(|t| **t <= from + span).count() as f64;
-            let age = ((from + span - since) / slow_start_duration).clamp(0.0, 1.0);
-            let n = warm_budget * (slow_start_from + (1.0 - slow_start_from) * age);
-            let factor = if n < 30.0 { 3.0 } else { 2.0 };
-            if age < 1.0 && count > n + factor * n.sqrt() + factor {
-                broken.push(format!("engine {engine}: {count} attempts within {span} s, N is {n:.1}"));
-                break;
-            }
-        }
-    }
-    broken
-}
-
-/// Processes listen in time, end when they are told and not before, count no violation, and log little.
-pub fn processes(ledger: &Ledger, terms: &Terms) -> Vec<String> {
-    let mut broken = Vec::new();
-    for (gateway, lives) in ledger.processes.iter().enumerate() {
-        for (n, life) in lives.iter().enumerate() {
-            let name = format!("gateway {gateway} process {n}");
-            broken.extend(
-                life_breaks(life, answered_within(ledger, gateway, life), terms)
-                    .into_iter()
-                    .map(|line| format!("{name}: {line}")),
-            );
-        }
-    }
-    broken
-}
-
-/// Whether the gateway answered anything while that process lived. A process whose log could not be written told nobody
-/// that it listens.
-fn answered_within(ledger: &Ledger, gateway: usize, life: &ProcessRecord) -> bool {
-    let from = life.events.first().map_or(0.0, |(at, _)| *at);
-    let to = life.events.last().map_or(from, |(at, _)| *at);
-    let of_life = |r: &&RequestRecord| r.gateway == gateway && r.sent > from;
-    let answered = |r: &RequestRecord| matches!(r.end, RequestEnd::Answered(at, _) if at < to);
-    ledger.requests.values().filter(of_life).any(answered)
+        slow_start_violation(engine, cold_since, &times, parameters.slow_start)
+    };
+    arrivals.into_iter().filter_map(violation).collect()
 }
 
-fn life_breaks(life: &ProcessRecord, answered: bool, terms: &Terms) -> Vec<String> {
-    let mut broken = Vec::new();
-    let started = life.first(ProcessEvent::Started).unwrap_or(0.0);
-    let told_to_end = life.first(ProcessEvent::Terminated);
-    let killed = life.first(ProcessEvent::Killed);
-    let exited = life.events.iter().find_map(|(at, event)| match event {
-        ProcessEvent::Exited(code) => Some((*at, *code)),
-        _ => None,
-    });
-    let ends =
-        [told_to_end, killed, exited.map(|(at, _)| at)].into_iter().flatten().fold(f64::INFINITY, f64::min);
-    match life.first(ProcessEvent::Listening) {
-        Some(at) if at - started - life.stopped_within(started, at) > terms.ready_by => {
-            broken.push(format!("listened after {:.1} s", at - started));
-        }
-        None if !answered && ends - started > terms.ready_by => broken.push("never listened".into()),
-        _ => {}
-    }
-    match (exited, told_to_end, killed) {
-        (Some((at, code)), None, None) => broken.push(format!("ended by itself at {at:.3} s with {code:?}")),
-        (Some((_, code)), Some(_), None) if code != Some(0) => {
-            broken.push(format!("ended with {code:?} after SIGTERM"))
-        }
-        (Some((at, _)), Some(told), None) => {
-            let took = at - told - life.stopped_within(told, at);
-            if took > terms.ended_by {
-                broken.push(format!("ended {took:.1} s after SIGTERM"));
-            }
-        }
-        (None, Some(_), None) => broken.push("did not end after SIGTERM".into()),
-        _ => {}
-    }
-    if life.first(ProcessEvent::Overdue).is_some() {
-        broken.push("had not ended when SIGKILL came".into());
-    }
-    if life.violations.is_some_and(|n| n > 0) {
-        broken.push(format!("counted {:?} violations of the rules", life.violations));
-    }
-    let last = life.events.last().map_or(started, |(at, _)| *at);
-    if life.log_lines as f64 > terms.log_lines * (last - started).max(1.0) {
-        broken.push(format!("wrote {} lines of log in {:.1} s", life.log_lines, last - started));
-    }
-    broken
+fn slow_start_violation(
+    engine: usize,
+    cold_since: f64,
+    times: &[f64],
+    slow_start: SlowStart,
+) -> Option<String> {
+    let span = slow_start.span;
+    times.iter().enumerate().find_map(|(index, from)| {
+        let count = times[index..].iter().take_while(|at| **at <= from + span).count() as f64;
+        let progress = ((from + span - cold_since) / slow_start.duration).clamp(0.0, 1.0);
+        let SlowStartBound { budget, max_requests } = slow_start.max_requests(progress);
+        (progress < 1.0 && count > max_requests)
+            .then(|| format!("engine {engine}: {count} attempts within {span} s, N is {budget:.1}"))
+    })
 }
 
-/// Within 3 s of the last trouble's end every process serves.
-pub fn recoveries(ledger: &Ledger, _: &Terms) -> Vec<String> {
-    let short = |(gateway, (served, of)): (usize, &(usize, usize))| {
-        ((*served as f64) < RECOVERED * *of as f64)
-            .then(|| format!("gateway {gateway}: serves {served} of {of} after the last trouble"))
+/// Every process serves within 3 s of the end of the last fault.
+pub fn recoveries(ledger: &Ledger, _: &RuleParameters) -> Vec<String> {
+    let violation = |(gateway, check): (usize, &RecoveryCheck)| {
+        let RecoveryCheck { served, sent } = *check;
+        ((served as f64) < MIN_RECOVERED_SHARE * sent as f64)
+            .then(|| format!("gateway {gateway}: serves {served} of {sent} after the last trouble"))
     };
-    ledger.recovered.iter().enumerate().filter_map(short).collect()
+    ledger.recovery_checks.iter().enumerate().filter_map(violation).collect()
 }
 
 #[cfg(test)]
--- a/crates/experiments/src/soak/oracle/tests.rs
+++ b/crates/experiments/src/soak/oracle/tests.rs
@@ -1,20 +1,22 @@
 //! Each check is seen to fail with a ledger in which its rule is broken, and to pass with one in which it is kept.
 
 use super::*;
-use crate::soak::ledger::{Announcement, Answer, AttemptEnd, EngineRecord, Silence};
+use crate::soak::ledger::{
+    Announcement, Answer, AttemptEnd, AttemptOutcome, Drain, EngineRecord, ProcessRecord, Relocation, Silence,
+};
 use rstest::rstest;
 
-fn terms() -> Terms {
-    crate::soak::terms()
+fn parameters() -> RuleParameters {
+    crate::soak::rule_parameters()
 }
 
 fn request() -> RequestRecord {
     RequestRecord {
         gateway: 0,
         incarnation: 0,
-        class: Class::Unsafe,
+        class: Class::NotIdempotent,
         sent: 10.0,
-        limit: 2.0,
+        timeout: 2.0,
         end: RequestEnd::Answered(10.5, Answer::Served),
         further_answers: 0,
         on_used_connection: false,
@@ -22,11 +24,16 @@
 }
 
 fn attempt(arrived: f64, ended: f64) -> AttemptRecord {
-    AttemptRecord { engine: 0, arrived, budget: 1.5, end: Some((ended, AttemptEnd::Served)) }
+    AttemptRecord {
+        engine: 0,
+        arrived,
+        budget: 1.5,
+        end: Some(AttemptEnd { at: ended, outcome: AttemptOutcome::Served }),
+    }
 }
 
 fn ledger() -> Ledger {
-    let life = ProcessRecord {
+    let process = ProcessRecord {
         events: vec![
             (0.0, ProcessEvent::Started),
             (0.1, ProcessEvent::Listening),
@@ -39,9 +46,9 @@
     Ledger {
         requests: BTreeMap::from([("a".into(), request())]),
         attempts: BTreeMap::from([("a".into(), vec![attempt(10.1, 10.4)])]),
-        processes: vec![vec![life]],
-        engines: vec![EngineRecord { cold_since: None, drained: None }],
-        recovered: vec![(5, 5)],
+        processes: vec![vec![process]],
+        engines: vec![EngineRecord { cold_since: None, drain: None }],
+        recovery_checks: vec![RecoveryCheck { served: 5, sent: 5 }],
         ..Ledger::default()
     }
 }
@@ -58,7 +65,7 @@
     ledger
 }
 
-fn with_life(change: impl FnOnce(&mut ProcessRecord)) -> Ledger {
+fn with_process(change: impl FnOnce(&mut ProcessRecord)) -> Ledger {
     let mut ledger = ledger();
     change(&mut ledger.processes[0][0]);
     ledger
@@ -66,71 +73,72 @@
 
 #[test]
 fn sound_play_breaks_nothing() {
-    assert_eq!(breaks(&ledger(), &terms()), [""; 0]);
+    assert_eq!(violations(&ledger(), &parameters()), [""; 0]);
 }
 
 #[rstest]
-#[case::late(with_request(|r| r.end = RequestEnd::Answered(12.2, Answer::Served)))]
-#[case::twice(with_request(|r| r.further_answers = 1))]
-#[case::lost(with_request(|r| r.end = RequestEnd::ConnectionLost(10.2)))]
-#[case::nothing(with_request(|r| r.end = RequestEnd::Nothing(14.0)))]
+#[case::late(with_request(|request| request.end = RequestEnd::Answered(12.2, Answer::Served)))]
+#[case::twice(with_request(|request| request.further_answers = 1))]
+#[case::lost(with_request(|request| request.end = RequestEnd::ConnectionLost(10.2)))]
+#[case::nothing(with_request(|request| request.end = RequestEnd::NoAnswer(14.0)))]
 #[case::run_twice(with_attempts(vec![attempt(10.0, 10.1), attempt(10.2, 10.3)]))]
 #[case::told_too_much(with_attempts(vec![AttemptRecord { budget: 2.2, ..attempt(10.1, 10.2) }]))]
-#[case::killed_itself(with_life(|l| l.events[2] = (20.0, ProcessEvent::Exited(Some(101)))))]
-#[case::bad_code(with_life(|l| l.events[3] = (21.0, ProcessEvent::Exited(Some(1)))))]
-#[case::ended_late(with_life(|l| l.events[3] = (29.0, ProcessEvent::Exited(Some(0)))))]
-#[case::never_ended(with_life(|l| l.events.truncate(3)))]
-#[case::listened_late(with_life(|l| l.events[1].0 = 15.0))]
-#[case::violation(with_life(|l| l.violations = Some(1)))]
-#[case::overdue(with_life(|l| l.events.insert(3, (20.5, ProcessEvent::Overdue))))]
-#[case::log_flood(with_life(|l| l.log_lines = 100_000))]
+#[case::killed_itself(with_process(|process| process.events[2] = (20.0, ProcessEvent::Exited(Some(101)))))]
+#[case::bad_code(with_process(|process| process.events[3] = (21.0, ProcessEvent::Exited(Some(1)))))]
+#[case::ended_late(with_process(|process| process.events[3] = (29.0, ProcessEvent::Exited(Some(0)))))]
+#[case::never_ended(with_process(|process| process.events.truncate(3)))]
+#[case::listened_late(with_process(|process| process.events[1].0 = 15.0))]
+#[case::violation(with_process(|process| process.violations = Some(1)))]
+#[case::overdue(with_process(|process| process.events.insert(3, (20.5, ProcessEvent::Overdue))))]
+#[case::log_flood(with_process(|process| process.log_lines = 100_000))]
 fn each_break_is_found(#[case] ledger: Ledger) {
-    assert_eq!(breaks(&ledger, &terms()).len(), 1, "{:?}", breaks(&ledger, &terms()));
+    assert_eq!(violations(&ledger, &parameters()).len(), 1, "{:?}", violations(&ledger, &parameters()));
 }
 
 #[test]
 fn two_attempts_out_at_once_are_found_also_where_a_repeat_does_no_harm() {
     let mut ledger = with_attempts(vec![attempt(10.0, 10.4), attempt(10.2, 10.3)]);
-    ledger.requests.get_mut("a").expect("there").class = Class::Safe;
-    assert_eq!(breaks(&ledger, &terms()).len(), 1);
+    ledger.requests.get_mut("a").expect("there").class = Class::Idempotent;
+    assert_eq!(violations(&ledger, &parameters()).len(), 1);
 }
 
 #[test]
 fn process_that_neither_listens_nor_answers_is_found() {
-    let mut ledger = with_life(|l| {
-        l.events.remove(1);
+    let mut ledger = with_process(|process| {
+        process.events.remove(1);
     });
-    assert_eq!(processes(&ledger, &terms()).len(), 0, "its log was lost, and it answers");
+    assert_eq!(processes(&ledger, &parameters()).len(), 0, "its log was lost, and it answers");
     ledger.requests.clear();
-    assert_eq!(processes(&ledger, &terms()).len(), 1);
+    assert_eq!(processes(&ledger, &parameters()).len(), 1);
 }
 
 #[test]
 fn attempt_after_its_client_has_gone_is_found() {
-    let gone = |at| with_request(|r| r.end = RequestEnd::Gone(at));
-    assert_eq!(gone_clients(&gone(10.05), &terms()).len(), 0);
-    assert_eq!(gone_clients(&gone(9.9), &terms()).len(), 1);
+    let abandoned = |at| with_request(|request| request.end = RequestEnd::Abandoned(at));
+    assert_eq!(abandoned_requests(&abandoned(10.05), &parameters()).len(), 0);
+    assert_eq!(abandoned_requests(&abandoned(9.9), &parameters()).len(), 1);
 }
 
 #[test]
 fn keyed_request_past_its_window_is_found() {
-    let mut ledger = with_attempts(vec![attempt(10.0, 10.1), attempt(10.0 + terms().key_window + 0.1, 14.0)]);
+    let mut ledger =
+        with_attempts(vec![attempt(10.0, 10.1), attempt(10.0 + parameters().key_window + 0.1, 14.0)]);
     ledger.requests.get_mut("a").expect("there").class = Class::Keyed;
-    assert_eq!(repeats(&ledger, &terms()).len(), 1);
+    assert_eq!(repeats(&ledger, &parameters()).len(), 1);
     ledger.attempts.get_mut("a").expect("there")[1].arrived = 10.5;
-    assert_eq!(repeats(&ledger, &terms()).len(), 0);
+    assert_eq!(repeats(&ledger, &parameters()).len(), 0);
 }
 
 /// An engine that drains from 5.0 on with version 3, and an attempt that reaches it at 10.1.
 fn drained() -> Ledger {
     let mut ledger = ledger();
-    ledger.engines[0].drained = Some((5.0, 3));
+    ledger.engines[0].drain = Some(Drain { at: 5.0, version: 3 });
     ledger
 }
 
-fn announced(at: f64, version: u32, is_good: bool) -> Ledger {
+fn announced(at: f64, version: u32, is_valid: bool) -> Ledger {
     let mut ledger = silent(None, 0.0, 60.0);
-    ledger.announcements.push(Announcement { gateway: 0, at, version, is_good });
+    ledger.announcements.push(Announcement { gateway: 0, at, version, is_valid });
     ledger
 }
 
@@ -142,7 +150,7 @@
 
 fn moved(gateway: usize, at: f64) -> Ledger {
     let mut ledger = silent(None, 0.0, 60.0);
-    ledger.moves.push((gateway, at));
+    ledger.relocations.push(Relocation { gateway, at });
     ledger
 }
 
@@ -161,9 +169,17 @@
 #[case::moved(moved(0, 4.0), true)]
 #[case::moved_just_before(moved(0, 4.1), false)]
 #[case::another_moved(moved(1, 4.0), false)]
-fn attempt_at_a_drained_engine_is_found_once_it_counts_as_told(#[case] ledger: Ledger, #[case] broken: bool) {
-    let terms = Terms { drain_grace: 2.05, ..terms() };
-    assert_eq!(drains(&ledger, &terms).len(), usize::from(broken), "{:?}", drains(&ledger, &terms));
+fn attempt_at_a_drained_engine_is_found_once_it_counts_as_told(
+    #[case] ledger: Ledger,
+    #[case] is_violation: bool,
+) {
+    let parameters = RuleParameters { drain_grace: 2.05, ..parameters() };
+    assert_eq!(
+        drains(&ledger, &parameters).len(),
+        usize::from(is_violation),
+        "{:?}",
+        drains(&ledger, &parameters)
+    );
 }
 
 #[test]
@@ -171,22 +187,22 @@
     let mut ledger = moved(0, 4.0);
     ledger.processes[0]
         .push(ProcessRecord { events: vec![(4.5, ProcessEvent::Started)], ..ProcessRecord::default() });
-    assert_eq!(drains(&ledger, &terms()).len(), 0);
+    assert_eq!(drains(&ledger, &parameters()).len(), 0);
 }
 
 #[test]
 fn change_counts_as_told_by_all_means_after_seven_seconds() {
     let mut ledger = silent(None, 0.0, 60.0);
-    ledger.attempts.get_mut("a").expect("there")[0].arrived = 5.0 + 7.0 + terms().drain_grace + 0.01;
-    assert_eq!(drains(&ledger, &terms()).len(), 1);
+    ledger.attempts.get_mut("a").expect("there")[0].arrived = 5.0 + 7.0 + parameters().drain_grace + 0.01;
+    assert_eq!(drains(&ledger, &parameters()).len(), 1);
 }
 
 #[test]
 fn pause_of_a_process_excuses_no_attempt_at_a_drained_engine() {
     let mut ledger = drained();
-    ledger.processes[0][0].events.insert(2, (5.0, ProcessEvent::Stopped));
-    ledger.processes[0][0].events.insert(3, (10.0, ProcessEvent::Continued));
-    assert_eq!(drains(&ledger, &terms()).len(), 1);
+    ledger.processes[0][0].events.insert(2, (5.0, ProcessEvent::Paused));
+    ledger.processes[0][0].events.insert(3, (10.0, ProcessEvent::Resumed));
+    assert_eq!(drains(&ledger, &parameters()).len(), 1);
 }
 
 #[test]
@@ -194,52 +210,52 @@
     let mut ledger = announced(6.0, 3, true);
     ledger.processes[0]
         .push(ProcessRecord { events: vec![(9.0, ProcessEvent::Started)], ..ProcessRecord::default() });
-    assert_eq!(drains(&ledger, &terms()).len(), 0);
+    assert_eq!(drains(&ledger, &parameters()).len(), 0);
 }
 
 #[test]
 fn client_that_waits_no_longer_than_its_gateway_stands_still_is_excused() {
-    let mut ledger = with_request(|r| r.end = RequestEnd::Nothing(16.0));
-    assert_eq!(answers(&ledger, &terms()).len(), 1);
-    ledger.processes[0][0].events.insert(2, (10.1, ProcessEvent::Stopped));
-    ledger.processes[0][0].events.insert(3, (14.5, ProcessEvent::Continued));
-    assert_eq!(answers(&ledger, &terms()).len(), 0);
+    let mut ledger = with_request(|request| request.end = RequestEnd::NoAnswer(16.0));
+    assert_eq!(answers(&ledger, &parameters()).len(), 1);
+    ledger.processes[0][0].events.insert(2, (10.1, ProcessEvent::Paused));
+    ledger.processes[0][0].events.insert(3, (14.5, ProcessEvent::Resumed));
+    assert_eq!(answers(&ledger, &parameters()).len(), 0);
 }
 
 #[test]
 fn connection_that_is_shut_unread_in_a_crowd_is_excused() {
     let lost = |on_used_connection| {
-        let mut ledger = with_request(|r| {
-            r.end = RequestEnd::ConnectionLost(10.5);
-            r.on_used_connection = on_used_connection;
+        let mut ledger = with_request(|request| {
+            request.end = RequestEnd::ConnectionLost(10.5);
+            request.on_used_connection = on_used_connection;
         });
         ledger.attempts.clear();
         ledger
     };
     let mut crowded = lost(false);
-    crowded.crowds.push((0, 9.0, 11.0));
-    assert_eq!(answers(&crowded, &terms()).len(), 0);
+    crowded.connection_floods.push(ConnectionFlood { gateway: 0, from: 9.0, to: 11.0 });
+    assert_eq!(answers(&crowded, &parameters()).len(), 0);
     crowded.attempts = ledger().attempts;
-    assert_eq!(answers(&crowded, &terms()).len(), 1, "it was read");
+    assert_eq!(answers(&crowded, &parameters()).len(), 1, "it was read");
     let mut resting = lost(true);
-    resting.crowds.push((0, 9.0, 11.0));
-    assert_eq!(answers(&resting, &terms()).len(), 1);
+    resting.connection_floods.push(ConnectionFlood { gateway: 0, from: 9.0, to: 11.0 });
+    assert_eq!(answers(&resting, &parameters()).len(), 1);
 }
 
 #[test]
 fn crowd_at_a_cold_engine_is_found() {
     let mut ledger = with_attempts((0..1_000).map(|_| attempt(10.0, 10.1)).collect());
-    assert_eq!(slow_starts(&ledger, &terms()).len(), 0, "it is warm");
+    assert_eq!(slow_starts(&ledger, &parameters()).len(), 0, "it is warm");
     ledger.engines[0].cold_since = Some(9.9);
-    assert_eq!(slow_starts(&ledger, &terms()).len(), 1);
+    assert_eq!(slow_starts(&ledger, &parameters()).len(), 1);
 }
 
 #[test]
 fn further_attempts_past_the_budget_are_found() {
     let few = with_attempts((0..3).map(|_| attempt(10.0, 10.1)).collect());
-    assert_eq!(retry_budgets(&few, &terms()).len(), 0);
+    assert_eq!(retry_budgets(&few, &parameters()).len(), 0);
     let many = with_attempts((0..8).map(|_| attempt(10.0, 10.1)).collect());
-    assert_eq!(retry_budgets(&many, &terms()).len(), 1);
+    assert_eq!(retry_budgets(&many, &parameters()).len(), 1);
 }
 
 /// Each process has a budget of its own: what the former one spent counts no more.
@@ -256,27 +272,23 @@
     ledger.processes[0]
         .push(ProcessRecord { events: vec![(9.6, ProcessEvent::Started)], ..ProcessRecord::default() });
     of(1, "b", &mut ledger);
-    assert_eq!(retry_budgets(&ledger, &terms()).len(), 0);
+    assert_eq!(retry_budgets(&ledger, &parameters()).len(), 0);
     of(1, "c", &mut ledger);
-    assert_eq!(retry_budgets(&ledger, &terms()).len(), 1);
+    assert_eq!(retry_budgets(&ledger, &parameters()).len(), 1);
 }
 
 #[test]
 fn process_that_does_not_serve_in_the_end_is_found() {
     let mut ledger = ledger();
-    ledger.recovered = vec![(5, 5), (1, 5)];
-    assert_eq!(recoveries(&ledger, &terms()).len(), 1);
+    ledger.recovery_checks = vec![RecoveryCheck { served: 5, sent: 5 }, RecoveryCheck { served: 1, sent: 5 }];
+    assert_eq!(recoveries(&ledger, &parameters()).len(), 1);
 }
 
 #[test]
 fn time_in_which_a_process_was_stopped_is_no_delay_of_its_own() {
-    let life = ProcessRecord {
-        events: vec![
-            (1.0, ProcessEvent::Stopped),
-            (3.0, ProcessEvent::Continued),
-            (5.0, ProcessEvent::Stopped),
-        ],
+    let process = ProcessRecord {
+        events: vec![(1.0, ProcessEvent::Paused), (3.0, ProcessEvent::Resumed), (5.0, ProcessEvent::Paused)],
         ..ProcessRecord::default()
     };
-    assert_eq!(life.stopped_within(2.0, 6.0), 2.0);
+    assert_eq!(process.paused_within(2.0, 6.0), 2.0);
 }
--- /dev/null
+++ b/crates/experiments/src/soak/report.rs
@@ -0,0 +1,82 @@
+//! The report of a run: its figures, and the trace of each violation.
+
+use super::ledger::{Answer, RequestEnd};
+use super::run::{SoakOptions, SoakResult};
+use serde_json::{json, Value};
+
+/// The characters of the first violation that are kept as a figure.
+const MAX_FIGURE_CHARS: usize = 160;
+
+/// Prints the schedule and the trace of each request with a violation, for whoever shortens the seed.
+pub(super) fn print_violations(result: &SoakResult) {
+    if result.violations.is_empty() {
+        return;
+    }
+    for (number, planned) in result.schedule.iter().enumerate() {
+        eprintln!("trouble {number}: {planned:?}");
+    }
+    for line in &result.violations {
+        eprintln!("break: {line}");
+        print_request(result, line.split(':').next().unwrap_or_default());
+    }
+    print_unrecovered(result);
+    for line in &result.errors {
+        eprintln!("logged: {line}");
+    }
+}
+
+fn print_request(result: &SoakResult, txn: &str) {
+    let ledger = &result.ledger;
+    let Some(request) = ledger.requests.get(txn) else { return };
+    let processes = ledger.processes.get(request.gateway);
+    let process = processes.and_then(|processes| processes.get(request.incarnation as usize));
+    eprintln!("  request {request:?}");
+    eprintln!("  attempts {:?}", ledger.attempts.get(txn));
+    eprintln!("  process {process:?}");
+}
+
+fn is_served(end: RequestEnd) -> bool {
+    matches!(end, RequestEnd::Answered(_, Answer::Served))
+}
+
+/// Prints the last requests to gateways that do not serve all requests after the last fault.
+fn print_unrecovered(result: &SoakResult) {
+    let ledger = &result.ledger;
+    let checks = ledger.recovery_checks.iter().enumerate();
+    for (gateway, _) in checks.filter(|(_, check)| check.served < check.sent) {
+        for (txn, request) in &ledger.requests {
+            let is_late = request.gateway == gateway && request.sent > ledger.last_fault_ended;
+            if is_late && !is_served(request.end) {
+                let attempts = ledger.attempts.get(txn);
+                eprintln!("gateway {gateway} after the troubles: {txn} {request:?} {attempts:?}");
+            }
+        }
+    }
+}
+
+/// The figures of a run.
+pub(super) fn figures(options: &SoakOptions, result: &SoakResult) -> Value {
+    let ledger = &result.ledger;
+    let ends = || ledger.requests.values().map(|request| request.end);
+    let answered = |wanted| {
+        ends().filter(|end| matches!(end, RequestEnd::Answered(_, answer) if *answer == wanted)).count()
+    };
+    let first_violation: String =
+        result.violations.first().map_or("", String::as_str).chars().take(MAX_FIGURE_CHARS).collect();
+    json!({
+        "processes": options.gateways,
+        "seconds": options.seconds,
+        "troubles": result.schedule.len(),
+        "requests": ends().count(),
+        "served": answered(Answer::Served),
+        "refused": answered(Answer::Rejected),
+        "failed": answered(Answer::Failed),
+        "left": ends().filter(|end| matches!(end, RequestEnd::Abandoned(_))).count(),
+        "attempts": ledger.attempts.values().map(Vec::len).sum::<usize>(),
+        "starts": ledger.processes.iter().map(Vec::len).sum::<usize>(),
+        "memory_mb": (result.footprint.memory_mb * 10.0).round() / 10.0,
+        "descriptors": result.footprint.descriptors,
+        "breaks": result.violations.len(),
+        "first_break": first_violation,
+    })
+}
--- a/crates/experiments/src/soak/run.rs
+++ b/crates/experiments/src/soak/run.rs
@@ -1,12 +1,13 @@
-//! Plays a schedule: starts everything, begins and ends the troubles, checks the recovery, ends everything.
+//! Runs a schedule: starts everything, injects the faults, checks the recovery, and ends everything.
 
 use super::client::Client;
+use super::context::RunContext;
 use super::discovery::Discovery;
 use super::engine::Engine;
-use super::ledger::{EngineRecord, Ledger};
-use super::process::Process;
-use super::schedule::{self, Planned};
-use super::{oracle, terms, Stage};
+use super::ledger::{EngineRecord, Ledger, RecoveryCheck};
+use super::process::{Footprint, Process};
+use super::schedule::{self, PlannedFault};
+use super::{oracle, rule_parameters};
 use crate::harness::Failure;
 use rustix::process::Signal;
 use starlingplank_test_doubles::name_service::ListedEngine;
@@ -15,110 +16,129 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
+use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{interval, sleep, timeout};
 
-/// Engines of a play.
 const ENGINES: usize = 8;
-/// Clients of each gateway.
-const CLIENTS: usize = 5;
-/// Time that the processes have to recover, in seconds.
-const RECOVERS_WITHIN: f64 = 3.0;
-/// Requests of the last check to each gateway, and tries of each.
-const CHECKED: usize = 4;
-const TRIES: usize = 4;
-/// Ports below those that the system gives to outgoing connections.
+const CLIENTS_PER_GATEWAY: usize = 5;
+/// The time that the processes have to recover, in seconds.
+const RECOVERY_TIME: f64 = 3.0;
+/// The requests of the recovery check to each gateway, and the attempts of each.
+const RECOVERY_REQUESTS: usize = 4;
+const RECOVERY_ATTEMPTS: usize = 4;
+/// The ports below those that the system gives to outgoing connections.
 const FIRST_PORT: u16 = 12_000;
 const LAST_PORT: u16 = 30_000;
+/// Factors that spread runs at the same time, and with other seeds, over the ports.
+const PORTS_PER_PROCESS: u64 = 131;
+const PORTS_PER_SEED: u64 = 977;
+/// What the seed of a run is multiplied with for the faults of its processes.
+const PROCESS_SEED_FACTOR: u64 = 1_000_003;
+/// How often processes are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// The time in which clients end.
+const CLIENT_END_TIME: Duration = Duration::from_secs(10);
+/// How often, and how many times, the end of all processes is checked.
+const END_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+const MAX_END_CHECKS: usize = 800;
 
-/// A play that is asked for.
-pub struct Plan {
+/// The options of a run.
+pub struct SoakOptions {
     /// The program.
     pub program: PathBuf,
     /// The library of system-call faults.
     pub faults_library: PathBuf,
     /// An empty folder.
     pub folder: PathBuf,
-    /// Everything drawn follows from it.
+    /// All random draws follow from it.
     pub seed: u64,
-    /// Gateways.
+    /// The number of gateways.
     pub gateways: usize,
-    /// Seconds in which troubles begin.
+    /// The time in which faults begin, in seconds.
     pub seconds: f64,
-    /// Troubles to leave out, by their numbers in the schedule: a failing seed is shortened so.
+    /// The faults to leave out, by their numbers in the schedule, to shorten a failing seed.
     pub without: Vec<usize>,
 }
 
-/// A play that has ended.
-pub struct Played {
+/// The result of a run.
+pub struct SoakResult {
     /// What was planned.
-    pub schedule: Vec<Planned>,
-    /// What was seen.
+    pub schedule: Vec<PlannedFault>,
+    /// What was recorded.
     pub ledger: Ledger,
-    /// What broke a rule.
-    pub breaks: Vec<String>,
+    /// Violations of the rules, a line each.
+    pub violations: Vec<String>,
     /// Errors that processes logged.
     pub errors: Vec<String>,
-    /// The most memory that a process held, in MB, and descriptors that one had open.
-    pub footprint: (f64, usize),
+    /// The most memory and descriptors that a process had.
+    pub footprint: Footprint,
 }
 
-/// A play that runs.
-pub(super) struct Play {
-    pub(super) stage: Rc<Stage>,
+/// A run in progress. It owns the processes.
+pub(super) struct SoakRun {
+    pub(super) context: Rc<RunContext>,
     pub(super) discovery: Rc<Discovery>,
     pub(super) engines: Vec<RefCell<Rc<Engine>>>,
-    /// Of each gateway; two while one takes over from the other.
+    /// Of each gateway; two during a hot restart.
     pub(super) processes: Vec<RefCell<Vec<Process>>>,
     pub(super) seed: u64,
-    footprint: Cell<(f64, usize)>,
-    /// Nothing is started anew any more.
-    ending: Cell<bool>,
+    footprint: Cell<Footprint>,
+    /// Whether processes that end are not restarted any more.
+    is_ending: Cell<bool>,
 }
 
-/// Plays on the current local set.
+/// Runs a soak on the current local set.
 ///
 /// # Errors
-/// Something of the play itself cannot be started.
-pub async fn play(plan: &Plan) -> Result<Played, Failure> {
-    let addresses = free_addresses(plan.gateways, plan.seed)?;
-    let stage = Rc::new(Stage::new(plan, addresses));
-    let play = Rc::new(Play::open(stage.clone(), plan).await?);
-    let mut schedule = schedule::draw(plan.seed, plan.gateways, ENGINES, plan.seconds);
-    let mut number = 0;
-    schedule.retain(|_| {
-        number += 1;
-        !plan.without.contains(&(number - 1))
-    });
-    let watch = tokio::task::spawn_local(play.clone().watch());
-    let clients: Vec<_> = (0..plan.gateways * CLIENTS)
-        .map(|n| tokio::task::spawn_local(Client::new(stage.clone(), n / CLIENTS).run()))
-        .collect();
-    let troubles: Vec<_> = schedule
-        .iter()
-        .map(|planned| tokio::task::spawn_local(play.clone().trouble(planned.clone())))
-        .collect();
-    for trouble in troubles {
-        trouble.await?;
+/// A part of the run itself cannot be started.
+pub async fn run_soak(options: &SoakOptions) -> Result<SoakResult, Failure> {
+    let addresses = free_addresses(options.gateways, options.seed)?;
+    let context = Rc::new(RunContext::new(options, addresses));
+    let run = Rc::new(SoakRun::start(context.clone(), options).await?);
+    let schedule = draw_schedule(options);
+    let supervisor = spawn_local(run.clone().supervise());
+    let clients = start_clients(&context, options.gateways);
+    let inject = |planned: &PlannedFault| spawn_local(run.clone().inject(planned.clone()));
+    let faults: Vec<_> = schedule.iter().map(inject).collect();
+    for fault in faults {
+        fault.await?;
     }
-    stage.ledger.borrow_mut().last_trouble = stage.now();
-    play.check_recovery().await;
-    stage.over.set(true);
+    context.ledger.borrow_mut().last_fault_ended = context.now();
+    run.check_recovery().await;
+    context.is_over.set(true);
     for client in clients {
-        timeout(Duration::from_secs(10), client).await??;
+        timeout(CLIENT_END_TIME, client).await??;
     }
-    play.end_all().await;
-    watch.await?;
-    let ledger = stage.ledger.borrow().clone();
-    let breaks = oracle::breaks(&ledger, &terms());
-    let errors = stage.errors.borrow().clone();
-    Ok(Played { schedule, ledger, breaks, errors, footprint: play.footprint.get() })
+    run.terminate_all().await;
+    supervisor.await?;
+    let ledger = context.ledger.borrow().clone();
+    let violations = oracle::violations(&ledger, &rule_parameters());
+    let errors = context.errors.borrow().clone();
+    Ok(SoakResult { schedule, ledger, violations, errors, footprint: run.footprint.get() })
 }
 
-/// Ports that nobody listens at, and that the system gives to nobody else.
+fn draw_schedule(options: &SoakOptions) -> Vec<PlannedFault> {
+    let drawn = schedule::draw(options.seed, options.gateways, ENGINES, options.seconds);
+    let numbered = drawn.into_iter().enumerate();
+    numbered.filter(|(number, _)| !options.without.contains(number)).map(|(_, planned)| planned).collect()
+}
+
+fn start_clients(context: &Rc<RunContext>, gateways: usize) -> Vec<JoinHandle<()>> {
+    let clients = 0..gateways * CLIENTS_PER_GATEWAY;
+    clients
+        .map(|number| {
+            let gateway = number / CLIENTS_PER_GATEWAY;
+            spawn_local(Client::new(context.clone(), gateway).run())
+        })
+        .collect()
+}
+
+/// Ports on which nobody listens, and that the system gives to nobody else.
 fn free_addresses(count: usize, seed: u64) -> Result<Vec<SocketAddr>, Failure> {
     let span = u64::from(LAST_PORT - FIRST_PORT);
-    let own = u64::from(std::process::id()).wrapping_mul(131).wrapping_add(seed.wrapping_mul(977));
-    let ports = (0..span).map(|n| FIRST_PORT + ((own + n) % span) as u16);
+    let process = u64::from(std::process::id());
+    let first = process.wrapping_mul(PORTS_PER_PROCESS).wrapping_add(seed.wrapping_mul(PORTS_PER_SEED));
+    let ports = (0..span).map(|number| FIRST_PORT + ((first + number) % span) as u16);
     let free = ports.filter_map(|port| TcpListener::bind(("127.0.0.1", port)).ok()?.local_addr().ok());
     let addresses: Vec<_> = free.take(count).collect();
     if addresses.len() < count {
@@ -127,110 +147,123 @@
     Ok(addresses)
 }
 
-impl Play {
-    async fn open(stage: Rc<Stage>, plan: &Plan) -> Result<Self, Failure> {
-        let discovery = Discovery::start(stage.clone(), plan.gateways).await?;
+impl SoakRun {
+    async fn start(context: Rc<RunContext>, options: &SoakOptions) -> Result<Self, Failure> {
+        let discovery = Discovery::start(context.clone(), options.gateways).await?;
         let mut engines = Vec::new();
-        for n in 0..ENGINES {
-            stage.ledger.borrow_mut().engines.push(EngineRecord { cold_since: None, drained: None });
-            let engine = Engine::start(stage.clone(), n).await?;
-            discovery.entries.borrow_mut().push(entry(&format!("s-{n}"), engine.address, 0.0));
+        for number in 0..ENGINES {
+            context.ledger.borrow_mut().engines.push(EngineRecord { cold_since: None, drain: None });
+            let engine = Engine::start(context.clone(), number).await?;
+            let listed = listed_engine(&format!("s-{number}"), engine.address, 0.0);
+            discovery.engines.borrow_mut().push(listed);
             engines.push(RefCell::new(engine));
         }
-        let processes = (0..plan.gateways).map(|_| RefCell::default()).collect();
-        let (seed, footprint, ending) = (plan.seed, Cell::default(), Cell::new(false));
-        let play = Self { stage, discovery, engines, processes, seed, footprint, ending };
-        for gateway in 0..plan.gateways {
-            play.start_process(gateway)?;
+        let run = Self {
+            context,
+            discovery,
+            engines,
+            processes: (0..options.gateways).map(|_| RefCell::default()).collect(),
+            seed: options.seed,
+            footprint: Cell::default(),
+            is_ending: Cell::new(false),
+        };
+        for gateway in 0..options.gateways {
+            run.start_process(gateway)?;
         }
-        Ok(play)
+        Ok(run)
     }
 
     pub(super) fn start_process(&self, gateway: usize) -> std::io::Result<()> {
-        self.write_config(gateway)?;
-        let lives = self.stage.ledger.borrow().processes[gateway].len() as u64;
-        let seed = self.seed.wrapping_mul(1_000_003) ^ ((gateway as u64) << 20) ^ lives;
-        let process = Process::start(self.stage.clone(), gateway, &schedule::system_call_faults(seed))?;
+        self.write_configuration(gateway)?;
+        let incarnation = self.context.ledger.borrow().processes[gateway].len() as u64;
+        let seed = self.seed.wrapping_mul(PROCESS_SEED_FACTOR) ^ ((gateway as u64) << 20) ^ incarnation;
+        let faults = schedule::system_call_faults(seed);
+        let process = Process::start(self.context.clone(), gateway, &faults)?;
         self.processes[gateway].borrow_mut().push(process);
         Ok(())
     }
 
-    /// Looks after the processes: one that has ended, told to or not, is started again.
-    async fn watch(self: Rc<Self>) {
-        let mut look = interval(Duration::from_millis(5));
+    /// Restarts each process that has ended, until the run ends.
+    async fn supervise(self: Rc<Self>) {
+        let mut check = interval(CHECK_INTERVAL);
         loop {
-            look.tick().await;
+            check.tick().await;
             let mut running = 0;
             for gateway in 0..self.processes.len() {
-                running += usize::from(self.look_at(gateway));
+                running += usize::from(self.check_processes(gateway));
             }
-            if self.ending.get() && running == 0 {
+            if self.is_ending.get() && running == 0 {
                 return;
             }
         }
     }
 
-    /// Whether that gateway has a process.
-    fn look_at(&self, gateway: usize) -> bool {
-        self.processes[gateway].borrow_mut().retain_mut(|process| !process.look());
+    /// Whether the gateway has a process.
+    fn check_processes(&self, gateway: usize) -> bool {
+        self.processes[gateway].borrow_mut().retain_mut(|process| !process.has_ended());
         self.measure(gateway);
-        if self.processes[gateway].borrow().is_empty() && !self.ending.get() {
+        if self.processes[gateway].borrow().is_empty() && !self.is_ending.get() {
             return self.start_process(gateway).is_ok();
         }
         !self.processes[gateway].borrow().is_empty()
     }
 
     fn measure(&self, gateway: usize) {
-        for (memory, files) in self.processes[gateway].borrow().iter().filter_map(Process::footprint) {
-            let before = self.footprint.get();
-            self.footprint.set((before.0.max(memory), before.1.max(files)));
+        for footprint in self.processes[gateway].borrow().iter().filter_map(Process::footprint) {
+            self.footprint.set(self.footprint.get().max(footprint));
         }
     }
 
     pub(super) fn signal(&self, gateway: usize, signal: Signal) {
-        self.processes[gateway].borrow().iter().for_each(|process| process.signal(signal));
+        for process in self.processes[gateway].borrow().iter() {
+            process.signal(signal);
+        }
     }
 
     pub(super) fn switch_faults(&self, gateway: usize, on: bool) {
-        self.processes[gateway].borrow().iter().for_each(|process| process.switch_faults(on));
+        for process in self.processes[gateway].borrow().iter() {
+            process.switch_faults(on);
+        }
     }
 
     async fn check_recovery(&self) {
-        sleep(Duration::from_secs_f64(RECOVERS_WITHIN)).await;
-        let checks: Vec<_> = (0..self.processes.len())
-            .map(|gateway| {
-                let stage = self.stage.clone();
-                tokio::task::spawn_local(async move {
-                    let mut client = Client::new(stage, gateway);
-                    let mut served = 0;
-                    for _ in 0..CHECKED {
-                        served += usize::from(client.is_served_within(TRIES).await);
-                    }
-                    served
-                })
-            })
-            .collect();
+        sleep(Duration::from_secs_f64(RECOVERY_TIME)).await;
+        let check = |gateway| spawn_local(count_served(Client::new(self.context.clone(), gateway)));
+        let checks: Vec<_> = (0..self.processes.len()).map(check).collect();
         for check in checks {
             let served = check.await.unwrap_or(0);
-            self.stage.ledger.borrow_mut().recovered.push((served, CHECKED));
+            let result = RecoveryCheck { served, sent: RECOVERY_REQUESTS };
+            self.context.ledger.borrow_mut().recovery_checks.push(result);
         }
     }
 
-    async fn end_all(&self) {
-        self.ending.set(true);
-        (0..self.processes.len()).for_each(|gateway| self.signal(gateway, Signal::TERM));
-        for _ in 0..800 {
-            if self.processes.iter().all(|all| all.borrow().is_empty()) {
+    async fn terminate_all(&self) {
+        self.is_ending.set(true);
+        for gateway in 0..self.processes.len() {
+            self.signal(gateway, Signal::TERM);
+        }
+        for _ in 0..MAX_END_CHECKS {
+            if self.processes.iter().all(|processes| processes.borrow().is_empty()) {
                 return;
             }
-            sleep(Duration::from_millis(10)).await;
+            sleep(END_CHECK_INTERVAL).await;
+        }
+        // Processes that have not ended by now have violated a rule, which the ledger shows.
+        for processes in &self.processes {
+            processes.borrow_mut().clear();
         }
-        // What has not ended by now has broken a rule, and is written down as it is.
-        self.processes.iter().for_each(|all| all.borrow_mut().clear());
     }
 }
 
-/// An engine that serves, as the list names it.
-pub(super) fn entry(id: &str, address: SocketAddr, started: f64) -> ListedEngine {
+async fn count_served(mut client: Client) -> usize {
+    let mut served = 0;
+    for _ in 0..RECOVERY_REQUESTS {
+        served += usize::from(client.is_served_within(RECOVERY_ATTEMPTS).await);
+    }
+    served
+}
+
+/// An engine that serves, as the name service lists it.
+pub(super) fn listed_engine(id: &str, address: SocketAddr, started: f64) -> ListedEngine {
     ListedEngine { id: id.to_owned(), address, drains: false, started }
 }
--- a/crates/experiments/src/soak/schedule.rs
+++ b/crates/experiments/src/soak/schedule.rs
@@ -1,4 +1,4 @@
-//! Which troubles a play has, and when: drawn from the seed, several of them at a time.
+//! The faults of a run, and when they begin and end: drawn from the seed, several of them at a time.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -9,298 +9,341 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Reloads {
     /// How many.
-    pub times: u32,
+    pub count: u32,
     /// Seconds from one to the next.
-    pub gap: f64,
-    /// What is new in the file.
+    pub interval: f64,
+    /// The change of the file.
     pub kind: ReloadKind,
 }
 
-/// What is new in a configuration that is read again.
+/// The change of a configuration that is reloaded.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub enum ReloadKind {
-    /// Nothing.
+    /// No change.
     Unchanged,
-    /// The service is at its other address, where it answers; the former one answers on.
-    BetweenGood,
-    /// The service is at its other address, and the former one is gone; the new one answers only so many seconds later.
-    ToSilent(f64),
+    /// The name service is at its other address. Both addresses respond.
+    ToHealthyAddress,
+    /// The name service is at its other address, which responds only so many seconds later. The previous one does not respond.
+    ToSilentAddress(f64),
 }
 
-/// One trouble. Gateways and engines are meant by their numbers.
+/// A fault. Gateways and engines are given by their numbers.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub enum Trouble {
-    /// A gateway is told to end: so many SIGHUPs before and SIGTERMs in all, close together; SIGKILL comes as early as it may.
+pub enum Fault {
+    /// A gateway is terminated by signals close together, and by SIGKILL as early as that may come.
     Restart {
-        /// Which.
+        /// The gateway.
         gateway: usize,
-        /// SIGHUPs before it.
+        /// The number of SIGHUPs before.
         reloads: u32,
-        /// SIGTERMs.
+        /// The number of SIGTERMs.
         terminations: u32,
     },
-    /// A new process is started beside it and takes over.
-    Upgrade(usize),
-    /// It is killed and started again.
+    /// A new process of a gateway is started and takes over from the running one.
+    HotRestart(usize),
+    /// The process of a gateway is killed and restarted.
     Kill(usize),
-    /// It is stopped for the time of the trouble.
-    Stop(usize),
-    /// It reads its configuration again.
+    /// The process of a gateway is paused.
+    Pause(usize),
+    /// A gateway reloads its configuration.
     Reload(usize, Reloads),
-    /// System calls of a gateway fail as it was drawn for its start.
+    /// System calls of a gateway fail, as drawn at its start.
     SystemCalls(usize),
-    /// Clients that say nothing fill its descriptors.
-    Crowd(usize),
-    /// The name service takes so many seconds to answer a gateway.
-    ListLate(usize, f64),
-    /// This share of its answers is lost, cut, failed, older, or under another id.
-    ListLossy(usize, f64),
-    /// The flows that the gateway has used until now are dead.
-    FlowsDie(usize),
-    /// The name service answers nobody.
-    SilentList,
-    /// An engine drains and stays up for the time of the trouble, then goes; another joins in its place, cold.
-    Replace(usize),
-    /// It is gone at once, with all its connections, and comes back cold.
-    Crash(usize),
-    /// Half of the engines are gone at once, and come back cold together.
-    CrashMany,
-    /// It answers nothing.
-    Hang(usize),
-    /// It turns everything away.
-    Overload(usize),
-    /// All engines turn everything away.
-    OverloadAll,
-    /// It resets its connections, again and again.
-    Reset(usize),
-    /// It closes each connection as soon as nothing is open on it.
-    CloseIdle(usize),
-    /// Clients cancel and leave far more often.
-    Leaving,
+    /// Idle connections fill a gateway's descriptors.
+    ConnectionFlood(usize),
+    /// The name service takes so many seconds to respond to a gateway.
+    SlowNameService(usize, f64),
+    /// This share of the responses to a gateway is lost, truncated, failed, outdated, or with another id.
+    LossyNameService(usize, f64),
+    /// The flows that a gateway has used until now stop to work.
+    DeadFlows(usize),
+    /// The name service responds to no gateway.
+    SilentNameService,
+    /// An engine drains, stays up until the end of the fault, and is then removed. Another joins in its place, cold.
+    ReplaceEngine(usize),
+    /// An engine crashes with all its connections, and is restarted cold.
+    CrashEngine(usize),
+    /// Half of the engines crash at once, and are restarted cold together.
+    CrashHalf,
+    /// An engine answers nothing.
+    HangEngine(usize),
+    /// An engine rejects everything.
+    OverloadEngine(usize),
+    /// All engines reject everything.
+    OverloadAllEngines,
+    /// An engine resets its connections repeatedly.
+    ResetConnections(usize),
+    /// An engine closes each connection that has no open request.
+    CloseIdleConnections(usize),
+    /// Clients cancel and disconnect far more often.
+    ImpatientClients,
 }
 
-/// A trouble with its time, in seconds since the play began.
+/// A fault with its time, in seconds since the run began.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Planned {
-    /// It begins.
+pub struct PlannedFault {
+    /// When it begins.
     pub from: f64,
-    /// It ends.
+    /// When it ends.
     pub to: f64,
-    /// What it is.
-    pub trouble: Trouble,
+    /// The fault.
+    pub fault: Fault,
 }
 
-/// The first trouble begins after this, so that something is known by then.
-const QUIET: f64 = 1.5;
-/// A trouble lasts so long, in seconds.
-const LASTS: Range<f64> = 0.3..2.5;
-/// A name service is silent for so long ...
-const SILENT: Range<f64> = 0.5..5.0;
-/// ... or, now and then, for longer than until everything counts as told.
-const LONG_SILENT: Range<f64> = 9.5..11.0;
-const LONG_SILENCES: f64 = 0.3;
-/// A process is stopped for up to longer than its list may be relied on.
-const STOPPED: Range<f64> = 0.3..6.0;
-/// An engine drains for so long: longer than from its first moment to the end of the rule, and a good deal more.
-const DRAINS: Range<f64> = 6.0..8.0;
-/// ... one that begins to in a silence: longer than until it counts as told by all means.
-const DRAINS_IN_SILENCE: Range<f64> = 11.0..13.0;
-/// From the begin of one to the begin of the next, on average well under the time that one lasts.
-const GAP: Range<f64> = 0.05..0.5;
-/// Troubles of gateways that a second one of the same gateway overlaps.
-const COMPANIONS: f64 = 0.5;
-/// The second begins so much later.
-const COMPANION_AFTER: Range<f64> = 0.0..0.8;
-/// Troubles of the name service, and stops, at whose end an engine begins to drain, or soon after whose begin ...
-const DRAINS_AT_END: f64 = 0.7;
-/// ... so much later.
-const DRAIN_AFTER: Range<f64> = -0.3..0.4;
-/// Engines that drain at once at most, as a share of all.
-const DRAINING: usize = 3;
+/// When the first fault begins, so that gateways know something by then.
+const FIRST_FAULT: f64 = 1.5;
+/// How long a fault lasts, in seconds.
+const DURATION: Range<f64> = 0.3..2.5;
+/// How long a name service is silent ...
+const SILENCE: Range<f64> = 0.5..5.0;
+/// ... and, with this probability, how long otherwise: until every change counts as propagated, and longer.
+const LONG_SILENCE: Range<f64> = 9.5..11.0;
+const LONG_SILENCE_PROBABILITY: f64 = 0.3;
+/// How long a process is paused: up to longer than the lease on its list.
+const PAUSE: Range<f64> = 0.3..6.0;
+/// How long an engine drains: well longer than until the rule on drains applies.
+const DRAIN: Range<f64> = 6.0..8.0;
+/// How long one drains that begins to in a long silence: until the drain counts as propagated in any case, and longer.
+const DRAIN_IN_SILENCE: Range<f64> = 11.0..13.0;
+/// The time from the beginning of a fault to that of the next, on average well under the duration of a fault.
+const FAULT_INTERVAL: Range<f64> = 0.05..0.5;
+/// The probability that a second fault of the same gateway overlaps one.
+const COMPANION_PROBABILITY: f64 = 0.5;
+/// How much later the second begins.
+const COMPANION_DELAY: Range<f64> = 0.0..0.8;
+/// The probability that an engine begins to drain around the end, or soon after the beginning, of a fault of the name service
+/// or a pause ...
+const DRAIN_PROBABILITY: f64 = 0.7;
+/// ... and how much later.
+const DRAIN_DELAY: Range<f64> = -0.3..0.4;
+/// The time between two faults that exclude one another.
+const MIN_GAP: f64 = 0.2;
+/// The engines that drain at once.
+const MAX_DRAINING: usize = 3;
 
-/// The schedule of a play. Troubles of one gateway or engine don't begin before its last one has ended.
-pub fn draw(seed: u64, gateways: usize, engines: usize, seconds: f64) -> Vec<Planned> {
+/// Draws the schedule of a run. Faults that exclude one another do not overlap.
+pub fn draw(seed: u64, gateways: usize, engines: usize, seconds: f64) -> Vec<PlannedFault> {
     let mut schedule =
         Schedule { rng: Pcg64Mcg::seed_from_u64(seed), planned: Vec::new(), gateways, engines, seconds };
-    let mut at = QUIET;
+    let mut at = FIRST_FAULT;
     while at < seconds {
-        schedule.add_some(at);
-        at += schedule.rng.random_range(GAP);
+        schedule.add_drawn(at);
+        at += schedule.rng.random_range(FAULT_INTERVAL);
     }
     schedule.planned
 }
 
 struct Schedule {
     rng: Pcg64Mcg,
-    planned: Vec<Planned>,
+    planned: Vec<PlannedFault>,
     gateways: usize,
     engines: usize,
     seconds: f64,
 }
 
-/// Kinds of troubles of gateways, of the name service, and all, by number.
-const GATEWAY_KINDS: u32 = 9;
-const DISCOVERY_KINDS: u32 = 8;
-const OTHER_KINDS: u32 = 15;
+/// The weights of faults of gateways, of the name service, and of engines and clients.
+const GATEWAY_WEIGHT: u32 = 9;
+const DISCOVERY_WEIGHT: u32 = 8;
+const OTHER_WEIGHT: u32 = 15;
 
 impl Schedule {
-    /// A trouble that begins now, and what may go with it.
-    fn add_some(&mut self, at: f64) {
-        let kind = self.rng.random_range(0..GATEWAY_KINDS + DISCOVERY_KINDS + OTHER_KINDS);
+    /// Adds a fault that begins at a time, and faults that go with it.
+    fn add_drawn(&mut self, at: f64) {
+        let kind = self.rng.random_range(0..GATEWAY_WEIGHT + DISCOVERY_WEIGHT + OTHER_WEIGHT);
         let gateway = self.rng.random_range(0..self.gateways);
-        if kind < GATEWAY_KINDS {
-            let trouble = self.of_gateway(kind, gateway);
-            let is_stop = matches!(trouble, Trouble::Stop(_));
-            if self.add(at, trouble).is_some() && is_stop {
-                self.add_drain(at + COMPANION_AFTER.end, DRAINS);
-            }
-            if self.rng.random_range(0.0..1.0) < COMPANIONS {
-                let (after, kind) =
-                    (self.rng.random_range(COMPANION_AFTER), self.rng.random_range(0..GATEWAY_KINDS));
-                let companion = self.of_gateway(kind, gateway);
-                self.add(at + after, companion);
-            }
-        } else if kind < GATEWAY_KINDS + DISCOVERY_KINDS {
-            let trouble = self.of_discovery(kind - GATEWAY_KINDS, gateway);
-            if let Some(ended) = self.add(at, trouble) {
-                match ended - at > LONG_SILENT.start {
-                    true => self.add_drain(at + COMPANION_AFTER.end, DRAINS_IN_SILENCE),
-                    false => self.add_drain(ended, DRAINS),
-                }
-            }
+        if kind < GATEWAY_WEIGHT {
+            self.add_of_gateway(at, kind, gateway);
+        } else if kind < GATEWAY_WEIGHT + DISCOVERY_WEIGHT {
+            self.add_of_discovery(at, kind - GATEWAY_WEIGHT, gateway);
         } else {
-            let trouble = self.other(kind - GATEWAY_KINDS - DISCOVERY_KINDS);
-            self.add(at, trouble);
+            let fault = self.other(kind - GATEWAY_WEIGHT - DISCOVERY_WEIGHT);
+            self.add(at, fault);
+        }
+    }
+
+    fn add_of_gateway(&mut self, at: f64, kind: u32, gateway: usize) {
+        let fault = self.of_gateway(kind, gateway);
+        let is_pause = matches!(fault, Fault::Pause(_));
+        if self.add(at, fault).is_some() && is_pause {
+            self.add_drain(at + COMPANION_DELAY.end, DRAIN);
+        }
+        if self.rng.random_range(0.0..1.0) < COMPANION_PROBABILITY {
+            let delay = self.rng.random_range(COMPANION_DELAY);
+            let kind = self.rng.random_range(0..GATEWAY_WEIGHT);
+            let companion = self.of_gateway(kind, gateway);
+            self.add(at + delay, companion);
         }
     }
 
-    /// An engine that begins to drain at about that time, as a rule.
-    fn add_drain(&mut self, at: f64, lasts: Range<f64>) {
-        let (after, engine) = (self.rng.random_range(DRAIN_AFTER), self.rng.random_range(0..self.engines));
-        if self.rng.random_range(0.0..1.0) < DRAINS_AT_END {
-            let lasts = self.rng.random_range(lasts);
-            self.add_for(at + after, lasts, Trouble::Replace(engine));
+    fn add_of_discovery(&mut self, at: f64, kind: u32, gateway: usize) {
+        let fault = self.of_discovery(kind, gateway);
+        let Some(ended) = self.add(at, fault) else { return };
+        match ended - at > LONG_SILENCE.start {
+            true => self.add_drain(at + COMPANION_DELAY.end, DRAIN_IN_SILENCE),
+            false => self.add_drain(ended, DRAIN),
         }
     }
 
-    fn of_gateway(&mut self, kind: u32, gateway: usize) -> Trouble {
+    /// Adds, with some probability, an engine that begins to drain at about that time.
+    fn add_drain(&mut self, at: f64, duration: Range<f64>) {
+        let (delay, engine) = (self.rng.random_range(DRAIN_DELAY), self.rng.random_range(0..self.engines));
+        if self.rng.random_range(0.0..1.0) < DRAIN_PROBABILITY {
+            let duration = self.rng.random_range(duration);
+            self.add_with_duration(at + delay, duration, Fault::ReplaceEngine(engine));
+        }
+    }
+
+    fn of_gateway(&mut self, kind: u32, gateway: usize) -> Fault {
         match kind {
-            0 | 1 => Trouble::Restart {
+            0 | 1 => Fault::Restart {
                 gateway,
                 reloads: self.rng.random_range(0..3),
                 terminations: self.rng.random_range(1..3),
             },
-            2 => Trouble::Kill(gateway),
-            3 | 4 => Trouble::Stop(gateway),
-            5 => Trouble::Upgrade(gateway),
-            6 => Trouble::Crowd(gateway),
-            _ => Trouble::SystemCalls(gateway),
+            2 => Fault::Kill(gateway),
+            3 | 4 => Fault::Pause(gateway),
+            5 => Fault::HotRestart(gateway),
+            6 => Fault::ConnectionFlood(gateway),
+            _ => Fault::SystemCalls(gateway),
         }
     }
 
-    fn of_discovery(&mut self, kind: u32, gateway: usize) -> Trouble {
+    fn of_discovery(&mut self, kind: u32, gateway: usize) -> Fault {
         match kind {
-            0 | 1 => Trouble::ListLate(gateway, self.rng.random_range(0.2..3.0)),
-            2 => Trouble::ListLossy(gateway, self.rng.random_range(0.2..0.5)),
-            3 => Trouble::FlowsDie(gateway),
-            4 => Trouble::SilentList,
-            _ => Trouble::Reload(gateway, self.reloads()),
+            0 | 1 => Fault::SlowNameService(gateway, self.rng.random_range(0.2..3.0)),
+            2 => Fault::LossyNameService(gateway, self.rng.random_range(0.2..0.5)),
+            3 => Fault::DeadFlows(gateway),
+            4 => Fault::SilentNameService,
+            _ => Fault::Reload(gateway, self.reloads()),
         }
     }
 
     fn reloads(&mut self) -> Reloads {
-        let (times, gap) = (self.rng.random_range(1..12), self.rng.random_range(0.01..0.3));
+        let (count, interval) = (self.rng.random_range(1..12), self.rng.random_range(0.01..0.3));
         match self.rng.random_range(0..4) {
-            0 => Reloads { times, gap, kind: ReloadKind::Unchanged },
-            1 => Reloads { times, gap, kind: ReloadKind::BetweenGood },
-            _ => Reloads { times: 1, gap, kind: ReloadKind::ToSilent(self.rng.random_range(0.0..3.0)) },
+            0 => Reloads { count, interval, kind: ReloadKind::Unchanged },
+            1 => Reloads { count, interval, kind: ReloadKind::ToHealthyAddress },
+            _ => {
+                let kind = ReloadKind::ToSilentAddress(self.rng.random_range(0.0..3.0));
+                Reloads { count: 1, interval, kind }
+            }
         }
     }
 
-    fn other(&mut self, kind: u32) -> Trouble {
+    fn other(&mut self, kind: u32) -> Fault {
         let engine = self.rng.random_range(0..self.engines);
         match kind {
-            0 | 1 => Trouble::Replace(engine),
-            2 | 3 => Trouble::Crash(engine),
-            4 => Trouble::CrashMany,
-            5 => Trouble::Hang(engine),
-            6..9 => Trouble::OverloadAll,
-            9 => Trouble::Overload(engine),
-            10..13 => Trouble::Reset(engine),
-            13 => Trouble::CloseIdle(engine),
-            _ => Trouble::Leaving,
+            0 | 1 => Fault::ReplaceEngine(engine),
+            2 | 3 => Fault::CrashEngine(engine),
+            4 => Fault::CrashHalf,
+            5 => Fault::HangEngine(engine),
+            6..9 => Fault::OverloadAllEngines,
+            9 => Fault::OverloadEngine(engine),
+            10..13 => Fault::ResetConnections(engine),
+            13 => Fault::CloseIdleConnections(engine),
+            _ => Fault::ImpatientClients,
         }
     }
 
-    /// Adds a trouble, unless its place has one already or it would last too long. When it ends.
-    fn add(&mut self, from: f64, trouble: Trouble) -> Option<f64> {
-        let lasts = match &trouble {
-            Trouble::Replace(_) => self.rng.random_range(DRAINS),
-            Trouble::SilentList if self.rng.random_range(0.0..1.0) < LONG_SILENCES => {
-                self.rng.random_range(LONG_SILENT)
+    /// Adds a fault, unless it overlaps one that excludes it or would last too long. Returns when it ends.
+    fn add(&mut self, from: f64, fault: Fault) -> Option<f64> {
+        let duration = match &fault {
+            Fault::ReplaceEngine(_) => self.rng.random_range(DRAIN),
+            Fault::SilentNameService if self.rng.random_range(0.0..1.0) < LONG_SILENCE_PROBABILITY => {
+                self.rng.random_range(LONG_SILENCE)
             }
-            Trouble::SilentList => self.rng.random_range(SILENT),
-            Trouble::Stop(_) => self.rng.random_range(STOPPED),
-            Trouble::Reload(_, reloads) => reloads.lasts(),
-            _ => self.rng.random_range(LASTS),
+            Fault::SilentNameService => self.rng.random_range(SILENCE),
+            Fault::Pause(_) => self.rng.random_range(PAUSE),
+            Fault::Reload(_, reloads) => reloads.duration(),
+            _ => self.rng.random_range(DURATION),
         };
-        self.add_for(from, lasts, trouble)
+        self.add_with_duration(from, duration, fault)
     }
 
-    fn add_for(&mut self, from: f64, lasts: f64, trouble: Trouble) -> Option<f64> {
-        let to = from + lasts;
-        let is_drain = matches!(trouble, Trouble::Replace(_));
-        // Draining engines outlast the other troubles.
-        let latest = if is_drain { self.seconds + DRAINS_IN_SILENCE.end } else { self.seconds };
-        let meets = |p: &Planned| p.to + 0.2 > from && p.from < to + 0.2;
-        let busy = self.planned.iter().any(|p| meets(p) && same_place(&p.trouble, &trouble));
-        let drains = |p: &&Planned| meets(p) && matches!(p.trouble, Trouble::Replace(_));
-        let crowded = is_drain && self.planned.iter().filter(drains).count() >= DRAINING;
-        if busy || crowded || to >= latest {
+    fn add_with_duration(&mut self, from: f64, duration: f64, fault: Fault) -> Option<f64> {
+        let to = from + duration;
+        let is_drain = matches!(fault, Fault::ReplaceEngine(_));
+        // Draining engines outlast the other faults.
+        let latest = if is_drain { self.seconds + DRAIN_IN_SILENCE.end } else { self.seconds };
+        let overlaps = |planned: &&PlannedFault| planned.to + MIN_GAP > from && planned.from < to + MIN_GAP;
+        let mut overlapping = self.planned.iter().filter(overlaps);
+        let is_excluded = overlapping.any(|planned| excludes(&planned.fault, &fault));
+        let draining = self.planned.iter().filter(overlaps);
+        let draining = draining.filter(|planned| matches!(planned.fault, Fault::ReplaceEngine(_)));
+        let has_max_draining = is_drain && draining.count() >= MAX_DRAINING;
+        if is_excluded || has_max_draining || to >= latest {
             return None;
         }
-        self.planned.push(Planned { from, to, trouble });
+        self.planned.push(PlannedFault { from, to, fault });
         Some(to)
     }
 }
 
 impl Reloads {
-    /// Seconds from the first to when the service answers well.
-    fn lasts(&self) -> f64 {
-        let silent = match self.kind {
-            ReloadKind::ToSilent(silent) => silent,
+    /// Seconds from the first to when the name service responds again.
+    fn duration(&self) -> f64 {
+        let silence = match self.kind {
+            ReloadKind::ToSilentAddress(silence) => silence,
             _ => 0.0,
         };
-        f64::from(self.times) * self.gap + silent
+        f64::from(self.count) * self.interval + silence
     }
 }
 
-/// Whether two troubles are of one engine, of the list or of the clients. Troubles of one gateway may meet, but for those that
-/// end its process, and those of its name service.
-fn same_place(a: &Trouble, b: &Trouble) -> bool {
-    use Trouble::*;
-    let engine = |t: &Trouble| match t {
-        Replace(n) | Crash(n) | Hang(n) | Overload(n) | Reset(n) | CloseIdle(n) => Some(*n),
-        _ => None,
-    };
-    let all_engines = |t: &Trouble| matches!(t, CrashMany | OverloadAll);
-    let ends = |t: &Trouble| match t {
-        Restart { gateway: n, .. } | Kill(n) | Upgrade(n) => Some(*n),
-        _ => None,
-    };
-    let list = |t: &Trouble| match t {
-        ListLate(n, _) | ListLossy(n, _) | FlowsDie(n) | Reload(n, _) => Some(*n),
-        _ => None,
-    };
-    let same = |of: &dyn Fn(&Trouble) -> Option<usize>| of(a).is_some() && of(a) == of(b);
-    match (a, b) {
-        (SilentList, SilentList) | (Leaving, Leaving) => true,
-        (SystemCalls(x), SystemCalls(y)) | (Stop(x), Stop(y)) | (Crowd(x), Crowd(y)) => x == y,
-        // An engine that drains may be overloaded or restarted with the others.
-        (Replace(_), _) | (_, Replace(_)) if all_engines(a) || all_engines(b) => false,
-        _ if all_engines(a) => all_engines(b) || engine(b).is_some(),
-        _ if all_engines(b) => engine(a).is_some(),
-        _ => same(&engine) || same(&ends) || same(&list),
+impl Fault {
+    /// The engine that it affects, if it affects one.
+    fn engine(&self) -> Option<usize> {
+        match self {
+            Self::ReplaceEngine(engine)
+            | Self::CrashEngine(engine)
+            | Self::HangEngine(engine)
+            | Self::OverloadEngine(engine)
+            | Self::ResetConnections(engine)
+            | Self::CloseIdleConnections(engine) => Some(*engine),
+            _ => None,
+        }
+    }
+
+    fn affects_all_engines(&self) -> bool {
+        matches!(self, Self::CrashHalf | Self::OverloadAllEngines)
+    }
+
+    /// The gateway whose process it ends.
+    fn ended_gateway(&self) -> Option<usize> {
+        match self {
+            Self::Restart { gateway, .. } | Self::Kill(gateway) | Self::HotRestart(gateway) => Some(*gateway),
+            _ => None,
+        }
+    }
+
+    /// The gateway whose name service it affects.
+    fn discovery_gateway(&self) -> Option<usize> {
+        match self {
+            Self::SlowNameService(gateway, _)
+            | Self::LossyNameService(gateway, _)
+            | Self::DeadFlows(gateway)
+            | Self::Reload(gateway, _) => Some(*gateway),
+            _ => None,
+        }
+    }
+}
+
+/// Whether two faults must not overlap: those of one engine, those of all engines, and those of the clients. Faults of one
+/// gateway may overlap, but for those that end its process, and those of its name service.
+fn excludes(first: &Fault, second: &Fault) -> bool {
+    use Fault::*;
+    let are_same = |of: fn(&Fault) -> Option<usize>| of(first).is_some() && of(first) == of(second);
+    let (first_affects_all, second_affects_all) = (first.affects_all_engines(), second.affects_all_engines());
+    match (first, second) {
+        (SilentNameService, SilentNameService) | (ImpatientClients, ImpatientClients) => true,
+        (SystemCalls(gateway), SystemCalls(other))
+        | (Pause(gateway), Pause(other))
+        | (ConnectionFlood(gateway), ConnectionFlood(other)) => gateway == other,
+        // An engine that drains may be overloaded or restarted together with the others.
+        (ReplaceEngine(_), _) | (_, ReplaceEngine(_)) if first_affects_all || second_affects_all => false,
+        _ if first_affects_all => second_affects_all || second.engine().is_some(),
+        _ if second_affects_all => first.engine().is_some(),
+        _ => are_same(Fault::engine) || are_same(Fault::ended_gateway) || are_same(Fault::discovery_gateway),
     }
 }
 
--- a/crates/experiments/src/soak/schedule/tests.rs
+++ b/crates/experiments/src/soak/schedule/tests.rs
@@ -5,8 +5,10 @@
     let plan = draw(7, 10, 4, 20.0);
     assert_eq!(plan, draw(7, 10, 4, 20.0));
     assert_ne!(plan, draw(8, 10, 4, 20.0));
-    let overlapping = |p: &Planned| plan.iter().filter(|q| q.from <= p.from && q.to > p.from).count();
-    assert!(plan.iter().any(|p| overlapping(p) >= 3), "{plan:?}");
+    let overlapping = |fault: &PlannedFault| {
+        plan.iter().filter(|other| other.from <= fault.from && other.to > fault.from).count()
+    };
+    assert!(plan.iter().any(|fault| overlapping(fault) >= 3), "{plan:?}");
 }
 
 #[test]
--- a/crates/experiments/tests/soak.rs
+++ b/crates/experiments/tests/soak.rs
@@ -2,8 +2,8 @@
 //! still used seconds after the rule on drains has ended, with terms so wide that a slow machine breaks none of them.
 
 use rstest::rstest;
-use starlingplank_experiments::soak::oracle::{self, Terms};
-use starlingplank_experiments::soak::{self, play, Plan};
+use starlingplank_experiments::soak::oracle::{self, RuleParameters, SlowStart};
+use starlingplank_experiments::soak::{self, run_soak, SoakOptions};
 use std::path::PathBuf;
 
 /// What was built beside these tests.
@@ -18,21 +18,21 @@
 
 /// The rules that count, without times, but for drains: an engine drains for at least 6 s, and a program that does not heed that
 /// uses it until then.
-fn terms_without_times() -> Terms {
+fn parameters_without_times() -> RuleParameters {
     const LONG: f64 = 60.0;
     const WIDER_GRACE: f64 = 2.0;
-    let terms = soak::terms();
-    Terms {
+    let parameters = soak::rule_parameters();
+    RuleParameters {
         answer_grace: LONG,
-        gone_slack: LONG,
+        abandoned_slack: LONG,
         budget_slack: LONG,
         key_window: LONG,
-        drain_grace: terms.drain_grace + WIDER_GRACE,
-        cold_budget: (f64::INFINITY, 1.0),
+        drain_grace: parameters.drain_grace + WIDER_GRACE,
+        slow_start: SlowStart { warm_budget: f64::INFINITY, span: 1.0, ..parameters.slow_start },
         ready_by: LONG,
         ended_by: LONG,
-        log_lines: 1_000.0,
-        ..terms
+        max_log_lines: 1_000.0,
+        ..parameters
     }
 }
 
@@ -43,7 +43,7 @@
 #[case(4)]
 fn rules_hold_under_overlapping_troubles(#[case] seed: u64) {
     let folder = tempfile::tempdir().expect("a folder");
-    let plan = Plan {
+    let options = SoakOptions {
         program: built("starlingplank"),
         faults_library: built("libstarlingplank_fault_injection.so"),
         folder: folder.path().to_owned(),
@@ -53,8 +53,8 @@
         without: Vec::new(),
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let played = tokio::task::LocalSet::new().block_on(&runtime, play(&plan)).expect("it is played");
-    let breaks = oracle::breaks(&played.ledger, &terms_without_times());
-    assert!(breaks.is_empty(), "{breaks:#?}\n{:#?}\n{:#?}", played.schedule, played.errors);
+    let played = tokio::task::LocalSet::new().block_on(&runtime, run_soak(&options)).expect("it is played");
+    let violations = oracle::violations(&played.ledger, &parameters_without_times());
+    assert!(violations.is_empty(), "{violations:#?}\n{:#?}\n{:#?}", played.schedule, played.errors);
     assert!(played.ledger.requests.len() > 20, "{} requests", played.ledger.requests.len());
 }
--- a/crates/test-doubles/src/closed_loop.rs
+++ b/crates/test-doubles/src/closed_loop.rs
@@ -1,14 +1,14 @@
 //! A client in a closed loop: one connection, one query after the other, to a gateway or to an engine.
 
 use crate::client::MAX_ANSWER_BYTES;
-use crate::engine::command::{encode_resp, http_content_length, HEAD_END};
+use crate::engine::command::{http_content_length, HEAD_END};
+use crate::resp;
 use crate::thrift::{encode_call, parse_reply, Answer};
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// The parts of an engine's RESP answer, and the index of the part with the outcome.
-const RESP_PARTS: usize = 4;
+/// The index of the outcome in an engine's RESP answer.
 const RESP_OUTCOME: usize = 1;
 
 /// The protocol of a [`ClosedLoopClient`].
@@ -74,7 +74,7 @@
                 let fields = [("verb", "lookup"), ("txn", name), ("limit", "6000")];
                 encode_call(self.last_sequence, &fields, statement)
             }
-            ClientProtocol::Resp => encode_resp(&["want", name, "queue=lookup,budget=6000", statement]),
+            ClientProtocol::Resp => resp::encode(&["want", name, "queue=lookup,budget=6000", statement]),
             ClientProtocol::Http => {
                 let length = statement.len();
                 let head =
@@ -102,21 +102,10 @@
 }
 
 fn parse_resp(bytes: &[u8]) -> Option<ParsedAnswer> {
-    let text = std::str::from_utf8(bytes).ok()?;
-    let mut position = text.find("\r\n")? + 2;
-    let mut outcome = "";
-    for index in 0..RESP_PARTS {
-        let rest = text.get(position..)?;
-        let line_end = rest.find("\r\n")?;
-        let length: usize = rest.get(1..line_end)?.parse().ok()?;
-        let part = rest.get(line_end + 2..line_end + 2 + length)?;
-        if index == RESP_OUTCOME {
-            outcome = part;
-        }
-        position += line_end + 4 + length;
-    }
-    let answer = if outcome == "served" { Answer::Served } else { Answer::Failed };
-    (bytes.len() >= position).then_some(ParsedAnswer { answer, length: position })
+    let array = resp::parse(bytes).ok()??;
+    let outcome = array.parts.get(RESP_OUTCOME).map(String::as_str);
+    let answer = if outcome == Some("served") { Answer::Served } else { Answer::Failed };
+    Some(ParsedAnswer { answer, length: array.length })
 }
 
 fn parse_http(bytes: &[u8]) -> Option<ParsedAnswer> {
--- a/crates/test-doubles/src/engine.rs
+++ b/crates/test-doubles/src/engine.rs
@@ -13,7 +13,8 @@
 
 use crate::capacity_model::{CapacityModel, EngineSpec};
 use crate::lock;
-use command::{encode_served, MAX_MESSAGE_BYTES};
+use crate::resp::MAX_MESSAGE_BYTES;
+use command::encode_served;
 use execution::{load_report, Connection};
 pub use fleet::Fleet;
 use rand::SeedableRng;
--- a/crates/test-doubles/src/engine/command.rs
+++ b/crates/test-doubles/src/engine/command.rs
@@ -1,11 +1,8 @@
 //! What an engine reads and writes: the platform's RESP commands, and the ClickHouse HTTP interface.
 
 use super::EngineProtocol;
+use crate::resp::{self, MAX_MESSAGE_BYTES};
 
-/// The bytes of one message.
-pub(super) const MAX_MESSAGE_BYTES: usize = 4 << 20;
-/// The parts of a command that are read.
-const MAX_PARTS: usize = 8;
 /// The end of the head of an HTTP message.
 pub(crate) const HEAD_END: &[u8] = b"\r\n\r\n";
 
@@ -46,47 +43,9 @@
     }
 }
 
-/// Reads lines with a length in an array of bulk strings.
-struct RespReader<'a> {
-    bytes: &'a [u8],
-    position: usize,
-}
-
-impl<'a> RespReader<'a> {
-    /// The number in a line that begins with that mark; none if more bytes are needed.
-    fn length(&mut self, mark: u8) -> Result<Option<usize>, InvalidCommand> {
-        let rest = self.bytes.get(self.position..).unwrap_or_default();
-        let Some(end) = rest.windows(2).position(|window| window == b"\r\n") else { return Ok(None) };
-        if rest[0] != mark {
-            return Err(InvalidCommand);
-        }
-        self.position += end + 2;
-        let number = std::str::from_utf8(&rest[1..end]).ok().and_then(|number| number.parse().ok());
-        number.filter(|number| *number <= MAX_MESSAGE_BYTES).map(Some).ok_or(InvalidCommand)
-    }
-
-    /// The next bulk string; none if more bytes are needed.
-    fn bulk_string(&mut self) -> Result<Option<&'a [u8]>, InvalidCommand> {
-        let Some(length) = self.length(b'$')? else { return Ok(None) };
-        let end = self.position + length;
-        let Some(part) = self.bytes.get(self.position..end) else { return Ok(None) };
-        if self.bytes.len() < end + 2 {
-            return Ok(None);
-        }
-        self.position = end + 2;
-        Ok(Some(part))
-    }
-}
-
 fn parse_resp(bytes: &[u8]) -> Result<Option<ParsedCommand>, InvalidCommand> {
-    let mut reader = RespReader { bytes, position: 0 };
-    let Some(count) = reader.length(b'*')? else { return Ok(None) };
-    let mut parts = Vec::new();
-    for _ in 0..count.min(MAX_PARTS) {
-        let Some(part) = reader.bulk_string()? else { return Ok(None) };
-        parts.push(String::from_utf8_lossy(part).into_owned());
-    }
-    let part = |index: usize| parts.get(index).cloned().unwrap_or_default();
+    let Some(array) = resp::parse(bytes).map_err(|_| InvalidCommand)? else { return Ok(None) };
+    let part = |index: usize| array.parts.get(index).cloned().unwrap_or_default();
     let command = match part(0).as_str() {
         "want" => {
             let fields = part(2);
@@ -97,7 +56,7 @@
         "never_mind" => Command::Cancel(part(1)),
         _ => Command::Other,
     };
-    Ok(Some(ParsedCommand { command, length: reader.position }))
+    Ok(Some(ParsedCommand { command, length: array.length }))
 }
 
 /// The value of the header `Content-Length`.
@@ -133,12 +92,6 @@
     query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=').map(str::to_owned))
 }
 
-/// An array of bulk strings.
-pub(crate) fn encode_resp(parts: &[&str]) -> Vec<u8> {
-    let bulk_string = |part: &&str| format!("${}\r\n{part}\r\n", part.len());
-    format!("*{}\r\n{}", parts.len(), parts.iter().map(bulk_string).collect::<String>()).into_bytes()
-}
-
 /// An HTTP answer with that status and body.
 fn encode_http(status: &str, body: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
@@ -149,7 +102,7 @@
     match protocol {
         EngineProtocol::Resp => {
             let fields = format!("pages=1,cost={work:.1},need=8{load}");
-            encode_resp(&[request, "served", &fields, "a\tb\tc\n"])
+            resp::encode(&[request, "served", &fields, "a\tb\tc\n"])
         }
         EngineProtocol::ClickHouse => encode_http("200 OK", "a\tb\tc\n"),
     }
@@ -158,7 +111,7 @@
 /// The answer to a statement that failed.
 pub(super) fn encode_failed(protocol: EngineProtocol, request: &str, load: &str) -> Vec<u8> {
     match protocol {
-        EngineProtocol::Resp => encode_resp(&[request, "crashed", &format!("cost=0{load}"), ""]),
+        EngineProtocol::Resp => resp::encode(&[request, "crashed", &format!("cost=0{load}"), ""]),
         EngineProtocol::ClickHouse => encode_http("500 Internal Server Error", "Code: 1000.\n"),
     }
 }
@@ -166,7 +119,7 @@
 /// The answer to a health check.
 pub(super) fn encode_healthy(protocol: EngineProtocol, tag: &str, load: &str) -> Vec<u8> {
     match protocol {
-        EngineProtocol::Resp => encode_resp(&[tag, "green", &format!("cost=0{load}"), ""]),
+        EngineProtocol::Resp => resp::encode(&[tag, "green", &format!("cost=0{load}"), ""]),
         EngineProtocol::ClickHouse => encode_http("200 OK", "Ok.\n"),
     }
 }
--- a/crates/test-doubles/src/lib.rs
+++ b/crates/test-doubles/src/lib.rs
@@ -13,6 +13,7 @@
 pub mod engine;
 pub mod name_service;
 pub mod relay;
+pub mod resp;
 pub mod thrift;
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
