--- a/crates/test-doubles/src/resp.rs
+++ b/crates/test-doubles/src/resp.rs
@@ -70,3 +70,6 @@
     let bulk_string = |part: &&str| format!("${}\r\n{part}\r\n", part.len());
     format!("*{}\r\n{}", parts.len(), parts.iter().map(bulk_string).collect::<String>()).into_bytes()
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/test-doubles/src/resp/tests.rs
@@ -0,0 +1,13 @@
+use super::*;
+
+const COMMANDS: &[u8] = b"*2\r\n$4\r\nwant\r\n$1\r\na\r\n*1\r\n$4\r\nbusy\r\n";
+
+#[test]
+fn command_is_read_only_once_it_is_complete_wherever_its_bytes_are_cut() {
+    let complete = COMMANDS.len() - b"*1\r\n$4\r\nbusy\r\n".len();
+    for length in 0..complete {
+        assert_eq!(parse(&COMMANDS[..length]), Ok(None), "{length} bytes");
+    }
+    let parts = vec!["want".to_owned(), "a".to_owned()];
+    assert_eq!(parse(COMMANDS), Ok(Some(ParsedArray { parts, length: complete })));
+}
