--- a/crates/persistence/tests/recovery.rs
+++ b/crates/persistence/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! What old knowledge is worth: who is perhaps cold, and what fades how fast.
+//! What old knowledge is still good for: which engines are perhaps in slow start, and what fades how fast.
 
 mod common;
 
@@ -12,7 +12,7 @@
 const TAKEN: f64 = 1_000_000.0;
 const RULES: Rules = starlingplank_persistence::recovery::DEFAULT;
 
-fn named(id: &str, started: Option<f64>) -> EndpointIdentity {
+fn identity(id: &str, started: Option<f64>) -> EndpointIdentity {
     EndpointIdentity { id: id.into(), address: "127.0.0.1:9000".into(), started }
 }
 
@@ -35,13 +35,13 @@
     #[case] after: f64,
     #[case] expected: Uncertainty,
 ) {
-    assert_eq!(uncertainty(Some(&known), &named("s-0", started), TAKEN + after, &RULES), expected);
+    assert_eq!(uncertainty(Some(&known), &identity("s-0", started), TAKEN + after, &RULES), expected);
 }
 
 #[test]
 fn new_id_at_an_old_address_is_perhaps_cold_and_brings_nothing_along() {
-    let mut recall = RestoredState::new(&snapshot(TAKEN, 1), TAKEN + 100.0, RULES).expect("it counts");
-    let back = recall.restore(&[named("s-new", None)], TAKEN + 100.0).expect("something");
+    let mut restored = RestoredState::new(&snapshot(TAKEN, 1), TAKEN + 100.0, RULES).expect("it counts");
+    let back = restored.restore(&[identity("s-new", None)], TAKEN + 100.0).expect("something");
     let e = &back.engines[0];
     assert!(e.perhaps_cold && e.slow == 1.0 && e.errors == 0.0 && e.heard.is_none());
 }
@@ -49,9 +49,9 @@
 #[test]
 fn room_that_was_lost_comes_back_cold_under_the_same_ids() {
     // The list is down as well and names no starts: eleven seconds are enough for all to be doubted.
-    let mut recall = RestoredState::new(&snapshot(TAKEN, 4), TAKEN + 11_000.0, RULES).expect("it counts");
-    let names: Vec<_> = (0..4).map(|n| named(&format!("s-{n}"), None)).collect();
-    let back = recall.restore(&names, TAKEN + 11_000.0).expect("something");
+    let mut restored = RestoredState::new(&snapshot(TAKEN, 4), TAKEN + 11_000.0, RULES).expect("it counts");
+    let names: Vec<_> = (0..4).map(|n| identity(&format!("s-{n}"), None)).collect();
+    let back = restored.restore(&names, TAKEN + 11_000.0).expect("something");
     assert_eq!(back.engines.iter().filter(|e| e.perhaps_cold).count(), 4);
 }
 
@@ -77,8 +77,8 @@
     );
     assert_eq!((retained_weight(-5.0, 10.0), retained_weight(f64::NAN, 10.0)), (1.0, 0.0));
     let after = |ms: f64| {
-        let mut recall = RestoredState::new(&snapshot(TAKEN, 2), TAKEN + ms, RULES).expect("it counts");
-        recall.restore(&[named("s-1", None)], TAKEN + ms).expect("something")
+        let mut restored = RestoredState::new(&snapshot(TAKEN, 2), TAKEN + ms, RULES).expect("it counts");
+        restored.restore(&[identity("s-1", None)], TAKEN + ms).expect("something")
     };
     let (soon, late) = (after(1_000.0), after(60_000.0));
     // Latencies stay, traffic is gone, an engine's slowness has lost half.
@@ -91,16 +91,22 @@
 
 #[test]
 fn engines_wait_for_the_list_to_name_them_and_then_end() {
-    let mut recall = RestoredState::new(&snapshot(TAKEN, 3), TAKEN, RULES).expect("it counts");
-    assert!(recall.restore(&[], TAKEN).is_none(), "an empty list names nobody and starts no wait");
-    let first = recall.restore(&[named("s-0", None)], TAKEN + 100.0).expect("the fleet and an engine");
-    assert!(first.classes.len() == 1 && first.engines.len() == 1 && recall.unrestored() == 2);
-    assert!(recall.restore(&[named("s-0", None)], TAKEN + 200.0).is_none(), "an engine is given back once");
-    let later =
-        recall.restore(&[named("s-0", None), named("s-1", None)], TAKEN + 20_000.0).expect("one more");
+    let mut restored = RestoredState::new(&snapshot(TAKEN, 3), TAKEN, RULES).expect("it counts");
+    assert!(restored.restore(&[], TAKEN).is_none(), "an empty list names nobody and starts no wait");
+    let first = restored.restore(&[identity("s-0", None)], TAKEN + 100.0).expect("the fleet and an engine");
+    assert!(first.classes.len() == 1 && first.engines.len() == 1 && restored.unrestored() == 2);
+    assert!(
+        restored.restore(&[identity("s-0", None)], TAKEN + 200.0).is_none(),
+        "an engine is given back once"
+    );
+    let later = restored
+        .restore(&[identity("s-0", None), identity("s-1", None)], TAKEN + 20_000.0)
+        .expect("one more");
     assert!(later.classes.is_empty() && later.engines.len() == 1 && later.engines[0].perhaps_cold);
-    assert!(recall.restore(&[named("s-2", None)], TAKEN + 60_101.0).is_none() && recall.unrestored() == 0);
-    assert!(recall.is_finished(TAKEN + 60_101.0));
+    assert!(
+        restored.restore(&[identity("s-2", None)], TAKEN + 60_101.0).is_none() && restored.unrestored() == 0
+    );
+    assert!(restored.is_finished(TAKEN + 60_101.0));
 }
 
 #[test]
@@ -108,8 +114,12 @@
     let mut s = snapshot(TAKEN, 1);
     s.engines[0] = engine(Some(TAKEN - 4_000.0), true);
     let back = |after: f64| {
-        let mut recall = RestoredState::new(&s, TAKEN + after, RULES).expect("it counts");
-        recall.restore(&[named("s-0", Some(TAKEN - 4_000.0))], TAKEN + after).expect("it").engines.remove(0)
+        let mut restored = RestoredState::new(&s, TAKEN + after, RULES).expect("it counts");
+        restored
+            .restore(&[identity("s-0", Some(TAKEN - 4_000.0))], TAKEN + after)
+            .expect("it")
+            .engines
+            .remove(0)
     };
     assert!(
         back(500.0).spent && !back(500.0).perhaps_cold,
--- a/crates/persistence/tests/twice.rs
+++ b/crates/persistence/tests/twice.rs
@@ -1,5 +1,5 @@
-//! Nothing keyed runs twice. Lives of a gateway in virtual time, one after the other, on a disk that fails, each ended
-//! at any moment; clients that repeat their loads; engines that drop repeats of a key for a window and no longer.
+//! Nothing keyed runs twice. Successive processes of a gateway in virtual time, on a disk that fails, each stopped at any
+//! moment; clients that repeat their loads; engines that drop repeats of a key for a window and no longer.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -21,20 +21,20 @@
 #[derive(Default)]
 struct Engines {
     first: HashMap<Key, f64>,
-    /// When each run of a key began, and when its request had come.
+    /// When each run of a key began, and when its request was received.
     runs: HashMap<Key, Vec<(f64, f64)>>,
 }
 
 impl Engines {
-    fn take(&mut self, key: Key, came: f64, now: f64) {
+    fn take(&mut self, key: Key, received: f64, now: f64) {
         if self.first.get(&key).is_some_and(|at| now < at + WINDOW) {
             return;
         }
         self.first.insert(key, now);
-        self.runs.entry(key).or_default().push((now, came));
+        self.runs.entry(key).or_default().push((now, received));
     }
 
-    /// Runs of a request that had come within the window of an earlier run, or before it.
+    /// Runs of a request that was received within the window of an earlier run, or before it.
     fn twice(&self) -> usize {
         let again = |runs: &Vec<(f64, f64)>| runs.windows(2).filter(|w| w[1].1 < w[0].0 + WINDOW).count();
         self.runs.values().map(again).sum()
@@ -45,14 +45,15 @@
     }
 }
 
-struct Life {
+/// A process of the gateway.
+struct Incarnation {
     deduplication: DeduplicationWindow,
     log: Option<IdempotencyLog>,
-    /// Between clocks: the machine's is this much ahead.
+    /// Between the boot clock and this process's.
     offset: ClockOffset,
 }
 
-impl Life {
+impl Incarnation {
     fn start(disk: &FaultyDisk, mode: LogState, now: f64, offset: ClockOffset) -> Self {
         let mut deduplication = DeduplicationWindow::new(mode, WINDOW, 1_000, now);
         let log = matches!(mode, LogState::Open { .. }).then(|| {
@@ -62,13 +63,13 @@
             }
             IdempotencyLog::open(Box::new(disk.clone()))
         });
-        let mut life = Self { deduplication, log: log.and_then(Result::ok), offset };
-        life.tend(now);
-        life
+        let mut incarnation = Self { deduplication, log: log.and_then(Result::ok), offset };
+        incarnation.maintain(now);
+        incarnation
     }
 
     /// Once a second.
-    fn tend(&mut self, now: f64) {
+    fn maintain(&mut self, now: f64) {
         if let Some(rewrite) = self.deduplication.rewrite(now) {
             let stored = |(key, sends): &(Key, KeySends)| (*key, self.offset.stored_sends(*sends));
             let keys: Vec<_> = rewrite.keys.iter().map(stored).collect();
@@ -108,32 +109,33 @@
 /// What the disk may do.
 #[derive(Clone, Copy, PartialEq)]
 enum Disk {
-    /// Nothing but stop with the program.
+    /// It only stops with the program.
     Good,
-    /// Fail, run full, and be gone for whole lives.
+    /// It fails, runs full, and is missing for whole processes.
     Bad,
 }
 
-/// Ten minutes of lives, and what the engines saw.
-fn play(seed: u64, required: bool, disk_is: Disk, log: bool) -> (Engines, u32) {
+/// Ten minutes of successive processes: what the engines received, and the number of processes.
+fn simulate(seed: u64, required: bool, disk_is: Disk, log: bool) -> (Engines, u32) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let disk = FaultyDisk::new(seed);
     let mut engines = Engines::default();
     let mut now = 1_000_000.0;
     let (mut machine, mut boot) = (5_000.0, [1; 16]);
-    let mut lives = 0;
+    let mut incarnations = 0;
     while now < 1_600_000.0 {
-        lives += 1;
-        let gone = disk_is == Disk::Bad && !required && rng.random_bool(0.15);
-        let mode = match (log, gone) {
+        incarnations += 1;
+        let log_missing = disk_is == Disk::Bad && !required && rng.random_bool(0.15);
+        let mode = match (log, log_missing) {
             (false, _) => LogState::Off,
             (true, true) => LogState::Missing,
             (true, false) => LogState::Open { required },
         };
-        let mut life = Life::start(&disk, mode, now, ClockOffset { by: machine - now, boot_id: boot });
+        let mut incarnation =
+            Incarnation::start(&disk, mode, now, ClockOffset { by: machine - now, boot_id: boot });
         let born = now;
-        let most = if rng.random_bool(0.3) { 60_000.0 } else { 9_000.0 };
-        let end = now + rng.random_range(50.0..most);
+        let max_duration = if rng.random_bool(0.3) { 60_000.0 } else { 9_000.0 };
+        let end = now + rng.random_range(50.0..max_duration);
         let mut waiting: Vec<(f64, Key, f64, f64)> = Vec::new();
         let mut second = now;
         if rng.random_bool(0.3) {
@@ -146,7 +148,7 @@
             now += rng.random_range(1.0..120.0);
             if now >= second + 1_000.0 {
                 second = now;
-                life.tend(now);
+                incarnation.maintain(now);
                 if disk_is == Disk::Bad && rng.random_bool(0.05) {
                     let all = [Fault::Fail, Fault::FailAfter, Fault::Full];
                     disk.fault(rng.random_range(0..4), all[rng.random_range(0..3)]);
@@ -154,16 +156,16 @@
             }
             if rng.random_bool(0.5) {
                 let key = key(&rng.random_range(0..KEYS).to_string());
-                if let Admission::Until(by) = life.deduplication.admit(&key, WINDOW, now, MARGIN) {
+                if let Admission::Until(by) = incarnation.deduplication.admit(&key, WINDOW, now, MARGIN) {
                     // Some wait long: it is what makes repeats dangerous.
                     let wait = if rng.random_bool(0.2) { 25_000.0 } else { 700.0 };
                     waiting.push((now + rng.random_range(0.0..wait), key, by, now));
                 }
             }
             let due: Vec<_> = waiting.extract_if(.., |w| w.0 <= now).collect();
-            for (_, key, by, came) in due {
-                if now < by && life.leave(key, now) {
-                    engines.take(key, came, now + rng.random_range(0.0..MARGIN / 2.0));
+            for (_, key, by, received) in due {
+                if now < by && incarnation.leave(key, now) {
+                    engines.take(key, received, now + rng.random_range(0.0..MARGIN / 2.0));
                 }
             }
         }
@@ -179,57 +181,57 @@
             (machine, boot) = (rng.random_range(0.0..20_000.0), [rng.random(); 16]);
         }
     }
-    (engines, lives)
+    (engines, incarnations)
 }
 
 #[test]
 fn nothing_keyed_runs_twice_through_stops_at_any_point() {
-    let (mut runs, mut lives) = (0, 0);
+    let (mut runs, mut incarnations) = (0, 0);
     for seed in 0..300 {
-        let (engines, n) = play(seed, seed % 2 == 0, Disk::Good, true);
+        let (engines, n) = simulate(seed, seed % 2 == 0, Disk::Good, true);
         assert_eq!(engines.twice(), 0, "seed {seed}");
-        (runs, lives) = (runs + engines.all(), lives + n);
+        (runs, incarnations) = (runs + engines.all(), incarnations + n);
     }
-    assert!(runs > 10_000 && lives > 5_000, "loads do run: {runs} in {lives} lives");
+    assert!(runs > 10_000 && incarnations > 5_000, "loads do run: {runs} in {incarnations} lives");
 }
 
 #[test]
 fn nothing_keyed_runs_twice_on_a_disk_that_fails_or_is_gone() {
     let mut runs = 0;
     for seed in 1_000..1_300 {
-        let (engines, _) = play(seed, seed % 2 == 0, Disk::Bad, true);
+        let (engines, _) = simulate(seed, seed % 2 == 0, Disk::Bad, true);
         assert_eq!(engines.twice(), 0, "seed {seed}");
         runs += engines.all();
     }
     assert!(runs > 5_000, "loads do run: {runs}");
 }
 
-/// The same lives without a log: the test sees what it is for.
+/// The same processes without a log: shows that the test can fail.
 #[test]
 fn without_a_log_loads_do_run_twice() {
-    let twice: usize = (0..40).map(|seed| play(seed, false, Disk::Good, false).0.twice()).sum();
+    let twice: usize = (0..40).map(|seed| simulate(seed, false, Disk::Good, false).0.twice()).sum();
     assert!(twice > 20, "{twice}");
 }
 
 /// One of two processes of a gateway, in an upgrade: what it sends is in a folder that both read, and that a start of the
 /// machine, or who tidies up, empties.
 struct Process {
-    life: Life,
-    /// Of what is in that folder, how much it has heard.
-    heard: usize,
+    incarnation: Incarnation,
+    /// How many of the shared sends it has merged.
+    merged: usize,
     waiting: Vec<(f64, Key, f64, f64)>,
 }
 
 impl Process {
-    fn new(life: Life) -> Self {
-        Self { life, heard: 0, waiting: Vec::new() }
+    fn new(incarnation: Incarnation) -> Self {
+        Self { incarnation, merged: 0, waiting: Vec::new() }
     }
 
-    fn hear(&mut self, shared: &[(Key, KeySend)], now: f64) {
-        for (key, sent) in shared.iter().skip(self.heard) {
-            self.life.deduplication.merge_peer_sends(*key, KeySends::one(*sent), now);
+    fn merge_shared(&mut self, shared: &[(Key, KeySend)], now: f64) {
+        for (key, sent) in shared.iter().skip(self.merged) {
+            self.incarnation.deduplication.merge_peer_sends(*key, KeySends::one(*sent), now);
         }
-        self.heard = shared.len();
+        self.merged = shared.len();
     }
 
     fn step(
@@ -241,47 +243,47 @@
     ) {
         if rng.random_bool(0.5) {
             // What the other has just sent counts before a keyed request is taken.
-            self.hear(shared, now);
+            self.merge_shared(shared, now);
             let key = key(&rng.random_range(0..KEYS).to_string());
-            if let Admission::Until(by) = self.life.deduplication.admit(&key, WINDOW, now, MARGIN) {
+            if let Admission::Until(by) = self.incarnation.deduplication.admit(&key, WINDOW, now, MARGIN) {
                 let wait = if rng.random_bool(0.2) { 25_000.0 } else { 700.0 };
                 self.waiting.push((now + rng.random_range(0.0..wait), key, by, now));
             }
         }
         let due: Vec<_> = self.waiting.extract_if(.., |w| w.0 <= now).collect();
-        for (_, key, by, came) in due {
-            if now < by && self.life.leave(key, now) {
+        for (_, key, by, received) in due {
+            if now < by && self.incarnation.leave(key, now) {
                 shared.push((key, KeySend { at: now, window: WINDOW }));
-                engines.take(key, came, now + rng.random_range(0.0..MARGIN / 2.0));
+                engines.take(key, received, now + rng.random_range(0.0..MARGIN / 2.0));
             }
         }
     }
 }
 
 /// Ten minutes of upgrades: versions follow each other, either of two processes or both are killed at any moment, the
-/// shared folder is sometimes emptied before the next start, the machine sometimes started anew. `says`: who follows
-/// says so beside the log.
-fn upgrades(seed: u64, says: bool) -> (Engines, u32) {
-    const SAID: &str = "beside-1";
+/// shared folder is sometimes emptied before the next start, the machine sometimes started anew. `creates_marker`:
+/// a process that follows another creates the marker of unrecorded sends.
+fn upgrades(seed: u64, creates_marker: bool) -> (Engines, u32) {
+    const MARKER: &str = "beside-1";
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let disk = FaultyDisk::new(seed);
     let mut engines = Engines::default();
     let mut shared: Vec<(Key, KeySend)> = Vec::new();
     let (mut now, mut machine, mut boot, mut taken) = (1_000_000.0, 5_000.0, [1; 16], 0);
-    let unsay = |disk: &FaultyDisk| {
+    let remove_marker = |disk: &FaultyDisk| {
         let mut disk = disk.clone();
-        let _ = disk.remove(SAID).and_then(|()| disk.sync_names());
+        let _ = disk.remove(MARKER).and_then(|()| disk.sync_names());
     };
     while now < 1_600_000.0 {
         let born = now;
-        let mut old = Process::new(Life::start(
+        let mut old = Process::new(Incarnation::start(
             &disk,
             LogState::Open { required: false },
             now,
             ClockOffset { by: machine - now, boot_id: boot },
         ));
-        if old.life.deduplication.healthy() {
-            unsay(&disk);
+        if old.incarnation.deduplication.healthy() {
+            remove_marker(&disk);
         }
         let mut new: Option<Process> = None;
         let end = now + rng.random_range(500.0..60_000.0);
@@ -291,7 +293,7 @@
             now += rng.random_range(1.0..60.0);
             if now >= second + 1_000.0 {
                 second = now;
-                old.life.tend(now);
+                old.incarnation.maintain(now);
             }
             old.step(&mut rng, &mut shared, &mut engines, now);
             if let Some(new) = &mut new {
@@ -315,11 +317,11 @@
                     if let Some(trusted) = found {
                         deduplication.restore(trusted, now);
                     }
-                    if says {
+                    if creates_marker {
                         let mut disk = disk.clone();
-                        disk.create(SAID).and_then(|()| disk.sync_names()).expect("a good disk");
+                        disk.create(MARKER).and_then(|()| disk.sync_names()).expect("a good disk");
                     }
-                    new = Some(Process::new(Life { deduplication, log: None, offset }));
+                    new = Some(Process::new(Incarnation { deduplication, log: None, offset }));
                     upgrade = now + rng.random_range(50.0..5_000.0);
                 }
                 // The old one ends, and the new one sees it a little later: until then it goes on.
@@ -329,16 +331,16 @@
                         now += rng.random_range(1.0..30.0);
                         next.step(&mut rng, &mut shared, &mut engines, now);
                     }
-                    next.hear(&shared, now);
-                    next.life.deduplication.take_log(false, recover(now), now);
-                    next.life.log = IdempotencyLog::open(Box::new(disk.clone())).ok();
+                    next.merge_shared(&shared, now);
+                    next.incarnation.deduplication.take_log(false, recover(now), now);
+                    next.incarnation.log = IdempotencyLog::open(Box::new(disk.clone())).ok();
                     // It may be killed before its first file is there.
                     if rng.random_bool(0.2) {
                         break;
                     }
-                    next.life.tend(now);
-                    assert!(next.life.deduplication.healthy(), "a good disk");
-                    unsay(&disk);
+                    next.incarnation.maintain(now);
+                    assert!(next.incarnation.deduplication.healthy(), "a good disk");
+                    remove_marker(&disk);
                     (old, taken) = (next, taken + 1);
                     upgrade = now + rng.random_range(100.0..8_000.0);
                 }
--- a/crates/persistence/tests/writers.rs
+++ b/crates/persistence/tests/writers.rs
@@ -1,4 +1,4 @@
-//! The threads that write: what hangs holds up nobody, what fails is told, what waits goes out together.
+//! The threads that write: a disk that hangs delays nobody, failures are reported, records that wait are written together.
 
 mod common;
 
@@ -68,10 +68,10 @@
 }
 
 fn keys(disk: Box<dyn Disk>) -> (IdempotencyLogWriter, Receiver<(IdempotencyLogEvent, WriteStatistics)>) {
-    let (tell, news) = channel();
-    let keeper =
-        IdempotencyLogWriter::start(disk, OFFSET, move |n, w| drop(tell.send((n, w)))).expect("it starts");
-    (keeper, news)
+    let (sender, outcomes) = channel();
+    let writer =
+        IdempotencyLogWriter::start(disk, OFFSET, move |n, w| drop(sender.send((n, w)))).expect("it starts");
+    (writer, outcomes)
 }
 
 fn begin() -> Rewrite {
@@ -81,16 +81,16 @@
 #[test]
 fn snapshot_that_hangs_holds_up_no_caller_and_the_ones_behind_it_are_left_out() {
     let (disk, open) = hanging();
-    let (tell, news) = channel();
+    let (sender, outcomes) = channel();
     let (store, _) = Store::open(Box::new(disk), MOST).expect("empty");
-    let mut keeper = SnapshotWriter::start(store, move |n| drop(tell.send(n))).expect("it starts");
-    let taken = (0..50).filter(|n| keeper.save(snapshot(f64::from(*n), 1))).count();
+    let mut writer = SnapshotWriter::start(store, move |n| drop(sender.send(n))).expect("it starts");
+    let taken = (0..50).filter(|n| writer.save(snapshot(f64::from(*n), 1))).count();
     // One is being written and one waits, or the first was not picked up yet.
     assert!((1..=2).contains(&taken), "{taken}");
-    assert!(!keeper.finished() && news.try_recv().is_err());
+    assert!(!writer.finished() && outcomes.try_recv().is_err());
     open();
-    assert!(matches!(news.recv(), Ok(SnapshotEvent::Saved(_))));
-    while !keeper.finished() {
+    assert!(matches!(outcomes.recv(), Ok(SnapshotEvent::Saved(_))));
+    while !writer.finished() {
         std::thread::yield_now();
     }
 }
@@ -98,53 +98,53 @@
 #[test]
 fn records_that_wait_together_are_durable_by_one_sync_and_each_is_told_of() {
     let (disk, open) = hanging();
-    let (keeper, news) = keys(Box::new(disk));
-    assert!(keeper.rewrite(begin()));
+    let (writer, outcomes) = keys(Box::new(disk));
+    assert!(writer.rewrite(begin()));
     let sent = KeySend { at: 5.0, window: 12_000.0 };
-    assert!((0..100).all(|n| keeper.record(n, key(&n.to_string()), sent)));
-    assert!(news.try_recv().is_err(), "none is durable yet");
+    assert!((0..100).all(|n| writer.record(n, key(&n.to_string()), sent)));
+    assert!(outcomes.try_recv().is_err(), "none is durable yet");
     open();
-    let mut told = Vec::new();
-    while told.len() < 100 {
-        match news.recv().expect("news") {
-            (IdempotencyLogEvent::Recorded(tickets), _) => told.extend(tickets),
+    let mut reported = Vec::new();
+    while reported.len() < 100 {
+        match outcomes.recv().expect("an outcome") {
+            (IdempotencyLogEvent::Recorded(tickets), _) => reported.extend(tickets),
             (IdempotencyLogEvent::Rewritten(_), _) => {}
-            (news, _) => panic!("{news:?}"),
+            (outcome, _) => panic!("{outcome:?}"),
         }
     }
-    assert_eq!(told, (0..100).collect::<Vec<_>>());
+    assert_eq!(reported, (0..100).collect::<Vec<_>>());
 }
 
 #[test]
 fn log_that_failed_takes_nothing_until_it_is_begun_anew() {
     let disk = FaultyDisk::new(1);
-    let (keeper, news) = keys(Box::new(disk.clone()));
-    assert!(keeper.rewrite(begin()));
-    assert!(matches!(news.recv(), Ok((IdempotencyLogEvent::Rewritten(_), _))));
+    let (writer, outcomes) = keys(Box::new(disk.clone()));
+    assert!(writer.rewrite(begin()));
+    assert!(matches!(outcomes.recv(), Ok((IdempotencyLogEvent::Rewritten(_), _))));
     let sent = KeySend { at: 5.0, window: 12_000.0 };
     disk.fault(0, Fault::Full);
     for ticket in 0..2 {
-        assert!(keeper.record(ticket, key("a"), sent));
-        assert!(matches!(news.recv(), Ok((IdempotencyLogEvent::Failed(t, _), _)) if t == [ticket]));
+        assert!(writer.record(ticket, key("a"), sent));
+        assert!(matches!(outcomes.recv(), Ok((IdempotencyLogEvent::Failed(t, _), _)) if t == [ticket]));
     }
     disk.restart();
-    assert!(keeper.record(2, key("a"), sent));
+    assert!(writer.record(2, key("a"), sent));
     assert!(
-        matches!(news.recv(), Ok((IdempotencyLogEvent::Failed(..), _))),
+        matches!(outcomes.recv(), Ok((IdempotencyLogEvent::Failed(..), _))),
         "there is space, but how the file ends is unknown"
     );
-    assert!(keeper.rewrite(begin()) && keeper.record(3, key("a"), sent));
-    assert!(matches!(news.recv(), Ok((IdempotencyLogEvent::Rewritten(_), _))));
-    assert!(matches!(news.recv(), Ok((IdempotencyLogEvent::Recorded(t), _)) if t == [3]));
+    assert!(writer.rewrite(begin()) && writer.record(3, key("a"), sent));
+    assert!(matches!(outcomes.recv(), Ok((IdempotencyLogEvent::Rewritten(_), _))));
+    assert!(matches!(outcomes.recv(), Ok((IdempotencyLogEvent::Recorded(t), _)) if t == [3]));
 }
 
 #[test]
 fn more_than_may_wait_are_turned_away_at_once() {
     let (disk, open) = hanging();
-    let (keeper, _news) = keys(Box::new(disk));
-    keeper.rewrite(begin());
+    let (writer, _outcomes) = keys(Box::new(disk));
+    writer.rewrite(begin());
     let sent = KeySend { at: 5.0, window: 12_000.0 };
-    let taken = (0..10_000).filter(|n| keeper.record(*n, key("a"), sent)).count();
+    let taken = (0..10_000).filter(|n| writer.record(*n, key("a"), sent)).count();
     assert!(taken < 5_000, "{taken}");
     open();
 }
@@ -179,9 +179,9 @@
     let (mut store, _) =
         Store::open(Box::new(Files::new(folder.path()).closing_written_files()), MOST).expect("empty");
     store.save(&snapshot(1.0, 1)).expect("saved");
-    let (keeper, news) = keys(Box::new(Files::new(folder.path())));
-    keeper.rewrite(begin());
-    assert!(matches!(news.recv(), Ok((IdempotencyLogEvent::Rewritten(_), _))));
+    let (writer, outcomes) = keys(Box::new(Files::new(folder.path())));
+    writer.rewrite(begin());
+    assert!(matches!(outcomes.recv(), Ok((IdempotencyLogEvent::Rewritten(_), _))));
     assert_eq!(code().code(), 0);
     let log = folder.path().join("keys-0000000000000001.spl");
     let mut bytes = std::fs::read(&log).expect("there");
@@ -240,17 +240,17 @@
     use starlingplank_persistence::cached_endpoints::{self, CachedEndpoints};
     use starlingplank_persistence::writers::EndpointCacheWriter;
     let disk = Full(FaultyDisk::new(3), Arc::default());
-    let (tell, told) = channel();
-    let told_of = move |health: EndpointCacheHealth| {
-        let _ = tell.send(matches!(health, EndpointCacheHealth::Failing(_)));
+    let (sender, reported) = channel();
+    let notify = move |health: EndpointCacheHealth| {
+        let _ = sender.send(matches!(health, EndpointCacheHealth::Failing(_)));
     };
-    let keeper = EndpointCacheWriter::start(Box::new(disk.clone()), told_of).expect("a thread");
-    let kept =
+    let writer = EndpointCacheWriter::start(Box::new(disk.clone()), notify).expect("a thread");
+    let list =
         |confirmed_at: f64| CachedEndpoints { confirmed_at, endpoints: Vec::new(), removed: Vec::new() };
     // Tries until so many were taken by the thread that writes.
     let save = |times: usize| {
         let taken = (0..300_000_000_u64).filter(|_| {
-            let taken = keeper.save(kept(1.0));
+            let taken = writer.save(list(1.0));
             if !taken {
                 std::thread::yield_now();
             }
@@ -261,10 +261,10 @@
     for _ in 0..3 {
         disk.1.store(true, std::sync::atomic::Ordering::SeqCst);
         save(5);
-        assert_eq!(told.recv(), Ok(true));
+        assert_eq!(reported.recv(), Ok(true));
         disk.1.store(false, std::sync::atomic::Ordering::SeqCst);
         save(5);
-        assert_eq!(told.recv(), Ok(false), "said once");
+        assert_eq!(reported.recv(), Ok(false), "said once");
     }
     assert!(matches!(cached_endpoints::load(&disk), Ok(Some(l)) if l.confirmed_at == 1.0));
 }
--- a/tests/client_retries.rs
+++ b/tests/client_retries.rs
@@ -1,5 +1,5 @@
-//! A client's mark of its own retry: the platform's calls carry it in `second`, and the module hears of it. It changes
-//! what the module learns of traffic, never whether or how a request is taken.
+//! A client's mark of its own retry: the platform's calls carry it in `second`, and the decision module gets it. It changes
+//! what the module learns of traffic, never whether or how a request is accepted.
 
 mod common;
 mod stand;
@@ -29,8 +29,8 @@
     Settings { classes, ..settings() }
 }
 
-/// What the reducer is handed for one request, written to that front as it stands.
-fn handed_in(bytes: &[u8], speaks_thrift: bool) -> RequestDetails {
+/// What the reducer receives for one request that is written to a front.
+fn received(bytes: &[u8], over_thrift: bool) -> RequestDetails {
     let settings = effects();
     let limits = Limits::read(&Fields::new("settings", BTreeMap::new())).expect("defaults");
     let pairs = [("clickhouse.rules.count", "1"), ("clickhouse.rules.0.class", "read")];
@@ -46,7 +46,7 @@
         let mut client = tokio::net::TcpStream::connect(at).await.expect("up");
         let (stream, _) = listener.accept().await.expect("one");
         let connection = frontend.connect().await.expect("room");
-        if speaks_thrift {
+        if over_thrift {
             tokio::task::spawn_local(thrift::serve(stream, connection, frontend.clone()));
         } else {
             tokio::task::spawn_local(clickhouse::serve(stream, connection, frontend.clone(), Rc::new(rules)));
@@ -73,8 +73,8 @@
 ) {
     let mut fields = vec![("verb", class), ("txn", "00000000000000a1"), ("limit", "1000"), ("unique", "k1")];
     fields.extend(second.map(|mark| ("second", mark)));
-    let asked = handed_in(&call(1, &fields, "select 1"), true);
-    assert_eq!(asked.is_retry, repeat);
+    let request = received(&call(1, &fields, "select 1"), true);
+    assert_eq!(request.is_retry, repeat);
 }
 
 /// ClickHouse's interface has no such mark: a parameter or header of that name is the client's own.
@@ -84,10 +84,10 @@
 #[case::header("/", "second: 1\r\n")]
 fn request_over_the_clickhouse_interface_is_never_marked(#[case] target: &str, #[case] header: &str) {
     let bytes = format!("POST {target} HTTP/1.1\r\n{header}Content-Length: 8\r\n\r\nselect 1");
-    assert!(!handed_in(bytes.as_bytes(), false).is_retry);
+    assert!(!received(bytes.as_bytes(), false).is_retry);
 }
 
-/// The simulator says the same by a flag.
+/// The simulator has a flag for it.
 #[rstest]
 #[case::marked("\tagain_by_client=1", true)]
 #[case::first_try("\tagain_by_client=0", false)]
@@ -95,8 +95,8 @@
 fn mark_on_the_simulator_s_wire_is_the_same(#[case] field: &str, #[case] repeat: bool) {
     let line = format!("INCOMING\tfront_id=f\tticket=1\tclass=append\tclient_deadline=9{field}");
     let Ok(Line::Event(_, fields)) = simulator::parse(&line) else { panic!("not read") };
-    let Ok(starlingplank::interface::Event::Request(asked)) = simulator::event(&fields, &effects()) else {
+    let Ok(starlingplank::interface::Event::Request(request)) = simulator::event(&fields, &effects()) else {
         panic!("no request")
     };
-    assert_eq!(asked.is_retry, repeat);
+    assert_eq!(request.is_retry, repeat);
 }
--- a/tests/gateway_processes/mod.rs
+++ b/tests/gateway_processes/mod.rs
@@ -20,7 +20,7 @@
 /// One process of a gateway.
 pub struct Process {
     pub child: Child,
-    pub staff: SocketAddr,
+    pub operators: SocketAddr,
     pub clients: SocketAddr,
     pub said: Option<std::thread::JoinHandle<Vec<String>>>,
 }
@@ -73,17 +73,17 @@
             let (_, rest) = line.split_once(" listens at ").expect("found");
             rest.split(' ').next().and_then(|a| a.parse().ok()).expect("an address")
         };
-        let staff = next(" for its operators");
+        let operators = next(" for its operators");
         let clients = next("");
         assert_eq!(clients, self.at);
         let said = Some(std::thread::spawn(move || lines.map_while(Result::ok).collect()));
-        Process { child, staff, clients, said }
+        Process { child, operators, clients, said }
     }
 }
 
 impl Process {
     pub fn say(&self, request: &str) -> (u16, String) {
-        let mut stream = TcpStream::connect(self.staff).expect("it listens");
+        let mut stream = TcpStream::connect(self.operators).expect("it listens");
         stream.set_read_timeout(Some(Duration::from_secs(30))).expect("set");
         // An answer may come, and the connection end, before all was said.
         let _ = stream.write_all(request.as_bytes());
@@ -145,7 +145,7 @@
 }
 
 /// Asks so many times, each on a connection of its own; how many were served.
-pub fn ask_often(process: &Process, from: u32, times: u32) -> usize {
+pub fn served_lookups(process: &Process, from: u32, times: u32) -> usize {
     (from..from + times)
         .filter(|n| {
             let mut client = process.client();
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -76,13 +76,16 @@
         heard.iter().map(|(k, _)| *k).collect::<Vec<_>>(),
         ["k1", "k2", "k3"].map(deduplication_window::key)
     );
-    // The gate turns away what would run twice.
-    let mut gate = DeduplicationWindow::off();
-    heard.into_iter().for_each(|(k, sends)| gate.merge_peer_sends(k, sends, NOW + 60.0));
+    // The deduplication window rejects what would run twice.
+    let mut deduplication = DeduplicationWindow::off();
+    heard.into_iter().for_each(|(k, sends)| deduplication.merge_peer_sends(k, sends, NOW + 60.0));
     let late = NOW + WINDOW - 1.0;
-    assert!(matches!(gate.admit(&key, WINDOW, late, 20.0), deduplication_window::Admission::Later(_)));
     assert!(matches!(
-        gate.admit(&deduplication_window::key("new"), WINDOW, late, 20.0),
+        deduplication.admit(&key, WINDOW, late, 20.0),
+        deduplication_window::Admission::Later(_)
+    ));
+    assert!(matches!(
+        deduplication.admit(&deduplication_window::key("new"), WINDOW, late, 20.0),
         deduplication_window::Admission::Until(_)
     ));
 }
--- a/tests/killed_processes.rs
+++ b/tests/killed_processes.rs
@@ -12,7 +12,7 @@
 
 /// What the clients of [`processes_killed_at_any_moment_cost_what_they_had_open_and_nothing_else`] have met so far.
 #[derive(Default)]
-struct Tally {
+struct Outcomes {
     answered: std::sync::atomic::AtomicUsize,
     /// Requests that were taken and whose connection ended without an answer.
     lost: std::sync::atomic::AtomicUsize,
@@ -21,7 +21,7 @@
     stop: std::sync::atomic::AtomicBool,
 }
 
-impl Tally {
+impl Outcomes {
     fn of(figure: &std::sync::atomic::AtomicUsize) -> usize {
         figure.load(std::sync::atomic::Ordering::SeqCst)
     }
@@ -48,18 +48,18 @@
 fn stubborn(
     at: SocketAddr,
     client: u64,
-    tally: &Tally,
+    outcomes: &Outcomes,
     begun: std::time::Instant,
 ) -> std::collections::BTreeMap<String, Vec<f64>> {
     let mut tries = std::collections::BTreeMap::<String, Vec<f64>>::new();
     let mut open: Option<(TcpStream, i32)> = None;
     let (mut n, mut again) = (0_u64, false);
     for step in 0..10_000_000_u64 {
-        if tally.stop.load(std::sync::atomic::Ordering::SeqCst) {
+        if outcomes.stop.load(std::sync::atomic::Ordering::SeqCst) {
             return tries;
         }
         let Some((mut stream, seq)) = open.take().or_else(|| Some((TcpStream::connect(at).ok()?, 1))) else {
-            Tally::add(&tally.refused);
+            Outcomes::add(&outcomes.refused);
             std::thread::yield_now();
             continue;
         };
@@ -76,13 +76,13 @@
         let mut byte = [0];
         again = !(said.is_ok() && matches!(stream.peek(&mut byte), Ok(1)));
         if again {
-            Tally::add(&tally.lost);
+            Outcomes::add(&outcomes.lost);
             continue;
         }
         let (number, kind, _) = answer(&mut stream);
         assert_eq!(number, seq, "one answer each, in its turn");
         again = kind != "served";
-        Tally::add(&tally.answered);
+        Outcomes::add(&outcomes.answered);
         open = (seq < 1 + (step % 7) as i32).then_some((stream, seq + 1));
     }
     panic!("it was never told to stop");
@@ -119,24 +119,24 @@
     site.config = site.config.replacen("\"window\":12000", &format!("\"window\":{WINDOW}"), 1);
     let mut current = site.start();
     assert_eq!(current.put("/api/exclude", "s-1"), 200);
-    let tally = std::sync::Arc::new(Tally::default());
+    let outcomes = std::sync::Arc::new(Outcomes::default());
     let clients: Vec<_> = (0..5)
         .map(|client| {
-            let (tally, at) = (tally.clone(), site.at);
-            std::thread::spawn(move || stubborn(at, client, &tally, begun))
+            let (outcomes, at) = (outcomes.clone(), site.at);
+            std::thread::spawn(move || stubborn(at, client, &outcomes, begun))
         })
         .collect();
     let mut dice = fastrand_like(seed);
     let mut kills = 0;
     for round in 0..14 {
-        tally.more(dice(40) as usize + 1);
-        let (lost, refused) = (Tally::of(&tally.lost), Tally::of(&tally.refused));
+        outcomes.more(dice(40) as usize + 1);
+        let (lost, refused) = (Outcomes::of(&outcomes.lost), Outcomes::of(&outcomes.refused));
         let kind = dice(5);
         match kind {
             // The old one is killed once the new one listens, before it is told anything.
             0 => {
                 let next = site.start();
-                tally.more(dice(20) as usize);
+                outcomes.more(dice(20) as usize);
                 current.signal("-KILL");
                 current = next;
             }
@@ -144,14 +144,14 @@
             1 => {
                 let next = site.start();
                 current.signal("-TERM");
-                tally.more(dice(200) as usize);
+                outcomes.more(dice(200) as usize);
                 current.signal("-KILL");
                 current = next;
             }
             // The new one is killed at its start; the old one has noticed nothing.
             2 => {
                 let mut starting = site.spawn();
-                tally.more(dice(300) as usize);
+                outcomes.more(dice(300) as usize);
                 // It may listen by now, and then have requests open.
                 starting.kill().expect("it runs");
                 starting.wait().expect("it ends");
@@ -169,8 +169,9 @@
         }
         kills += usize::from(kind < 4);
         // Whatever a client had on a process that has ended it has noticed by then.
-        tally.more(5 * 8);
-        let (lost, refused) = (Tally::of(&tally.lost) - lost, Tally::of(&tally.refused) - refused);
+        outcomes.more(5 * 8);
+        let (lost, refused) =
+            (Outcomes::of(&outcomes.lost) - lost, Outcomes::of(&outcomes.refused) - refused);
         // Five clients have one request open each, or are about to connect. In an upgrade each crosses the end of a
         // connection at most once on top; that is sent again. Only where none other runs are more turned away.
         assert!(lost <= 5 * 2, "round {round}, kind {kind}: {lost} lost");
@@ -181,9 +182,9 @@
         assert_eq!(current.say("GET /api/ready HTTP/1.1\r\n\r\n").0, 200, "round {round}");
         assert_eq!(current.figure("gateway.cluster_unhealthy"), 1, "round {round}: it is still out");
     }
-    tally.stop.store(true, std::sync::atomic::Ordering::SeqCst);
+    outcomes.stop.store(true, std::sync::atomic::Ordering::SeqCst);
     let tries: Vec<_> = clients.into_iter().map(|c| c.join().expect("no answer is missing")).collect();
-    assert!(kills > 5 && Tally::of(&tally.lost) > 0, "{kills} kills");
+    assert!(kills > 5 && Outcomes::of(&outcomes.lost) > 0, "{kills} kills");
     assert_eq!(wants(&log), 0, "nothing went to the engine that is out");
     let runs = runs.lock().expect("runs");
     assert!(runs.len() > 100, "{} keys", runs.len());
--- a/tests/knowledge.rs
+++ b/tests/knowledge.rs
@@ -84,8 +84,8 @@
         "the wait goes on through a restart"
     );
     assert_eq!(wants(&log), 1);
-    let said = second.counts();
-    assert!(said[1].starts_with("load: 1 taken, 0 attempts"), "{said:?}");
+    let output = second.counts();
+    assert!(output[1].starts_with("load: 1 taken, 0 attempts"), "{output:?}");
 }
 
 #[test]
@@ -129,8 +129,8 @@
         "--operator".as_ref(),
         must.path().as_ref(),
     ]);
-    let said = String::from_utf8_lossy(&out.stderr);
-    assert!(out.status.code() == Some(1) && said.contains("knowledge is required"), "{said}");
+    let output = String::from_utf8_lossy(&out.stderr);
+    assert!(out.status.code() == Some(1) && output.contains("knowledge is required"), "{output}");
 }
 
 #[test]
@@ -154,8 +154,8 @@
     let mut bytes = std::fs::read(&last).expect("read");
     bytes[40] ^= 1;
     std::fs::write(&last, bytes).expect("written");
-    let (code, said) = verify(&folder);
-    assert!(code == Some(1) && said.contains("at byte 16: the checksum does not fit"), "{said}");
+    let (code, output) = verify(&folder);
+    assert!(code == Some(1) && output.contains("at byte 16: the checksum does not fit"), "{output}");
     assert!(show(&folder).contains("\"name\": \"load\""));
 }
 
@@ -187,14 +187,14 @@
 }
 
 /// Until the list in the folder says that of an engine.
-fn until_kept(folder: &Path, id: &str, live: bool) {
-    let kept = || {
+fn until_cached(folder: &Path, id: &str, live: bool) {
+    let cached = || {
         let bytes = std::fs::read(folder.join("list.spk")).ok()?;
         let list = starlingplank_persistence::cached_endpoints::CachedEndpoints::decode(&bytes).ok()?;
         list.endpoints.iter().find(|e| e.id == id).map(|e| e.live)
     };
     for _ in 0..30_000 {
-        if kept() == Some(live) {
+        if cached() == Some(live) {
             return;
         }
         std::thread::sleep(std::time::Duration::from_millis(1));
@@ -224,24 +224,24 @@
     let operator = operator(&folder, "");
     let (first, used) = resp_engine(answers);
     let (second, drained) = resp_engine(answers);
-    let (names, said) = list_service();
+    let (names, list) = list_service();
     let engines = if known { vec![first, second] } else { vec![] };
     let config =
         config(&engines, "resp", 5000).replacen("\"known\"", &format!("\"names\":\"{names}\",\"known\""), 1);
-    *said.lock().expect("said") = Some((7, vec![("s-0", first, false), ("s-1", second, true)]));
+    *list.lock().expect("list") = Some((7, vec![("s-0", first, false), ("s-1", second, true)]));
     let gateway = Gateway::start_with(&config, Some(operator.path()));
-    until_kept(&folder, "s-1", false);
+    until_cached(&folder, "s-1", false);
     gateway.signal("-KILL");
     drop(gateway);
-    *said.lock().expect("said") = None;
+    *list.lock().expect("list") = None;
     assert_eq!(verify(&folder).0, Some(0));
     let gateway = Gateway::start_with(&config, Some(operator.path()));
     let answered = lookups(&gateway, 0);
     assert!(answered.iter().all(|a| *a == "served"), "{answered:?}");
     assert!(wants(&used) > 0 && wants(&drained) == 0, "{} and {}", wants(&used), wants(&drained));
     // The service's own word ends it.
-    *said.lock().expect("said") = Some((8, vec![("s-1", second, false)]));
-    until_kept(&folder, "s-1", true);
+    *list.lock().expect("list") = Some((8, vec![("s-1", second, false)]));
+    until_cached(&folder, "s-1", true);
     let answered = lookups(&gateway, 100);
     assert!(answered.iter().all(|a| *a == "served") && wants(&drained) > 0, "{answered:?}");
     // A file that is none costs the list, never the start.
@@ -249,7 +249,7 @@
     drop(gateway);
     std::fs::write(folder.join("list.spk"), b"SPKLIST\nspoilt").expect("written");
     assert_eq!(verify(&folder).0, Some(1));
-    *said.lock().expect("said") = None;
+    *list.lock().expect("list") = None;
     let gateway = Gateway::start_with(&config, Some(operator.path()));
     let kind = if known { "served" } else { "overloaded" };
     assert!(lookups(&gateway, 200).iter().all(|a| *a == kind));
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -17,21 +17,21 @@
     let (second, log) = resp_engine(served);
     let site = Site::new(&[first, second]);
     let old = site.start();
-    assert!(ask_often(&old, 0, 40) == 40 && wants(&log) > 0, "both are in use");
+    assert!(served_lookups(&old, 0, 40) == 40 && wants(&log) > 0, "both are in use");
     assert_eq!((old.put("/api/exclude", "s-1"), old.put("/api/exclude", "s-1")), (200, 200));
     assert_eq!((old.put("/api/exclude", "s-9"), old.put("/api/include", "s-9")), (404, 404));
     assert_eq!((old.figure("gateway.cluster_size"), old.figure("gateway.cluster_unhealthy")), (2, 1));
     let before = wants(&log);
-    assert_eq!(ask_often(&old, 100, 40), 40);
+    assert_eq!(served_lookups(&old, 100, 40), 40);
     let new = site.start();
     old.signal("-TERM");
     old.ended();
     assert_eq!(new.figure("gateway.cluster_unhealthy"), 1);
-    assert_eq!(ask_often(&new, 200, 40), 40);
+    assert_eq!(served_lookups(&new, 200, 40), 40);
     assert_eq!(wants(&log), before, "nothing more went to the engine that is out");
     assert_eq!(new.put("/api/include", "s-1"), 200);
     assert_eq!(new.figure("gateway.cluster_unhealthy"), 0);
-    assert_eq!(ask_often(&new, 300, 40), 40);
+    assert_eq!(served_lookups(&new, 300, 40), 40);
     assert!(wants(&log) > before, "it is in use again");
 }
 
@@ -134,7 +134,7 @@
     let process = site.start();
     let held: Vec<TcpStream> = (0..100)
         .map(|_| {
-            let mut stream = TcpStream::connect(process.staff).expect("it listens");
+            let mut stream = TcpStream::connect(process.operators).expect("it listens");
             stream.write_all(b"PUT /api/exclude HTTP/1.1\r\nContent-Length: 30\r\n\r\ns-").expect("sent");
             stream
         })
@@ -151,7 +151,7 @@
 #[test]
 fn gateway_that_knows_no_engine_is_not_ready_before_the_list_is_heard() {
     let (at, _) = resp_engine(served);
-    let (names, said) = list_service();
+    let (names, list) = list_service();
     let mut site = Site::new(&[]);
     site.config = site.config.replacen("\"known\"", &format!("\"names\":\"{names}\",\"known\""), 1);
     let process = site.start();
@@ -170,8 +170,8 @@
     let mut client = process.client();
     client.write_all(&lookup(1)).expect("sent");
     assert_eq!(answer(&mut client).1, "overloaded");
-    *said.lock().expect("said") = Some((2, vec![("s-0", at, false)]));
+    *list.lock().expect("list") = Some((2, vec![("s-0", at, false)]));
     assert!((0..100_000).any(|_| process.say("GET /api/ready HTTP/1.1\r\n\r\n").0 == 200), "it is ready");
     assert_ne!(health_of(&mut process.client()), starting, "it says so to the front as well");
-    assert_eq!(ask_often(&process, 10, 5), 5);
+    assert_eq!(served_lookups(&process, 10, 5), 5);
 }
--- a/tests/shared_folder.rs
+++ b/tests/shared_folder.rs
@@ -78,8 +78,8 @@
     client.write_all(&load(1, 1, "early")).expect("sent");
     assert_eq!(answer(&mut client).1, "served");
     let mut next = HotRestart::open(&shared.path, 1_000_000.0).expect("the folder");
-    let heard: Vec<_> = next.observe(1_000_000.0).keys.into_iter().map(|(key, _)| key).collect();
-    assert!(heard.contains(&deduplication_window::key("early")), "{heard:?}");
+    let keys: Vec<_> = next.observe(1_000_000.0).keys.into_iter().map(|(key, _)| key).collect();
+    assert!(keys.contains(&deduplication_window::key("early")), "{keys:?}");
 }
 
 /// A record that is half written must not hide those after it.
@@ -98,6 +98,6 @@
     assert_eq!(answer(&mut client).1, "served");
     assert_eq!(attempts(&log).len(), 1);
     let mut next = HotRestart::open(&shared.path, 1_000_000.0).expect("the folder");
-    let heard: Vec<_> = next.observe(1_000_000.0).keys.into_iter().map(|(key, _)| key).collect();
-    assert!(heard.contains(&deduplication_window::key("whole")), "{heard:?}");
+    let keys: Vec<_> = next.observe(1_000_000.0).keys.into_iter().map(|(key, _)| key).collect();
+    assert!(keys.contains(&deduplication_window::key("whole")), "{keys:?}");
 }
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -39,32 +39,32 @@
     let (first, _) = resp_engine(served);
     let (second, drained) = resp_engine(served);
     let (third, gone) = resp_engine(served);
-    let (names, said) = list_service();
-    let say = |serial, list: Vec<_>| *said.lock().expect("said") = Some((serial, list));
+    let (names, list) = list_service();
+    let publish = |serial, engines: Vec<_>| *list.lock().expect("list") = Some((serial, engines));
     let mut site = Site::new(&[first, second, third]);
     site.config = site.config.replacen("\"known\"", &format!("\"names\":\"{names}\",\"known\""), 1);
-    say(2, vec![("s-0", first, false), ("s-1", second, true)]);
+    publish(2, vec![("s-0", first, false), ("s-1", second, true)]);
     let old = site.start();
     let heard = || old.figure("gateway.cluster_size") == 2 && old.figure("gateway.cluster_unhealthy") == 1;
     assert!((0..100_000).any(|_| heard()), "the list was heard");
-    *said.lock().expect("said") = None;
+    *list.lock().expect("list") = None;
     let new = site.start();
     assert_eq!(new.say("GET /api/ready HTTP/1.1\r\n\r\n").0, 200);
     old.signal("-TERM");
     old.ended();
     let before = (wants(&drained), wants(&gone));
-    assert_eq!(ask_often(&new, 0, 60), 60);
+    assert_eq!(served_lookups(&new, 0, 60), 60);
     assert_eq!((wants(&drained), wants(&gone)), before, "nothing went to what drains or has gone");
     // The list's own word ends it.
-    say(3, vec![("s-0", first, false), ("s-1", second, false), ("s-2", third, false)]);
+    publish(3, vec![("s-0", first, false), ("s-1", second, false), ("s-2", third, false)]);
     assert!((0..100_000).any(|_| new.figure("gateway.cluster_unhealthy") == 0), "the list was heard again");
-    assert_eq!(ask_often(&new, 100, 60), 60);
+    assert_eq!(served_lookups(&new, 100, 60), 60);
     assert!(wants(&drained) > before.0 && wants(&gone) > before.1, "both are in use again");
 }
 
 /// What a client met that asks without a pause until it is told to stop.
 #[derive(Default)]
-struct Met {
+struct ClientOutcome {
     answered: usize,
     /// New connections refused, reset, or closed with their first request unread.
     unread: usize,
@@ -73,8 +73,8 @@
     connections: usize,
 }
 
-fn closed_loop(at: SocketAddr, client: u64, stop: &std::sync::atomic::AtomicBool) -> Met {
-    let mut met = Met::default();
+fn closed_loop(at: SocketAddr, client: u64, stop: &std::sync::atomic::AtomicBool) -> ClientOutcome {
+    let mut outcome = ClientOutcome::default();
     let mut stream: Option<(TcpStream, i32)> = None;
     for n in 0..1_000_000_u64 {
         if stop.load(std::sync::atomic::Ordering::SeqCst) {
@@ -89,10 +89,10 @@
         });
         // Connections serve 1 to 7 requests, then the client opens another.
         let Some((mut open, seq)) = stream.take().or_else(|| Some((TcpStream::connect(at).ok()?, 1))) else {
-            met.unread += 1;
+            outcome.unread += 1;
             continue;
         };
-        met.connections += usize::from(seq == 1);
+        outcome.connections += usize::from(seq == 1);
         open.set_read_timeout(Some(Duration::from_secs(30))).expect("set");
         let (txn, key) = (format!("{client:08x}{n:08x}"), format!("{client}k{n}"));
         let verb = if n % 8 == 3 { "load" } else { "lookup" };
@@ -104,15 +104,15 @@
         let mut byte = [0];
         let taken = said.is_ok() && matches!(open.peek(&mut byte), Ok(1));
         if !taken {
-            met.unread += usize::from(seq == 1);
-            met.crossed += usize::from(seq > 1);
+            outcome.unread += usize::from(seq == 1);
+            outcome.crossed += usize::from(seq > 1);
             continue;
         }
         assert_eq!(answer(&mut open).0, seq, "one answer each, in its turn");
-        met.answered += 1;
+        outcome.answered += 1;
         stream = (seq < 1 + (n % 7) as i32).then_some((open, seq + 1));
     }
-    met
+    outcome
 }
 
 /// Fifty versions one after the other under a closed loop of clients. Some upgrades wait until the old processes have
@@ -156,8 +156,9 @@
         }
     }
     stop.store(true, std::sync::atomic::Ordering::SeqCst);
-    let met: Vec<Met> = clients.into_iter().map(|c| c.join().expect("no answer is missing")).collect();
-    let sum = |of: fn(&Met) -> usize| met.iter().map(of).sum::<usize>();
+    let outcome: Vec<ClientOutcome> =
+        clients.into_iter().map(|c| c.join().expect("no answer is missing")).collect();
+    let sum = |of: fn(&ClientOutcome) -> usize| outcome.iter().map(of).sum::<usize>();
     let (answered, connections) = (sum(|m| m.answered), sum(|m| m.connections));
     let (unread, crossed) = (sum(|m| m.unread), sum(|m| m.crossed));
     assert!(answered > 1_000 && connections > 200, "{answered} answers on {connections} connections");
@@ -176,29 +177,29 @@
 #[test]
 fn successor_that_knows_no_engine_leaves_the_clients_to_its_predecessor() {
     let (at, _) = resp_engine(served);
-    let (names, said) = list_service();
+    let (names, list) = list_service();
     let mut site = Site::new(&[]);
     site.config = site.config.replacen("\"known\"", &format!("\"names\":\"{names}\",\"known\""), 1);
-    *said.lock().expect("said") = Some((2, vec![("s-0", at, false)]));
+    *list.lock().expect("list") = Some((2, vec![("s-0", at, false)]));
     let old = site.start();
     assert!((0..100_000).any(|_| old.say("GET /api/ready HTTP/1.1\r\n\r\n").0 == 200), "it is ready");
-    *said.lock().expect("said") = None;
+    *list.lock().expect("list") = None;
     let mut child = site.spawn();
     let mut lines = BufReader::new(child.stdout.take().expect("piped")).lines();
-    let mut staff = lines.by_ref().map_while(Result::ok).filter_map(|l| {
+    let mut operators = lines.by_ref().map_while(Result::ok).filter_map(|l| {
         let (_, rest) = l.strip_suffix(" for its operators")?.split_once(" listens at ")?;
         rest.parse::<SocketAddr>().ok()
     });
-    let staff = staff.next().expect("it has a second address");
-    let new = Process { child, staff, clients: site.at, said: None };
+    let operators = operators.next().expect("it has a second address");
+    let new = Process { child, operators, clients: site.at, said: None };
     // Longer than a successor waits for the list where it knows engines.
     let begun = std::time::Instant::now();
-    let mut asked = 0;
+    let mut requested = 0;
     while begun.elapsed() < starlingplank_admin::process_lifecycle::LIST_WAIT + Duration::from_millis(300) {
-        assert_eq!(ask_often(&old, asked, 5), 5, "all are served by the old one");
-        asked += 5;
+        assert_eq!(served_lookups(&old, requested, 5), 5, "all are served by the old one");
+        requested += 5;
     }
     assert_eq!(new.say("GET /api/ready HTTP/1.1\r\n\r\n").0, 503);
-    *said.lock().expect("said") = Some((3, vec![("s-0", at, false)]));
+    *list.lock().expect("list") = Some((3, vec![("s-0", at, false)]));
     assert!((0..100_000).any(|_| new.say("GET /api/ready HTTP/1.1\r\n\r\n").0 == 200), "it is ready");
 }
--- a/tests/upgrades_with_idempotency_log.rs
+++ b/tests/upgrades_with_idempotency_log.rs
@@ -15,9 +15,9 @@
     let (at, log) = resp_engine(served);
     let mut site = Site::new(&[at]);
     site.config = site.config.replacen("\"window\":12000", &format!("\"window\":{WINDOW}"), 1);
-    let kept = site.tmp.path().join("kept");
+    let folder = site.tmp.path().join("kept");
     let mut file = tempfile::NamedTempFile::new().expect("a file");
-    write!(file, "knowledge {{\n  folder = {kept:?}\n  every = \"100ms\"\n}}\n").expect("written");
+    write!(file, "knowledge {{\n  folder = {folder:?}\n  every = \"100ms\"\n}}\n").expect("written");
     site.operator = Some(file);
     let old = site.start();
     // A first start has no log to trust, and waits for a window.
@@ -30,7 +30,7 @@
     old.ended();
     // Its end is seen within a tenth of a second; the log is begun anew with all keys.
     let held = || {
-        let disk = starlingplank_persistence::folder::Files::new(&kept);
+        let disk = starlingplank_persistence::folder::Files::new(&folder);
         let last = starlingplank_persistence::idempotency_log::last(&disk).expect("it can be read");
         last.map_or(0, |(_, read)| read.sends.len())
     };
@@ -40,7 +40,7 @@
         load(&new, n) == "served" && held() > 40
     });
     assert!(whole, "{} keys are in the log", held());
-    let disk = starlingplank_persistence::folder::Files::new(&kept);
+    let disk = starlingplank_persistence::folder::Files::new(&folder);
     let beside = || {
         starlingplank_persistence::idempotency_log::unrecorded_sends_possible(&disk).expect("it can be read")
     };
@@ -62,18 +62,18 @@
 fn folder_of_another_gateway_is_neither_followed_nor_taken() {
     let (at, log) = resp_engine(served);
     let mut sites = [Site::new(&[at]), Site::new(&[at])];
-    let kept = sites[0].tmp.path().join("kept");
+    let folder = sites[0].tmp.path().join("kept");
     for site in &mut sites {
         site.config = site.config.replacen("\"window\":12000", "\"window\":700", 1);
         let mut file = tempfile::NamedTempFile::new().expect("a file");
-        write!(file, "knowledge {{\n  folder = {kept:?}\n  every = \"100ms\"\n}}\n").expect("written");
+        write!(file, "knowledge {{\n  folder = {folder:?}\n  every = \"100ms\"\n}}\n").expect("written");
         site.operator = Some(file);
     }
     let first = sites[0].start();
     assert!((0..1_000_000).any(|_| load(&first, 1) == "served"), "the first window passes");
     let second = sites[1].start();
     let before = log.lock().expect("log").len();
-    assert_eq!(ask_often(&second, 0, 10), 10);
+    assert_eq!(served_lookups(&second, 0, 10), 10);
     assert!((100..130).all(|n| load(&second, n) == "overloaded"), "nothing keyed leaves");
     first.signal("-TERM");
     first.ended();
@@ -92,11 +92,11 @@
     let (at, _) = resp_engine(served);
     let mut site = Site::new(&[at]);
     site.config = site.config.replacen("\"window\":12000", "\"window\":3000", 1);
-    let kept = site.tmp.path().join("kept");
+    let folder = site.tmp.path().join("kept");
     let mut file = tempfile::NamedTempFile::new().expect("a file");
-    write!(file, "knowledge {{\n  folder = {kept:?}\n  every = \"100ms\"\n}}\n").expect("written");
+    write!(file, "knowledge {{\n  folder = {folder:?}\n  every = \"100ms\"\n}}\n").expect("written");
     site.operator = Some(file);
-    let disk = || starlingplank_persistence::folder::Files::new(&kept);
+    let disk = || starlingplank_persistence::folder::Files::new(&folder);
     let beside = || {
         starlingplank_persistence::idempotency_log::unrecorded_sends_possible(&disk())
             .expect("it can be read")
@@ -110,7 +110,7 @@
     new.signal("-KILL");
     drop((old, new));
     let shared = std::fs::read_dir(site.tmp.path()).expect("there").flatten().map(|e| e.path());
-    let shared: Vec<_> = shared.filter(|p| p.is_dir() && *p != kept).collect();
+    let shared: Vec<_> = shared.filter(|p| p.is_dir() && *p != folder).collect();
     assert_eq!(shared.len(), 1);
     std::fs::remove_dir_all(&shared[0]).expect("removed");
     let third = site.start();
@@ -120,6 +120,6 @@
     // Where the log was begun a second time at the start, its mark follows once that is durable.
     let first = (0..1_000_000).find_map(|_| mark());
     assert!(first.as_ref().is_some_and(|m| m.blocked_until > Some(m.at)), "{first:?}");
-    assert_eq!(ask_often(&third, 0, 5), 5, "what has no key is served meanwhile");
+    assert_eq!(served_lookups(&third, 0, 5), 5, "what has no key is served meanwhile");
     assert!((0..1_000_000).any(|_| load(&third, 200) == "served"));
 }
