--- a/src/net/hot_restart/mod.rs
+++ b/src/net/hot_restart/mod.rs
@@ -10,7 +10,7 @@
 mod state_transfer;
 
 pub use folder::{folder, SharedFolderError};
-pub use overrides::ChangeError;
+pub use overrides::{ChangeError, StoreOverridesError};
 
 use crate::interface::Milliseconds;
 use crate::net::log;
--- a/src/net/hot_restart/overrides.rs
+++ b/src/net/hot_restart/overrides.rs
@@ -5,6 +5,7 @@
 use starlingplank_admin::operator_overrides::{OperatorOverrides, OverrideError, MAX_FILE_BYTES};
 use starlingplank_storage::disk::{self, Disk};
 use starlingplank_storage::folder::Files;
+use starlingplank_storage::framed::FrameError;
 use std::io;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
@@ -15,10 +16,21 @@
 pub enum ChangeError {
     /// The call is not valid.
     #[error(transparent)]
-    Invalid(OverrideError),
+    Invalid(#[from] OverrideError),
     /// The change cannot be stored for a successor.
-    #[error("the change cannot be stored: {0}")]
-    NotStored(#[source] io::Error),
+    #[error(transparent)]
+    NotStored(#[from] StoreOverridesError),
+}
+
+/// Why operator overrides cannot be stored.
+#[derive(Debug, Error)]
+pub enum StoreOverridesError {
+    /// The folder cannot be locked, or the file cannot be written.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The overrides exceed the file's bound.
+    #[error(transparent)]
+    Frame(#[from] FrameError),
 }
 
 /// The overrides in the shared folder, as they were last read.
@@ -75,15 +87,15 @@
         &mut self,
         change: impl FnOnce(&mut OperatorOverrides) -> Result<bool, OverrideError>,
     ) -> Result<Option<OperatorOverrides>, ChangeError> {
-        let _lock = lock(&self.folder).map_err(ChangeError::NotStored)?;
+        let _lock = lock(&self.folder).map_err(StoreOverridesError::Io)?;
         self.refresh();
         let mut changed = self.current.clone();
-        if !change(&mut changed).map_err(ChangeError::Invalid)? {
+        if !change(&mut changed)? {
             return Ok(None);
         }
-        let bytes = changed.encode().map_err(|error| ChangeError::NotStored(io::Error::other(error)))?;
+        let bytes = changed.encode().map_err(StoreOverridesError::Frame)?;
         disk::replace(&mut Files::new(&self.folder), OVERRIDES_FILE, &bytes)
-            .map_err(ChangeError::NotStored)?;
+            .map_err(StoreOverridesError::Io)?;
         self.current = changed.clone();
         self.bytes = Some(bytes);
         Ok(Some(changed))
