--- a/src/config/consistency.rs
+++ b/src/config/consistency.rs
@@ -48,10 +48,10 @@
     let kinds = fields.list("skus").len();
     let other_length = |key: &&&str, length: usize| ![0, length].contains(&fields.list(key).len());
     if let Some(key) = LISTS_BY_KIND.iter().find(|key| other_length(key, kinds)) {
-        return Err(fields.bad(key, "must have an entry for each kind of skus"));
+        return Err(fields.invalid(key, "must have an entry for each kind of skus"));
     }
     if let Some(key) = LISTS_BY_CLASS.iter().find(|key| other_length(key, classes)) {
-        return Err(fields.bad(key, "must have an entry for each class"));
+        return Err(fields.invalid(key, "must have an entry for each class"));
     }
     Ok(())
 }
@@ -66,19 +66,19 @@
         let named: Vec<&str> =
             (0..count).filter_map(|index| fields.opt(&format!("{sort}.{index}.name"))).collect();
         if let Some(index) = (0..named.len()).find(|index| named[..*index].contains(&named[*index])) {
-            return Err(fields.bad(&format!("{sort}.{index}.name"), "is the name of another one"));
+            return Err(fields.invalid(&format!("{sort}.{index}.name"), "is the name of another one"));
         }
     }
     let zones = fields.list("zones");
     match fields.opt("locality").filter(|zone| !zone.is_empty() && !zones.is_empty()) {
-        Some(zone) if !zones.contains(&zone) => Err(fields.bad("locality", "is none of zones")),
+        Some(zone) if !zones.contains(&zone) => Err(fields.invalid("locality", "is none of zones")),
         _ => Ok(()),
     }
 }
 
 fn check_distinct(fields: &Fields, list: &[&str], key: &str) -> Result<(), LineError> {
     match (0..list.len()).any(|index| list[..index].contains(&list[index])) {
-        true => Err(fields.bad(key, "names one twice")),
+        true => Err(fields.invalid(key, "names one twice")),
         false => Ok(()),
     }
 }
@@ -86,18 +86,18 @@
 fn check_numbers(fields: &Fields) -> Result<(), LineError> {
     for key in NOT_NEGATIVE {
         if fields.number_or(key, 0.0)? < 0.0 {
-            return Err(fields.bad(key, "must not be below 0"));
+            return Err(fields.invalid(key, "must not be below 0"));
         }
     }
     for key in ["machine.memory_mb", "machine.sockets"] {
         if fields.number_or(key, 1.0)? <= 0.0 {
-            return Err(fields.bad(key, "must lie above 0"));
+            return Err(fields.invalid(key, "must lie above 0"));
         }
     }
     let has_grants = matches!(fields.opt("specifics.grants_count"), Some("1" | "true"));
     let max_grant_share = fields.number_or("specifics.most_grant", 1.0)?;
     if !(0.0..=1.0).contains(&max_grant_share) || has_grants && max_grant_share == 0.0 {
-        return Err(fields.bad("specifics.most_grant", "must lie above 0 and not past 1"));
+        return Err(fields.invalid("specifics.most_grant", "must lie above 0 and not past 1"));
     }
     Ok(())
 }
@@ -107,9 +107,9 @@
     let allowed =
         ["rules.extra_free", "rules.extra_per_request"].into_iter().find(|key| fields.opt(key).is_some());
     match (allowed, fields.opt("rules.ratio_span")) {
-        (Some(key), None) => Err(fields.bad(key, "needs rules.ratio_span beside it")),
+        (Some(key), None) => Err(fields.invalid(key, "needs rules.ratio_span beside it")),
         (Some(_), Some(_)) if fields.number_or("rules.ratio_span", 0.0)? <= 0.0 => {
-            Err(fields.bad("rules.ratio_span", "must lie above 0"))
+            Err(fields.invalid("rules.ratio_span", "must lie above 0"))
         }
         _ => Ok(()),
     }
@@ -120,21 +120,21 @@
         let (allowed, known) = (key(allowed), fields.list(all));
         let list = fields.list(&allowed);
         if fields.opt(&allowed).is_some() && list.is_empty() {
-            return Err(fields.bad(&allowed, "names nothing: the class could run nowhere"));
+            return Err(fields.invalid(&allowed, "names nothing: the class could run nowhere"));
         }
         if list.iter().any(|name| !known.contains(name)) {
-            return Err(fields.bad(&allowed, "names what the settings do not"));
+            return Err(fields.invalid(&allowed, "names what the settings do not"));
         }
     }
     let keyed = fields.opt(&key("idempotency")) == Some("deduplicated");
     if keyed && fields.number_or(&key("window"), 0.0)? <= 0.0 {
-        return Err(fields.bad(&key("window"), "must lie above 0 where repeats are deduplicated"));
+        return Err(fields.invalid(&key("window"), "must lie above 0 where repeats are deduplicated"));
     }
     if fields.number_or(&key("worth"), 1.0)? < 0.0 {
-        return Err(fields.bad(&key("worth"), "must not be below 0"));
+        return Err(fields.invalid(&key("worth"), "must not be below 0"));
     }
     if !(0.0..=1.0).contains(&fields.number_or(&key("late_worth"), 0.0)?) {
-        return Err(fields.bad(&key("late_worth"), "must lie between 0 and 1"));
+        return Err(fields.invalid(&key("late_worth"), "must lie between 0 and 1"));
     }
     Ok(())
 }
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -16,7 +16,7 @@
     Key(&'static str, &'static str),
     /// A setting is missing or its value is invalid.
     #[error(transparent)]
-    Wire(#[from] LineError),
+    Field(#[from] LineError),
     /// The settings contradict each other.
     #[error(transparent)]
     Settings(#[from] SettingsError),
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -113,6 +113,15 @@
     }
 }
 
+/// The listener for clients of the ClickHouse HTTP interface.
+#[derive(Debug, Clone)]
+pub struct ClickHouseListener {
+    /// Where it listens.
+    pub address: SocketAddr,
+    /// How statements are assigned to classes.
+    pub rules: ClassRules,
+}
+
 /// The configuration of the program.
 #[derive(Debug)]
 pub struct Config {
@@ -120,16 +129,16 @@
     pub name: String,
     /// Where clients of the platform's protocol connect.
     pub listen: SocketAddr,
-    /// Where clients of the ClickHouse HTTP interface connect, if anywhere, and how their statements are classified.
-    pub clickhouse: Option<(SocketAddr, ClassRules)>,
+    /// Where clients of the ClickHouse HTTP interface connect, if anywhere.
+    pub clickhouse: Option<ClickHouseListener>,
     /// The protocol of the engines.
-    pub engines: EngineWire,
+    pub engine_wire: EngineWire,
     /// The name service; without one, the endpoint list at the start stays.
-    pub names: Option<SocketAddr>,
-    /// The version of the endpoint list in `known`.
-    pub serial: u64,
+    pub name_service: Option<SocketAddr>,
+    /// The version of the endpoint list in `endpoints`.
+    pub endpoints_version: u64,
     /// The endpoint list at the start.
-    pub known: Vec<Endpoint>,
+    pub endpoints: Vec<Endpoint>,
     /// The settings of the decision module.
     pub settings: Settings,
     /// The limits of the program.
@@ -187,24 +196,24 @@
         let longest_deadline = settings.classes.iter().map(|class| class.client_timeout).fold(0.0, f64::max);
         let limits = Limits::read(&fields)?.ending(longest_deadline);
         let listen = fields.opt("gateway.listen").ok_or(ConfigError::Key("listen", "is missing"))?;
-        let names = fields.opt("gateway.names").filter(|address| !address.is_empty());
+        let name_service = fields.opt("gateway.names").filter(|address| !address.is_empty());
         let clickhouse = match fields.opt("clickhouse.listen") {
             None => None,
             Some(address) => {
                 let rules = ClassRules::read(&fields, &settings)?;
-                Some((parse_address(address, "clickhouse.listen")?, rules))
+                Some(ClickHouseListener { address: parse_address(address, "clickhouse.listen")?, rules })
             }
         };
-        let engines = EngineWire::read(&fields)?;
+        let engine_wire = EngineWire::read(&fields)?;
         let log = LogSettings::read(&fields)?;
         Ok(Self {
             name: fields.opt("gateway.name").unwrap_or("starlingplank").to_owned(),
             listen: parse_address(listen, "listen")?,
             clickhouse,
-            engines,
-            names: names.map(|address| parse_address(address, "names")).transpose()?,
-            serial: raw.serial,
-            known: read_endpoints(&raw.engines, &settings)?,
+            engine_wire,
+            name_service: name_service.map(|address| parse_address(address, "names")).transpose()?,
+            endpoints_version: raw.serial,
+            endpoints: read_endpoints(&raw.engines, &settings)?,
             log,
             knowledge: KnowledgeSettings::read(&fields)?,
             operator: fields
--- a/src/main.rs
+++ b/src/main.rs
@@ -144,8 +144,8 @@
 }
 
 fn check_config(files: &ConfigFiles) -> Result<ExitCode, CommandError> {
-    let Config { name, known, settings, .. } = files.load()?;
-    writeln!(io::stdout(), "{name}: {} engines, {} classes", known.len(), settings.classes.len())?;
+    let Config { name, endpoints, settings, .. } = files.load()?;
+    writeln!(io::stdout(), "{name}: {} engines, {} classes", endpoints.len(), settings.classes.len())?;
     Ok(ExitCode::SUCCESS)
 }
 
--- a/src/net/front/rules.rs
+++ b/src/net/front/rules.rs
@@ -21,7 +21,7 @@
             |name: &str| fields.list(&path(name)).iter().map(|&item| item.to_owned()).collect::<Vec<_>>();
         let class_name = fields.text(&path("class"))?;
         let class = settings.classes.iter().position(|class| class.name == class_name);
-        let class = class.ok_or_else(|| fields.bad(&path("class"), "is not in the settings"))?;
+        let class = class.ok_or_else(|| fields.invalid(&path("class"), "is not in the settings"))?;
         Ok(Self {
             class: ClassId(class),
             verbs: list("verbs").iter().map(|verb| verb.to_ascii_lowercase()).collect(),
@@ -53,7 +53,7 @@
         let rules = (0..count).map(|index| Rule::read(fields, index, settings));
         let rules = rules.collect::<Result<Vec<_>, _>>()?;
         if !rules.last().is_some_and(Rule::matches_all) {
-            return Err(fields.bad("clickhouse.rules.count", "must end with a rule for all statements"));
+            return Err(fields.invalid("clickhouse.rules.count", "must end with a rule for all statements"));
         }
         Ok(Self(rules))
     }
--- a/src/net/runtime/inputs.rs
+++ b/src/net/runtime/inputs.rs
@@ -10,8 +10,8 @@
 use tokio::sync::mpsc::Receiver;
 use tokio::time::{interval, interval_at, sleep_until, Instant, Interval, MissedTickBehavior};
 
-/// What wakes the loop.
-pub enum Wake {
+/// An input of the loop.
+pub enum Input {
     /// An event for the reducer.
     Event(Option<Event>),
     /// A timer of the reducer is due.
@@ -45,8 +45,9 @@
 impl Timers {
     /// Starts all timers. All but the one for snapshots have their first tick at once.
     pub fn start(limits: &Limits, knowledge: Option<&KnowledgeSettings>) -> Self {
-        let snapshot_interval =
-            knowledge.map_or(limits.log_maintenance_interval, |k| Duration::from_secs_f64(k.every / 1000.0));
+        let snapshot_interval = knowledge.map_or(limits.log_maintenance_interval, |settings| {
+            Duration::from_secs_f64(settings.every / 1000.0)
+        });
         Self {
             maintain_engines: delayed(interval(limits.maintenance_interval)),
             maintain_knowledge: delayed(interval(limits.log_maintenance_interval)),
@@ -63,7 +64,7 @@
 
 /// Inputs that only some gateways have.
 #[derive(Debug, Clone, Copy)]
-pub struct Optional {
+pub struct OptionalInputs {
     /// Other processes of this gateway are polled.
     pub peers: bool,
     /// State is persisted through restarts.
@@ -86,21 +87,21 @@
 
 impl Inputs {
     /// Waits for the next input, until `due` at the longest.
-    pub async fn next(&mut self, due: Instant, optional: Optional) -> Wake {
+    pub async fn next(&mut self, due: Instant, optional: OptionalInputs) -> Input {
         let (signals, timers) = (&self.signals, &mut self.timers);
         tokio::select! {
-            event = self.events.recv() => Wake::Event(event),
-            () = sleep_until(due) => Wake::Due,
-            _ = timers.maintain_engines.tick() => Wake::MaintainEngines,
-            _ = timers.observe_peers.tick(), if optional.peers => Wake::ObservePeers,
-            Some(asked) = self.calls.recv() => Wake::Call(asked),
-            _ = timers.maintain_knowledge.tick(), if optional.knowledge => Wake::MaintainKnowledge,
-            _ = timers.snapshots.tick(), if optional.knowledge => Wake::Snapshot,
+            event = self.events.recv() => Input::Event(event),
+            () = sleep_until(due) => Input::Due,
+            _ = timers.maintain_engines.tick() => Input::MaintainEngines,
+            _ = timers.observe_peers.tick(), if optional.peers => Input::ObservePeers,
+            Some(asked) = self.calls.recv() => Input::Call(asked),
+            _ = timers.maintain_knowledge.tick(), if optional.knowledge => Input::MaintainKnowledge,
+            _ = timers.snapshots.tick(), if optional.knowledge => Input::Snapshot,
             signal = signals.next() => match signal {
-                Received::Reload => Wake::Reload,
-                Received::Terminate => Wake::Terminate,
+                Received::Reload => Input::Reload,
+                Received::Terminate => Input::Terminate,
             },
-            Some(name) = self.failed_tasks.recv() => Wake::TaskFailed(name),
+            Some(name) = self.failed_tasks.recv() => Input::TaskFailed(name),
         }
     }
 
--- a/src/net/runtime/listeners.rs
+++ b/src/net/runtime/listeners.rs
@@ -1,6 +1,6 @@
 //! Listeners for clients: each connection is served by a task of its own, once it has a slot.
 
-use crate::config::Config;
+use crate::config::{ClickHouseListener, Config};
 use crate::net::front::{clickhouse, thrift, ClientConnection, FrontendState, ListenerGuard};
 use crate::net::log;
 use crate::net::tasks::{TaskName, Tasks};
@@ -37,8 +37,8 @@
     accept("thrift listener", tasks, listener, frontend, move |stream, connection| {
         thrift::serve(stream, connection, thrift_frontend.clone())
     });
-    if let Some((at, rules)) = &config.clickhouse {
-        let listener = bind(*at, shared, retry).await?;
+    if let Some(ClickHouseListener { address, rules }) = &config.clickhouse {
+        let listener = bind(*address, shared, retry).await?;
         tracing::info!("{} listens at {} for ClickHouse HTTP", config.name, listener.local_addr()?);
         let (http_frontend, rules) = (frontend.clone(), Rc::new(rules.clone()));
         accept("http listener", tasks, listener, frontend, move |stream, connection| {
--- a/src/net/runtime/mod.rs
+++ b/src/net/runtime/mod.rs
@@ -30,7 +30,7 @@
 use crate::net::log;
 use crate::net::persistence::Persistence;
 use crate::net::tasks::{TaskName, Tasks};
-use inputs::{Inputs, Optional, Timers, Wake};
+use inputs::{Input, Inputs, OptionalInputs, Timers};
 use reload::PendingReload;
 pub use signals::Signals;
 use starlingplank_admin::process_lifecycle::Stage;
@@ -69,12 +69,12 @@
     signals: Signals,
     reload: impl Fn() -> Result<Config, LoadError>,
 ) -> Result<(), ServeError> {
-    let Started { events, calls, failed_tasks, mut gateway } = startup::start(config).await?;
-    let timers = Timers::start(&gateway.frontend.limits, gateway.config.knowledge.as_ref());
+    let Started { events, calls, failed_tasks, mut runtime } = startup::start(config).await?;
+    let timers = Timers::start(&runtime.frontend.limits, runtime.config.knowledge.as_ref());
     let mut inputs = Inputs { signals, events, calls, failed_tasks, timers };
-    gateway.run(&mut inputs, &reload).await?;
-    gateway.shut_down(inputs).await;
-    match gateway.failed {
+    runtime.run(&mut inputs, &reload).await?;
+    runtime.shut_down(inputs).await;
+    match runtime.failed {
         true => Err(ServeError::TaskFailed),
         false => Ok(()),
     }
@@ -94,7 +94,7 @@
     /// The queue of events for the reducer.
     events: mpsc::Sender<Event>,
     /// The address of the name service, for the task that polls it.
-    names: watch::Sender<Option<SocketAddr>>,
+    name_service: watch::Sender<Option<SocketAddr>>,
     /// The queries to the name service, and the age of the endpoint list.
     discovery: Rc<RefCell<Discovery>>,
     /// Starts tasks that the process cannot do without.
@@ -154,13 +154,13 @@
                 return Ok(());
             }
             let due_at = self.core.next_due();
-            let wake = inputs.next(self.wake_by(due_at), self.optional_inputs()).await;
+            let input = inputs.next(self.wake_by(due_at), self.optional_inputs()).await;
             self.frontend.pauses.record_alive(Instant::now());
             if self.reload_is_due() {
                 self.reload(reload());
             }
             let mut events = Vec::new();
-            self.handle_wake(wake, reload, &mut events);
+            self.handle_input(input, reload, &mut events);
             inputs.drain_events(&mut events, self.frontend.limits.event_queue_capacity);
             let delay = self.check_delay(due_at);
             while let Some((call, reply_to)) = inputs.next_waiting_call() {
@@ -191,34 +191,34 @@
         self.pending_reload.map_or(due, |pending| pending.due().min(due))
     }
 
-    fn optional_inputs(&self) -> Optional {
-        Optional {
+    fn optional_inputs(&self) -> OptionalInputs {
+        OptionalInputs {
             peers: self.hot_restart.is_some() || self.persistence.waits(),
             knowledge: self.persistence.is_on(),
         }
     }
 
-    /// Turns what has woken the loop into events for the reducer.
-    fn handle_wake(
+    /// Turns an input into events for the reducer.
+    fn handle_input(
         &mut self,
-        wake: Wake,
+        input: Input,
         reload: &impl Fn() -> Result<Config, LoadError>,
         events: &mut Vec<Event>,
     ) {
-        match wake {
-            Wake::Event(event) => events.extend(event),
-            Wake::Due => {}
-            Wake::MaintainEngines => {
+        match input {
+            Input::Event(event) => events.extend(event),
+            Input::Due => {}
+            Input::MaintainEngines => {
                 self.engines.maintain(events);
                 log::report_lost_lines();
             }
-            Wake::ObservePeers => self.poll_peers(events),
-            Wake::Call((call, reply_to)) => drop(reply_to.send(self.answer_call(call, events))),
-            Wake::MaintainKnowledge => events.push(Event::MaintenanceTick),
-            Wake::Snapshot => self.write_snapshot(),
-            Wake::Reload => self.begin_reload(reload()),
-            Wake::Terminate => self.begin_termination(events),
-            Wake::TaskFailed(name) => self.end_after_failure(name, events),
+            Input::ObservePeers => self.poll_peers(events),
+            Input::Call((call, reply_to)) => drop(reply_to.send(self.answer_call(call, events))),
+            Input::MaintainKnowledge => events.push(Event::MaintenanceTick),
+            Input::Snapshot => self.write_snapshot(),
+            Input::Reload => self.begin_reload(reload()),
+            Input::Terminate => self.begin_termination(events),
+            Input::TaskFailed(name) => self.end_after_failure(name, events),
         }
     }
 
--- a/src/net/runtime/reload.rs
+++ b/src/net/runtime/reload.rs
@@ -45,11 +45,11 @@
             Ok(new) => new,
             Err(error) => return self.schedule_retry(previous, &error),
         };
-        tracing::info!(name_service = ?new.names, "SIGHUP: configuration loaded");
+        tracing::info!(name_service = ?new.name_service, "SIGHUP: configuration loaded");
         if needs_restart(&self.config, &new) {
             tracing::warn!("SIGHUP: further changes of the configuration need a restart");
         }
-        self.names.send_replace(new.names);
+        self.name_service.send_replace(new.name_service);
     }
 
     fn schedule_retry(&mut self, previous: Option<PendingReload>, error: &LoadError) {
--- a/src/net/runtime/shutdown.rs
+++ b/src/net/runtime/shutdown.rs
@@ -73,7 +73,7 @@
         self.persistence.snapshot(&self.core, self.frontend.clock.now());
         self.report_classes();
         self.report_rules();
-        if self.config.names.is_some() {
+        if self.config.name_service.is_some() {
             self.report_discovery();
         }
         if self.persistence.is_on() {
--- a/src/net/runtime/signals.rs
+++ b/src/net/runtime/signals.rs
@@ -14,7 +14,7 @@
 
 /// How long a lack of descriptors is waited out at the start.
 const REGISTER_RETRY: Duration = Duration::from_secs(1);
-/// Wake-ups that are read at once.
+/// Input-ups that are read at once.
 const MAX_WAKE_UPS: usize = 64;
 
 /// A signal that the program handles.
--- a/src/net/runtime/startup.rs
+++ b/src/net/runtime/startup.rs
@@ -37,7 +37,7 @@
     /// Tasks that failed.
     pub failed_tasks: Receiver<TaskName>,
     /// The gateway.
-    pub gateway: Runtime,
+    pub runtime: Runtime,
 }
 
 /// Opens everything, recovers the state of earlier processes of this gateway, and begins with the first endpoint list.
@@ -53,20 +53,21 @@
     let mut core = Core::new(config.settings.clone(), config.limits.clone(), frontend.clock.now())?;
     core.count_refusals_in(frontend.shared.rule_counters.clone());
     let persistence = Persistence::open(&config, &mut core, frontend.clock.now(), &sender)?;
-    let engines = open_engines(config.engines, limits.clone(), frontend.shared.clone(), sender.clone());
+    let engines = open_engines(config.engine_wire, limits.clone(), frontend.shared.clone(), sender.clone());
     let (call_sender, calls) = mpsc::channel(limits.max_admin_connections);
     let callers = Rc::new(Cell::new(0));
     let (tasks, failed_tasks) = Tasks::new();
     let now = frontend.clock.now();
-    let discovery = discovery::begin(&config.settings, &limits, config.serial, config.names, now);
+    let discovery =
+        discovery::begin(&config.settings, &limits, config.endpoints_version, config.name_service, now);
     let discovery = Rc::new(RefCell::new(discovery));
     let mut hot_restart = None;
     if let Some(at) = config.operator {
         listen_to_operators(at, &config.name, &frontend, call_sender, callers.clone(), &tasks).await?;
         hot_restart = open_hot_restart(&config, &frontend).await;
     }
-    let mut gateway = Runtime {
-        names: watch::Sender::new(config.names),
+    let mut runtime = Runtime {
+        name_service: watch::Sender::new(config.name_service),
         discovery,
         config,
         core,
@@ -87,12 +88,12 @@
         pending_reload: None,
         statistics: LoopStatistics::default(),
     };
-    let inherited = gateway.inherit_from_peers().await;
-    gateway.claim_knowledge()?;
-    gateway.started = Instant::now();
-    gateway.begin(inherited);
-    gateway.poll_names();
-    Ok(Started { events, calls, failed_tasks, gateway })
+    let inherited = runtime.inherit_from_peers().await;
+    runtime.claim_knowledge()?;
+    runtime.started = Instant::now();
+    runtime.begin(inherited);
+    runtime.poll_names();
+    Ok(Started { events, calls, failed_tasks, runtime })
 }
 
 fn open_engines(
@@ -162,7 +163,7 @@
             self.core.remember(recall);
         }
         // Without a list service the list at the start is the list.
-        let heard = hot_restart.heard().filter(|_| config.names.is_some());
+        let heard = hot_restart.heard().filter(|_| config.name_service.is_some());
         inherited.extend(heard.map(|heard| Event::InheritedMembership(heard.taken_over(clock.now()))));
         inherited
     }
@@ -180,21 +181,21 @@
     fn begin(&mut self, mut inherited: Vec<Event>) {
         let observed = self.observe_peers();
         let known = self.initial_list(&mut inherited);
-        let first = [Event::EndpointList(self.config.serial, known), Event::MaintenanceTick];
+        let first = [Event::EndpointList(self.config.endpoints_version, known), Event::MaintenanceTick];
         self.run_decision_cycles(inherited.into_iter().chain(first).chain(observed));
-        if self.config.names.is_some() {
+        if self.config.name_service.is_some() {
             self.core.await_list(self.frontend.clock.now());
             self.frontend.awaits_endpoint_list.set(self.core.awaits_list());
         }
         // Without a name service the list at the start is the list.
-        self.list_received = self.config.names.is_none();
+        self.list_received = self.config.name_service.is_none();
     }
 
     /// The list of engines at the start. Where the configuration names none, it is the one that an earlier process kept;
     /// else the drains and removals of the kept list bind until the name service answers.
     fn initial_list(&self, inherited: &mut Vec<Event>) -> Vec<Endpoint> {
-        let known = self.config.known.clone();
-        let Some(kept) = self.persistence.found_list().filter(|_| self.config.names.is_some()) else {
+        let known = self.config.endpoints.clone();
+        let Some(kept) = self.persistence.found_list().filter(|_| self.config.name_service.is_some()) else {
             return known;
         };
         if !known.is_empty() {
@@ -215,10 +216,10 @@
             events: self.events.clone(),
             sockets: Sockets::default(),
             told_until: f64::INFINITY,
-            addresses: discovery::addresses_of(&self.config.known),
+            addresses: discovery::addresses_of(&self.config.endpoints),
             buffer: vec![0; self.frontend.limits.max_datagram_bytes],
         };
-        let address = self.names.subscribe();
+        let address = self.name_service.subscribe();
         self.tasks.spawn("name service", poller.run(address));
     }
 }
--- a/src/simulator/event.rs
+++ b/src/simulator/event.rs
@@ -68,7 +68,7 @@
     };
     Ok(RequestDetails {
         id: request_id(fields)?,
-        class: ClassId(class.ok_or_else(|| fields.bad("class", "is not in the settings"))?),
+        class: ClassId(class.ok_or_else(|| fields.invalid("class", "is not in the settings"))?),
         tenant: tenant.map(TenantId),
         key: fields.get_opt("table")?.map(OrderKey),
         deadline: fields.number("client_deadline")?,
@@ -85,7 +85,7 @@
         return Ok(Vec::new());
     }
     let decoded = base64::engine::general_purpose::STANDARD.decode(text);
-    decoded.map_err(|_| fields.bad("blob", "is not base64"))
+    decoded.map_err(|_| fields.invalid("blob", "is not base64"))
 }
 
 fn outcome(fields: &Fields) -> Result<Outcome, LineError> {
@@ -98,7 +98,7 @@
         "reset" => Outcome::Reset,
         "cancelled" => Outcome::Cancelled,
         "moot" => Outcome::NotExecuted,
-        _ => return Err(fields.bad("disposition", "is no completion code")),
+        _ => return Err(fields.invalid("disposition", "is no completion code")),
     })
 }
 
@@ -108,6 +108,6 @@
         2 => Ok(ProgressUpdate::Spill(amount)),
         3 if amount == WAITS_FOR_LOAD => Ok(ProgressUpdate::WaitsForLoad),
         3 => Ok(ProgressUpdate::WaitsForMemory),
-        _ => Err(fields.bad("topic", "is not 1, 2 or 3")),
+        _ => Err(fields.invalid("topic", "is not 1, 2 or 3")),
     }
 }
--- a/src/simulator/fields.rs
+++ b/src/simulator/fields.rs
@@ -75,7 +75,7 @@
     }
 
     /// The error for a field whose value is invalid.
-    pub fn bad(&self, field: &str, why: &'static str) -> LineError {
+    pub fn invalid(&self, field: &str, why: &'static str) -> LineError {
         LineError::Unreadable {
             message: self.message.clone(),
             field: field.to_owned(),
@@ -100,7 +100,7 @@
 
     /// A required field of a type that is read from text.
     pub(super) fn get<T: FromStr>(&self, field: &str) -> Result<T, LineError> {
-        self.text(field)?.parse().map_err(|_| self.bad(field, "is not a number of that form"))
+        self.text(field)?.parse().map_err(|_| self.invalid(field, "is not a number of that form"))
     }
 
     /// An optional field of a type that is read from text.
@@ -114,7 +114,7 @@
         if value.is_finite() {
             Ok(value)
         } else {
-            Err(self.bad(field, "is not finite"))
+            Err(self.invalid(field, "is not finite"))
         }
     }
 
@@ -131,19 +131,21 @@
 
     /// An optional flag; false where it is missing.
     pub(super) fn flag(&self, field: &str) -> Result<bool, LineError> {
-        self.opt(field).map_or(Some(false), parse_flag).ok_or_else(|| self.bad(field, "is neither 0 nor 1"))
+        self.opt(field)
+            .map_or(Some(false), parse_flag)
+            .ok_or_else(|| self.invalid(field, "is neither 0 nor 1"))
     }
 
     /// A list of flags.
     pub(super) fn flags(&self, field: &str) -> Result<Vec<bool>, LineError> {
         let flags: Option<Vec<bool>> = self.list(field).into_iter().map(parse_flag).collect();
-        flags.ok_or_else(|| self.bad(field, "holds what is neither 0 nor 1"))
+        flags.ok_or_else(|| self.invalid(field, "holds what is neither 0 nor 1"))
     }
 
     /// A list of numbers.
     pub(super) fn numbers(&self, field: &str) -> Result<Vec<f64>, LineError> {
         let numbers = self.list(field).into_iter().map(str::parse);
-        numbers.collect::<Result<_, _>>().map_err(|_| self.bad(field, "is not a list of numbers"))
+        numbers.collect::<Result<_, _>>().map_err(|_| self.invalid(field, "is not a list of numbers"))
     }
 
     /// The engine that the message is about.
@@ -166,9 +168,9 @@
         let mut report = LoadReport::default();
         for pair in text.split(',') {
             let (name, value) =
-                pair.split_once(':').ok_or_else(|| self.bad(FIELD, "is not name:value pairs"))?;
+                pair.split_once(':').ok_or_else(|| self.invalid(FIELD, "is not name:value pairs"))?;
             let value: f64 =
-                value.parse().map_err(|_| self.bad(FIELD, "holds a value that is not a number"))?;
+                value.parse().map_err(|_| self.invalid(FIELD, "holds a value that is not a number"))?;
             match name {
                 "concurrent" => report.inflight = Some(value),
                 "depth" => report.queue = Some(value),
--- a/src/simulator/line.rs
+++ b/src/simulator/line.rs
@@ -78,7 +78,7 @@
                 "live" => Availability::Live,
                 "quiescing" => Availability::Draining,
                 "dead" => Availability::Removed,
-                _ => return Err(fields.bad("availability", "is no availability")),
+                _ => return Err(fields.invalid("availability", "is no availability")),
             },
             started: Some(fields.number_or("came_up", 0.0)?).filter(|time| *time > 0.0),
         })
@@ -115,7 +115,7 @@
 fn page(fields: &Fields) -> Result<Line, LineError> {
     let bank = fields.get("bank")?;
     if bank > MAX_BANK {
-        return Err(fields.bad("bank", "is past 15"));
+        return Err(fields.invalid("bank", "is past 15"));
     }
     Ok(Line::Page { bank, entries: fields.get("members_list")? })
 }
@@ -125,7 +125,7 @@
         "failed" => Ok(Registry::Failed),
         "delta" => Ok(Registry::List { bank: fields.get("bank")?, complete: false }),
         "full" | "cached" => Ok(Registry::List { bank: fields.get("bank")?, complete: true }),
-        _ => Err(fields.bad("kind", "is no kind of list")),
+        _ => Err(fields.invalid("kind", "is no kind of list")),
     }
 }
 
--- a/src/simulator/settings.rs
+++ b/src/simulator/settings.rs
@@ -119,7 +119,7 @@
             "idempotent" => Idempotency::Idempotent,
             "deduplicated" => Idempotency::Keyed { scope, window: fields.number_or(&path("window"), 0.0)? },
             "at_most_once" => Idempotency::NotIdempotent,
-            _ => return Err(fields.bad(&path("idempotency"), "is no idempotency")),
+            _ => return Err(fields.invalid(&path("idempotency"), "is no idempotency")),
         },
         ordered: fields.flag(&path("serial_by_key"))?,
         kinds: allowed("allowed_on").map(|names| names.iter().filter_map(kind_of).collect()),
@@ -136,7 +136,7 @@
         None | Some("all") => Ok(Scope::All),
         Some("zone") => Ok(Scope::Zone),
         Some("cell") => Ok(Scope::Cell),
-        Some(_) => Err(fields.bad(path, "is no scope")),
+        Some(_) => Err(fields.invalid(path, "is no scope")),
     }
 }
 
@@ -170,7 +170,7 @@
     match fields.opt("discovery") {
         None | Some("push") => Ok(false),
         Some("ask") => Ok(true),
-        Some(_) => Err(fields.bad("discovery", "is neither push nor ask")),
+        Some(_) => Err(fields.invalid("discovery", "is neither push nor ask")),
     }
 }
 
@@ -187,6 +187,6 @@
         Some("answers") => Ok(Reporting::Answers),
         Some("probe") => Ok(Reporting::Probes),
         None | Some("none") => Ok(Reporting::Never),
-        Some(_) => Err(fields.bad("reporting.how", "is no way of reporting")),
+        Some(_) => Err(fields.invalid("reporting.how", "is no way of reporting")),
     }
 }
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -19,7 +19,7 @@
     let config = Config::load(None, Some(("o.hcl", WHOLE))).expect("it can be used");
     let s = &config.settings;
     assert_eq!((config.name.as_str(), s.seed, s.gateways), ("gateway-1", 0x5f2c_9a1e_77d0_4b36, 1));
-    assert_eq!((config.engines, config.known.len()), (EngineWire::ClickHouse, 2));
+    assert_eq!((config.engine_wire, config.endpoints.len()), (EngineWire::ClickHouse, 2));
     assert_eq!(s.kinds[0].memory_mb, 24_576.0);
     assert_eq!(s.classes[2].idempotency, Idempotency::Keyed { scope: Scope::All, window: 12_000.0 });
     assert!(s.classes[2].is_load && s.classes[0].waits_for_loads && !s.classes[1].is_load);
