--- a/src/net/engine/clickhouse/driver.rs
+++ b/src/net/engine/clickhouse/driver.rs
@@ -14,7 +14,7 @@
 pub(super) async fn run(connection: Rc<Connection>, limits: Rc<Limits>, events: Sender<Event>) {
     let stream = tokio::select! {
         stream = connect(connection.address, &limits) => stream,
-        () = connection.write_queue.closed_immediately() => Err(ConnectError::GivenUp),
+        () = connection.write_queue.closed_immediately() => Err(ConnectError::Aborted),
     };
     if let Ok(stream) = &stream {
         let _ = stream.set_nodelay(true);
--- a/src/net/engine/connect.rs
+++ b/src/net/engine/connect.rs
@@ -1,4 +1,4 @@
-//! Opens connections to engines. What lacks here for a moment is waited for, and is not held against the engine.
+//! Opens connections to engines. A local lack of descriptors, ports or memory is waited out, and is no fault of the engine.
 
 use crate::interface::Outcome;
 use crate::limits::Limits;
@@ -12,17 +12,17 @@
 /// Why there is no connection. Nothing was sent in either case.
 #[derive(Debug, Error)]
 pub enum ConnectError {
-    /// The engine refused it.
+    /// The connection failed at the engine or on the way there.
     #[error("{0}")]
     Refused(io::Error),
-    /// It was not up in time.
-    #[error("not up in time")]
-    TooLate,
-    /// It was given up before it was up.
-    #[error("given up")]
-    GivenUp,
+    /// It was not established in time.
+    #[error("not established in time")]
+    TimedOut,
+    /// It was closed by this side before it was established.
+    #[error("closed before it was established")]
+    Aborted,
     /// This process or its system lacked descriptors, ports, memory or a route.
-    #[error("nothing left here to make it with: {0}")]
+    #[error("local resources lack: {0}")]
     Local(io::Error),
 }
 
@@ -30,31 +30,33 @@
     /// The end of an attempt that waited for the connection.
     pub fn outcome(&self) -> Outcome {
         match self {
-            Self::Refused(_) | Self::TooLate | Self::GivenUp => Outcome::ConnectFailed,
+            Self::Refused(_) | Self::TimedOut | Self::Aborted => Outcome::ConnectFailed,
             Self::Local(_) => Outcome::NotExecuted,
         }
     }
 }
 
-/// Opens a connection within the time that the settings give.
+/// Opens a connection within the timeout of the settings.
 ///
 /// # Errors
-/// There is none by then.
+/// The connection failed, or was not established in time.
 pub async fn connect(address: SocketAddr, limits: &Limits) -> Result<TcpStream, ConnectError> {
-    let until = Instant::now() + limits.connect_timeout;
+    let deadline = Instant::now() + limits.connect_timeout;
     let mut backoff = Backoff::default();
     loop {
-        match timeout_at(until, TcpStream::connect(address)).await {
+        match timeout_at(deadline, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => return Ok(stream),
-            Ok(Err(e)) if !transient_errors::is_local(&e) => return Err(ConnectError::Refused(e)),
-            Ok(Err(e)) => {
+            Ok(Err(error)) if !transient_errors::is_local(&error) => {
+                return Err(ConnectError::Refused(error))
+            }
+            Ok(Err(error)) => {
                 let wait = backoff.wait();
-                if Instant::now() + wait >= until {
-                    return Err(ConnectError::Local(e));
+                if Instant::now() + wait >= deadline {
+                    return Err(ConnectError::Local(error));
                 }
                 sleep(wait).await;
             }
-            Err(_) => return Err(ConnectError::TooLate),
+            Err(_) => return Err(ConnectError::TimedOut),
         }
     }
 }
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -166,6 +166,7 @@
 
 /// Percent-encodes a value.
 pub fn encode(text: &str) -> String {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b"-_.~".contains(&b);
-    text.bytes().map(|b| if plain(b) { (b as char).to_string() } else { format!("%{b:02X}") }).collect()
+    let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.~".contains(&byte);
+    let encode = |byte| if is_plain(byte) { (byte as char).to_string() } else { format!("%{byte:02X}") };
+    text.bytes().map(encode).collect()
 }
--- a/src/net/runtime/calls.rs
+++ b/src/net/runtime/calls.rs
@@ -17,7 +17,8 @@
             }
             Call::Ready => Reply::line(200, "ready"),
             Call::Telemetry => {
-                let names: Vec<_> = self.frontend.settings.classes.iter().map(|c| c.name.as_str()).collect();
+                let names: Vec<_> =
+                    self.frontend.settings.classes.iter().map(|class| class.name.as_str()).collect();
                 let (cluster_size, cluster_unhealthy) = self.core.engines();
                 let now = Now { current: self.frontend.pending_requests(), cluster_size, cluster_unhealthy };
                 Reply { status: 200, text: self.frontend.shared.metrics.text(&names, now) }
