--- a/tests/deadlines.rs
+++ b/tests/deadlines.rs
@@ -112,10 +112,10 @@
 fn deadline_counts_from_when_the_request_arrived_though_there_was_no_room() {
     const WAIT: Duration = Duration::from_millis(600);
     // Of 64 descriptors 24 are kept back, and clients have three fifths of the rest.
-    const ROOM: usize = 24;
+    const CAPACITY: usize = 24;
     let arrived = Arc::new(Mutex::new(None));
     let seen = arrived.clone();
-    let last = name(ROOM + 1);
+    let last = name(CAPACITY + 1);
     let awaited = last.clone();
     let (at, log) = resp_engine(move |parts| {
         if parts[0] == "want" && parts[1] != awaited {
@@ -129,11 +129,11 @@
     let text = changed(&never_late(&config(&[at], "resp", 60_000)), r#""sockets":256"#, r#""sockets":64"#);
     let text = changed(&text, r#""cpu_of_kind":[8]"#, r#""cpu_of_kind":[64]"#);
     let gateway = Gateway::start(&text);
-    let mut crowd: Vec<_> = (1..=ROOM).map(|_| gateway.client()).collect();
+    let mut crowd: Vec<_> = (1..=CAPACITY).map(|_| gateway.client()).collect();
     for (n, client) in crowd.iter_mut().enumerate() {
         client.write_all(&lookup(1, n + 1)).expect("sent");
     }
-    until(&log, |log| log.iter().filter(|p| p[0] == "want").count() == ROOM);
+    until(&log, |log| log.iter().filter(|p| p[0] == "want").count() == CAPACITY);
     let mut client = gateway.client();
     let fields = [("verb", "lookup"), ("txn", last.as_str()), ("limit", &*LIMIT.to_string())];
     let sent = Instant::now();
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -98,7 +98,7 @@
 }
 
 /// What the program says at its start of a file that cannot be used.
-fn said_of(kind: &str, flag: &str, text: &str) -> String {
+fn stderr_of(kind: &str, flag: &str, text: &str) -> String {
     let mut file = tempfile::Builder::new().suffix(kind).tempfile().expect("a file");
     file.write_all(text.as_bytes()).expect("written");
     let run = Command::new(env!("CARGO_BIN_EXE_starlingplank"))
@@ -108,22 +108,22 @@
         .env_remove("STARLINGPLANK_OPERATOR")
         .output()
         .expect("it runs");
-    let said = String::from_utf8_lossy(&run.stderr).into_owned();
-    assert_eq!(run.status.code(), Some(1), "{said}");
-    assert!(said.contains(&file.path().display().to_string()), "{said}");
-    said
+    let stderr = String::from_utf8_lossy(&run.stderr).into_owned();
+    assert_eq!(run.status.code(), Some(1), "{stderr}");
+    assert!(stderr.contains(&file.path().display().to_string()), "{stderr}");
+    stderr
 }
 
 /// The message names the file and the key, of the platform's configuration and of an operator's.
 #[test]
 fn program_does_not_start_by_settings_that_contradict_themselves() {
     let platform = changed(SETTINGS, r#","window":12000"#, "");
-    let said = said_of(".json", "--config", &platform);
-    assert!(said.contains("classes.1.window") && !said.contains("panic"), "{said}");
+    let stderr = stderr_of(".json", "--config", &platform);
+    assert!(stderr.contains("classes.1.window") && !stderr.contains("panic"), "{stderr}");
     let whole = include_str!("../deploy/clickhouse.hcl");
     let twice = r#"["room-a", "room-b", "room-a"]"#;
-    let said = said_of(".hcl", "--operator", &changed(whole, r#"["room-a", "room-b"]"#, twice));
-    assert!(said.contains("zones") && said.contains("twice") && !said.contains("panic"), "{said}");
+    let stderr = stderr_of(".hcl", "--operator", &changed(whole, r#"["room-a", "room-b"]"#, twice));
+    assert!(stderr.contains("zones") && stderr.contains("twice") && !stderr.contains("panic"), "{stderr}");
 }
 
 /// Connections are kept by the deployment's own figures.
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -172,14 +172,15 @@
     thread::spawn(move || {
         let (mut bytes, mut silent) = ([0; 512], None);
         while let Ok((len, from)) = names.recv_from(&mut bytes) {
-            let said = from_now.load(Ordering::SeqCst);
+            let is_draining = from_now.load(Ordering::SeqCst);
             // The flow that was answered first is dead once the drain begins.
             let flow = *silent.get_or_insert(from);
-            if said && from == flow {
+            if is_draining && from == flow {
                 continue;
             }
-            let list = [("s-0", first, said), ("s-1", second, false)];
-            let _ = names.send_to(&names_answer_of(&bytes[..len], if said { 3 } else { 2 }, &list), from);
+            let list = [("s-0", first, is_draining), ("s-1", second, false)];
+            let _ =
+                names.send_to(&names_answer_of(&bytes[..len], if is_draining { 3 } else { 2 }, &list), from);
         }
     });
     let text =
@@ -225,8 +226,8 @@
     let crowd: Vec<_> = (0..150)
         .map(|_| {
             let client = gateway.client();
-            let mut said = client.try_clone().expect("cloned");
-            said.write_all(&health(1)).expect("sent");
+            let mut writer = client.try_clone().expect("cloned");
+            writer.write_all(&health(1)).expect("sent");
             client
         })
         .collect();
--- a/tests/engine_endings.rs
+++ b/tests/engine_endings.rs
@@ -74,19 +74,19 @@
 /// Answers each `want` that comes on any connection, and notes all that does.
 fn answering(listener: TcpListener) -> Arc<Mutex<String>> {
     let seen = Arc::new(Mutex::new(String::new()));
-    let heard = seen.clone();
+    let log = seen.clone();
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
-            let heard = heard.clone();
+            let log = log.clone();
             thread::spawn(move || {
                 let mut bytes = [0; 4096];
                 while let Ok(n @ 1..) = stream.read(&mut bytes) {
                     let text = String::from_utf8_lossy(&bytes[..n]).into_owned();
-                    heard.lock().expect("log").push_str(&text);
+                    log.lock().expect("log").push_str(&text);
                     for rest in text.split("want\r\n$16\r\n").skip(1) {
                         let name = rest.get(..16).unwrap_or_default();
-                        let said = reply(&[name, "served", "pages=1,cost=5,need=8", "a\tb\tc\n"]);
-                        let _ = stream.write_all(said.as_bytes());
+                        let response = reply(&[name, "served", "pages=1,cost=5,need=8", "a\tb\tc\n"]);
+                        let _ = stream.write_all(response.as_bytes());
                     }
                 }
             });
@@ -230,8 +230,8 @@
                     seen.lock().expect("log").push(vec![text.clone(), number.to_string()]);
                     let name = text.split("want\r\n$16\r\n").nth(1).and_then(|rest| rest.get(..16));
                     if let Some(name) = name.filter(|_| number > 0) {
-                        let said = reply(&[name, "served", "pages=1,cost=5,need=8", "a\tb\tc\n"]);
-                        let _ = stream.write_all(said.as_bytes());
+                        let response = reply(&[name, "served", "pages=1,cost=5,need=8", "a\tb\tc\n"]);
+                        let _ = stream.write_all(response.as_bytes());
                     }
                 }
             });
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -133,8 +133,11 @@
         .output()
         .expect("it runs");
     let _ = std::fs::remove_file(&file);
-    let said = String::from_utf8_lossy(&run.stderr);
+    let stderr = String::from_utf8_lossy(&run.stderr);
     assert_eq!(run.status.code(), Some(1));
-    assert!(said.contains("limits.cancel") && said.contains("zoen: is not known here; zone is"), "{said}");
-    assert_eq!(said.lines().count(), 2, "{said}");
+    assert!(
+        stderr.contains("limits.cancel") && stderr.contains("zoen: is not known here; zone is"),
+        "{stderr}"
+    );
+    assert_eq!(stderr.lines().count(), 2, "{stderr}");
 }
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -12,16 +12,16 @@
 #[test]
 fn reload_that_cannot_read_its_file_for_a_moment_is_made_once_it_can() {
     let (at, _) = resp_engine(served);
-    let (first, said) = list_service();
-    *said.lock().expect("said") = Some((1, vec![("s-0", at, false)]));
-    let (second, said) = list_service();
+    let (first, list) = list_service();
+    *list.lock().expect("list") = Some((1, vec![("s-0", at, false)]));
+    let (second, list) = list_service();
     let text = |names: std::net::SocketAddr| {
         changed(&config(&[at], "resp", 20_000), r#""seed":"7""#, &format!(r#""seed":"7","names":"{names}""#))
     };
     let mut gateway = Gateway::start(&text(first));
     // The second service lists another engine, which refuses connections.
     let (_held, refuses) = refusing();
-    *said.lock().expect("said") = Some((2, vec![("s-1", refuses, false)]));
+    *list.lock().expect("list") = Some((2, vec![("s-1", refuses, false)]));
     is_served(gateway.client(), 1);
     fs::remove_file(&gateway.file).expect("it was there");
     gateway.signal("-HUP");
--- a/tests/slow_clients.rs
+++ b/tests/slow_clients.rs
@@ -45,17 +45,17 @@
 #[test]
 fn full_house_closes_no_connection_on_which_a_message_has_begun() {
     // Of 20 descriptors at least 16 count, and clients have three fifths of them.
-    const ROOM: usize = 9;
+    const CAPACITY: usize = 9;
     let (at, _) = resp_engine(served);
     let text = changed(&config(&[at], "resp", 20_000), r#""sockets":256"#, r#""sockets":20"#);
     let gateway = Gateway::start(&text);
-    let mut half_said = gateway.client();
-    half_said.write_all(&health(1)).expect("sent");
-    assert_eq!(answer(&mut half_said).0, 1);
+    let mut incomplete = gateway.client();
+    incomplete.write_all(&health(1)).expect("sent");
+    assert_eq!(answer(&mut incomplete).0, 1);
     let message = lookup(2, 1);
     let (first, rest) = message.split_at(message.len() / 2);
-    half_said.write_all(first).expect("sent");
-    let stayed: Vec<_> = (0..ROOM + 4)
+    incomplete.write_all(first).expect("sent");
+    let stayed: Vec<_> = (0..CAPACITY + 4)
         .map(|n| {
             let mut client = gateway.client();
             client.write_all(&lookup(1, 100 + n)).expect("sent");
@@ -63,7 +63,7 @@
             client
         })
         .collect();
-    half_said.write_all(rest).expect("sent");
-    assert_eq!(answer(&mut half_said).1, "served");
+    incomplete.write_all(rest).expect("sent");
+    assert_eq!(answer(&mut incomplete).1, "served");
     drop(stayed);
 }
--- a/tests/stand/engines.rs
+++ b/tests/stand/engines.rs
@@ -35,7 +35,7 @@
 
 /// A platform engine that answers each command by `act`; none closes the connection.
 pub fn resp_engine(act: impl Fn(&[String]) -> Option<String> + Send + Sync + 'static) -> (SocketAddr, Log) {
-    resp_engine_that(said(act))
+    resp_engine_that(replying(act))
 }
 
 /// A platform engine that does as it likes with each command's connection; false closes it.
@@ -45,8 +45,8 @@
     serve(commands(act))
 }
 
-fn said(act: impl Fn(&[String]) -> Option<String>) -> impl Fn(&[String], &mut TcpStream) -> bool {
-    move |parts, stream| act(parts).is_some_and(|said| stream.write_all(said.as_bytes()).is_ok())
+fn replying(act: impl Fn(&[String]) -> Option<String>) -> impl Fn(&[String], &mut TcpStream) -> bool {
+    move |parts, stream| act(parts).is_some_and(|reply| stream.write_all(reply.as_bytes()).is_ok())
 }
 
 fn commands(act: impl Fn(&[String], &mut TcpStream) -> bool) -> impl Fn(&mut TcpStream, &Log) {
@@ -69,8 +69,8 @@
         while let Some((head, body)) = web_message(&mut reader) {
             let target = head[0].split(' ').nth(1).expect("a target").to_owned();
             log.lock().expect("log").push(vec![target.clone(), body.clone()]);
-            let Some(said) = act(&target, &body) else { return };
-            if stream.write_all(said.as_bytes()).is_err() {
+            let Some(response) = act(&target, &body) else { return };
+            if stream.write_all(response.as_bytes()).is_err() {
                 return;
             }
         }
@@ -101,7 +101,7 @@
     listener: TcpListener,
     act: impl Fn(&[String]) -> Option<String> + Send + Sync + 'static,
 ) -> Log {
-    serve_at(listener, commands(said(act)))
+    serve_at(listener, commands(replying(act)))
 }
 
 /// A platform engine that keeps its first answer to the command `want` of that name back: after the first
@@ -112,7 +112,7 @@
     act: impl Fn(&[String]) -> Option<String> + Send + Sync + 'static,
 ) -> (SocketAddr, Log, Arc<Barrier>) {
     let barrier = Arc::new(Barrier::new(2));
-    let (joined, is_first, act) = (barrier.clone(), AtomicBool::new(true), said(act));
+    let (joined, is_first, act) = (barrier.clone(), AtomicBool::new(true), replying(act));
     let (at, log) = resp_engine_that(move |parts, stream| {
         let is_held = parts[0] == "want" && parts[1] == name && is_first.swap(false, Ordering::SeqCst);
         if !is_held {
--- a/tests/stand/gateway.rs
+++ b/tests/stand/gateway.rs
@@ -18,7 +18,7 @@
     pub http: Option<SocketAddr>,
     /// Where it listens for its operators, if it does.
     pub operator: Option<SocketAddr>,
-    said: Option<thread::JoinHandle<Vec<String>>>,
+    output: Option<thread::JoinHandle<Vec<String>>>,
 }
 
 impl Gateway {
@@ -82,8 +82,8 @@
         };
         let (thrift, http) = (address(), Some(address()));
         // Whatever else it says is read as it comes, so that it never waits for a reader.
-        let said = Some(thread::spawn(move || lines.map_while(Result::ok).collect()));
-        Self { child, file: dir, thrift, http, operator, said }
+        let output = Some(thread::spawn(move || lines.map_while(Result::ok).collect()));
+        Self { child, file: dir, thrift, http, operator, output }
     }
 
     pub fn signal(&self, which: &str) {
@@ -157,8 +157,9 @@
     pub fn counts(mut self) -> Vec<String> {
         self.terminate();
         assert!(self.child.wait().expect("it ends").success());
-        let said = self.said.take().expect("once").join().expect("read");
-        said.iter()
+        let output = self.output.take().expect("once").join().expect("read");
+        output
+            .iter()
             .filter(|l| l.contains(" taken, "))
             .filter_map(|l| l.split_once(" INFO "))
             .map(|(_, l)| l.to_owned())
--- a/tests/stand/names.rs
+++ b/tests/stand/names.rs
@@ -49,20 +49,20 @@
     out
 }
 
-/// A list service that speaks and falls silent: what it says, none for nothing.
-pub type Said = Arc<Mutex<Option<(u32, Vec<(&'static str, SocketAddr, bool)>)>>>;
+/// The answer of a list service: version and engines; none where it is silent.
+pub type ListAnswer = Arc<Mutex<Option<(u32, Vec<(&'static str, SocketAddr, bool)>)>>>;
 
-pub fn list_service() -> (SocketAddr, Said) {
+pub fn list_service() -> (SocketAddr, ListAnswer) {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    let (at, said) = (socket.local_addr().expect("bound"), Said::default());
-    let says = said.clone();
+    let (at, answer) = (socket.local_addr().expect("bound"), ListAnswer::default());
+    let current = answer.clone();
     thread::spawn(move || {
         let mut bytes = [0; 512];
         while let Ok((len, from)) = socket.recv_from(&mut bytes) {
-            if let Some((serial, list)) = &*says.lock().expect("said") {
+            if let Some((serial, list)) = &*current.lock().expect("list") {
                 let _ = socket.send_to(&names_answer_of(&bytes[..len], *serial, list), from);
             }
         }
     });
-    (at, said)
+    (at, answer)
 }
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -56,8 +56,8 @@
     const REQUESTS: usize = 30;
     // It closes its connection after each answer, so that each request needs a new one.
     let (at, log) = resp_engine_that(|parts, stream| {
-        let said = served(parts).unwrap_or_default();
-        stream.write_all(said.as_bytes()).is_ok() && parts[0] != "want"
+        let reply = served(parts).unwrap_or_default();
+        stream.write_all(reply.as_bytes()).is_ok() && parts[0] != "want"
     });
     let faults = Faults::new("seed=5,socket=0.3,connect=0.3");
     let mut gateway = Gateway::start_with_faults(&never_late(&config(&[at], "resp", 60_000)), &faults);
