--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -19,7 +19,7 @@
     let config = Config::load(None, Some(("o.hcl", WHOLE))).expect("it can be used");
     let s = &config.settings;
     assert_eq!((config.name.as_str(), s.seed, s.gateways), ("gateway-1", 0x5f2c_9a1e_77d0_4b36, 1));
-    assert_eq!((config.engines, config.known.len()), (EngineWire::ClickHouse, 2));
+    assert_eq!((config.engine_wire, config.endpoints.len()), (EngineWire::ClickHouse, 2));
     assert_eq!(s.kinds[0].memory_mb, 24_576.0);
     assert_eq!(s.classes[2].idempotency, Idempotency::Keyed { scope: Scope::All, window: 12_000.0 });
     assert!(s.classes[2].is_load && s.classes[0].waits_for_loads && !s.classes[1].is_load);
@@ -133,8 +133,11 @@
         .output()
         .expect("it runs");
     let _ = std::fs::remove_file(&file);
-    let said = String::from_utf8_lossy(&run.stderr);
+    let stderr = String::from_utf8_lossy(&run.stderr);
     assert_eq!(run.status.code(), Some(1));
-    assert!(said.contains("limits.cancel") && said.contains("zoen: is not known here; zone is"), "{said}");
-    assert_eq!(said.lines().count(), 2, "{said}");
+    assert!(
+        stderr.contains("limits.cancel") && stderr.contains("zoen: is not known here; zone is"),
+        "{stderr}"
+    );
+    assert_eq!(stderr.lines().count(), 2, "{stderr}");
 }
