--- a/src/net/engine/connect.rs
+++ b/src/net/engine/connect.rs
@@ -11,7 +11,7 @@
 
 /// Why there is no connection. Nothing was sent in either case.
 #[derive(Debug, Error)]
-pub enum ConnectError {
+pub(super) enum ConnectError {
     /// The connection failed at the engine or on the way there.
     #[error("{0}")]
     Refused(io::Error),
@@ -28,7 +28,7 @@
 
 impl ConnectError {
     /// The end of an attempt that waited for the connection.
-    pub fn outcome(&self) -> Outcome {
+    pub(super) fn outcome(&self) -> Outcome {
         match self {
             Self::Refused(_) | Self::TimedOut | Self::Aborted => Outcome::ConnectFailed,
             Self::Local(_) => Outcome::NotExecuted,
@@ -40,7 +40,7 @@
 ///
 /// # Errors
 /// The connection failed, or was not established in time.
-pub async fn connect(address: SocketAddr, limits: &Limits) -> Result<TcpStream, ConnectError> {
+pub(super) async fn connect(address: SocketAddr, limits: &Limits) -> Result<TcpStream, ConnectError> {
     let deadline = Instant::now() + limits.connect_timeout;
     let mut backoff = Backoff::default();
     loop {
--- a/src/net/engine/connection.rs
+++ b/src/net/engine/connection.rs
@@ -15,7 +15,7 @@
 
 /// An attempt that was handed to a connection and has not ended.
 #[derive(Debug)]
-pub struct InFlight {
+pub(super) struct InFlight {
     /// The reducer's id of the attempt.
     pub id: AttemptId,
     /// When it was handed to the connection.
@@ -26,7 +26,7 @@
 
 impl InFlight {
     /// An attempt that is sent now.
-    pub fn new(id: AttemptId) -> Self {
+    pub(super) fn new(id: AttemptId) -> Self {
         Self { id, sent_at: Instant::now(), result: None }
     }
 
@@ -39,7 +39,7 @@
 }
 
 /// One connection to an engine.
-pub struct Connection {
+pub(super) struct Connection {
     /// The address that it was opened to.
     pub address: SocketAddr,
     /// Its write queue.
@@ -65,7 +65,7 @@
 
 impl Connection {
     /// A connection that is about to be opened.
-    pub fn new(address: SocketAddr, shared: Rc<SharedState>) -> Self {
+    pub(super) fn new(address: SocketAddr, shared: Rc<SharedState>) -> Self {
         Self {
             address,
             write_queue: WriteQueue::new(shared),
@@ -81,12 +81,12 @@
     }
 
     /// Whether nothing is open on it.
-    pub fn is_idle(&self) -> bool {
+    pub(super) fn is_idle(&self) -> bool {
         self.in_flight.borrow().is_empty() && self.health_checks.borrow().is_empty()
     }
 
     /// Whether it can take an attempt of that name.
-    pub fn accepts(&self, limits: &Limits, name: &str) -> bool {
+    pub(super) fn accepts(&self, limits: &Limits, name: &str) -> bool {
         !self.closed.get()
             && !self.retired.get()
             && !self.write_queue.is_closing()
@@ -96,24 +96,24 @@
     }
 
     /// How many attempts are in flight.
-    pub fn in_flight_count(&self) -> usize {
+    pub(super) fn in_flight_count(&self) -> usize {
         self.in_flight.borrow().len()
     }
 
     /// Whether the attempt of that name that is in flight here is this one.
-    pub fn has_in_flight(&self, id: AttemptId, name: &str) -> bool {
+    pub(super) fn has_in_flight(&self, id: AttemptId, name: &str) -> bool {
         self.in_flight.borrow().get(name).is_some_and(|attempt| attempt.id == id)
     }
 
     /// Removes an attempt that ends.
-    pub fn end_attempt(&self, name: &str) -> Option<InFlight> {
+    pub(super) fn end_attempt(&self, name: &str) -> Option<InFlight> {
         self.last_used.set(Instant::now());
         self.in_flight.borrow_mut().remove(name)
     }
 
     /// Lets no further attempt of that name use this connection: a late or repeated reply to the one that has ended would
     /// pass for a reply to the next. A connection that has collected very many such names takes no more attempts.
-    pub fn retire_name(&self, name: String, limits: &Limits) {
+    pub(super) fn retire_name(&self, name: String, limits: &Limits) {
         let mut retired_names = self.retired_names.borrow_mut();
         retired_names.insert(name);
         if retired_names.len() > limits.event_queue_capacity {
@@ -122,12 +122,12 @@
     }
 
     /// Removes an attempt by its id.
-    pub fn remove_attempt(&self, id: AttemptId) {
+    pub(super) fn remove_attempt(&self, id: AttemptId) {
         self.in_flight.borrow_mut().retain(|_, attempt| attempt.id != id);
     }
 
     /// Withdraws the attempts none of whose bytes has left, and returns their ids.
-    pub fn withdraw_unsent(&self) -> Vec<AttemptId> {
+    pub(super) fn withdraw_unsent(&self) -> Vec<AttemptId> {
         let mut withdrawn = self.write_queue.unsent_attempts();
         withdrawn.retain(|id| self.write_queue.withdraw(*id));
         withdrawn.iter().for_each(|id| self.remove_attempt(*id));
@@ -135,7 +135,7 @@
     }
 
     /// Ends attempts whose results have stopped arriving. They were executed, and the rest of their results is lost.
-    pub fn end_stalled_results(&self, limits: &Limits, events: &mut Vec<Event>) {
+    pub(super) fn end_stalled_results(&self, limits: &Limits, events: &mut Vec<Event>) {
         for name in self.stalled_names(limits) {
             let Some(attempt) = self.end_attempt(&name) else { continue };
             self.write_queue.push(resp::command(&["shut", &name]), limits);
@@ -151,7 +151,7 @@
     }
 
     /// Ends the wait for health checks that have had no reply for too long.
-    pub fn expire_health_checks(&self, limits: &Limits) {
+    pub(super) fn expire_health_checks(&self, limits: &Limits) {
         self.health_checks.borrow_mut().retain(|_, sent_at| {
             let expired = sent_at.elapsed() >= limits.health_check_connection_timeout;
             if expired {
@@ -163,7 +163,7 @@
 
     /// Retires the connection if no byte has arrived since a message was sent, for at least `silence`: it may be dead
     /// although its engine answers on others. The time before the connection was established does not count.
-    pub fn retire_if_silent(&self, sent_at: Instant, silence: Duration) {
+    pub(super) fn retire_if_silent(&self, sent_at: Instant, silence: Duration) {
         let Some(connected_at) = self.connected_at.get() else { return };
         let silent_since = connected_at.max(sent_at);
         if self.last_received.get() <= silent_since && silent_since.elapsed() >= silence {
--- a/src/net/engine/driver.rs
+++ b/src/net/engine/driver.rs
@@ -19,7 +19,7 @@
 const MAX_REPLY_IN_RESULTS: usize = 2;
 
 /// Opens a connection, then writes and reads until it ends, and reports the end of everything that was open on it.
-pub async fn run(connection: Rc<Connection>, limits: Rc<Limits>, events: Sender<Event>) {
+pub(super) async fn run(connection: Rc<Connection>, limits: Rc<Limits>, events: Sender<Event>) {
     let stream = connect(connection.address, &limits).await;
     match &stream {
         Ok(stream) => exchange(&connection, stream, &limits, &events).await,
--- a/src/net/engine/partial_result.rs
+++ b/src/net/engine/partial_result.rs
@@ -11,7 +11,7 @@
 
 /// The pages of a result that have arrived, and its measures.
 #[derive(Debug)]
-pub struct PartialResult {
+pub(super) struct PartialResult {
     pages: Vec<Option<Vec<u8>>>,
     bytes: usize,
     end: AttemptEnd,
@@ -19,7 +19,7 @@
 }
 
 /// What a page does to a result.
-pub enum PageEffect {
+pub(super) enum PageEffect {
     /// The page has been received before.
     Duplicate,
     /// Further pages are awaited.
@@ -33,7 +33,7 @@
 impl PartialResult {
     /// A result whose first reply has arrived. None: the reply does not contain the number of pages, or it is larger than
     /// an engine sends.
-    pub fn begin(reply: &Reply<'_>, limits: &Limits) -> Option<Self> {
+    pub(super) fn begin(reply: &Reply<'_>, limits: &Limits) -> Option<Self> {
         let count = positive_integer(reply, "pages", limits.event_queue_capacity)?;
         let end = AttemptEnd {
             work: reply.number("cost"),
@@ -45,17 +45,17 @@
     }
 
     /// The number of its pages.
-    pub fn page_count(&self) -> usize {
+    pub(super) fn page_count(&self) -> usize {
         self.pages.len()
     }
 
     /// When the last page arrived.
-    pub fn last_page_at(&self) -> Instant {
+    pub(super) fn last_page_at(&self) -> Instant {
         self.last_page_at
     }
 
     /// Adds a page.
-    pub fn add(&mut self, number: usize, body: &[u8], limits: &Limits) -> PageEffect {
+    pub(super) fn add(&mut self, number: usize, body: &[u8], limits: &Limits) -> PageEffect {
         match self.pages.get(number) {
             None => return PageEffect::Invalid,
             Some(Some(_)) => return PageEffect::Duplicate,
@@ -74,14 +74,14 @@
     }
 
     /// The end of the attempt, once the result is complete.
-    pub fn into_end(self) -> AttemptEnd {
+    pub(super) fn into_end(self) -> AttemptEnd {
         let rows = ResultRows { parts: self.pages.into_iter().flatten().collect(), headers: Vec::new() };
         AttemptEnd { rows, ..self.end }
     }
 }
 
 /// The value of a field that is an integer from 1 to `max`.
-pub fn positive_integer(reply: &Reply<'_>, field: &str, max: usize) -> Option<usize> {
+pub(super) fn positive_integer(reply: &Reply<'_>, field: &str, max: usize) -> Option<usize> {
     let value = reply.number(field)?;
     let is_valid = value.fract() == 0.0 && (1.0..=max as f64).contains(&value);
     is_valid.then_some(value as usize)
--- a/src/net/engine/replies.rs
+++ b/src/net/engine/replies.rs
@@ -13,7 +13,7 @@
 const FIRST_PAGE: &[u8] = b"served";
 
 /// What a reply leads to.
-pub enum ReplyEffect {
+pub(super) enum ReplyEffect {
     /// Nothing: the reply belongs to nothing that is open on the connection (cancelled, unknown, or a duplicate), or
     /// the attempt goes on.
     Ignored,
@@ -24,7 +24,7 @@
 }
 
 /// Applies a reply to the connection that it arrived on.
-pub fn handle_reply(connection: &Connection, reply: &Reply<'_>, limits: &Limits) -> ReplyEffect {
+pub(super) fn handle_reply(connection: &Connection, reply: &Reply<'_>, limits: &Limits) -> ReplyEffect {
     if let Some(tag) = health_check_tag(reply) {
         return handle_health_reply(connection, tag, reply);
     }
--- a/src/net/runtime/calls.rs
+++ b/src/net/runtime/calls.rs
@@ -9,7 +9,7 @@
 
 impl Runtime {
     /// Answers an operator's call. Its changes are pushed to `events` for the reducer.
-    pub fn answer_call(&mut self, call: Call, events: &mut Vec<Event>) -> Reply {
+    pub(super) fn answer_call(&mut self, call: Call, events: &mut Vec<Event>) -> Reply {
         match call {
             Call::Ready if self.terminated.is_some() => Reply::line(503, "ending"),
             Call::Ready if !self.listening || self.core.awaits_list() => {
--- a/src/net/runtime/effects.rs
+++ b/src/net/runtime/effects.rs
@@ -8,7 +8,7 @@
 
 impl Runtime {
     /// Performs one effect. Events that arise at once are pushed to `new_events`.
-    pub fn perform(&mut self, effect: Effect, new_events: &mut Vec<Event>) {
+    pub(super) fn perform(&mut self, effect: Effect, new_events: &mut Vec<Event>) {
         trace_effect(&effect);
         match effect {
             Effect::Send(send) => self.send(send, new_events),
--- a/src/net/runtime/inputs.rs
+++ b/src/net/runtime/inputs.rs
@@ -11,7 +11,7 @@
 use tokio::time::{interval, interval_at, sleep_until, Instant, Interval, MissedTickBehavior};
 
 /// An input of the loop.
-pub enum Input {
+pub(super) enum Input {
     /// An event for the reducer.
     Event(Option<Event>),
     /// A timer of the reducer is due.
@@ -35,7 +35,7 @@
 }
 
 /// The timers of the loop. A late tick delays those after it.
-pub struct Timers {
+pub(super) struct Timers {
     maintain_engines: Interval,
     maintain_knowledge: Interval,
     snapshots: Interval,
@@ -44,7 +44,7 @@
 
 impl Timers {
     /// Starts all timers. All but the one for snapshots have their first tick at once.
-    pub fn start(limits: &Limits, knowledge: Option<&KnowledgeSettings>) -> Self {
+    pub(super) fn start(limits: &Limits, knowledge: Option<&KnowledgeSettings>) -> Self {
         let snapshot_interval = knowledge.map_or(limits.log_maintenance_interval, |settings| {
             Duration::from_secs_f64(settings.every / 1000.0)
         });
@@ -64,7 +64,7 @@
 
 /// Inputs that only some gateways have.
 #[derive(Debug, Clone, Copy)]
-pub struct OptionalInputs {
+pub(super) struct OptionalInputs {
     /// Other processes of this gateway are polled.
     pub peers: bool,
     /// State is persisted through restarts.
@@ -72,7 +72,7 @@
 }
 
 /// Everything that the loop waits for.
-pub struct Inputs {
+pub(super) struct Inputs {
     /// Signals.
     pub signals: Signals,
     /// Events for the reducer.
@@ -87,7 +87,7 @@
 
 impl Inputs {
     /// Waits for the next input, until `due` at the longest.
-    pub async fn next(&mut self, due: Instant, optional: OptionalInputs) -> Input {
+    pub(super) async fn next(&mut self, due: Instant, optional: OptionalInputs) -> Input {
         let (signals, timers) = (&self.signals, &mut self.timers);
         tokio::select! {
             event = self.events.recv() => Input::Event(event),
@@ -106,7 +106,7 @@
     }
 
     /// Takes the events that are queued, until there are `max` events.
-    pub fn drain_events(&mut self, events: &mut Vec<Event>, max: usize) {
+    pub(super) fn drain_events(&mut self, events: &mut Vec<Event>, max: usize) {
         while let Ok(event) = self.events.try_recv() {
             events.push(event);
             if events.len() >= max {
@@ -116,7 +116,7 @@
     }
 
     /// An operator's call that is queued, if there is one.
-    pub fn next_waiting_call(&mut self) -> Option<Asked> {
+    pub(super) fn next_waiting_call(&mut self) -> Option<Asked> {
         self.calls.try_recv().ok()
     }
 }
--- a/src/net/runtime/listeners.rs
+++ b/src/net/runtime/listeners.rs
@@ -24,7 +24,7 @@
 ///
 /// # Errors
 /// An address cannot be listened at.
-pub async fn listen_to_clients(
+pub(super) async fn listen_to_clients(
     config: &Config,
     frontend: &Rc<FrontendState>,
     tasks: &Tasks,
@@ -52,7 +52,7 @@
 ///
 /// # Errors
 /// It cannot be listened at.
-pub async fn bind(address: SocketAddr, shared: bool, retry: Duration) -> io::Result<TcpListener> {
+pub(super) async fn bind(address: SocketAddr, shared: bool, retry: Duration) -> io::Result<TcpListener> {
     transient_errors::retry(retry, || bind_once(address, shared)).await
 }
 
--- a/src/net/runtime/peers.rs
+++ b/src/net/runtime/peers.rs
@@ -9,7 +9,7 @@
 
 impl Runtime {
     /// Whether it may begin to listen to clients.
-    pub fn may_listen(&self, waited: Duration) -> bool {
+    pub(super) fn may_listen(&self, waited: Duration) -> bool {
         let Some(hot_restart) = &self.hot_restart else { return true };
         process_lifecycle::may_listen(
             hot_restart.own(),
@@ -21,7 +21,7 @@
     }
 
     /// Publishes the stage of this process to the others of this gateway. A failure is retried at the next poll.
-    pub fn publish_stage(&self, stage: Stage) {
+    pub(super) fn publish_stage(&self, stage: Stage) {
         let Some(hot_restart) = &self.hot_restart else { return };
         let said = hot_restart.say(stage);
         self.unpublished.set(said.is_err().then_some(stage));
@@ -31,7 +31,7 @@
     }
 
     /// Polls the other processes of this gateway, and acts on what they do.
-    pub fn observe_peers(&mut self) -> Vec<Event> {
+    pub(super) fn observe_peers(&mut self) -> Vec<Event> {
         let now = self.frontend.clock.now();
         if let Some(stage) = self.unpublished.get() {
             self.publish_stage(stage);
--- a/src/net/runtime/reload.rs
+++ b/src/net/runtime/reload.rs
@@ -13,33 +13,33 @@
 
 /// A reload that failed and is retried.
 #[derive(Debug, Clone, Copy)]
-pub struct PendingReload {
+pub(super) struct PendingReload {
     due: Instant,
     attempts: u32,
 }
 
 impl PendingReload {
     /// When it is retried.
-    pub fn due(&self) -> Instant {
+    pub(super) fn due(&self) -> Instant {
         self.due
     }
 }
 
 impl Runtime {
     /// Whether a reload that failed is to be retried now.
-    pub fn reload_is_due(&self) -> bool {
+    pub(super) fn reload_is_due(&self) -> bool {
         self.pending_reload.is_some_and(|pending| pending.due <= Instant::now())
     }
 
     /// Begins a reload; it replaces one that is to be retried.
-    pub fn begin_reload(&mut self, loaded: Result<Config, LoadError>) {
+    pub(super) fn begin_reload(&mut self, loaded: Result<Config, LoadError>) {
         self.pending_reload = None;
         self.reload(loaded);
     }
 
     /// Applies a configuration that was loaded again: the address of the name service. Other changes need a restart. A
     /// configuration that cannot be used is loaded again a little later.
-    pub fn reload(&mut self, loaded: Result<Config, LoadError>) {
+    pub(super) fn reload(&mut self, loaded: Result<Config, LoadError>) {
         let previous = self.pending_reload.take();
         let new = match loaded {
             Ok(new) => new,
--- a/src/net/runtime/shutdown.rs
+++ b/src/net/runtime/shutdown.rs
@@ -17,7 +17,7 @@
 impl Runtime {
     /// Whether the process may end: all requests are answered, and either no connection is open and none can be opened, or
     /// the time for that is over.
-    pub fn has_drained(&mut self, terminated: Instant) -> bool {
+    pub(super) fn has_drained(&mut self, terminated: Instant) -> bool {
         let window = self.drain_window();
         let waited = terminated.elapsed();
         self.advance_shutdown_phase(waited, window);
@@ -62,7 +62,7 @@
     }
 
     /// Ends the process: operators' calls are answered, the counts are logged, and the last snapshot is written.
-    pub async fn shut_down(&mut self, inputs: Inputs) {
+    pub(super) async fn shut_down(&mut self, inputs: Inputs) {
         // Operators whose call is under way are answered that it ends; one that sends nothing is not waited for.
         drop(inputs.calls);
         if self.config.operator.is_some() {
--- a/src/net/runtime/startup.rs
+++ b/src/net/runtime/startup.rs
@@ -29,7 +29,7 @@
 use tokio::time::Instant;
 
 /// A gateway that is ready for its loop.
-pub struct Started {
+pub(super) struct Started {
     /// Events for the reducer.
     pub events: Receiver<Event>,
     /// Operators' calls.
@@ -45,7 +45,7 @@
 /// # Errors
 /// An address cannot be listened at, the settings contradict themselves, or the folder of knowledge is required and
 /// cannot be used.
-pub async fn start(config: Config) -> Result<Started, ServeError> {
+pub(super) async fn start(config: Config) -> Result<Started, ServeError> {
     let limits = Rc::new(config.limits.clone());
     let settings = Rc::new(config.settings.clone());
     let (sender, events) = mpsc::channel(limits.event_queue_capacity);
--- a/tests/stand/config.rs
+++ b/tests/stand/config.rs
@@ -12,7 +12,7 @@
  "rules":{"answer_slack":20,"drain_grace":2000,"extra_free":2,"extra_per_request":0.2,"ratio_span":10000}}"#;
 
 /// The settings of the tests, requests given up after that many milliseconds.
-pub fn config(engines: &[SocketAddr], wire: &str, give_up: u32) -> String {
+pub(crate) fn config(engines: &[SocketAddr], wire: &str, give_up: u32) -> String {
     let member = |(i, at): (usize, &SocketAddr)| {
         format!(
             r#"{{"id":"s-{i}","host_port":"{at}","locality":"a","flavor":"std","cell":0,"phase":"ready","size":1,"up_since_ms":0}}"#
@@ -31,25 +31,25 @@
 }
 
 /// The text with one part of it changed; that part is there.
-pub fn changed(text: &str, from: &str, to: &str) -> String {
+pub(crate) fn changed(text: &str, from: &str, to: &str) -> String {
     assert!(text.contains(from), "{from} is in the text");
     text.replacen(from, to, 1)
 }
 
 /// The class `load` must not run twice.
-pub fn at_most_once(config: &str) -> String {
+pub(crate) fn at_most_once(config: &str) -> String {
     let keyed = r#""idempotency":"deduplicated","dedup_scope":"all","window":12000"#;
     changed(config, keyed, r#""idempotency":"at_most_once""#)
 }
 
 /// No request is late before its own limit, so that nothing but what the test does ends an attempt.
-pub fn never_late(config: &str) -> String {
+pub(crate) fn never_late(config: &str) -> String {
     let text = changed(config, r#""on_time":500"#, r#""on_time":60000"#);
     changed(&text, r#""on_time":900"#, r#""on_time":60000"#)
 }
 
 /// No retry budget, and so many attempts for a request at most.
-pub fn without_retry_budget(config: &str, max_attempts: u32) -> String {
+pub(crate) fn without_retry_budget(config: &str, max_attempts: u32) -> String {
     let text = changed(config, r#","extra_free":2,"extra_per_request":0.2,"ratio_span":10000"#, "");
     changed(&text, r#""send_cap":3"#, &format!(r#""send_cap":{max_attempts}"#))
 }
--- a/tests/stand/engines.rs
+++ b/tests/stand/engines.rs
@@ -8,7 +8,7 @@
 use std::thread;
 
 /// What a stand-in was sent, in order.
-pub type Log = Arc<Mutex<Vec<Vec<String>>>>;
+pub(crate) type Log = Arc<Mutex<Vec<Vec<String>>>>;
 
 /// A command of the platform's engines, as an array of strings.
 fn command(reader: &mut impl BufRead) -> Option<Vec<String>> {
@@ -28,18 +28,20 @@
 }
 
 /// An answer of the platform's engines.
-pub fn reply(parts: &[&str]) -> String {
+pub(crate) fn reply(parts: &[&str]) -> String {
     let bulk = |p: &&str| format!("${}\r\n{p}\r\n", p.len());
     format!("*{}\r\n{}", parts.len(), parts.iter().map(bulk).collect::<String>())
 }
 
 /// A platform engine that answers each command by `act`; none closes the connection.
-pub fn resp_engine(act: impl Fn(&[String]) -> Option<String> + Send + Sync + 'static) -> (SocketAddr, Log) {
+pub(crate) fn resp_engine(
+    act: impl Fn(&[String]) -> Option<String> + Send + Sync + 'static,
+) -> (SocketAddr, Log) {
     resp_engine_that(replying(act))
 }
 
 /// A platform engine that does as it likes with each command's connection; false closes it.
-pub fn resp_engine_that(
+pub(crate) fn resp_engine_that(
     act: impl Fn(&[String], &mut TcpStream) -> bool + Send + Sync + 'static,
 ) -> (SocketAddr, Log) {
     serve(commands(act))
@@ -63,7 +65,9 @@
 }
 
 /// A ClickHouse engine that answers each request, its target and body, by `act`; none closes the connection.
-pub fn http_engine(act: impl Fn(&str, &str) -> Option<String> + Send + Sync + 'static) -> (SocketAddr, Log) {
+pub(crate) fn http_engine(
+    act: impl Fn(&str, &str) -> Option<String> + Send + Sync + 'static,
+) -> (SocketAddr, Log) {
     serve(move |stream, log| {
         let mut reader = BufReader::new(stream.try_clone().expect("cloned"));
         while let Some((head, body)) = web_message(&mut reader) {
@@ -97,7 +101,7 @@
 }
 
 /// A platform engine at a listener that stands already.
-pub fn resp_engine_at(
+pub(crate) fn resp_engine_at(
     listener: TcpListener,
     act: impl Fn(&[String]) -> Option<String> + Send + Sync + 'static,
 ) -> Log {
@@ -106,7 +110,7 @@
 
 /// A platform engine that keeps its first answer to the command `want` of that name back: after the first
 /// [`Barrier::wait`] it sends the answer, and joins the second once the answer is sent. All else is answered by `act`.
-pub fn resp_engine_that_holds(
+pub(crate) fn resp_engine_that_holds(
     name: &'static str,
     held_answer: String,
     act: impl Fn(&[String]) -> Option<String> + Send + Sync + 'static,
--- a/tests/stand/gateway.rs
+++ b/tests/stand/gateway.rs
@@ -11,19 +11,19 @@
 use std::thread;
 
 /// A running gateway; killed at the end of its test.
-pub struct Gateway {
-    pub child: Child,
-    pub file: PathBuf,
-    pub thrift: SocketAddr,
-    pub http: Option<SocketAddr>,
+pub(crate) struct Gateway {
+    pub(crate) child: Child,
+    pub(crate) file: PathBuf,
+    pub(crate) thrift: SocketAddr,
+    pub(crate) http: Option<SocketAddr>,
     /// Where it listens for its operators, if it does.
-    pub operator: Option<SocketAddr>,
+    pub(crate) operator: Option<SocketAddr>,
     output: Option<thread::JoinHandle<Vec<String>>>,
 }
 
 impl Gateway {
     /// With a folder that its processes share.
-    pub fn start_in(config: &str, folder: &std::path::Path) -> Self {
+    pub(crate) fn start_in(config: &str, folder: &std::path::Path) -> Self {
         let file = folder.join("config.json");
         std::fs::write(&file, config).expect("a file");
         let mut command = Command::new(env!("CARGO_BIN_EXE_starlingplank"));
@@ -31,12 +31,12 @@
         Self::spawn(command, file)
     }
 
-    pub fn start(config: &str) -> Self {
+    pub(crate) fn start(config: &str) -> Self {
         Self::start_with(config, None)
     }
 
     /// With an operator's file beside the platform's.
-    pub fn start_with(config: &str, operator: Option<&std::path::Path>) -> Self {
+    pub(crate) fn start_with(config: &str, operator: Option<&std::path::Path>) -> Self {
         let dir = std::env::temp_dir().join(format!(
             "starlingplank-{}-{:?}",
             std::process::id(),
@@ -50,7 +50,7 @@
     }
 
     /// By a shell that does something else first.
-    pub fn start_after(config: &str, first: &str) -> Self {
+    pub(crate) fn start_after(config: &str, first: &str) -> Self {
         let dir = std::env::temp_dir().join(format!(
             "starlingplank-{}-{:?}",
             std::process::id(),
@@ -86,23 +86,23 @@
         Self { child, file: dir, thrift, http, operator, output }
     }
 
-    pub fn signal(&self, which: &str) {
+    pub(crate) fn signal(&self, which: &str) {
         let id = self.child.id().to_string();
         assert!(Command::new("kill").args([which, &id]).status().expect("kill runs").success());
     }
 
-    pub fn terminate(&self) {
+    pub(crate) fn terminate(&self) {
         self.send_signal(Signal::TERM);
     }
 
     /// Stops the process; returns once none of its threads runs.
-    pub fn stop(&self) {
+    pub(crate) fn stop(&self) {
         self.send_signal(Signal::STOP);
         until_true(|| self.has_stopped());
     }
 
     /// Lets a stopped process go on.
-    pub fn resume(&self) {
+    pub(crate) fn resume(&self) {
         self.send_signal(Signal::CONT);
     }
 
@@ -123,7 +123,7 @@
     ///
     /// The system's table is read in pieces, so that it may tell of one connection twice, and it holds those of all
     /// processes: each counts once, and only if this process still has it open after the table was read.
-    pub fn connections_coming_up(&self, at: SocketAddr) -> usize {
+    pub(crate) fn connections_coming_up(&self, at: SocketAddr) -> usize {
         let (to, syn_sent) = (table_address(at), "02");
         let inodes = table_inodes(|words| words.get(2) == Some(&&*to) && words.get(3) == Some(&syn_sent));
         inodes.intersection(&self.open_sockets()).count()
@@ -141,20 +141,20 @@
     }
 
     /// Waits until the end of that client's stream lies at the process, behind all that the client sent.
-    pub fn until_stream_end_arrived(&self, client: SocketAddr) {
+    pub(crate) fn until_stream_end_arrived(&self, client: SocketAddr) {
         let (from, close_wait) = (table_address(client), "08");
         let arrived = |words: &[&str]| words.get(2) == Some(&&*from) && words.get(3) == Some(&close_wait);
         until_true(|| !table_inodes(arrived).is_empty());
     }
 
     /// Writes a new configuration and has it read.
-    pub fn reload(&self, config: &str) {
+    pub(crate) fn reload(&self, config: &str) {
         std::fs::write(&self.file, config).expect("a file");
         self.signal("-HUP");
     }
 
     /// Ends it; what it says of each class at its end.
-    pub fn counts(mut self) -> Vec<String> {
+    pub(crate) fn counts(mut self) -> Vec<String> {
         self.terminate();
         assert!(self.child.wait().expect("it ends").success());
         let output = self.output.take().expect("once").join().expect("read");
@@ -166,11 +166,11 @@
             .collect()
     }
 
-    pub fn client(&self) -> TcpStream {
+    pub(crate) fn client(&self) -> TcpStream {
         connect(self.thrift)
     }
 
-    pub fn web(&self) -> TcpStream {
+    pub(crate) fn web(&self) -> TcpStream {
         connect(self.http.expect("set up"))
     }
 }
--- a/tests/stand/http.rs
+++ b/tests/stand/http.rs
@@ -5,7 +5,7 @@
 use std::net::TcpStream;
 
 /// Head lines and body of an HTTP message; a body cut short ends where the stream does.
-pub fn web_message(reader: &mut impl BufRead) -> Option<(Vec<String>, String)> {
+pub(crate) fn web_message(reader: &mut impl BufRead) -> Option<(Vec<String>, String)> {
     let mut head: Vec<String> = Vec::new();
     loop {
         let mut line = String::new();
@@ -47,12 +47,12 @@
 }
 
 /// An HTTP answer.
-pub fn web_answer(status: &str, headers: &str, body: &str) -> String {
+pub(crate) fn web_answer(status: &str, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
 /// Sends a request and reads its answer: status line and headers as one text, and the body.
-pub fn ask(stream: &mut TcpStream, request: &str) -> (String, String) {
+pub(crate) fn ask(stream: &mut TcpStream, request: &str) -> (String, String) {
     stream.write_all(request.as_bytes()).expect("sent");
     let mut reader = BufReader::new(stream);
     let (head, body) = web_message(&mut reader).expect("an answer");
--- a/tests/stand/mod.rs
+++ b/tests/stand/mod.rs
@@ -3,22 +3,22 @@
 #![allow(dead_code, unused_imports)]
 
 mod config;
-pub mod discovery;
+pub(crate) mod discovery;
 mod engines;
-pub mod faults;
+pub(crate) mod faults;
 mod gateway;
 mod http;
 mod names;
 mod network;
-pub mod requests;
+pub(crate) mod requests;
 mod thrift;
 mod waits;
 
-pub use config::*;
-pub use engines::*;
-pub use gateway::Gateway;
-pub use http::*;
-pub use names::*;
-pub use network::*;
-pub use thrift::*;
-pub use waits::*;
+pub(crate) use config::*;
+pub(crate) use engines::*;
+pub(crate) use gateway::Gateway;
+pub(crate) use http::*;
+pub(crate) use names::*;
+pub(crate) use network::*;
+pub(crate) use thrift::*;
+pub(crate) use waits::*;
--- a/tests/stand/names.rs
+++ b/tests/stand/names.rs
@@ -5,19 +5,19 @@
 use std::thread;
 
 /// A name service's answer to a question: a list of these engines, with that number.
-pub fn names_answer(question: &[u8], serial: u32, engines: &[(&str, SocketAddr)]) -> Vec<u8> {
+pub(crate) fn names_answer(question: &[u8], serial: u32, engines: &[(&str, SocketAddr)]) -> Vec<u8> {
     let all: Vec<_> = engines.iter().map(|(id, at)| (*id, *at, false)).collect();
     names_answer_of(question, serial, &all)
 }
 
 /// The same, of engines that drain or don't.
-pub fn names_answer_of(question: &[u8], serial: u32, engines: &[(&str, SocketAddr, bool)]) -> Vec<u8> {
+pub(crate) fn names_answer_of(question: &[u8], serial: u32, engines: &[(&str, SocketAddr, bool)]) -> Vec<u8> {
     let all: Vec<_> = engines.iter().map(|(id, at, drains)| (*id, *at, *drains, 0)).collect();
     names_answer_with_starts(question, serial, &all)
 }
 
 /// The same, with the Unix milliseconds of late starts; 0 for a start long ago.
-pub fn names_answer_with_starts(
+pub(crate) fn names_answer_with_starts(
     question: &[u8],
     serial: u32,
     engines: &[(&str, SocketAddr, bool, u64)],
@@ -50,9 +50,9 @@
 }
 
 /// The answer of a list service: version and engines; none where it is silent.
-pub type ListAnswer = Arc<Mutex<Option<(u32, Vec<(&'static str, SocketAddr, bool)>)>>>;
+pub(crate) type ListAnswer = Arc<Mutex<Option<(u32, Vec<(&'static str, SocketAddr, bool)>)>>>;
 
-pub fn list_service() -> (SocketAddr, ListAnswer) {
+pub(crate) fn list_service() -> (SocketAddr, ListAnswer) {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
     let (at, answer) = (socket.local_addr().expect("bound"), ListAnswer::default());
     let current = answer.clone();
--- a/tests/stand/network.rs
+++ b/tests/stand/network.rs
@@ -27,7 +27,7 @@
 
 /// A listener whose queue is full: connections to it come up once there is room, at the system's next try a second later.
 /// With what fills it.
-pub fn full_listener() -> (TcpListener, Vec<std::io::Result<TcpStream>>) {
+pub(crate) fn full_listener() -> (TcpListener, Vec<std::io::Result<TcpStream>>) {
     let socket = rustix::net::socket(rustix::net::AddressFamily::INET, rustix::net::SocketType::STREAM, None);
     let socket = socket.expect("a socket");
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
@@ -42,7 +42,7 @@
 }
 
 /// Waits until a connection to that address is on its way and not up yet.
-pub fn until_coming_up(at: SocketAddr) {
+pub(crate) fn until_coming_up(at: SocketAddr) {
     let (to, syn_sent) = (format!("0100007F:{:04X}", at.port()), "02");
     let of = |line: &str| {
         let words: Vec<&str> = line.split_whitespace().collect();
@@ -59,7 +59,7 @@
 }
 
 /// An address at which nothing listens and nothing will: connections are refused for as long as the socket is held.
-pub fn refusing() -> (tokio::net::TcpSocket, SocketAddr) {
+pub(crate) fn refusing() -> (tokio::net::TcpSocket, SocketAddr) {
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let at = socket.local_addr().expect("bound");
--- a/tests/stand/requests.rs
+++ b/tests/stand/requests.rs
@@ -6,7 +6,7 @@
 use std::net::TcpStream;
 
 /// An engine that serves everything.
-pub fn served(parts: &[String]) -> Option<String> {
+pub(crate) fn served(parts: &[String]) -> Option<String> {
     Some(match parts[0].as_str() {
         "want" => reply(&[&parts[1], "served", "pages=1,cost=5,need=8", "a\tb\tc\n"]),
         "busy" => reply(&[&parts[1], "green", "use=util:0.1", ""]),
@@ -15,33 +15,33 @@
 }
 
 /// The name of a request by its number.
-pub fn name(n: usize) -> String {
+pub(crate) fn name(n: usize) -> String {
     format!("{n:016x}")
 }
 
 /// A request that may run twice.
-pub fn lookup(seq: i32, n: usize) -> Vec<u8> {
+pub(crate) fn lookup(seq: i32, n: usize) -> Vec<u8> {
     call(seq, &[("verb", "lookup"), ("txn", &name(n)), ("limit", "20000")], "select 1")
 }
 
 /// A request with a key.
-pub fn load(seq: i32, n: usize, key: &str) -> Vec<u8> {
+pub(crate) fn load(seq: i32, n: usize, key: &str) -> Vec<u8> {
     let fields = [("verb", "load"), ("txn", &name(n)), ("limit", "20000"), ("unique", key)];
     call(seq, &fields, "insert into s_1.t")
 }
 
 /// A request that may run twice, by its name, whose client waits that many milliseconds.
-pub fn lookup_within(txn: &str, limit: u32) -> Vec<u8> {
+pub(crate) fn lookup_within(txn: &str, limit: u32) -> Vec<u8> {
     call(1, &[("verb", "lookup"), ("txn", txn), ("limit", &limit.to_string())], "select 1")
 }
 
 /// How often the request of that name arrived at the engine.
-pub fn attempts_of(log: &Log, txn: &str) -> usize {
+pub(crate) fn attempts_of(log: &Log, txn: &str) -> usize {
     log.lock().expect("log").iter().filter(|p| p[0] == "want" && p[1] == txn).count()
 }
 
 /// How often each request arrived at the engine.
-pub fn attempts(log: &Log) -> BTreeMap<String, usize> {
+pub(crate) fn attempts(log: &Log) -> BTreeMap<String, usize> {
     let mut attempts = BTreeMap::new();
     for parts in log.lock().expect("log").iter().filter(|parts| parts[0] == "want") {
         *attempts.entry(parts[1].clone()).or_default() += 1;
@@ -50,13 +50,13 @@
 }
 
 /// Asks once on a connection, and is served.
-pub fn is_served(mut client: TcpStream, n: usize) {
+pub(crate) fn is_served(mut client: TcpStream, n: usize) {
     client.write_all(&lookup(1, n)).expect("sent");
     assert_eq!(answer(&mut client).1, "served");
 }
 
 /// Ends the process by SIGTERM, with exit code 0.
-pub fn ends_well(gateway: &mut Gateway) {
+pub(crate) fn ends_well(gateway: &mut Gateway) {
     gateway.terminate();
     assert!(gateway.child.wait().expect("it ends").success());
 }
--- a/tests/stand/thrift.rs
+++ b/tests/stand/thrift.rs
@@ -17,7 +17,7 @@
 }
 
 /// A `call` as the platform's clients write it.
-pub fn call(seq: i32, fields: &[(&str, &str)], body: &str) -> Vec<u8> {
+pub(crate) fn call(seq: i32, fields: &[(&str, &str)], body: &str) -> Vec<u8> {
     let mut args = vec![13, 0, 1, 11, 11];
     args.extend((fields.len() as u32).to_be_bytes());
     for (name, value) in fields {
@@ -30,16 +30,16 @@
     message(1, "call", seq, &args)
 }
 
-pub fn cancel(seq: i32) -> Vec<u8> {
+pub(crate) fn cancel(seq: i32) -> Vec<u8> {
     message(4, "cancel", 99, &[&[8, 0, 1][..], &seq.to_be_bytes(), &[0]].concat())
 }
 
-pub fn health(seq: i32) -> Vec<u8> {
+pub(crate) fn health(seq: i32) -> Vec<u8> {
     message(1, "health", seq, &[2, 0, 1, 0, 0])
 }
 
 /// Number, kind (`served`, `overloaded`, `internal` or `exception`) and text of the next answer.
-pub fn answer(stream: &mut TcpStream) -> (i32, &'static str, String) {
+pub(crate) fn answer(stream: &mut TcpStream) -> (i32, &'static str, String) {
     let mut len = [0; 4];
     stream.read_exact(&mut len).expect("an answer");
     let mut frame = vec![0; u32::from_be_bytes(len) as usize];
--- a/tests/stand/waits.rs
+++ b/tests/stand/waits.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 /// Waits until the log holds what is looked for: an event, not a time.
-pub fn until(log: &Log, found: impl Fn(&[Vec<String>]) -> bool) {
+pub(crate) fn until(log: &Log, found: impl Fn(&[Vec<String>]) -> bool) {
     for _ in 0..30_000 {
         if found(&log.lock().expect("log")) {
             return;
@@ -16,7 +16,7 @@
 }
 
 /// Waits until something has become so: an event, not a time.
-pub fn until_true(is_so: impl Fn() -> bool) {
+pub(crate) fn until_true(is_so: impl Fn() -> bool) {
     for _ in 0..30_000 {
         if is_so() {
             return;
