--- /dev/null
+++ b/tests/reducer/mod.rs
@@ -0,0 +1,74 @@
+//! The reducer by itself: no sockets, and the clock is a number.
+#![allow(dead_code)]
+
+use starlingplank::core::{Answer, AttemptId, ClientRequest, Core, Effect, Endpoint, Event, Statement};
+use starlingplank::interface::*;
+use starlingplank::limits::Limits;
+use starlingplank::simulator::Fields;
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+/// A reducer in virtual time.
+pub struct Harness {
+    pub core: Core,
+    pub now: Milliseconds,
+}
+
+impl Harness {
+    pub fn new(settings: Settings) -> Self {
+        let limits = Limits::read(&Fields::new("settings", BTreeMap::new())).expect("defaults");
+        Self { core: Core::new(settings, limits, 1_000.0).expect("sound"), now: 1_000.0 }
+    }
+
+    pub fn step(&mut self, event: Event) -> Vec<Effect> {
+        let mut effects = Vec::new();
+        self.now += 5.0; // a decision cycle may follow each event
+        self.core.handle(self.now, event, &mut effects);
+        self.core.handle(self.now, Event::TimersDue, &mut effects);
+        self.core.handle(self.now, Event::RunDecisionCycle, &mut effects);
+        effects
+    }
+
+    pub fn list(&mut self, version: u64, engines: &[&str]) -> Vec<Effect> {
+        let live = |id: &&str| endpoint(id, Availability::Live);
+        self.step(Event::EndpointList { version, endpoints: engines.iter().map(live).collect() })
+    }
+
+    pub fn take(&mut self, id: u64, key: Option<&str>) -> Vec<Effect> {
+        let asked = RequestDetails {
+            id: RequestId(id),
+            class: ClassId(0),
+            tenant: None,
+            key: None,
+            deadline: self.now + 2_000.0,
+            work: None,
+            memory_mb: None,
+            data: None,
+            is_retry: false,
+        };
+        let statement = Rc::new(Statement { key: key.map(str::to_owned), ..Statement::default() });
+        self.step(Event::RequestReceived(ClientRequest { details: asked, statement }))
+    }
+}
+
+pub fn endpoint(id: &str, availability: Availability) -> Endpoint {
+    Endpoint {
+        member: Member {
+            engine: EngineId(id.into()),
+            zone: Some(ZoneId(0)),
+            kind: Some(KindId(0)),
+            cell: 0,
+            availability,
+            started: None,
+        },
+        address: "127.0.0.1:1".parse().expect("an address"),
+    }
+}
+
+pub fn sent(effects: &[Effect]) -> Option<AttemptId> {
+    effects.iter().find_map(|e| if let Effect::Send(s) = e { Some(s.id) } else { None })
+}
+
+pub fn answers(effects: &[Effect]) -> Vec<&Answer> {
+    effects.iter().filter_map(|e| if let Effect::Answer(_, a) = e { Some(a) } else { None }).collect()
+}
