--- a/tests/gateway_processes/mod.rs
+++ b/tests/gateway_processes/mod.rs
@@ -22,7 +22,7 @@
     pub child: Child,
     pub operators: SocketAddr,
     pub clients: SocketAddr,
-    pub said: Option<std::thread::JoinHandle<Vec<String>>>,
+    pub output: Option<std::thread::JoinHandle<Vec<String>>>,
 }
 
 /// A gateway's configuration, its folder, and its address.
@@ -76,27 +76,27 @@
         let operators = next(" for its operators");
         let clients = next("");
         assert_eq!(clients, self.at);
-        let said = Some(std::thread::spawn(move || lines.map_while(Result::ok).collect()));
-        Process { child, operators, clients, said }
+        let output = Some(std::thread::spawn(move || lines.map_while(Result::ok).collect()));
+        Process { child, operators, clients, output }
     }
 }
 
 impl Process {
-    pub fn say(&self, request: &str) -> (u16, String) {
+    pub fn request(&self, request: &str) -> (u16, String) {
         let mut stream = TcpStream::connect(self.operators).expect("it listens");
         stream.set_read_timeout(Some(Duration::from_secs(30))).expect("set");
-        // An answer may come, and the connection end, before all was said.
+        // An answer may come, and the connection end, before all of it was sent.
         let _ = stream.write_all(request.as_bytes());
         let (head, body) = web_message(&mut BufReader::new(stream)).expect("an answer");
         (head[0].split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status"), body)
     }
 
     pub fn put(&self, path: &str, id: &str) -> u16 {
-        self.say(&format!("PUT {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n{id}", id.len())).0
+        self.request(&format!("PUT {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n{id}", id.len())).0
     }
 
-    pub fn figure(&self, name: &str) -> u64 {
-        let (status, body) = self.say("GET /api/telemetry HTTP/1.1\r\nHost: x\r\n\r\n");
+    pub fn metric(&self, name: &str) -> u64 {
+        let (status, body) = self.request("GET /api/telemetry HTTP/1.1\r\nHost: x\r\n\r\n");
         assert_eq!(status, 200);
         let line = body.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix('='));
         line.and_then(|v| v.parse().ok()).unwrap_or_else(|| panic!("{name} is not in {body}"))
@@ -113,10 +113,10 @@
         assert!(Command::new("kill").args([which, &id]).status().expect("kill runs").success());
     }
 
-    /// Waits for its end; what it said.
+    /// Waits until it ends, and returns its output.
     pub fn ended(mut self) -> Vec<String> {
         assert!(self.child.wait().expect("it ends").success());
-        self.said.take().expect("once").join().expect("read")
+        self.output.take().expect("once").join().expect("read")
     }
 }
 
--- a/tests/killed_processes.rs
+++ b/tests/killed_processes.rs
@@ -72,9 +72,9 @@
             fields.push(("unique", &*key));
             tries.entry(key.clone()).or_default().push(begun.elapsed().as_secs_f64() * 1000.0);
         }
-        let said = stream.write_all(&call(seq, &fields, "select 1"));
+        let sent = stream.write_all(&call(seq, &fields, "select 1"));
         let mut byte = [0];
-        again = !(said.is_ok() && matches!(stream.peek(&mut byte), Ok(1)));
+        again = !(sent.is_ok() && matches!(stream.peek(&mut byte), Ok(1)));
         if again {
             Outcomes::add(&outcomes.lost);
             continue;
@@ -179,8 +179,8 @@
             refused <= if kind == 4 { 2 } else { 5 } || kind == 3,
             "round {round}, kind {kind}: {refused} refused"
         );
-        assert_eq!(current.say("GET /api/ready HTTP/1.1\r\n\r\n").0, 200, "round {round}");
-        assert_eq!(current.figure("gateway.cluster_unhealthy"), 1, "round {round}: it is still out");
+        assert_eq!(current.request("GET /api/ready HTTP/1.1\r\n\r\n").0, 200, "round {round}");
+        assert_eq!(current.metric("gateway.cluster_unhealthy"), 1, "round {round}: it is still out");
     }
     outcomes.stop.store(true, std::sync::atomic::Ordering::SeqCst);
     let tries: Vec<_> = clients.into_iter().map(|c| c.join().expect("no answer is missing")).collect();
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -20,17 +20,17 @@
     assert!(served_lookups(&old, 0, 40) == 40 && wants(&log) > 0, "both are in use");
     assert_eq!((old.put("/api/exclude", "s-1"), old.put("/api/exclude", "s-1")), (200, 200));
     assert_eq!((old.put("/api/exclude", "s-9"), old.put("/api/include", "s-9")), (404, 404));
-    assert_eq!((old.figure("gateway.cluster_size"), old.figure("gateway.cluster_unhealthy")), (2, 1));
+    assert_eq!((old.metric("gateway.cluster_size"), old.metric("gateway.cluster_unhealthy")), (2, 1));
     let before = wants(&log);
     assert_eq!(served_lookups(&old, 100, 40), 40);
     let new = site.start();
     old.signal("-TERM");
     old.ended();
-    assert_eq!(new.figure("gateway.cluster_unhealthy"), 1);
+    assert_eq!(new.metric("gateway.cluster_unhealthy"), 1);
     assert_eq!(served_lookups(&new, 200, 40), 40);
     assert_eq!(wants(&log), before, "nothing more went to the engine that is out");
     assert_eq!(new.put("/api/include", "s-1"), 200);
-    assert_eq!(new.figure("gateway.cluster_unhealthy"), 0);
+    assert_eq!(new.metric("gateway.cluster_unhealthy"), 0);
     assert_eq!(served_lookups(&new, 300, 40), 40);
     assert!(wants(&log) > before, "it is in use again");
 }
@@ -44,12 +44,12 @@
     let (old, new) = (site.start(), site.start());
     assert_eq!(old.put("/api/exclude", "s-1"), 200);
     for _ in 0..10_000 {
-        if new.figure("gateway.cluster_unhealthy") == 1 {
+        if new.metric("gateway.cluster_unhealthy") == 1 {
             assert_eq!(new.put("/api/include", "s-1"), 200);
             break;
         }
     }
-    let back = (0..10_000).any(|_| old.figure("gateway.cluster_unhealthy") == 0);
+    let back = (0..10_000).any(|_| old.metric("gateway.cluster_unhealthy") == 0);
     assert!(back, "the call back reached the other process");
 }
 
@@ -75,14 +75,14 @@
             _ => seen[2] += 1,
         }
     }
-    let told = ["answered", "deferred", "errored"].map(|f| process.figure(&format!("gateway.{f}.lookup")));
+    let told = ["answered", "deferred", "errored"].map(|f| process.metric(&format!("gateway.{f}.lookup")));
     assert_eq!(told, seen);
     assert!(seen.iter().sum::<u64>() == 60 && seen[0] > 0 && seen[2] >= 3, "{seen:?}");
-    assert_eq!(process.figure("gateway.sends"), wants(&log) as u64);
-    assert_eq!((process.figure("gateway.current"), process.figure("gateway.cluster_size")), (0, 1));
+    assert_eq!(process.metric("gateway.sends"), wants(&log) as u64);
+    assert_eq!((process.metric("gateway.current"), process.metric("gateway.cluster_size")), (0, 1));
     process.signal("-TERM");
-    let said = process.ended();
-    let line = said.iter().find(|l| l.contains("lookup: 57 taken")).unwrap_or_else(|| panic!("{said:?}"));
+    let output = process.ended();
+    let line = output.iter().find(|l| l.contains("lookup: 57 taken")).unwrap_or_else(|| panic!("{output:?}"));
     let last = format!("answered [{}, {}, {}, 0]", seen[0], seen[1], seen[2]);
     assert!(line.ends_with(&last) && line.contains(&format!(" {} attempts", wants(&log))), "{line}");
 }
@@ -111,10 +111,10 @@
     let (at, _) = resp_engine(served);
     let site = Site::new(&[at]);
     let process = site.start();
-    let (got, body) = process.say(request);
+    let (got, body) = process.request(request);
     assert_eq!(got, status, "{body}");
     assert!(body.ends_with('\n') && body.len() > 10, "{body:?}");
-    assert_eq!(process.say("GET /api/ready HTTP/1.1\r\n\r\n"), (200, "ready\n".into()));
+    assert_eq!(process.request("GET /api/ready HTTP/1.1\r\n\r\n"), (200, "ready\n".into()));
 }
 
 #[test]
@@ -122,7 +122,8 @@
     let (at, _) = resp_engine(served);
     let site = Site::new(&[at]);
     let process = site.start();
-    let (status, _) = process.say(&format!("GET /api/ready HTTP/1.1\r\nX: {}\r\n\r\n", "a".repeat(1 << 20)));
+    let (status, _) =
+        process.request(&format!("GET /api/ready HTTP/1.1\r\nX: {}\r\n\r\n", "a".repeat(1 << 20)));
     assert_eq!(status, 431);
 }
 
@@ -139,7 +140,7 @@
             stream
         })
         .collect();
-    assert_eq!(process.say("GET /api/ready HTTP/1.1\r\n\r\n").0, 200);
+    assert_eq!(process.request("GET /api/ready HTTP/1.1\r\n\r\n").0, 200);
     // The first was closed to make room; the last is still waited for.
     let mut byte = [0];
     assert_eq!((&held[0]).read(&mut byte).unwrap_or(0), 0);
@@ -155,7 +156,7 @@
     let mut site = Site::new(&[]);
     site.config = site.config.replacen("\"known\"", &format!("\"names\":\"{names}\",\"known\""), 1);
     let process = site.start();
-    let (status, why) = process.say("GET /api/ready HTTP/1.1\r\n\r\n");
+    let (status, why) = process.request("GET /api/ready HTTP/1.1\r\n\r\n");
     assert_eq!((status, &*why), (503, "starting: the list of engines is awaited\n"));
     // The whole answer to a question for health.
     let health_of = |client: &mut TcpStream| {
@@ -171,7 +172,7 @@
     client.write_all(&lookup(1)).expect("sent");
     assert_eq!(answer(&mut client).1, "overloaded");
     *list.lock().expect("list") = Some((2, vec![("s-0", at, false)]));
-    assert!((0..100_000).any(|_| process.say("GET /api/ready HTTP/1.1\r\n\r\n").0 == 200), "it is ready");
+    assert!((0..100_000).any(|_| process.request("GET /api/ready HTTP/1.1\r\n\r\n").0 == 200), "it is ready");
     assert_ne!(health_of(&mut process.client()), starting, "it says so to the front as well");
     assert_eq!(served_lookups(&process, 10, 5), 5);
 }
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -27,8 +27,8 @@
     // Its own time ends after 4.5 s; SIGKILL comes after 5.7 s at the earliest.
     answer(&mut client);
     drop(client);
-    let said = old.ended();
-    let refused: Vec<_> = said.iter().filter(|l| l.contains("refused for")).collect();
+    let output = old.ended();
+    let refused: Vec<_> = output.iter().filter(|l| l.contains("refused for")).collect();
     assert!(!refused.is_empty() && !refused.iter().any(|l| l.contains("ending")), "{refused:?}");
 }
 
@@ -45,11 +45,12 @@
     site.config = site.config.replacen("\"known\"", &format!("\"names\":\"{names}\",\"known\""), 1);
     publish(2, vec![("s-0", first, false), ("s-1", second, true)]);
     let old = site.start();
-    let heard = || old.figure("gateway.cluster_size") == 2 && old.figure("gateway.cluster_unhealthy") == 1;
-    assert!((0..100_000).any(|_| heard()), "the list was heard");
+    let knows_drain =
+        || old.metric("gateway.cluster_size") == 2 && old.metric("gateway.cluster_unhealthy") == 1;
+    assert!((0..100_000).any(|_| knows_drain()), "the list was heard");
     *list.lock().expect("list") = None;
     let new = site.start();
-    assert_eq!(new.say("GET /api/ready HTTP/1.1\r\n\r\n").0, 200);
+    assert_eq!(new.request("GET /api/ready HTTP/1.1\r\n\r\n").0, 200);
     old.signal("-TERM");
     old.ended();
     let before = (wants(&drained), wants(&gone));
@@ -57,7 +58,7 @@
     assert_eq!((wants(&drained), wants(&gone)), before, "nothing went to what drains or has gone");
     // The list's own word ends it.
     publish(3, vec![("s-0", first, false), ("s-1", second, false), ("s-2", third, false)]);
-    assert!((0..100_000).any(|_| new.figure("gateway.cluster_unhealthy") == 0), "the list was heard again");
+    assert!((0..100_000).any(|_| new.metric("gateway.cluster_unhealthy") == 0), "the list was heard again");
     assert_eq!(served_lookups(&new, 100, 60), 60);
     assert!(wants(&drained) > before.0 && wants(&gone) > before.1, "both are in use again");
 }
@@ -99,10 +100,10 @@
         let mut fields = vec![("verb", verb), ("txn", &*txn), ("limit", "15000")];
         fields.extend((verb == "load").then_some(("unique", &*key)));
         let body = if verb == "load" { "insert into s_1.t" } else { "select 1" };
-        let said = open.write_all(&call(seq, &fields, body));
+        let sent = open.write_all(&call(seq, &fields, body));
         // The end of the stream may come with the last answer; a request that meets it was not taken.
         let mut byte = [0];
-        let taken = said.is_ok() && matches!(open.peek(&mut byte), Ok(1));
+        let taken = sent.is_ok() && matches!(open.peek(&mut byte), Ok(1));
         if !taken {
             outcome.unread += usize::from(seq == 1);
             outcome.crossed += usize::from(seq > 1);
@@ -144,14 +145,14 @@
     let mut shutdown_phase: Vec<Process> = Vec::new();
     for upgrade in 0..50 {
         let next = site.start();
-        assert_eq!(next.say("GET /api/ready HTTP/1.1\r\n\r\n").0, 200);
+        assert_eq!(next.request("GET /api/ready HTTP/1.1\r\n\r\n").0, 200);
         let old = std::mem::replace(&mut current, next);
         old.signal("-TERM");
         shutdown_phase.push(old);
         if upgrade % 5 == 0 {
             for old in shutdown_phase.drain(..) {
-                let said = old.ended();
-                assert!(said.iter().any(|l| l.contains("a new version listens")), "{said:?}");
+                let output = old.ended();
+                assert!(output.iter().any(|l| l.contains("a new version listens")), "{output:?}");
             }
         }
     }
@@ -182,7 +183,7 @@
     site.config = site.config.replacen("\"known\"", &format!("\"names\":\"{names}\",\"known\""), 1);
     *list.lock().expect("list") = Some((2, vec![("s-0", at, false)]));
     let old = site.start();
-    assert!((0..100_000).any(|_| old.say("GET /api/ready HTTP/1.1\r\n\r\n").0 == 200), "it is ready");
+    assert!((0..100_000).any(|_| old.request("GET /api/ready HTTP/1.1\r\n\r\n").0 == 200), "it is ready");
     *list.lock().expect("list") = None;
     let mut child = site.spawn();
     let mut lines = BufReader::new(child.stdout.take().expect("piped")).lines();
@@ -191,7 +192,7 @@
         rest.parse::<SocketAddr>().ok()
     });
     let operators = operators.next().expect("it has a second address");
-    let new = Process { child, operators, clients: site.at, said: None };
+    let new = Process { child, operators, clients: site.at, output: None };
     // Longer than a successor waits for the list where it knows engines.
     let begun = std::time::Instant::now();
     let mut requested = 0;
@@ -199,7 +200,7 @@
         assert_eq!(served_lookups(&old, requested, 5), 5, "all are served by the old one");
         requested += 5;
     }
-    assert_eq!(new.say("GET /api/ready HTTP/1.1\r\n\r\n").0, 503);
+    assert_eq!(new.request("GET /api/ready HTTP/1.1\r\n\r\n").0, 503);
     *list.lock().expect("list") = Some((3, vec![("s-0", at, false)]));
-    assert!((0..100_000).any(|_| new.say("GET /api/ready HTTP/1.1\r\n\r\n").0 == 200), "it is ready");
+    assert!((0..100_000).any(|_| new.request("GET /api/ready HTTP/1.1\r\n\r\n").0 == 200), "it is ready");
 }
--- a/tests/upgrades_with_idempotency_log.rs
+++ b/tests/upgrades_with_idempotency_log.rs
@@ -41,10 +41,10 @@
     });
     assert!(whole, "{} keys are in the log", held());
     let disk = starlingplank_persistence::folder::Files::new(&folder);
-    let beside = || {
+    let marked = || {
         starlingplank_persistence::idempotency_log::unrecorded_sends_possible(&disk).expect("it can be read")
     };
-    assert!((0..1_000_000).any(|_| !beside()), "nothing is beside it any more");
+    assert!((0..1_000_000).any(|_| !marked()), "the marker is removed");
     new.signal("-KILL");
     drop(new);
     let third = site.start();
@@ -97,14 +97,14 @@
     write!(file, "knowledge {{\n  folder = {folder:?}\n  every = \"100ms\"\n}}\n").expect("written");
     site.operator = Some(file);
     let disk = || starlingplank_persistence::folder::Files::new(&folder);
-    let beside = || {
+    let marked = || {
         starlingplank_persistence::idempotency_log::unrecorded_sends_possible(&disk())
             .expect("it can be read")
     };
     let old = site.start();
-    assert!((0..1_000_000).any(|_| load(&old, 1) == "served") && !beside());
+    assert!((0..1_000_000).any(|_| load(&old, 1) == "served") && !marked());
     let new = site.start();
-    assert!(beside(), "it is said before anything is sent");
+    assert!(marked(), "the marker is there before anything is sent");
     assert!((100..120).all(|n| load(&new, n) == "served"));
     old.signal("-KILL");
     new.signal("-KILL");
@@ -116,7 +116,7 @@
     let third = site.start();
     // Its own first file says until when nothing keyed may leave; then the word has done its part.
     let mark = || starlingplank_persistence::idempotency_log::last(&disk()).ok()??.1.mark;
-    assert!((0..1_000_000).any(|_| !beside()), "the word is taken away");
+    assert!((0..1_000_000).any(|_| !marked()), "the marker is removed");
     // Where the log was begun a second time at the start, its mark follows once that is durable.
     let first = (0..1_000_000).find_map(|_| mark());
     assert!(first.as_ref().is_some_and(|m| m.blocked_until > Some(m.at)), "{first:?}");
