--- a/crates/admin/src/inherited_membership.rs
+++ b/crates/admin/src/inherited_membership.rs
@@ -73,6 +73,7 @@
 
     /// As a starting process takes it over from a running one. Their clocks may differ by any step of the wall clock, so that
     /// it binds from now.
+    #[must_use]
     pub fn taken_over(self, now: UnixMilliseconds) -> Self {
         Self { at: now, ..self }
     }
--- a/crates/admin/src/operator_overrides.rs
+++ b/crates/admin/src/operator_overrides.rs
@@ -80,6 +80,7 @@
 
     /// The same, with no time later than this. Another process of the gateway may have recorded the times, by a clock that
     /// differs by a step of the wall clock.
+    #[must_use]
     pub fn not_after(mut self, now: UnixMilliseconds) -> Self {
         for excluded_at in self.excluded.values_mut() {
             *excluded_at = excluded_at.min(now);
--- a/crates/experiments/src/fleet/evaluation.rs
+++ b/crates/experiments/src/fleet/evaluation.rs
@@ -44,7 +44,7 @@
         queries: delivered_queries(run, queries),
         arrivals: engine_arrivals(run),
         attempts: records.iter().map(|record| client_attempt(run, record)).collect(),
-        flows: run.gateways.borrow().iter().map(|gateway| gateway.flow_addresses()).collect(),
+        flows: run.gateways.borrow().iter().map(super::gateway::Gateway::flow_addresses).collect(),
     };
     let collapses = observations.collapses(run);
     let violations = observations.violations(run, &collapses);
@@ -71,7 +71,7 @@
 ) -> Value {
     let scenario = run.scenario;
     let gateways = run.gateways.borrow();
-    let flows: Vec<_> = gateways.iter().map(|gateway| gateway.present_flow_addresses()).collect();
+    let flows: Vec<_> = gateways.iter().map(super::gateway::Gateway::present_flow_addresses).collect();
     let capacity = service_script(scenario, run.options.gateways).capacity;
     let notified_shares: Vec<f64> =
         collapses.notified_shares.iter().map(|share| ledger::round(*share)).collect();
--- a/crates/experiments/src/soak/client.rs
+++ b/crates/experiments/src/soak/client.rs
@@ -123,7 +123,7 @@
         };
         connection.last_sequence += 1;
         let (class, timeout) = self.context.draw(draw_request);
-        let txn = format!("{:016x}", self.context.draw(|rng| rng.random::<u64>()));
+        let txn = format!("{:016x}", self.context.draw(Rng::random::<u64>));
         let message = encode_request(connection.last_sequence, class, &txn, timeout);
         connection.stream.write_all(&message).await.ok()?;
         let sent = self.context.now();
--- a/crates/experiments/src/soak/schedule.rs
+++ b/crates/experiments/src/soak/schedule.rs
@@ -122,7 +122,7 @@
 const MAX_DRAINING: usize = 3;
 
 /// Draws the schedule of a run. Faults that exclude one another do not overlap.
-pub fn draw(seed: u64, gateways: usize, engines: usize, seconds: f64) -> Vec<PlannedFault> {
+pub(super) fn draw(seed: u64, gateways: usize, engines: usize, seconds: f64) -> Vec<PlannedFault> {
     let mut schedule =
         Schedule { rng: Pcg64Mcg::seed_from_u64(seed), planned: Vec::new(), gateways, engines, seconds };
     let mut at = FIRST_FAULT;
@@ -331,7 +331,7 @@
 /// Whether two faults must not overlap: those of one engine, those of all engines, and those of the clients. Faults of one
 /// gateway may overlap, but for those that end its process, and those of its name service.
 fn excludes(first: &Fault, second: &Fault) -> bool {
-    use Fault::*;
+    use Fault::{ConnectionFlood, ImpatientClients, Pause, ReplaceEngine, SilentNameService, SystemCalls};
     let are_same = |of: fn(&Fault) -> Option<usize>| of(first).is_some() && of(first) == of(second);
     let (first_affects_all, second_affects_all) = (first.affects_all_engines(), second.affects_all_engines());
     match (first, second) {
@@ -348,7 +348,7 @@
 }
 
 /// The faults of system calls of one process, as the library of `crates/fault-injection` reads them.
-pub fn system_call_faults(seed: u64) -> String {
+pub(super) fn system_call_faults(seed: u64) -> String {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut plan = format!("seed={}", rng.random_range(1..1_000_000));
     let mut may = |name: &str, values: &[&str]| {
--- a/crates/fault-injection/src/calls.rs
+++ b/crates/fault-injection/src/calls.rs
@@ -99,23 +99,25 @@
 }
 
 #[no_mangle]
-pub unsafe extern "C" fn recv(fd: c_int, buffer: *mut c_void, len: usize, flags: c_int) -> ssize_t {
+pub(crate) unsafe extern "C" fn recv(fd: c_int, buffer: *mut c_void, len: usize, flags: c_int) -> ssize_t {
     match transfer_length(fd, len) {
+        // SAFETY: the caller keeps the contract of the call; the arguments are passed on, the length at most as it was.
         Some(len) => unsafe { original::recv(fd, buffer, len, flags) },
         None => fail(libc::EINTR),
     }
 }
 
 #[no_mangle]
-pub unsafe extern "C" fn send(fd: c_int, buffer: *const c_void, len: usize, flags: c_int) -> ssize_t {
+pub(crate) unsafe extern "C" fn send(fd: c_int, buffer: *const c_void, len: usize, flags: c_int) -> ssize_t {
     match transfer_length(fd, len) {
+        // SAFETY: the caller keeps the contract of the call; the arguments are passed on, the length at most as it was.
         Some(len) => unsafe { original::send(fd, buffer, len, flags) },
         None => fail(libc::EINTR),
     }
 }
 
 #[no_mangle]
-pub unsafe extern "C" fn recvfrom(
+pub(crate) unsafe extern "C" fn recvfrom(
     fd: c_int,
     buffer: *mut c_void,
     len: usize,
@@ -124,6 +126,7 @@
     from_len: *mut socklen_t,
 ) -> ssize_t {
     match transfer_length(fd, len) {
+        // SAFETY: the caller keeps the contract of the call; the arguments are passed on, the length at most as it was.
         Some(len) => unsafe { original::recvfrom(fd, buffer, len, flags, from, from_len) },
         None => fail(libc::EINTR),
     }
@@ -131,7 +134,7 @@
 
 /// For a datagram there may be no route, as for a connection.
 #[no_mangle]
-pub unsafe extern "C" fn sendto(
+pub(crate) unsafe extern "C" fn sendto(
     fd: c_int,
     buffer: *const c_void,
     len: usize,
@@ -143,44 +146,55 @@
         return fail(draw_error(&SENDTO_ERRORS));
     }
     match transfer_length(fd, len) {
+        // SAFETY: the caller keeps the contract of the call; the arguments are passed on, the length at most as it was.
         Some(len) => unsafe { original::sendto(fd, buffer, len, flags, to, to_len) },
         None => fail(libc::EINTR),
     }
 }
 
 #[no_mangle]
-pub unsafe extern "C" fn read(fd: c_int, buffer: *mut c_void, len: usize) -> ssize_t {
+pub(crate) unsafe extern "C" fn read(fd: c_int, buffer: *mut c_void, len: usize) -> ssize_t {
     if plan().interrupt + plan().short == 0.0 || !is_socket(fd) {
+        // SAFETY: the caller keeps the contract of the call; the arguments are passed on, the length at most as it was.
         return unsafe { original::read(fd, buffer, len) };
     }
     match transfer_length(fd, len) {
+        // SAFETY: the caller keeps the contract of the call; the arguments are passed on, the length at most as it was.
         Some(len) => unsafe { original::read(fd, buffer, len) },
         None => fail(libc::EINTR),
     }
 }
 
 #[no_mangle]
-pub unsafe extern "C" fn write(fd: c_int, buffer: *const c_void, len: usize) -> ssize_t {
+pub(crate) unsafe extern "C" fn write(fd: c_int, buffer: *const c_void, len: usize) -> ssize_t {
     if let Some(error) = write_error(fd) {
         return fail(error);
     }
+    // SAFETY: the caller keeps the contract of the call; the arguments are passed on, the length at most as it was.
     unsafe { original::write(fd, buffer, write_length(fd, len)) }
 }
 
 #[no_mangle]
-pub unsafe extern "C" fn pwrite64(fd: c_int, buffer: *const c_void, len: usize, at: off64_t) -> ssize_t {
+pub(crate) unsafe extern "C" fn pwrite64(
+    fd: c_int,
+    buffer: *const c_void,
+    len: usize,
+    at: off64_t,
+) -> ssize_t {
     if let Some(error) = write_error(fd) {
         return fail(error);
     }
+    // SAFETY: the caller keeps the contract of the call; the arguments are passed on, the length at most as it was.
     unsafe { original::pwrite64(fd, buffer, len, at) }
 }
 
 #[no_mangle]
-pub unsafe extern "C" fn writev(fd: c_int, parts: *const iovec, count: c_int) -> ssize_t {
+pub(crate) unsafe extern "C" fn writev(fd: c_int, parts: *const iovec, count: c_int) -> ssize_t {
     if let Some(error) = write_error(fd) {
         return fail(error);
     }
     if plan().interrupt + plan().short == 0.0 || !is_socket(fd) {
+        // SAFETY: the caller keeps the contract of the call; the arguments are passed on.
         return unsafe { original::writev(fd, parts, count) };
     }
     // SAFETY: by the contract of the call there are `count` parts.
@@ -188,22 +202,30 @@
     let first = buffers.iter().find(|part| part.iov_len > 0);
     match (transfer_length(fd, 2), first) {
         (None, _) => fail(libc::EINTR),
+        // SAFETY: the caller keeps the contract of the call; the arguments are passed on.
         (Some(1), Some(part)) => unsafe { original::write(fd, part.iov_base, 1) },
+        // SAFETY: the caller keeps the contract of the call; the arguments are passed on.
         _ => unsafe { original::writev(fd, parts, count) },
     }
 }
 
 #[no_mangle]
-pub unsafe extern "C" fn accept4(fd: c_int, from: *mut sockaddr, len: *mut socklen_t, flags: c_int) -> c_int {
+pub(crate) unsafe extern "C" fn accept4(
+    fd: c_int,
+    from: *mut sockaddr,
+    len: *mut socklen_t,
+    flags: c_int,
+) -> c_int {
     if plan().draws_fault(plan().accept) {
         report("accept");
         return fail(draw_error(&ACCEPT_ERRORS)) as c_int;
     }
+    // SAFETY: the caller keeps the contract of the call; the arguments are passed on, the length at most as it was.
     unsafe { original::accept4(fd, from, len, flags) }
 }
 
 #[no_mangle]
-pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
+pub(crate) unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     static STREAMS: AtomicU64 = AtomicU64::new(0);
     let is_stream = domain == libc::AF_INET && kind & SOCKET_TYPE_MASK == libc::SOCK_STREAM;
     if is_stream && STREAMS.fetch_add(1, Ordering::Relaxed) < plan().socket_first {
@@ -212,35 +234,40 @@
     if domain == libc::AF_INET && plan().draws_fault(plan().socket) {
         return fail(draw_error(&SOCKET_ERRORS)) as c_int;
     }
+    // SAFETY: the caller keeps the contract of the call; the arguments are passed on.
     unsafe { original::socket(domain, kind, protocol) }
 }
 
 #[no_mangle]
-pub unsafe extern "C" fn connect(fd: c_int, to: *const sockaddr, len: socklen_t) -> c_int {
+pub(crate) unsafe extern "C" fn connect(fd: c_int, to: *const sockaddr, len: socklen_t) -> c_int {
     if plan().draws_fault(plan().connect) {
         return fail(draw_error(&CONNECT_ERRORS)) as c_int;
     }
+    // SAFETY: the caller keeps the contract of the call; the arguments are passed on, the length at most as it was.
     unsafe { original::connect(fd, to, len) }
 }
 
 #[no_mangle]
-pub unsafe extern "C" fn fsync(fd: c_int) -> c_int {
+pub(crate) unsafe extern "C" fn fsync(fd: c_int) -> c_int {
     if plan().draws_fault(plan().disk) {
         return fail(libc::EIO) as c_int;
     }
+    // SAFETY: the caller keeps the contract of the call; the arguments are passed on.
     unsafe { original::fsync(fd) }
 }
 
 #[no_mangle]
-pub unsafe extern "C" fn fdatasync(fd: c_int) -> c_int {
+pub(crate) unsafe extern "C" fn fdatasync(fd: c_int) -> c_int {
     if plan().draws_fault(plan().disk) {
         return fail(libc::EIO) as c_int;
     }
+    // SAFETY: the caller keeps the contract of the call; the arguments are passed on.
     unsafe { original::fdatasync(fd) }
 }
 
 #[no_mangle]
-pub unsafe extern "C" fn clock_gettime(clock: c_int, now: *mut timespec) -> c_int {
+pub(crate) unsafe extern "C" fn clock_gettime(clock: c_int, now: *mut timespec) -> c_int {
+    // SAFETY: the caller keeps the contract of the call; the arguments are passed on.
     let result = unsafe { original::clock_gettime(clock, now) };
     // The plan itself reads the monotonic clock, which is never changed.
     if result != 0 || clock != libc::CLOCK_REALTIME || plan().wall_step_ms == 0 || !plan().is_active() {
--- a/crates/fault-injection/src/original.rs
+++ b/crates/fault-injection/src/original.rs
@@ -3,7 +3,7 @@
 /// Declares a function that calls the next definition of a symbol: the C library's.
 macro_rules! original {
     ($name:ident ( $($argument:ident : $type:ty),* ) -> $result:ty) => {
-        pub unsafe fn $name($($argument: $type),*) -> $result {
+        pub(crate) unsafe fn $name($($argument: $type),*) -> $result {
             use std::sync::atomic::{AtomicPtr, Ordering};
             static NEXT: AtomicPtr<libc::c_void> = AtomicPtr::new(std::ptr::null_mut());
             let mut next = NEXT.load(Ordering::Relaxed);
--- a/crates/fault-injection/src/plan.rs
+++ b/crates/fault-injection/src/plan.rs
@@ -5,11 +5,11 @@
 use std::sync::OnceLock;
 
 /// The environment variable that holds the plan: `name=value` pairs, separated by commas.
-pub const VARIABLE: &str = "STARLINGPLANK_FAULTS";
+pub(crate) const VARIABLE: &str = "STARLINGPLANK_FAULTS";
 
 /// Probabilities for each call, 0 to 1, and the time in which faults occur.
 #[derive(Debug, Default)]
-pub struct Plan {
+pub(crate) struct Plan {
     /// Reads and writes on sockets return `EINTR`.
     pub interrupt: f64,
     /// Reads and writes on sockets transfer one byte.
@@ -46,7 +46,7 @@
 static RANDOM: AtomicU64 = AtomicU64::new(0);
 
 /// The plan of this process.
-pub fn plan() -> &'static Plan {
+pub(crate) fn plan() -> &'static Plan {
     PLAN.get_or_init(|| {
         STARTED_MS.store(monotonic_ms(), Ordering::Relaxed);
         parse(&std::env::var(VARIABLE).unwrap_or_default())
@@ -83,20 +83,20 @@
 
 impl Plan {
     /// Whether faults occur now.
-    pub fn is_active(&self) -> bool {
+    pub(crate) fn is_active(&self) -> bool {
         let age = monotonic_ms().saturating_sub(STARTED_MS.load(Ordering::Relaxed));
         let is_in_time = age >= self.from_ms && (self.until_ms == 0 || age < self.until_ms);
         is_in_time && self.switch.as_ref().is_none_or(exists)
     }
 
     /// Draws whether a fault of this probability occurs now.
-    pub fn draws_fault(&self, probability: f64) -> bool {
+    pub(crate) fn draws_fault(&self, probability: f64) -> bool {
         probability > 0.0 && self.is_active() && random_share() < probability
     }
 }
 
 /// Reports to the test that a fault has occurred: by a file beside the switch, with the fault's name.
-pub fn report(fault: &str) {
+pub(crate) fn report(fault: &str) {
     let Some(switch) = &plan().switch else { return };
     let Ok(path) = CString::new([switch.as_bytes(), b".", fault.as_bytes()].concat()) else { return };
     // SAFETY: the path ends with a zero byte and outlives the call; the descriptor is closed at once.
@@ -109,12 +109,12 @@
 }
 
 /// Draws one of these error numbers.
-pub fn draw_error(errors: &[i32]) -> i32 {
+pub(crate) fn draw_error(errors: &[i32]) -> i32 {
     errors[(next_random() % errors.len() as u64) as usize]
 }
 
 /// Sets the error number of the calling thread, and returns what a failed call returns.
-pub fn fail(error: i32) -> isize {
+pub(crate) fn fail(error: i32) -> isize {
     // SAFETY: the location is the calling thread's own, and valid while the thread lives.
     unsafe { *libc::__errno_location() = error };
     -1
--- a/crates/persistence/src/idempotency_key.rs
+++ b/crates/persistence/src/idempotency_key.rs
@@ -49,6 +49,7 @@
     }
 
     /// Adds a send. One after the end starts anew, as engines have forgotten the earlier ones.
+    #[must_use]
     pub fn and(self, send: KeySend) -> Self {
         if send.at >= self.end() {
             return Self::one(send);
--- a/crates/persistence/src/writers/idempotency_log.rs
+++ b/crates/persistence/src/writers/idempotency_log.rs
@@ -94,12 +94,11 @@
         let mut next = None;
         while let Some(job) = next.take().or_else(|| queued.recv().ok()) {
             let mut batch = Batch::default();
-            let event = match self.add_to(&mut batch, job) {
-                Some(rewrite) => self.rewrite(rewrite),
-                None => {
-                    next = self.collect(&mut batch, queued).map(Job::Rewrite);
-                    self.append(batch)
-                }
+            let event = if let Some(rewrite) = self.add_to(&mut batch, job) {
+                self.rewrite(rewrite)
+            } else {
+                next = self.collect(&mut batch, queued).map(Job::Rewrite);
+                self.append(batch)
             };
             notify(event, self.statistics);
         }
--- a/crates/persistence/tests/common/mod.rs
+++ b/crates/persistence/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use starlingplank_persistence::snapshot_records::{Class, Engine, Fleet, Snapshot};
 
-pub fn snapshot(taken: f64, engines: usize) -> Snapshot {
+pub(crate) fn snapshot(taken: f64, engines: usize) -> Snapshot {
     Snapshot {
         taken,
         gateway: "n0".into(),
--- a/crates/persistence/tests/twice.rs
+++ b/crates/persistence/tests/twice.rs
@@ -94,12 +94,11 @@
             Leave::Now => true,
             Leave::AfterRecord(sent) => {
                 let there = self.offset.stored_send(sent);
-                match self.log.as_mut().map(|log| log.append(&[Record::KeySend(key, there)])) {
-                    Some(Ok(_)) => self.deduplication.recorded(&key, sent, now),
-                    _ => {
-                        self.deduplication.failed();
-                        false
-                    }
+                if let Some(Ok(_)) = self.log.as_mut().map(|log| log.append(&[Record::KeySend(key, there)])) {
+                    self.deduplication.recorded(&key, sent, now)
+                } else {
+                    self.deduplication.failed();
+                    false
                 }
             }
         }
--- a/crates/storage/src/folder.rs
+++ b/crates/storage/src/folder.rs
@@ -108,6 +108,7 @@
 
     /// For files that are never appended to once they have been written and renamed: their descriptors are closed when
     /// the names are made durable.
+    #[must_use]
     pub fn closing_written_files(mut self) -> Self {
         self.close_on_sync_names = true;
         self
--- a/src/config/operator/checker.rs
+++ b/src/config/operator/checker.rs
@@ -132,7 +132,7 @@
             };
             return self.report(line, scope.path_of(name), fault);
         };
-        let labels: Vec<&str> = block.labels.iter().map(|label| label.as_str()).collect();
+        let labels: Vec<&str> = block.labels.iter().map(hcl_edit::structure::BlockLabel::as_str).collect();
         let path = match labels.first() {
             Some(label) => format!("{} {label:?}", scope.path_of(name)),
             None => scope.path_of(name),
--- a/src/config/operator/value.rs
+++ b/src/config/operator/value.rs
@@ -88,7 +88,7 @@
 /// The text of a value that is no list.
 fn scalar(value: &Expression, form: Form) -> Option<String> {
     let text = value.as_str();
-    let number = || value.as_number().and_then(|number| number.as_f64()).filter(|number| number.is_finite());
+    let number = || value.as_number().and_then(hcl_edit::Number::as_f64).filter(|number| number.is_finite());
     match form {
         Form::Word => text.filter(|text| is_word(text)).map(str::to_owned),
         Form::Text => text.filter(|text| !text.is_empty() && !text.contains('\0')).map(str::to_owned),
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -76,17 +76,16 @@
                 flatten(&child(name), value, pairs);
             }
         }
-        Value::Array(list) => match list.iter().map(scalar_text).collect::<Option<Vec<_>>>() {
-            Some(texts) => {
+        Value::Array(list) => {
+            if let Some(texts) = list.iter().map(scalar_text).collect::<Option<Vec<_>>>() {
                 pairs.insert(path.to_owned(), texts.join(","));
-            }
-            None => {
+            } else {
                 pairs.insert(child("count"), list.len().to_string());
                 for (index, value) in list.iter().enumerate() {
                     flatten(&child(&index.to_string()), value, pairs);
                 }
             }
-        },
+        }
         // A key without a value counts as missing.
         Value::Null => {}
         scalar => {
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -58,7 +58,7 @@
             Leave::No => self.end_attempt(now, attempt, AttemptEnd::plain(Outcome::NotExecuted), effects),
             Leave::Now => self.transmit(now, attempt, deadline, effects),
             Leave::AfterRecord(sent) => {
-                self.request_record(now, attempt, PendingRecord { sent, deadline }, effects)
+                self.request_record(now, attempt, PendingRecord { sent, deadline }, effects);
             }
         }
     }
--- a/src/core/decisions.rs
+++ b/src/core/decisions.rs
@@ -63,7 +63,7 @@
         match action {
             Action::Send { id, engine, timeout } => self.start_attempt(now, id, engine, timeout, effects),
             Action::Reject { id, retry_after, reason } => {
-                self.shed(now, id, retry_after, reason.name(), effects)
+                self.shed(now, id, retry_after, reason.name(), effects);
             }
             Action::Fail { id } => self.fail(now, id, effects),
             Action::Cancel { id, attempt } => {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -204,7 +204,7 @@
     pub fn handle(&mut self, now: Milliseconds, event: Event, effects: &mut Vec<Effect>) {
         match event {
             Event::EndpointList { version, endpoints } => {
-                self.update_membership(now, version, endpoints, effects)
+                self.update_membership(now, version, endpoints, effects);
             }
             Event::PreviousAddressSuperseded => self.supersede_previous_address(now),
             Event::EndpointListLease(until) => self.renew_list_lease(now, until, effects),
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -179,6 +179,7 @@
 impl Limits {
     /// The same limits with the shutdown deadlines of a gateway whose longest deadline is `longest_deadline`. SIGKILL
     /// follows SIGTERM by that time, bounded, and 0.7 s; open requests are answered before.
+    #[must_use]
     pub fn ending(self, longest_deadline: Milliseconds) -> Self {
         let answer_deadline =
             |max_wait: Milliseconds| longest_deadline.min(max_wait) + KILL_DELAY - SHUTDOWN_MARGIN;
--- a/src/main.rs
+++ b/src/main.rs
@@ -179,7 +179,7 @@
     let (folder, code) = (folder.display(), verdict.code());
     match code {
         0 => {
-            writeln!(out, "{folder}: whole; {} bytes at the log's end never came to be", verdict.torn_bytes)?
+            writeln!(out, "{folder}: whole; {} bytes at the log's end never came to be", verdict.torn_bytes)?;
         }
         NOTHING_THERE => writeln!(out, "{folder}: there is nothing")?,
         _ => {}
--- a/src/net/connection/frame.rs
+++ b/src/net/connection/frame.rs
@@ -146,6 +146,7 @@
     }
 
     /// The same message, counted under `tally` once it is written.
+    #[must_use]
     pub fn counted(self, tally: Tally) -> Self {
         Self { tally: Some(tally), ..self }
     }
--- a/src/net/discovery/poller.rs
+++ b/src/net/discovery/poller.rs
@@ -169,7 +169,7 @@
 fn log_response(response: Response, verdict: Verdict) {
     match response {
         Response::Truncated => {
-            log::seldom("a response of the name service is truncated; the list in use stays")
+            log::seldom("a response of the name service is truncated; the list in use stays");
         }
         Response::Malformed => {
             log::seldom("a response of the name service is malformed; the list in use stays");
--- a/src/net/runtime/cycle.rs
+++ b/src/net/runtime/cycle.rs
@@ -10,7 +10,7 @@
 
 impl Runtime {
     /// Hands events to the reducer and performs its effects, until no further events arise from them.
-    pub fn run_decision_cycles(&mut self, events: impl IntoIterator<Item = Event>) {
+    pub(super) fn run_decision_cycles(&mut self, events: impl IntoIterator<Item = Event>) {
         let serial = self.core.membership_version();
         let mut effects = Vec::new();
         let mut new_events: Vec<Event> = events.into_iter().collect();
@@ -55,7 +55,7 @@
         match event {
             Event::EndpointList { .. } => self.list_received = true,
             Event::RequestReceived(request) if request.statement.key.is_some() => {
-                self.read_peer_keys(now, effects)
+                self.read_peer_keys(now, effects);
             }
             _ => {}
         }
--- a/src/net/runtime/effects.rs
+++ b/src/net/runtime/effects.rs
@@ -13,11 +13,11 @@
         match effect {
             Effect::Send(send) => self.send(send, new_events),
             Effect::AbortAttempt { attempt: id, outcome, .. } => {
-                self.engines.abort_attempt(id, outcome == Outcome::Timeout)
+                self.engines.abort_attempt(id, outcome == Outcome::Timeout);
             }
             Effect::SetPriority { attempt: id, priority, .. } => self.engines.set_priority(id, priority),
             Effect::CheckHealth { number: tag, engine, address } => {
-                self.engines.check_health(tag, &engine, address, new_events)
+                self.engines.check_health(tag, &engine, address, new_events);
             }
             Effect::DropQueued(engine) => self.engines.drop_queued(&engine, new_events),
             Effect::StartResponse(id, rows) => self.frontend.start_response(id, rows),
@@ -31,7 +31,7 @@
                 log::seldom_error(
                     "an attempt was asked for against the rules",
                     format_args!("{}.{attempt}: {}", id.0, refusal.name()),
-                )
+                );
             }
             Effect::WriteRecord { number, key, sent } => {
                 if !self.persistence.record(number, key, sent) {
@@ -107,7 +107,7 @@
             tracing::trace!(request = id.0, attempt, engine = %engine.0, "attempt aborted");
         }
         Effect::CheckHealth { number: tag, engine, .. } => {
-            tracing::trace!(tag, engine = %engine.0, "health check sent")
+            tracing::trace!(tag, engine = %engine.0, "health check sent");
         }
         Effect::DropQueued(engine) => tracing::trace!(engine = %engine.0, "queued attempts dropped"),
         Effect::Answer(id, answer) => {
--- a/src/net/runtime/listeners.rs
+++ b/src/net/runtime/listeners.rs
@@ -151,12 +151,11 @@
         queue: &mut ListenerQueue,
     ) -> (WaitingSlot, io::Result<TcpStream>) {
         let slots = self.frontend.waiting_slots.clone();
-        let slot = match slots.clone().try_acquire_owned() {
-            Ok(slot) => Ok(slot),
-            Err(_) => {
-                queue.set_waiting(self.earliest());
-                slots.acquire_owned().await
-            }
+        let slot = if let Ok(slot) = slots.clone().try_acquire_owned() {
+            Ok(slot)
+        } else {
+            queue.set_waiting(self.earliest());
+            slots.acquire_owned().await
         };
         let accepted = tokio::select! {
             biased;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use starlingplank::interface::*;
 
-pub fn class(
+pub(crate) fn class(
     name: &str,
     latency_objective: Milliseconds,
     client_timeout: Milliseconds,
@@ -26,7 +26,7 @@
     }
 }
 
-pub fn settings() -> Settings {
+pub(crate) fn settings() -> Settings {
     Settings {
         seed: 11,
         gateways: 2,
@@ -63,11 +63,11 @@
     }
 }
 
-pub fn engine(n: usize) -> EngineId {
+pub(crate) fn engine(n: usize) -> EngineId {
     EngineId(format!("10.0.0.{n}:5000").into())
 }
 
-pub fn member(n: usize) -> Member {
+pub(crate) fn member(n: usize) -> Member {
     Member {
         engine: engine(n),
         zone: Some(ZoneId(n % 2)),
@@ -78,11 +78,11 @@
     }
 }
 
-pub fn fleet(n: usize) -> Event {
+pub(crate) fn fleet(n: usize) -> Event {
     Event::Members { complete: true, members: (0..n).map(member).collect() }
 }
 
-pub fn incoming(id: u64, class: usize, deadline: Milliseconds) -> RequestDetails {
+pub(crate) fn incoming(id: u64, class: usize, deadline: Milliseconds) -> RequestDetails {
     RequestDetails {
         id: RequestId(id),
         class: ClassId(class),
@@ -96,7 +96,13 @@
     }
 }
 
-pub fn outcome(id: u64, attempt: u32, engine: &EngineId, outcome: Outcome, took: Milliseconds) -> Event {
+pub(crate) fn outcome(
+    id: u64,
+    attempt: u32,
+    engine: &EngineId,
+    outcome: Outcome,
+    took: Milliseconds,
+) -> Event {
     Event::Outcome {
         id: RequestId(id),
         attempt,
@@ -109,7 +115,7 @@
     }
 }
 
-pub fn sends(actions: &[Action]) -> Vec<(u64, EngineId)> {
+pub(crate) fn sends(actions: &[Action]) -> Vec<(u64, EngineId)> {
     let send = |a: &Action| match a {
         Action::Send { id, engine, .. } => Some((id.0, engine.clone())),
         _ => None,
--- a/tests/decide/admission.rs
+++ b/tests/decide/admission.rs
@@ -93,7 +93,7 @@
             let (id, sent_to) = gateway.receive(0);
             gateway.advance(1_000.0);
             sent_to.into_iter().for_each(|sent_to| {
-                drop(gateway.run_cycle(&[outcome(id, 0, &sent_to, Outcome::Ok, 1_000.0)]))
+                drop(gateway.run_cycle(&[outcome(id, 0, &sent_to, Outcome::Ok, 1_000.0)]));
             });
             let report = Some(LoadReport { util: Some(0.15 * f64::from(second)), ..LoadReport::default() });
             let reports = |n| Event::HealthChecked { engine: engine(n), ok: true, took: 1.0, report };
--- a/tests/decide/harness.rs
+++ b/tests/decide/harness.rs
@@ -5,7 +5,7 @@
 use starlingplank::interface::*;
 
 /// A gateway before a fleet of engines. Time passes only when a test says so.
-pub struct TestGateway {
+pub(crate) struct TestGateway {
     pub balancer: Balancer,
     pub now: Milliseconds,
     /// The identifier of the next request.
@@ -13,21 +13,21 @@
 }
 
 impl TestGateway {
-    pub fn new(settings: Settings, engines: usize) -> Self {
+    pub(crate) fn new(settings: Settings, engines: usize) -> Self {
         let mut balancer = Balancer::new(settings, 0.0).expect("settings are good");
         balancer.run_cycle(0.0, &[fleet(engines)], &mut Vec::new());
         Self { balancer, now: 0.0, next: 0 }
     }
 
     /// Runs a decision cycle.
-    pub fn run_cycle(&mut self, events: &[Event]) -> Vec<Action> {
+    pub(crate) fn run_cycle(&mut self, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.run_cycle(self.now, events, &mut actions);
         actions
     }
 
     /// Receives a request; returns its identifier, and the engine that it was sent to.
-    pub fn receive(&mut self, class: usize) -> (u64, Option<EngineId>) {
+    pub(crate) fn receive(&mut self, class: usize) -> (u64, Option<EngineId>) {
         let id = self.next;
         self.next += 1;
         let client_timeout = if class == 0 { 3_000.0 } else { 20_000.0 };
@@ -38,7 +38,7 @@
     }
 
     /// Lets time pass, with cycles in between as in service; returns what was sent in them.
-    pub fn advance(&mut self, mut by: Milliseconds) -> Vec<(u64, EngineId)> {
+    pub(crate) fn advance(&mut self, mut by: Milliseconds) -> Vec<(u64, EngineId)> {
         let mut sent = Vec::new();
         while by > 100.0 {
             (self.now, by) = (self.now + 100.0, by - 100.0);
@@ -49,7 +49,7 @@
     }
 
     /// Serves rounds of requests, each round at once; each request takes so long.
-    pub fn serve_in_rounds(&mut self, rounds: usize, count: usize, took: Milliseconds) {
+    pub(crate) fn serve_in_rounds(&mut self, rounds: usize, count: usize, took: Milliseconds) {
         for _ in 0..rounds {
             let received: Vec<_> = (0..count).map(|_| self.receive(0)).collect();
             let mut sent: Vec<_> =
@@ -63,7 +63,7 @@
     }
 
     /// Serves requests one after another; each takes so long.
-    pub fn serve(&mut self, count: usize, class: usize, took: Milliseconds) {
+    pub(crate) fn serve(&mut self, count: usize, class: usize, took: Milliseconds) {
         for _ in 0..count {
             let (id, engine) = self.receive(class);
             self.advance(took);
@@ -75,7 +75,7 @@
 }
 
 /// An engine reports that it is busy, with so many queries in flight.
-pub fn report_busy(gateway: &mut TestGateway, engine_number: usize, inflight: f64) {
+pub(crate) fn report_busy(gateway: &mut TestGateway, engine_number: usize, inflight: f64) {
     let report = LoadReport { util: Some(1.0), inflight: Some(inflight), ..LoadReport::default() };
     gateway.run_cycle(&[Event::HealthChecked {
         engine: engine(engine_number),
@@ -86,7 +86,11 @@
 }
 
 /// Runs cycles when the timers of the gateway expire, until then; appends the actions with their times.
-pub fn run_timers(gateway: &mut TestGateway, until: Milliseconds, actions: &mut Vec<(Milliseconds, Action)>) {
+pub(crate) fn run_timers(
+    gateway: &mut TestGateway,
+    until: Milliseconds,
+    actions: &mut Vec<(Milliseconds, Action)>,
+) {
     while gateway.now < until {
         let next_timer = actions.iter().rev().find_map(|(at, action)| match action {
             Action::Timer { after, .. } => Some(at + after),
--- a/tests/decide/load_reports.rs
+++ b/tests/decide/load_reports.rs
@@ -32,7 +32,7 @@
                 ok: true,
                 took: 1.0,
                 report: Some(report),
-            }]))
+            }]));
         });
     }
     gateway.now += 200.0;
--- a/tests/gateway_processes/mod.rs
+++ b/tests/gateway_processes/mod.rs
@@ -9,7 +9,7 @@
 use tokio::net::TcpSocket;
 
 /// A port that several processes may listen at: bound here, and never listened at, so that nobody else is given it.
-pub fn shared_port() -> (TcpSocket, SocketAddr) {
+pub(crate) fn shared_port() -> (TcpSocket, SocketAddr) {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_reuseport(true).expect("set");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
@@ -18,7 +18,7 @@
 }
 
 /// One process of a gateway.
-pub struct Process {
+pub(crate) struct Process {
     pub child: Child,
     pub operators: SocketAddr,
     pub clients: SocketAddr,
@@ -26,7 +26,7 @@
 }
 
 /// A gateway's configuration, its folder, and its address.
-pub struct Site {
+pub(crate) struct Site {
     pub config: String,
     pub tmp: tempfile::TempDir,
     pub at: SocketAddr,
@@ -36,7 +36,7 @@
 }
 
 impl Site {
-    pub fn new(engines: &[SocketAddr]) -> Self {
+    pub(crate) fn new(engines: &[SocketAddr]) -> Self {
         let (port, at) = shared_port();
         let config = config(engines, "resp", 20_000)
             .replacen(
@@ -49,7 +49,7 @@
     }
 
     /// Starts a process.
-    pub fn spawn(&self) -> Child {
+    pub(crate) fn spawn(&self) -> Child {
         let file = self.tmp.path().join("config.json");
         std::fs::write(&file, &self.config).expect("a file");
         let mut command = Command::new(env!("CARGO_BIN_EXE_starlingplank"));
@@ -61,7 +61,7 @@
     }
 
     /// Starts a process and waits until it listens to clients.
-    pub fn start(&self) -> Process {
+    pub(crate) fn start(&self) -> Process {
         let mut child = self.spawn();
         let mut lines = BufReader::new(child.stdout.take().expect("piped")).lines();
         let mut next = |what: &str| -> SocketAddr {
@@ -82,7 +82,7 @@
 }
 
 impl Process {
-    pub fn request(&self, request: &str) -> (u16, String) {
+    pub(crate) fn request(&self, request: &str) -> (u16, String) {
         let mut stream = TcpStream::connect(self.operators).expect("it listens");
         stream.set_read_timeout(Some(Duration::from_secs(30))).expect("set");
         // An answer may come, and the connection end, before all of it was sent.
@@ -91,30 +91,30 @@
         (head[0].split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status"), body)
     }
 
-    pub fn put(&self, path: &str, id: &str) -> u16 {
+    pub(crate) fn put(&self, path: &str, id: &str) -> u16 {
         self.request(&format!("PUT {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n{id}", id.len())).0
     }
 
-    pub fn metric(&self, name: &str) -> u64 {
+    pub(crate) fn metric(&self, name: &str) -> u64 {
         let (status, body) = self.request("GET /api/telemetry HTTP/1.1\r\nHost: x\r\n\r\n");
         assert_eq!(status, 200);
         let line = body.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix('='));
         line.and_then(|v| v.parse().ok()).unwrap_or_else(|| panic!("{name} is not in {body}"))
     }
 
-    pub fn client(&self) -> TcpStream {
+    pub(crate) fn client(&self) -> TcpStream {
         let stream = TcpStream::connect(self.clients).expect("it listens");
         stream.set_read_timeout(Some(Duration::from_secs(30))).expect("set");
         stream
     }
 
-    pub fn signal(&self, which: &str) {
+    pub(crate) fn signal(&self, which: &str) {
         let id = self.child.id().to_string();
         assert!(Command::new("kill").args([which, &id]).status().expect("kill runs").success());
     }
 
     /// Waits until it ends, and returns its output.
-    pub fn ended(mut self) -> Vec<String> {
+    pub(crate) fn ended(mut self) -> Vec<String> {
         assert!(self.child.wait().expect("it ends").success());
         self.output.take().expect("once").join().expect("read")
     }
@@ -127,7 +127,7 @@
     }
 }
 
-pub fn served(parts: &[String]) -> Option<String> {
+pub(crate) fn served(parts: &[String]) -> Option<String> {
     Some(match parts[0].as_str() {
         "want" => reply(&[&parts[1], "served", "pages=1,cost=5,need=8", "a\tb\tc\n"]),
         "busy" => reply(&[&parts[1], "green", "use=util:0.1", ""]),
@@ -135,17 +135,17 @@
     })
 }
 
-pub fn wants(log: &Log) -> usize {
+pub(crate) fn wants(log: &Log) -> usize {
     log.lock().expect("log").iter().filter(|p| p[0] == "want").count()
 }
 
-pub fn lookup(n: u32) -> Vec<u8> {
+pub(crate) fn lookup(n: u32) -> Vec<u8> {
     let txn = format!("{n:016x}");
     call(1, &[("verb", "lookup"), ("txn", &txn), ("limit", "15000")], "select 1")
 }
 
 /// Asks so many times, each on a connection of its own; how many were served.
-pub fn served_lookups(process: &Process, from: u32, times: u32) -> usize {
+pub(crate) fn served_lookups(process: &Process, from: u32, times: u32) -> usize {
     (from..from + times)
         .filter(|n| {
             let mut client = process.client();
@@ -156,7 +156,7 @@
 }
 
 /// Sends a load on a connection of its own; how it ended.
-pub fn load(process: &Process, n: u32) -> &'static str {
+pub(crate) fn load(process: &Process, n: u32) -> &'static str {
     let mut client = process.client();
     let (txn, key) = (format!("{n:016x}"), format!("k{n}"));
     let fields = [("verb", "load"), ("txn", txn.as_str()), ("limit", "15000"), ("unique", key.as_str())];
--- a/tests/knowledge.rs
+++ b/tests/knowledge.rs
@@ -9,8 +9,7 @@
 
 fn operator(folder: &Path, more: &str) -> tempfile::NamedTempFile {
     let mut file = tempfile::NamedTempFile::new().expect("a file");
-    write!(file, "knowledge {{\n  folder = {:?}\n  every = \"100ms\"\n{more}\n}}\n", folder)
-        .expect("written");
+    write!(file, "knowledge {{\n  folder = {folder:?}\n  every = \"100ms\"\n{more}\n}}\n").expect("written");
     file
 }
 
--- a/tests/reducer/mod.rs
+++ b/tests/reducer/mod.rs
@@ -9,18 +9,18 @@
 use std::rc::Rc;
 
 /// A reducer in virtual time.
-pub struct Harness {
+pub(crate) struct Harness {
     pub core: Core,
     pub now: Milliseconds,
 }
 
 impl Harness {
-    pub fn new(settings: Settings) -> Self {
+    pub(crate) fn new(settings: Settings) -> Self {
         let limits = Limits::read(&Fields::new("settings", BTreeMap::new())).expect("defaults");
         Self { core: Core::new(settings, limits, 1_000.0).expect("sound"), now: 1_000.0 }
     }
 
-    pub fn step(&mut self, event: Event) -> Vec<Effect> {
+    pub(crate) fn step(&mut self, event: Event) -> Vec<Effect> {
         let mut effects = Vec::new();
         self.now += 5.0; // a decision cycle may follow each event
         self.core.handle(self.now, event, &mut effects);
@@ -29,12 +29,12 @@
         effects
     }
 
-    pub fn list(&mut self, version: u64, engines: &[&str]) -> Vec<Effect> {
+    pub(crate) fn list(&mut self, version: u64, engines: &[&str]) -> Vec<Effect> {
         let live = |id: &&str| endpoint(id, Availability::Live);
         self.step(Event::EndpointList { version, endpoints: engines.iter().map(live).collect() })
     }
 
-    pub fn take(&mut self, id: u64, key: Option<&str>) -> Vec<Effect> {
+    pub(crate) fn take(&mut self, id: u64, key: Option<&str>) -> Vec<Effect> {
         let asked = RequestDetails {
             id: RequestId(id),
             class: ClassId(0),
@@ -51,7 +51,7 @@
     }
 }
 
-pub fn endpoint(id: &str, availability: Availability) -> Endpoint {
+pub(crate) fn endpoint(id: &str, availability: Availability) -> Endpoint {
     Endpoint {
         member: Member {
             engine: EngineId(id.into()),
@@ -65,10 +65,10 @@
     }
 }
 
-pub fn sent(effects: &[Effect]) -> Option<AttemptId> {
+pub(crate) fn sent(effects: &[Effect]) -> Option<AttemptId> {
     effects.iter().find_map(|e| if let Effect::Send(s) = e { Some(s.id) } else { None })
 }
 
-pub fn answers(effects: &[Effect]) -> Vec<&Answer> {
+pub(crate) fn answers(effects: &[Effect]) -> Vec<&Answer> {
     effects.iter().filter_map(|e| if let Effect::Answer(_, a) = e { Some(a) } else { None }).collect()
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -53,10 +53,10 @@
                 let may_have_run_before = request.sent.iter().any(|attempt| may_have_run(&attempt.outcome));
                 match self.settings.classes[request.details.class.0].idempotency {
                     Idempotency::NotIdempotent => {
-                        assert!(!may_have_run_before, "rule 2: refused what may have run")
+                        assert!(!may_have_run_before, "rule 2: refused what may have run");
                     }
                     Idempotency::Keyed { scope, .. } => {
-                        assert!(scope == Scope::All || !may_have_run_before, "rule 2: refused a keyed one")
+                        assert!(scope == Scope::All || !may_have_run_before, "rule 2: refused a keyed one");
                     }
                     Idempotency::Idempotent => {}
                 }
@@ -261,7 +261,7 @@
             for request in checker.requests.values_mut() {
                 request.answered.get_or_insert(now);
                 request.sent.iter_mut().for_each(|attempt| {
-                    attempt.outcome = attempt.outcome.or(Some((now, Outcome::NotExecuted)))
+                    attempt.outcome = attempt.outcome.or(Some((now, Outcome::NotExecuted)));
                 });
             }
             (checker.received_times, checker.retries) = (Vec::new(), Vec::new());
--- a/tests/simulated_engine/mod.rs
+++ b/tests/simulated_engine/mod.rs
@@ -5,13 +5,13 @@
 use starlingplank::interface::Milliseconds;
 use std::collections::BTreeMap;
 
-pub const CORES: f64 = 8.0;
+pub(crate) const CORES: f64 = 8.0;
 /// The time of a step.
-pub const STEP: Milliseconds = 20.0;
+pub(crate) const STEP: Milliseconds = 20.0;
 
 /// Identifies an execution: the gateway's number and process, and its attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ExecutionId {
+pub(crate) struct ExecutionId {
     pub gateway: usize,
     pub incarnation: u32,
     pub attempt: AttemptId,
@@ -19,7 +19,7 @@
 
 /// The work of an execution, in milliseconds on one core, and its threads.
 #[derive(Debug, Clone, Copy)]
-pub struct Work {
+pub(crate) struct Work {
     pub threads: f64,
     pub work: f64,
 }
@@ -30,37 +30,37 @@
 }
 
 /// An execution that has ended, with its whole work.
-pub struct Finished {
+pub(crate) struct Finished {
     pub id: ExecutionId,
     pub work: f64,
 }
 
 #[derive(Default)]
-pub struct SimulatedEngine {
+pub(crate) struct SimulatedEngine {
     executions: BTreeMap<ExecutionId, Execution>,
     pub utilization: f64,
 }
 
 impl SimulatedEngine {
-    pub fn threads(&self) -> f64 {
+    pub(crate) fn threads(&self) -> f64 {
         self.executions.values().map(|execution| execution.total.threads).sum()
     }
 
-    pub fn execute(&mut self, id: ExecutionId, work: Work) {
+    pub(crate) fn execute(&mut self, id: ExecutionId, work: Work) {
         self.executions.insert(id, Execution { total: work, work_left: work.work });
     }
 
     /// Whether there was such an execution.
-    pub fn abort(&mut self, id: ExecutionId) -> bool {
+    pub(crate) fn abort(&mut self, id: ExecutionId) -> bool {
         self.executions.remove(&id).is_some()
     }
 
-    pub fn drop_executions_of(&mut self, gateway: usize) {
+    pub(crate) fn drop_executions_of(&mut self, gateway: usize) {
         self.executions.retain(|id, _| id.gateway != gateway);
     }
 
     /// Works for a step, and returns what has ended.
-    pub fn advance(&mut self, capacity: f64) -> Vec<Finished> {
+    pub(crate) fn advance(&mut self, capacity: f64) -> Vec<Finished> {
         let threads = self.threads();
         let throughput = capacity * (2.0 * CORES / threads.max(1.0)).min(1.0).powi(2);
         let thread_speed = (throughput / threads.max(1e-9)).min(1.0);
