--- a/crates/decision/src/checkpoint.rs
+++ b/crates/decision/src/checkpoint.rs
@@ -36,8 +36,8 @@
         let classes = self.classes.iter().zip(&self.settings.classes);
         let engines = self.engines.iter();
         Learned {
-            at: self.now,
-            bound: self.concurrency_limit(),
+            recorded_at: self.now,
+            concurrency_limit: self.concurrency_limit(),
             fleet: self.fleet_learned(),
             classes: classes.map(|(state, class)| class_learned(state, class)).collect(),
             engines: engines.map(|(id, engine)| self.engine_learned(id, engine)).collect(),
@@ -50,14 +50,14 @@
             zone.and_then(|zone| self.settings.zones.get(zone.0)).cloned().unwrap_or_default()
         };
         FleetLearned {
-            own_seen: fleet.mean_own_threads,
-            all_seen: fleet.mean_all_threads,
-            width: fleet.threads_per_query,
-            usual_load: fleet.usual_load,
-            jammed: fleet.overloaded_share,
-            usual_slow: fleet.median_slowdown,
+            own_threads: fleet.mean_own_threads,
+            all_threads: fleet.mean_all_threads,
+            threads_per_query: fleet.threads_per_query,
+            other_load: fleet.usual_load,
+            overloaded_share: fleet.overloaded_share,
+            median_slowdown: fleet.median_slowdown,
             speed: 1.0 / fleet.slowdown.clamp(1.0, MAX_SLOWDOWN),
-            floors: fleet.shortest_checks.iter().map(|(zone, took)| (zone_name(zone), *took)).collect(),
+            shortest_health_checks: fleet.shortest_checks.iter().map(|(zone, took)| (zone_name(zone), *took)).collect(),
         }
     }
 
@@ -65,19 +65,19 @@
         let ejection_ended_at = engine.ejection.ended_at;
         EngineLearned {
             id: id.0.to_string(),
-            started: engine.member.started,
-            confirmed: engine.confirmed_at,
-            heard: engine.load.last_report_at,
-            slow: engine.slowdown,
-            errors: engine.error_rate,
-            others: engine.load.other_threads,
-            ejected: engine.ejection.until,
+            started_at: engine.member.started,
+            confirmed_at: engine.confirmed_at,
+            reported_at: engine.load.last_report_at,
+            slowdown: engine.slowdown,
+            error_rate: engine.error_rate,
+            other_threads: engine.load.other_threads,
+            ejected_until: engine.ejection.until,
             ejections: engine.ejection.count,
-            back: (ejection_ended_at > NEVER).then_some(ejection_ended_at),
-            lost: engine.connections_refused_at,
-            cold: self.warmth(engine) < 1.0,
-            perhaps_cold: engine.slow_start.start_suspected,
-            spent: false,
+            ejection_ended_at: (ejection_ended_at > NEVER).then_some(ejection_ended_at),
+            connections_refused_at: engine.connections_refused_at,
+            in_slow_start: self.warmth(engine) < 1.0,
+            maybe_in_slow_start: engine.slow_start.start_suspected,
+            budget_spent: false,
         }
     }
 
@@ -92,7 +92,7 @@
                 self.restore_class(ClassId(index), class_learned);
             }
         }
-        if let Some(limit) = within(learned.bound, MIN_LEVEL..=MAX_LEVEL) {
+        if let Some(limit) = within(learned.concurrency_limit, MIN_LEVEL..=MAX_LEVEL) {
             self.limit_level = level_index(limit);
             self.restore_fleet(&learned.fleet);
         }
@@ -109,26 +109,26 @@
                 state.bands[level_index(learned.level)] = statistics;
             }
         }
-        restore_value(&mut state.best_latency, from.best, MIN_RESTORED_LATENCY..=max_latency);
-        restore_value(&mut state.unloaded_latency, from.usual, 0.0..=max_latency);
-        restore_value(&mut state.learned_steps, from.steps, 0.0..=MAX_RESTORED_COUNT);
+        restore_value(&mut state.best_latency, from.best_latency, MIN_RESTORED_LATENCY..=max_latency);
+        restore_value(&mut state.unloaded_latency, from.unloaded_latency, 0.0..=max_latency);
+        restore_value(&mut state.learned_steps, from.control_steps, 0.0..=MAX_RESTORED_COUNT);
         restore_value(&mut state.usual_time_left, from.time_left, 0.0..=MAX_RESTORED_COUNT);
-        restore_value(&mut state.mean_work, from.size, 0.0..=MAX_RESTORED_WORK);
+        restore_value(&mut state.mean_work, from.mean_work_estimate, 0.0..=MAX_RESTORED_WORK);
         restore_value(&mut state.arrivals, from.arrivals, 0.0..=MAX_RESTORED_COUNT);
         restore_value(&mut state.runtime, from.runtime, 0.0..=MAX_RESTORED_WORK);
-        restore_value(&mut state.grant_factor, from.grant, MIN_GRANT_FACTOR..=MAX_GRANT_FACTOR);
-        state.confirmed_at = from.confirmed;
+        restore_value(&mut state.grant_factor, from.grant_factor, MIN_GRANT_FACTOR..=MAX_GRANT_FACTOR);
+        state.confirmed_at = from.confirmed_at;
     }
 
     fn restore_fleet(&mut self, from: &FleetLearned) {
         let fleet: &mut Fleet = &mut self.fleet;
-        restore_value(&mut fleet.mean_own_threads, from.own_seen, 0.0..=MAX_RESTORED_COUNT);
-        restore_value(&mut fleet.mean_all_threads, from.all_seen, 0.0..=MAX_RESTORED_COUNT);
-        restore_value(&mut fleet.threads_per_query, from.width, 0.01..=1e4);
-        restore_value(&mut fleet.usual_load, from.usual_load, 0.0..=MAX_BELIEVED_LOAD);
-        restore_value(&mut fleet.overloaded_share, from.jammed, 0.0..=1.0);
-        restore_value(&mut fleet.median_slowdown, from.usual_slow, 1.0..=MAX_SLOWDOWN);
-        for (name, shortest) in &from.floors {
+        restore_value(&mut fleet.mean_own_threads, from.own_threads, 0.0..=MAX_RESTORED_COUNT);
+        restore_value(&mut fleet.mean_all_threads, from.all_threads, 0.0..=MAX_RESTORED_COUNT);
+        restore_value(&mut fleet.threads_per_query, from.threads_per_query, 0.01..=1e4);
+        restore_value(&mut fleet.usual_load, from.other_load, 0.0..=MAX_BELIEVED_LOAD);
+        restore_value(&mut fleet.overloaded_share, from.overloaded_share, 0.0..=1.0);
+        restore_value(&mut fleet.median_slowdown, from.median_slowdown, 1.0..=MAX_SLOWDOWN);
+        for (name, shortest) in &from.shortest_health_checks {
             let zone = self.settings.zones.iter().position(|zone| zone == name).map(ZoneId);
             let is_known = zone.is_some() || name.is_empty();
             if let Some(shortest) = within(*shortest, 0.0..=MAX_RESTORED_CHECK).filter(|_| is_known) {
@@ -145,21 +145,21 @@
             return;
         }
         let past = |time: Option<Milliseconds>| time.filter(|time| time.is_finite() && *time <= now);
-        engine.slowdown = within(from.slow, MIN_SLOWDOWN..=MAX_SLOWDOWN).unwrap_or(1.0);
+        engine.slowdown = within(from.slowdown, MIN_SLOWDOWN..=MAX_SLOWDOWN).unwrap_or(1.0);
         engine.thread_times = thread_times_of(engine.slowdown);
-        engine.error_rate = within(from.errors, 0.0..=1.0).unwrap_or(engine.error_rate);
+        engine.error_rate = within(from.error_rate, 0.0..=1.0).unwrap_or(engine.error_rate);
         engine.load.other_threads =
-            within(from.others, 0.0..=MAX_BELIEVED_LOAD * engine.cores).unwrap_or(engine.load.other_threads);
-        engine.load.last_report_at = past(from.heard);
+            within(from.other_threads, 0.0..=MAX_BELIEVED_LOAD * engine.cores).unwrap_or(engine.load.other_threads);
+        engine.load.last_report_at = past(from.reported_at);
         engine.ejection.count = from.ejections.min(MAX_RESTORED_EJECTIONS);
-        let ejected_until = from.ejected.filter(|until| until.is_finite());
+        let ejected_until = from.ejected_until.filter(|until| until.is_finite());
         engine.ejection.until = ejected_until.map(|until| until.min(now + MAX_EJECTION));
-        engine.ejection.ended_at = past(from.back).unwrap_or(NEVER);
-        engine.connections_refused_at = past(from.lost);
-        if from.perhaps_cold {
+        engine.ejection.ended_at = past(from.ejection_ended_at).unwrap_or(NEVER);
+        engine.connections_refused_at = past(from.connections_refused_at);
+        if from.maybe_in_slow_start {
             (engine.slow_start.started_at, engine.slow_start.start_suspected) = (Some(now), true);
         }
-        if from.spent {
+        if from.budget_spent {
             engine.slow_start.recent_sends.push_back(SentWork { sent_at: now, work: WORK_PAST_ANY_BUDGET });
             engine.slow_start.recent_work += WORK_PAST_ANY_BUDGET;
         }
@@ -178,9 +178,9 @@
 
 fn restored_band(learned: &BandLearned, max_latency: Milliseconds) -> Option<LatencyStatistics> {
     Some(LatencyStatistics {
-        count: within(learned.n, 0.0..=MAX_RESTORED_SAMPLES)?,
+        count: within(learned.samples, 0.0..=MAX_RESTORED_SAMPLES)?,
         mean: within(learned.mean, 0.0..=10.0 * max_latency)?,
-        variance: within(learned.var, 0.0..=100.0 * max_latency * max_latency)?,
+        variance: within(learned.variance, 0.0..=100.0 * max_latency * max_latency)?,
     })
 }
 
@@ -195,21 +195,21 @@
     ClassLearned {
         name: class.name.clone(),
         threads: class.threads,
-        confirmed: state.confirmed_at,
+        confirmed_at: state.confirmed_at,
         bands: bands.map(|(band, level)| band_learned(band, level)).collect(),
-        best: state.best_latency,
-        usual: state.unloaded_latency,
-        steps: state.learned_steps,
+        best_latency: state.best_latency,
+        unloaded_latency: state.unloaded_latency,
+        control_steps: state.learned_steps,
         time_left: state.usual_time_left,
-        size: state.mean_work,
+        mean_work_estimate: state.mean_work,
         arrivals: state.arrivals,
         runtime: state.runtime,
-        grant: state.grant_factor,
+        grant_factor: state.grant_factor,
     }
 }
 
 fn band_learned(band: &LatencyStatistics, level: f64) -> BandLearned {
-    BandLearned { level, n: band.count, mean: band.mean, var: band.variance }
+    BandLearned { level, samples: band.count, mean: band.mean, variance: band.variance }
 }
 
 #[cfg(test)]
--- a/crates/decision/src/learned.rs
+++ b/crates/decision/src/learned.rs
@@ -10,9 +10,9 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Learned {
     /// When the records were made.
-    pub at: Milliseconds,
+    pub recorded_at: Milliseconds,
     /// The concurrency limit last chosen, in threads a core; 0: none.
-    pub bound: f64,
+    pub concurrency_limit: f64,
     /// What was learned of all engines together.
     pub fleet: FleetLearned,
     /// What was learned by class.
@@ -25,21 +25,21 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct FleetLearned {
     /// This gateway's threads of late, averaged.
-    pub own_seen: f64,
+    pub own_threads: f64,
     /// All gateways' threads of late, averaged.
-    pub all_seen: f64,
+    pub all_threads: f64,
     /// The mean number of threads of a query.
-    pub width: f64,
+    pub threads_per_query: f64,
     /// Threads a core that other gateways run.
-    pub usual_load: f64,
+    pub other_load: f64,
     /// The share of engines whose load is far past any limit.
-    pub jammed: f64,
+    pub overloaded_share: f64,
     /// The slowdown of the median engine.
-    pub usual_slow: f64,
+    pub median_slowdown: f64,
     /// The time that queries take alone, over the time that they take now.
     pub speed: f64,
     /// The shortest health check by zone; the empty name: engines of no known zone.
-    pub floors: Vec<(String, Milliseconds)>,
+    pub shortest_health_checks: Vec<(String, Milliseconds)>,
 }
 
 /// Latencies of a class in one band of load.
@@ -48,11 +48,11 @@
     /// The band, in threads a core.
     pub level: f64,
     /// The number of samples, faded.
-    pub n: f64,
+    pub samples: f64,
     /// The mean in milliseconds, of a query of usual size.
     pub mean: Milliseconds,
     /// The variance in square milliseconds.
-    pub var: f64,
+    pub variance: f64,
 }
 
 /// What was learned of a class.
@@ -63,25 +63,25 @@
     /// Threads of a query when this was learned. Latencies do not carry over to another number.
     pub threads: f64,
     /// When the last latency sample was taken.
-    pub confirmed: Option<Milliseconds>,
+    pub confirmed_at: Option<Milliseconds>,
     /// The bands that have samples.
     pub bands: Vec<BandLearned>,
     /// The lowest mean latency of late.
-    pub best: Milliseconds,
+    pub best_latency: Milliseconds,
     /// The latency of a usual query that runs alone.
-    pub usual: Milliseconds,
+    pub unloaded_latency: Milliseconds,
     /// The number of control steps over which the best latency was learned.
-    pub steps: f64,
+    pub control_steps: f64,
     /// The time that clients usually leave from the arrival of a request to its deadline.
     pub time_left: Milliseconds,
     /// The mean of the work estimates that came with requests.
-    pub size: f64,
+    pub mean_work_estimate: f64,
     /// The recent number of requests, retries left out.
     pub arrivals: f64,
     /// The recent sum of the time that attempts ran.
     pub runtime: f64,
     /// The memory granted, as a multiple of the estimate.
-    pub grant: f64,
+    pub grant_factor: f64,
 }
 
 /// What was learned of an engine.
@@ -90,30 +90,30 @@
     /// The identifier of the engine.
     pub id: String,
     /// When its process started, where the endpoint list states it.
-    pub started: Option<Milliseconds>,
+    pub started_at: Option<Milliseconds>,
     /// When an answer, health check or progress update last came from it.
-    pub confirmed: Option<Milliseconds>,
+    pub confirmed_at: Option<Milliseconds>,
     /// When it last reported its load.
-    pub heard: Option<Milliseconds>,
+    pub reported_at: Option<Milliseconds>,
     /// How many times longer than alone queries take there.
-    pub slow: f64,
+    pub slowdown: f64,
     /// The recent share of failures among outcomes.
-    pub errors: f64,
+    pub error_rate: f64,
     /// Threads of other gateways there.
-    pub others: f64,
+    pub other_threads: f64,
     /// When the current ejection ends.
-    pub ejected: Option<Milliseconds>,
+    pub ejected_until: Option<Milliseconds>,
     /// Ejections in a row.
     pub ejections: u32,
     /// When the last ejection ended.
-    pub back: Option<Milliseconds>,
+    pub ejection_ended_at: Option<Milliseconds>,
     /// When it last refused connections.
-    pub lost: Option<Milliseconds>,
+    pub connections_refused_at: Option<Milliseconds>,
     /// It was in slow start when last seen, stated or suspected.
-    pub cold: bool,
+    pub in_slow_start: bool,
     /// Set by whoever restores: its process may have restarted unseen, so it counts as in slow start until
     /// time or answers show otherwise.
-    pub perhaps_cold: bool,
+    pub maybe_in_slow_start: bool,
     /// Set by whoever restores: its slow start budget was just used up.
-    pub spent: bool,
+    pub budget_spent: bool,
 }
--- a/crates/persistence/src/recovery.rs
+++ b/crates/persistence/src/recovery.rs
@@ -134,17 +134,17 @@
 
 fn age_classes(snapshot: &Snapshot, now: Milliseconds, learned: &mut Learned) {
     for class in &mut learned.classes {
-        let age = now - class.confirmed.unwrap_or(snapshot.taken);
+        let age = now - class.confirmed_at.unwrap_or(snapshot.taken);
         let latency = retained_weight(age, LATENCY_HALF_LIFE);
         let traffic = retained_weight(now - snapshot.taken, TRAFFIC_HALF_LIFE);
         for band in &mut class.bands {
-            band.n *= latency;
+            band.samples *= latency;
         }
         // The fewer steps the best latency rests on, the faster the decision module learns another.
-        class.steps = (class.steps * latency).floor().max(f64::from(u8::from(class.steps >= 1.0)));
+        class.control_steps = (class.control_steps * latency).floor().max(f64::from(u8::from(class.control_steps >= 1.0)));
         class.arrivals *= traffic;
         class.runtime *= traffic;
-        class.confirmed = None;
+        class.confirmed_at = None;
     }
 }
 
@@ -152,14 +152,14 @@
     let traffic = retained_weight(age, TRAFFIC_HALF_LIFE);
     let load = retained_weight(age, LOAD_HALF_LIFE);
     let health = retained_weight(age, HEALTH_HALF_LIFE);
-    fleet.own_seen *= traffic;
-    fleet.all_seen *= traffic;
-    fleet.usual_load *= load;
-    fleet.jammed *= load;
-    fleet.usual_slow = 1.0 + (fleet.usual_slow - 1.0) * health;
+    fleet.own_threads *= traffic;
+    fleet.all_threads *= traffic;
+    fleet.other_load *= load;
+    fleet.overloaded_share *= load;
+    fleet.median_slowdown = 1.0 + (fleet.median_slowdown - 1.0) * health;
     fleet.speed = 1.0 + (fleet.speed - 1.0) * health;
     if retained_weight(age, NETWORK_HALF_LIFE) < NETWORK_MIN_WEIGHT {
-        fleet.floors.clear();
+        fleet.shortest_health_checks.clear();
     }
 }
 
@@ -174,7 +174,7 @@
     let uncertainty = uncertainty(known, identity, now, rules);
     let perhaps_cold = uncertainty != Uncertainty::None;
     let fresh =
-        EngineLearned { id: identity.id.clone(), slow: 1.0, perhaps_cold, ..EngineLearned::default() };
+        EngineLearned { id: identity.id.clone(), slowdown: 1.0, maybe_in_slow_start: perhaps_cold, ..EngineLearned::default() };
     let same_process = !matches!(uncertainty, Uncertainty::Restarted | Uncertainty::UnknownId);
     let Some(known) = known.filter(|_| same_process) else { return fresh };
     let seen = known.confirmed.unwrap_or(taken);
@@ -183,17 +183,17 @@
     let spent =
         known.cold && now - seen.max(taken) <= rules.overload_collapse_after.max(rules.restart_within);
     EngineLearned {
-        slow: 1.0 + (known.slow - 1.0) * health,
-        errors: known.errors * health,
-        others: known.others * retained_weight(now - known.heard.unwrap_or(taken), LOAD_HALF_LIFE),
-        heard: known.heard,
+        slowdown: 1.0 + (known.slow - 1.0) * health,
+        error_rate: known.errors * health,
+        other_threads: known.others * retained_weight(now - known.heard.unwrap_or(taken), LOAD_HALF_LIFE),
+        reported_at: known.heard,
         // An engine whose ejection has ended meanwhile is tried first.
-        ejected: known.ejected.filter(|_| health > EJECTION_MIN_WEIGHT),
+        ejected_until: known.ejected.filter(|_| health > EJECTION_MIN_WEIGHT),
         ejections: if health > EJECTION_MIN_WEIGHT { known.ejections } else { 0 },
-        back: known.back,
-        lost: known.lost.filter(|_| !perhaps_cold),
-        cold: known.cold,
-        spent,
+        ejection_ended_at: known.back,
+        connections_refused_at: known.lost.filter(|_| !perhaps_cold),
+        in_slow_start: known.cold,
+        budget_spent: spent,
         ..fresh
     }
 }
--- a/crates/persistence/src/snapshot_records.rs
+++ b/crates/persistence/src/snapshot_records.rs
@@ -115,9 +115,9 @@
             Engine { address, ..Engine::from(engine) }
         };
         Self {
-            taken: learned.at,
+            taken: learned.recorded_at,
             gateway: gateway.to_owned(),
-            bound: learned.bound,
+            bound: learned.concurrency_limit,
             fleet: Fleet::from(&learned.fleet),
             classes: learned.classes.iter().map(Class::from).collect(),
             engines: learned.engines.iter().map(engine).collect(),
@@ -127,8 +127,8 @@
     /// The decision module's records, as they were taken.
     pub fn learned(&self) -> Learned {
         Learned {
-            at: self.taken,
-            bound: self.bound,
+            recorded_at: self.taken,
+            concurrency_limit: self.bound,
             fleet: FleetLearned::from(&self.fleet),
             classes: self.classes.iter().map(ClassLearned::from).collect(),
             engines: self.engines.iter().map(EngineLearned::from).collect(),
@@ -139,14 +139,14 @@
 impl From<&FleetLearned> for Fleet {
     fn from(fleet: &FleetLearned) -> Self {
         Self {
-            own_seen: fleet.own_seen,
-            all_seen: fleet.all_seen,
-            width: fleet.width,
-            usual_load: fleet.usual_load,
-            jammed: fleet.jammed,
-            usual_slow: fleet.usual_slow,
+            own_seen: fleet.own_threads,
+            all_seen: fleet.all_threads,
+            width: fleet.threads_per_query,
+            usual_load: fleet.other_load,
+            jammed: fleet.overloaded_share,
+            usual_slow: fleet.median_slowdown,
             speed: fleet.speed,
-            floors: fleet.floors.clone(),
+            floors: fleet.shortest_health_checks.clone(),
         }
     }
 }
@@ -154,14 +154,14 @@
 impl From<&Fleet> for FleetLearned {
     fn from(fleet: &Fleet) -> Self {
         Self {
-            own_seen: fleet.own_seen,
-            all_seen: fleet.all_seen,
-            width: fleet.width,
-            usual_load: fleet.usual_load,
-            jammed: fleet.jammed,
-            usual_slow: fleet.usual_slow,
+            own_threads: fleet.own_seen,
+            all_threads: fleet.all_seen,
+            threads_per_query: fleet.width,
+            other_load: fleet.usual_load,
+            overloaded_share: fleet.jammed,
+            median_slowdown: fleet.usual_slow,
             speed: fleet.speed,
-            floors: fleet.floors.clone(),
+            shortest_health_checks: fleet.floors.clone(),
         }
     }
 }
@@ -171,36 +171,36 @@
         Self {
             name: class.name.clone(),
             threads: class.threads,
-            confirmed: class.confirmed,
-            bands: class.bands.iter().map(|band| (band.level, band.n, band.mean, band.var)).collect(),
-            best: class.best,
-            usual: class.usual,
-            steps: class.steps,
+            confirmed: class.confirmed_at,
+            bands: class.bands.iter().map(|band| (band.level, band.samples, band.mean, band.variance)).collect(),
+            best: class.best_latency,
+            usual: class.unloaded_latency,
+            steps: class.control_steps,
             time_left: class.time_left,
-            size: class.size,
+            size: class.mean_work_estimate,
             arrivals: class.arrivals,
             runtime: class.runtime,
-            grant: class.grant,
+            grant: class.grant_factor,
         }
     }
 }
 
 impl From<&Class> for ClassLearned {
     fn from(class: &Class) -> Self {
-        let band = |&(level, n, mean, var): &(f64, f64, f64, f64)| BandLearned { level, n, mean, var };
+        let band = |&(level, n, mean, var): &(f64, f64, f64, f64)| BandLearned { level, samples: n, mean, variance: var };
         Self {
             name: class.name.clone(),
             threads: class.threads,
-            confirmed: class.confirmed,
+            confirmed_at: class.confirmed,
             bands: class.bands.iter().map(band).collect(),
-            best: class.best,
-            usual: class.usual,
-            steps: class.steps,
+            best_latency: class.best,
+            unloaded_latency: class.usual,
+            control_steps: class.steps,
             time_left: class.time_left,
-            size: class.size,
+            mean_work_estimate: class.size,
             arrivals: class.arrivals,
             runtime: class.runtime,
-            grant: class.grant,
+            grant_factor: class.grant,
         }
     }
 }
@@ -211,17 +211,17 @@
         Self {
             id: engine.id.clone(),
             address: String::new(),
-            started: engine.started,
-            confirmed: engine.confirmed,
-            heard: engine.heard,
-            slow: engine.slow,
-            errors: engine.errors,
-            others: engine.others,
-            ejected: engine.ejected,
+            started: engine.started_at,
+            confirmed: engine.confirmed_at,
+            heard: engine.reported_at,
+            slow: engine.slowdown,
+            errors: engine.error_rate,
+            others: engine.other_threads,
+            ejected: engine.ejected_until,
             ejections: engine.ejections,
-            back: engine.back,
-            lost: engine.lost,
-            cold: engine.cold,
+            back: engine.ejection_ended_at,
+            lost: engine.connections_refused_at,
+            cold: engine.in_slow_start,
         }
     }
 }
@@ -231,19 +231,19 @@
     fn from(engine: &Engine) -> Self {
         Self {
             id: engine.id.clone(),
-            started: engine.started,
-            confirmed: engine.confirmed,
-            heard: engine.heard,
-            slow: engine.slow,
-            errors: engine.errors,
-            others: engine.others,
-            ejected: engine.ejected,
+            started_at: engine.started,
+            confirmed_at: engine.confirmed,
+            reported_at: engine.heard,
+            slowdown: engine.slow,
+            error_rate: engine.errors,
+            other_threads: engine.others,
+            ejected_until: engine.ejected,
             ejections: engine.ejections,
-            back: engine.back,
-            lost: engine.lost,
-            cold: engine.cold,
-            perhaps_cold: false,
-            spent: false,
+            ejection_ended_at: engine.back,
+            connections_refused_at: engine.lost,
+            in_slow_start: engine.cold,
+            maybe_in_slow_start: false,
+            budget_spent: false,
         }
     }
 }
--- a/crates/persistence/tests/recovery.rs
+++ b/crates/persistence/tests/recovery.rs
@@ -43,7 +43,7 @@
     let mut restored = RestoredState::new(&snapshot(TAKEN, 1), TAKEN + 100.0, RULES).expect("it counts");
     let back = restored.restore(&[identity("s-new", None)], TAKEN + 100.0).expect("something");
     let e = &back.engines[0];
-    assert!(e.perhaps_cold && e.slow == 1.0 && e.errors == 0.0 && e.heard.is_none());
+    assert!(e.maybe_in_slow_start && e.slowdown == 1.0 && e.error_rate == 0.0 && e.reported_at.is_none());
 }
 
 #[test]
@@ -52,7 +52,7 @@
     let mut restored = RestoredState::new(&snapshot(TAKEN, 4), TAKEN + 11_000.0, RULES).expect("it counts");
     let names: Vec<_> = (0..4).map(|n| identity(&format!("s-{n}"), None)).collect();
     let back = restored.restore(&names, TAKEN + 11_000.0).expect("something");
-    assert_eq!(back.engines.iter().filter(|e| e.perhaps_cold).count(), 4);
+    assert_eq!(back.engines.iter().filter(|e| e.maybe_in_slow_start).count(), 4);
 }
 
 #[rstest]
@@ -82,11 +82,11 @@
     };
     let (soon, late) = (after(1_000.0), after(60_000.0));
     // Latencies stay, traffic is gone, an engine's slowness has lost half.
-    assert!(late.classes[0].bands[0].n > 0.9 * soon.classes[0].bands[0].n);
-    assert!(late.classes[0].best == 200.0 && late.classes[0].arrivals < 0.02 * soon.classes[0].arrivals);
-    assert!((soon.engines[0].slow - 2.0).abs() < 0.02 && (late.engines[0].slow - 1.5).abs() < 0.01);
-    assert!(late.engines[0].others < 0.001 && soon.engines[0].others > 3.0);
-    assert!(late.fleet.own_seen < 0.1 && soon.fleet.own_seen > 2.5);
+    assert!(late.classes[0].bands[0].samples > 0.9 * soon.classes[0].bands[0].samples);
+    assert!(late.classes[0].best_latency == 200.0 && late.classes[0].arrivals < 0.02 * soon.classes[0].arrivals);
+    assert!((soon.engines[0].slowdown - 2.0).abs() < 0.02 && (late.engines[0].slowdown - 1.5).abs() < 0.01);
+    assert!(late.engines[0].other_threads < 0.001 && soon.engines[0].other_threads > 3.0);
+    assert!(late.fleet.own_threads < 0.1 && soon.fleet.own_threads > 2.5);
 }
 
 #[test]
@@ -102,7 +102,7 @@
     let later = restored
         .restore(&[identity("s-0", None), identity("s-1", None)], TAKEN + 20_000.0)
         .expect("one more");
-    assert!(later.classes.is_empty() && later.engines.len() == 1 && later.engines[0].perhaps_cold);
+    assert!(later.classes.is_empty() && later.engines.len() == 1 && later.engines[0].maybe_in_slow_start);
     assert!(
         restored.restore(&[identity("s-2", None)], TAKEN + 60_101.0).is_none() && restored.unrestored() == 0
     );
@@ -122,8 +122,8 @@
             .remove(0)
     };
     assert!(
-        back(500.0).spent && !back(500.0).perhaps_cold,
+        back(500.0).budget_spent && !back(500.0).maybe_in_slow_start,
         "its start is told: the list says how cold it is"
     );
-    assert!(!back(5_000.0).spent);
+    assert!(!back(5_000.0).budget_spent);
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -187,7 +187,7 @@
 
     /// What the decision module has learned so far.
     pub fn learned(&self, now: Milliseconds) -> Learned {
-        Learned { at: now, ..self.balancer.learned() }
+        Learned { recorded_at: now, ..self.balancer.learned() }
     }
 
     /// Sets what an earlier incarnation learned, unless that is set already.
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -218,8 +218,8 @@
     second.core.resume(DeduplicationWindow::off(), Some(recall));
     second.list(1, &["a", "b"]);
     let back = second.core.learned(second.now);
-    assert!(back.classes[0].bands.iter().any(|b| b.n > 0.5), "{back:?}");
-    let doubted: Vec<_> = back.engines.iter().filter(|e| e.perhaps_cold).collect();
+    assert!(back.classes[0].bands.iter().any(|b| b.samples > 0.5), "{back:?}");
+    let doubted: Vec<_> = back.engines.iter().filter(|e| e.maybe_in_slow_start).collect();
     assert_eq!(doubted.len(), 1, "the one that was never heard of: {back:?}");
 }
 
--- a/tests/decide/admission.rs
+++ b/tests/decide/admission.rs
@@ -99,7 +99,7 @@
             let reports = |n| Event::HealthChecked { engine: engine(n), ok: true, took: 1.0, report };
             gateway.run_cycle(&(0..10).map(reports).collect::<Vec<_>>());
             let fleet = gateway.balancer.learned().fleet;
-            sum += fleet.own_seen / fleet.all_seen;
+            sum += fleet.own_threads / fleet.all_threads;
         }
         assert!((0.3..2.0).contains(&sum), "after {second} s the shares of all add up to {sum:.2}");
     }
--- a/tests/recall.rs
+++ b/tests/recall.rs
@@ -18,11 +18,11 @@
     let settings = Settings { gateways: 1, ..default_settings() };
     let mut balancer = Balancer::new(settings, 0.0).expect("sound");
     let short =
-        ClassLearned { name: "short".into(), threads: 1.0, best: 400.0, steps: 50.0, ..Default::default() };
+        ClassLearned { name: "short".into(), threads: 1.0, best_latency: 400.0, control_steps: 50.0, ..Default::default() };
     let learned = Learned {
-        bound: 1.5,
+        concurrency_limit: 1.5,
         classes: vec![short],
-        engines: vec![EngineLearned { id: engine(0).0.to_string(), slow: 1.0, ..from }],
+        engines: vec![EngineLearned { id: engine(0).0.to_string(), slowdown: 1.0, ..from }],
         ..Learned::default()
     };
     run_cycle(&mut balancer, 0.0, &[fleet(1), Event::Restored(Box::new(learned))]);
@@ -42,7 +42,7 @@
 
 #[test]
 fn perhaps_cold_engine_gets_no_more_than_a_cold_one_s_budget() {
-    let cold = sent(&mut restored(EngineLearned { perhaps_cold: true, ..Default::default() }));
+    let cold = sent(&mut restored(EngineLearned { maybe_in_slow_start: true, ..Default::default() }));
     // 0.8 of three times 0.3 of eight cores for two seconds, in queries of 400 ms; a little more as it warms.
     let budget = 0.8 * 3.0 * 0.3 * 8.0 * 2_000.0 / 400.0;
     let max = budget * (0.3 + 0.7 * 2.0 / 15.0) / 0.3 + 1.0;
@@ -53,7 +53,7 @@
 
 #[test]
 fn engine_whose_budget_was_spent_gets_nothing_until_the_span_is_over() {
-    let mut balancer = restored(EngineLearned { perhaps_cold: true, spent: true, ..Default::default() });
+    let mut balancer = restored(EngineLearned { maybe_in_slow_start: true, budget_spent: true, ..Default::default() });
     assert_eq!(sent(&mut balancer), 0);
     let details = RequestDetails { deadline: 5_000.0, ..incoming(900, 0, 0.0) };
     let later: usize = (0..20)
@@ -68,7 +68,7 @@
 
 /// The most queries in flight at once under steady load whose answers take `took`, after two seconds of such answers.
 fn max_in_flight(took: Milliseconds) -> usize {
-    let mut balancer = restored(EngineLearned { perhaps_cold: true, ..Default::default() });
+    let mut balancer = restored(EngineLearned { maybe_in_slow_start: true, ..Default::default() });
     let mut in_flight: Vec<(f64, u64)> = Vec::new();
     let mut max = 0;
     for n in 0..300_u64 {
@@ -111,16 +111,16 @@
 #[test]
 fn figures_that_are_none_or_past_all_sense_are_left_out() {
     let absurd = EngineLearned {
-        slow: f64::NAN,
-        errors: -3.0,
-        others: 1e300,
-        ejected: Some(f64::INFINITY),
-        back: Some(1e18),
+        slowdown: f64::NAN,
+        error_rate: -3.0,
+        other_threads: 1e300,
+        ejected_until: Some(f64::INFINITY),
+        ejection_ended_at: Some(1e18),
         ejections: u32::MAX,
         ..Default::default()
     };
     let balancer = restored(absurd);
     let back = &balancer.learned().engines[0];
-    assert!((back.slow, back.errors, back.others) == (1.0, 0.0, 0.0), "{back:?}");
-    assert!(back.ejected.is_none() && back.back.is_none() && back.ejections <= 6, "{back:?}");
+    assert!((back.slowdown, back.error_rate, back.other_threads) == (1.0, 0.0, 0.0), "{back:?}");
+    assert!(back.ejected_until.is_none() && back.ejection_ended_at.is_none() && back.ejections <= 6, "{back:?}");
 }
