--- a/crates/decision/src/checkpoint.rs
+++ b/crates/decision/src/checkpoint.rs
@@ -57,7 +57,11 @@
             overloaded_share: fleet.overloaded_share,
             median_slowdown: fleet.median_slowdown,
             speed: 1.0 / fleet.slowdown.clamp(1.0, MAX_SLOWDOWN),
-            shortest_health_checks: fleet.shortest_checks.iter().map(|(zone, took)| (zone_name(zone), *took)).collect(),
+            shortest_health_checks: fleet
+                .shortest_checks
+                .iter()
+                .map(|(zone, took)| (zone_name(zone), *took))
+                .collect(),
         }
     }
 
@@ -148,8 +152,8 @@
         engine.slowdown = within(from.slowdown, MIN_SLOWDOWN..=MAX_SLOWDOWN).unwrap_or(1.0);
         engine.thread_times = thread_times_of(engine.slowdown);
         engine.error_rate = within(from.error_rate, 0.0..=1.0).unwrap_or(engine.error_rate);
-        engine.load.other_threads =
-            within(from.other_threads, 0.0..=MAX_BELIEVED_LOAD * engine.cores).unwrap_or(engine.load.other_threads);
+        engine.load.other_threads = within(from.other_threads, 0.0..=MAX_BELIEVED_LOAD * engine.cores)
+            .unwrap_or(engine.load.other_threads);
         engine.load.last_report_at = past(from.reported_at);
         engine.ejection.count = from.ejections.min(MAX_RESTORED_EJECTIONS);
         let ejected_until = from.ejected_until.filter(|until| until.is_finite());
--- a/crates/experiments/src/experiments/cost.rs
+++ b/crates/experiments/src/experiments/cost.rs
@@ -13,7 +13,7 @@
 use serde_json::{json, Value};
 use starlingplank_persistence::recovery::{self, EndpointIdentity, RestoredState};
 use starlingplank_persistence::snapshot;
-use starlingplank_persistence::snapshot_records::{Class, Engine, Snapshot};
+use starlingplank_persistence::snapshot_records::{Band, Class, Engine, Snapshot};
 use starlingplank_test_doubles::capacity_model::EngineSpec;
 use starlingplank_test_doubles::thrift::Answer;
 use tokio::time::{sleep, Instant};
@@ -94,22 +94,24 @@
 fn large_snapshot(engines: usize) -> Snapshot {
     let class = |number: u32| Class {
         name: format!("class-{number}"),
-        bands: (1..=12).map(|band| (f64::from(band) * 0.25, 9.0, 200.0, 900.0)).collect(),
+        bands: (1..=12)
+            .map(|band| Band { level: f64::from(band) * 0.25, samples: 9.0, mean: 200.0, variance: 900.0 })
+            .collect(),
         ..Class::default()
     };
     let engine = |number: usize| Engine {
         id: engine_id(number),
         address: format!("10.0.{}.{}:9000", number / 250, number % 250),
-        confirmed: Some(TAKEN_AT - 50.0),
-        heard: Some(TAKEN_AT - 50.0),
-        slow: 1.1,
-        others: 3.0,
+        confirmed_at: Some(TAKEN_AT - 50.0),
+        reported_at: Some(TAKEN_AT - 50.0),
+        slowdown: 1.1,
+        other_threads: 3.0,
         ..Engine::default()
     };
     Snapshot {
-        taken: TAKEN_AT,
+        taken_at: TAKEN_AT,
         gateway: "lab".into(),
-        bound: 1.5,
+        concurrency_limit: 1.5,
         classes: (0..3).map(class).collect(),
         engines: (0..engines).map(engine).collect(),
         ..Snapshot::default()
--- a/crates/persistence/src/inspection.rs
+++ b/crates/persistence/src/inspection.rs
@@ -7,7 +7,7 @@
 use crate::folder::Files;
 use crate::idempotency_log;
 use crate::recovery::{self, retained_weight, EndpointIdentity, Rules, Uncertainty};
-use crate::snapshot_records::{Class, Engine, Snapshot};
+use crate::snapshot_records::{Band, Class, Engine, Snapshot};
 use crate::snapshot_store;
 use serde_json::{json, Value};
 use starlingplank_decision::interface::Milliseconds;
@@ -98,11 +98,11 @@
     Ok(Some(json!({
         "generation": generation,
         "gateway": snapshot.gateway,
-        "taken_ms": snapshot.taken,
-        "age_ms": now - snapshot.taken,
+        "taken_ms": snapshot.taken_at,
+        "age_ms": now - snapshot.taken_at,
         "counts": accepted.is_ok(),
         "why_not": accepted.err().map(|reason| reason.to_string()),
-        "bound_threads_per_core": snapshot.bound,
+        "bound_threads_per_core": snapshot.concurrency_limit,
         "fleet": show_fleet(&snapshot, now),
         "classes": snapshot.classes.iter().map(|class| show_class(class, &snapshot, now)).collect::<Vec<_>>(),
         "engines": snapshot.engines.iter().map(|engine| show_engine(engine, &snapshot, now, rules)).collect::<Vec<_>>(),
@@ -126,65 +126,68 @@
 fn show_fleet(snapshot: &Snapshot, now: Milliseconds) -> Value {
     let fleet = &snapshot.fleet;
     json!({
-        "worth": retained_weight(now - snapshot.taken, recovery::TRAFFIC_HALF_LIFE),
-        "own_threads": fleet.own_seen,
-        "all_threads": fleet.all_seen,
-        "threads_per_query": fleet.width,
-        "others_threads_per_core": fleet.usual_load,
-        "jammed_share": fleet.jammed,
-        "slowness": fleet.usual_slow,
+        "worth": retained_weight(now - snapshot.taken_at, recovery::TRAFFIC_HALF_LIFE),
+        "own_threads": fleet.own_threads,
+        "all_threads": fleet.all_threads,
+        "threads_per_query": fleet.threads_per_query,
+        "others_threads_per_core": fleet.other_load,
+        "jammed_share": fleet.overloaded_share,
+        "slowness": fleet.median_slowdown,
         "speed": fleet.speed,
-        "shortest_probe_ms": fleet.floors.iter().cloned().collect::<BTreeMap<_, _>>(),
+        "shortest_probe_ms": fleet.shortest_health_checks.iter().cloned().collect::<BTreeMap<_, _>>(),
     })
 }
 
 fn show_class(class: &Class, snapshot: &Snapshot, now: Milliseconds) -> Value {
-    let age = now - class.confirmed.unwrap_or(snapshot.taken);
+    let age = now - class.confirmed_at.unwrap_or(snapshot.taken_at);
     json!({
         "name": class.name,
         "age_ms": age,
         "worth": retained_weight(age, recovery::LATENCY_HALF_LIFE),
         "threads": class.threads,
-        "best_ms": class.best,
-        "alone_ms": class.usual,
+        "best_ms": class.best_latency,
+        "alone_ms": class.unloaded_latency,
         "arrivals": class.arrivals,
         "time_left_ms": class.time_left,
-        "mean_estimate": class.size,
-        "grant": class.grant,
+        "mean_estimate": class.mean_work_estimate,
+        "grant": class.grant_factor,
         "bands": class.bands.iter().map(show_band).collect::<Vec<_>>(),
     })
 }
 
-fn show_band((level, outcomes, mean, variance): &(f64, f64, f64, f64)) -> Value {
+fn show_band(band: &Band) -> Value {
     json!({
-        "threads_per_core": level,
-        "outcomes": outcomes,
-        "mean_ms": mean,
-        "deviation_ms": variance.max(0.0).sqrt(),
+        "threads_per_core": band.level,
+        "outcomes": band.samples,
+        "mean_ms": band.mean,
+        "deviation_ms": band.variance.max(0.0).sqrt(),
     })
 }
 
 fn show_engine(engine: &Engine, snapshot: &Snapshot, now: Milliseconds, rules: &Rules) -> Value {
-    let identity =
-        EndpointIdentity { id: engine.id.clone(), address: engine.address.clone(), started: engine.started };
+    let identity = EndpointIdentity {
+        id: engine.id.clone(),
+        address: engine.address.clone(),
+        started: engine.started_at,
+    };
     let uncertainty = recovery::uncertainty(Some(engine), &identity, now, rules);
-    let restored = recovery::engine(Some(engine), &identity, snapshot.taken, now, rules);
-    let age = engine.confirmed.map(|at| now - at);
+    let restored = recovery::engine(Some(engine), &identity, snapshot.taken_at, now, rules);
+    let age = engine.confirmed_at.map(|at| now - at);
     json!({
         "id": engine.id,
         "address": engine.address,
         "age_ms": age,
         "worth": age.map_or(0.0, |age| retained_weight(age, recovery::HEALTH_HALF_LIFE)),
-        "slowness": engine.slow,
+        "slowness": engine.slowdown,
         "slowness_now": restored.slowdown,
-        "errors": engine.errors,
+        "errors": engine.error_rate,
         "errors_now": restored.error_rate,
-        "others_threads": engine.others,
+        "others_threads": engine.other_threads,
         "others_threads_now": restored.other_threads,
-        "ejected_for_ms": engine.ejected.map(|until| until - now),
+        "ejected_for_ms": engine.ejected_until.map(|until| until - now),
         "ejections": engine.ejections,
-        "started_ms": engine.started,
-        "cold": engine.cold,
+        "started_ms": engine.started_at,
+        "cold": engine.in_slow_start,
         "perhaps_cold_now": uncertainty != Uncertainty::None,
         "why": show_uncertainty(uncertainty),
     })
--- a/crates/persistence/src/recovery.rs
+++ b/crates/persistence/src/recovery.rs
@@ -103,7 +103,7 @@
 /// # Errors
 /// The snapshot lies in the future, is too old, or has no valid time.
 pub fn age(snapshot: &Snapshot, now: Milliseconds, rules: &Rules) -> Result<Milliseconds, RejectedSnapshot> {
-    let age = now - snapshot.taken;
+    let age = now - snapshot.taken_at;
     match age {
         _ if !age.is_finite() => Err(RejectedSnapshot::InvalidTime),
         _ if age < -CLOCK_TOLERANCE => Err(RejectedSnapshot::FromTheFuture(-age)),
@@ -120,13 +120,13 @@
     rules: &Rules,
 ) -> Uncertainty {
     let Some(known) = known else { return Uncertainty::UnknownId };
-    if identity.started.is_some() && identity.started != known.started {
+    if identity.started.is_some() && identity.started != known.started_at {
         return Uncertainty::Restarted;
     }
-    if known.cold && identity.started.is_none() {
+    if known.in_slow_start && identity.started.is_none() {
         return Uncertainty::WasInSlowStart;
     }
-    match known.confirmed {
+    match known.confirmed_at {
         Some(at) if now - at <= rules.restart_within && now - at >= -CLOCK_TOLERANCE => Uncertainty::None,
         _ => Uncertainty::NotHeardRecently,
     }
@@ -134,14 +134,15 @@
 
 fn age_classes(snapshot: &Snapshot, now: Milliseconds, learned: &mut Learned) {
     for class in &mut learned.classes {
-        let age = now - class.confirmed_at.unwrap_or(snapshot.taken);
+        let age = now - class.confirmed_at.unwrap_or(snapshot.taken_at);
         let latency = retained_weight(age, LATENCY_HALF_LIFE);
-        let traffic = retained_weight(now - snapshot.taken, TRAFFIC_HALF_LIFE);
+        let traffic = retained_weight(now - snapshot.taken_at, TRAFFIC_HALF_LIFE);
         for band in &mut class.bands {
             band.samples *= latency;
         }
         // The fewer steps the best latency rests on, the faster the decision module learns another.
-        class.control_steps = (class.control_steps * latency).floor().max(f64::from(u8::from(class.control_steps >= 1.0)));
+        class.control_steps =
+            (class.control_steps * latency).floor().max(f64::from(u8::from(class.control_steps >= 1.0)));
         class.arrivals *= traffic;
         class.runtime *= traffic;
         class.confirmed_at = None;
@@ -173,26 +174,31 @@
 ) -> EngineLearned {
     let uncertainty = uncertainty(known, identity, now, rules);
     let perhaps_cold = uncertainty != Uncertainty::None;
-    let fresh =
-        EngineLearned { id: identity.id.clone(), slowdown: 1.0, maybe_in_slow_start: perhaps_cold, ..EngineLearned::default() };
+    let fresh = EngineLearned {
+        id: identity.id.clone(),
+        slowdown: 1.0,
+        maybe_in_slow_start: perhaps_cold,
+        ..EngineLearned::default()
+    };
     let same_process = !matches!(uncertainty, Uncertainty::Restarted | Uncertainty::UnknownId);
     let Some(known) = known.filter(|_| same_process) else { return fresh };
-    let seen = known.confirmed.unwrap_or(taken);
+    let seen = known.confirmed_at.unwrap_or(taken);
     let health = retained_weight(now - seen, HEALTH_HALF_LIFE);
     // How much of a slow start's budget was left at the very end is unknown.
-    let spent =
-        known.cold && now - seen.max(taken) <= rules.overload_collapse_after.max(rules.restart_within);
+    let spent = known.in_slow_start
+        && now - seen.max(taken) <= rules.overload_collapse_after.max(rules.restart_within);
     EngineLearned {
-        slowdown: 1.0 + (known.slow - 1.0) * health,
-        error_rate: known.errors * health,
-        other_threads: known.others * retained_weight(now - known.heard.unwrap_or(taken), LOAD_HALF_LIFE),
-        reported_at: known.heard,
+        slowdown: 1.0 + (known.slowdown - 1.0) * health,
+        error_rate: known.error_rate * health,
+        other_threads: known.other_threads
+            * retained_weight(now - known.reported_at.unwrap_or(taken), LOAD_HALF_LIFE),
+        reported_at: known.reported_at,
         // An engine whose ejection has ended meanwhile is tried first.
-        ejected_until: known.ejected.filter(|_| health > EJECTION_MIN_WEIGHT),
+        ejected_until: known.ejected_until.filter(|_| health > EJECTION_MIN_WEIGHT),
         ejections: if health > EJECTION_MIN_WEIGHT { known.ejections } else { 0 },
-        ejection_ended_at: known.back,
-        connections_refused_at: known.lost.filter(|_| !perhaps_cold),
-        in_slow_start: known.cold,
+        ejection_ended_at: known.ejection_ended_at,
+        connections_refused_at: known.connections_refused_at.filter(|_| !perhaps_cold),
+        in_slow_start: known.in_slow_start,
         budget_spent: spent,
         ..fresh
     }
@@ -225,7 +231,7 @@
         age_fleet(age, &mut learned.fleet);
         Ok(Self {
             rules,
-            taken: snapshot.taken,
+            taken: snapshot.taken_at,
             fleet: Some(learned),
             known: snapshot.engines.iter().map(|engine| (engine.id.clone(), engine.clone())).collect(),
             restored: BTreeSet::new(),
--- a/crates/persistence/src/snapshot.rs
+++ b/crates/persistence/src/snapshot.rs
@@ -20,9 +20,9 @@
         return Ok(FORMAT.frame(&records));
     }
     let mut reduced = snapshot.clone();
-    reduced
-        .engines
-        .sort_by(|first, second| second.confirmed.unwrap_or(0.0).total_cmp(&first.confirmed.unwrap_or(0.0)));
+    reduced.engines.sort_by(|first, second| {
+        second.confirmed_at.unwrap_or(0.0).total_cmp(&first.confirmed_at.unwrap_or(0.0))
+    });
     while !reduced.engines.is_empty() {
         reduced.engines.truncate(reduced.engines.len() * 3 / 4);
         let records = pack(&reduced)?;
--- a/crates/persistence/src/snapshot_records.rs
+++ b/crates/persistence/src/snapshot_records.rs
@@ -13,11 +13,11 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// When the snapshot was taken.
-    pub taken: Milliseconds,
+    pub taken_at: Milliseconds,
     /// The gateway's name.
     pub gateway: String,
     /// The concurrency limit, in threads per core.
-    pub bound: f64,
+    pub concurrency_limit: f64,
     /// What was learned of all engines together.
     pub fleet: Fleet,
     /// What was learned of each class.
@@ -30,21 +30,34 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Fleet {
     /// This gateway's recent threads.
-    pub own_seen: f64,
+    pub own_threads: f64,
     /// Recent threads of all gateways.
-    pub all_seen: f64,
+    pub all_threads: f64,
     /// Mean threads of a query.
-    pub width: f64,
+    pub threads_per_query: f64,
     /// Threads per core that other gateways run.
-    pub usual_load: f64,
+    pub other_load: f64,
     /// Fraction of engines far over any concurrency limit.
-    pub jammed: f64,
+    pub overloaded_share: f64,
     /// Median slowness of the engines.
-    pub usual_slow: f64,
+    pub median_slowdown: f64,
     /// Latency of queries that run alone divided by their actual latency.
     pub speed: f64,
     /// The shortest health check by zone, in milliseconds.
-    pub floors: Vec<(String, Milliseconds)>,
+    pub shortest_health_checks: Vec<(String, Milliseconds)>,
+}
+
+/// Latencies of a class in one band of load.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
+pub struct Band {
+    /// The band, in threads per core.
+    pub level: f64,
+    /// Number of samples, decayed.
+    pub samples: f64,
+    /// Mean, in milliseconds.
+    pub mean: Milliseconds,
+    /// Variance, in square milliseconds.
+    pub variance: f64,
 }
 
 /// What was learned of a class.
@@ -55,25 +68,25 @@
     /// Threads of a query.
     pub threads: f64,
     /// When an outcome was last seen.
-    pub confirmed: Option<Milliseconds>,
-    /// Latency by load: level in threads per core, outcomes, mean and variance in milliseconds.
-    pub bands: Vec<(f64, f64, f64, f64)>,
+    pub confirmed_at: Option<Milliseconds>,
+    /// Latency by load.
+    pub bands: Vec<Band>,
     /// Lowest recent mean latency.
-    pub best: Milliseconds,
+    pub best_latency: Milliseconds,
     /// Latency of a query alone.
-    pub usual: Milliseconds,
+    pub unloaded_latency: Milliseconds,
     /// Steps over which the lowest latency was learned.
-    pub steps: f64,
+    pub control_steps: f64,
     /// Clients' usual time from the request to their timeout.
     pub time_left: Milliseconds,
     /// Mean estimate of work that came with requests.
-    pub size: f64,
+    pub mean_work_estimate: f64,
     /// Recent first attempts.
     pub arrivals: f64,
     /// Recent run time of attempts.
     pub runtime: f64,
     /// Requested memory divided by the estimate.
-    pub grant: f64,
+    pub grant_factor: f64,
 }
 
 /// What was learned of an engine.
@@ -84,27 +97,27 @@
     /// Where it listened; empty in records of version 1.
     pub address: String,
     /// When its process started, if the list told.
-    pub started: Option<Milliseconds>,
+    pub started_at: Option<Milliseconds>,
     /// When it last answered anything.
-    pub confirmed: Option<Milliseconds>,
+    pub confirmed_at: Option<Milliseconds>,
     /// When it last reported its load.
-    pub heard: Option<Milliseconds>,
+    pub reported_at: Option<Milliseconds>,
     /// Its latency divided by the lowest.
-    pub slow: f64,
+    pub slowdown: f64,
     /// Recent fraction of failures.
-    pub errors: f64,
+    pub error_rate: f64,
     /// Threads of other gateways.
-    pub others: f64,
+    pub other_threads: f64,
     /// When its ejection ends.
-    pub ejected: Option<Milliseconds>,
+    pub ejected_until: Option<Milliseconds>,
     /// Consecutive ejections.
     pub ejections: u32,
     /// When the last ejection ended.
-    pub back: Option<Milliseconds>,
+    pub ejection_ended_at: Option<Milliseconds>,
     /// When it last refused connections.
-    pub lost: Option<Milliseconds>,
+    pub connections_refused_at: Option<Milliseconds>,
     /// Whether it was in slow start when last seen.
-    pub cold: bool,
+    pub in_slow_start: bool,
 }
 
 impl Snapshot {
@@ -115,9 +128,9 @@
             Engine { address, ..Engine::from(engine) }
         };
         Self {
-            taken: learned.recorded_at,
+            taken_at: learned.recorded_at,
             gateway: gateway.to_owned(),
-            bound: learned.concurrency_limit,
+            concurrency_limit: learned.concurrency_limit,
             fleet: Fleet::from(&learned.fleet),
             classes: learned.classes.iter().map(Class::from).collect(),
             engines: learned.engines.iter().map(engine).collect(),
@@ -127,8 +140,8 @@
     /// The decision module's records, as they were taken.
     pub fn learned(&self) -> Learned {
         Learned {
-            recorded_at: self.taken,
-            concurrency_limit: self.bound,
+            recorded_at: self.taken_at,
+            concurrency_limit: self.concurrency_limit,
             fleet: FleetLearned::from(&self.fleet),
             classes: self.classes.iter().map(ClassLearned::from).collect(),
             engines: self.engines.iter().map(EngineLearned::from).collect(),
@@ -139,14 +152,14 @@
 impl From<&FleetLearned> for Fleet {
     fn from(fleet: &FleetLearned) -> Self {
         Self {
-            own_seen: fleet.own_threads,
-            all_seen: fleet.all_threads,
-            width: fleet.threads_per_query,
-            usual_load: fleet.other_load,
-            jammed: fleet.overloaded_share,
-            usual_slow: fleet.median_slowdown,
+            own_threads: fleet.own_threads,
+            all_threads: fleet.all_threads,
+            threads_per_query: fleet.threads_per_query,
+            other_load: fleet.other_load,
+            overloaded_share: fleet.overloaded_share,
+            median_slowdown: fleet.median_slowdown,
             speed: fleet.speed,
-            floors: fleet.shortest_health_checks.clone(),
+            shortest_health_checks: fleet.shortest_health_checks.clone(),
         }
     }
 }
@@ -154,53 +167,66 @@
 impl From<&Fleet> for FleetLearned {
     fn from(fleet: &Fleet) -> Self {
         Self {
-            own_threads: fleet.own_seen,
-            all_threads: fleet.all_seen,
-            threads_per_query: fleet.width,
-            other_load: fleet.usual_load,
-            overloaded_share: fleet.jammed,
-            median_slowdown: fleet.usual_slow,
+            own_threads: fleet.own_threads,
+            all_threads: fleet.all_threads,
+            threads_per_query: fleet.threads_per_query,
+            other_load: fleet.other_load,
+            overloaded_share: fleet.overloaded_share,
+            median_slowdown: fleet.median_slowdown,
             speed: fleet.speed,
-            shortest_health_checks: fleet.floors.clone(),
+            shortest_health_checks: fleet.shortest_health_checks.clone(),
         }
     }
 }
 
+impl From<&BandLearned> for Band {
+    fn from(band: &BandLearned) -> Self {
+        let BandLearned { level, samples, mean, variance } = *band;
+        Self { level, samples, mean, variance }
+    }
+}
+
+impl From<&Band> for BandLearned {
+    fn from(band: &Band) -> Self {
+        let Band { level, samples, mean, variance } = *band;
+        Self { level, samples, mean, variance }
+    }
+}
+
 impl From<&ClassLearned> for Class {
     fn from(class: &ClassLearned) -> Self {
         Self {
             name: class.name.clone(),
             threads: class.threads,
-            confirmed: class.confirmed_at,
-            bands: class.bands.iter().map(|band| (band.level, band.samples, band.mean, band.variance)).collect(),
-            best: class.best_latency,
-            usual: class.unloaded_latency,
-            steps: class.control_steps,
+            confirmed_at: class.confirmed_at,
+            bands: class.bands.iter().map(Band::from).collect(),
+            best_latency: class.best_latency,
+            unloaded_latency: class.unloaded_latency,
+            control_steps: class.control_steps,
             time_left: class.time_left,
-            size: class.mean_work_estimate,
+            mean_work_estimate: class.mean_work_estimate,
             arrivals: class.arrivals,
             runtime: class.runtime,
-            grant: class.grant_factor,
+            grant_factor: class.grant_factor,
         }
     }
 }
 
 impl From<&Class> for ClassLearned {
     fn from(class: &Class) -> Self {
-        let band = |&(level, n, mean, var): &(f64, f64, f64, f64)| BandLearned { level, samples: n, mean, variance: var };
         Self {
             name: class.name.clone(),
             threads: class.threads,
-            confirmed_at: class.confirmed,
-            bands: class.bands.iter().map(band).collect(),
-            best_latency: class.best,
-            unloaded_latency: class.usual,
-            control_steps: class.steps,
+            confirmed_at: class.confirmed_at,
+            bands: class.bands.iter().map(BandLearned::from).collect(),
+            best_latency: class.best_latency,
+            unloaded_latency: class.unloaded_latency,
+            control_steps: class.control_steps,
             time_left: class.time_left,
-            mean_work_estimate: class.size,
+            mean_work_estimate: class.mean_work_estimate,
             arrivals: class.arrivals,
             runtime: class.runtime,
-            grant_factor: class.grant,
+            grant_factor: class.grant_factor,
         }
     }
 }
@@ -211,17 +237,17 @@
         Self {
             id: engine.id.clone(),
             address: String::new(),
-            started: engine.started_at,
-            confirmed: engine.confirmed_at,
-            heard: engine.reported_at,
-            slow: engine.slowdown,
-            errors: engine.error_rate,
-            others: engine.other_threads,
-            ejected: engine.ejected_until,
+            started_at: engine.started_at,
+            confirmed_at: engine.confirmed_at,
+            reported_at: engine.reported_at,
+            slowdown: engine.slowdown,
+            error_rate: engine.error_rate,
+            other_threads: engine.other_threads,
+            ejected_until: engine.ejected_until,
             ejections: engine.ejections,
-            back: engine.ejection_ended_at,
-            lost: engine.connections_refused_at,
-            cold: engine.in_slow_start,
+            ejection_ended_at: engine.ejection_ended_at,
+            connections_refused_at: engine.connections_refused_at,
+            in_slow_start: engine.in_slow_start,
         }
     }
 }
@@ -231,17 +257,17 @@
     fn from(engine: &Engine) -> Self {
         Self {
             id: engine.id.clone(),
-            started_at: engine.started,
-            confirmed_at: engine.confirmed,
-            reported_at: engine.heard,
-            slowdown: engine.slow,
-            error_rate: engine.errors,
-            other_threads: engine.others,
-            ejected_until: engine.ejected,
+            started_at: engine.started_at,
+            confirmed_at: engine.confirmed_at,
+            reported_at: engine.reported_at,
+            slowdown: engine.slowdown,
+            error_rate: engine.error_rate,
+            other_threads: engine.other_threads,
+            ejected_until: engine.ejected_until,
             ejections: engine.ejections,
-            ejection_ended_at: engine.back,
-            connections_refused_at: engine.lost,
-            in_slow_start: engine.cold,
+            ejection_ended_at: engine.ejection_ended_at,
+            connections_refused_at: engine.connections_refused_at,
+            in_slow_start: engine.in_slow_start,
             maybe_in_slow_start: false,
             budget_spent: false,
         }
@@ -257,9 +283,9 @@
     #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
     pub struct Snapshot {
         /// When the snapshot was taken.
-        pub taken: Milliseconds,
+        pub taken_at: Milliseconds,
         /// The concurrency limit.
-        pub bound: f64,
+        pub concurrency_limit: f64,
         /// Recent threads of this gateway and of all, threads of a query, load of others, slowness, speed.
         pub fleet: [f64; 6],
         /// What was learned of each class, as in version 2.
@@ -274,17 +300,17 @@
         /// Its id.
         pub id: String,
         /// When its process started.
-        pub started: Option<Milliseconds>,
+        pub started_at: Option<Milliseconds>,
         /// When it last answered.
-        pub confirmed: Option<Milliseconds>,
+        pub confirmed_at: Option<Milliseconds>,
         /// Its latency divided by the lowest.
-        pub slow: f64,
+        pub slowdown: f64,
         /// Recent fraction of failures.
-        pub errors: f64,
+        pub error_rate: f64,
         /// When its ejection ends.
-        pub ejected: Option<Milliseconds>,
+        pub ejected_until: Option<Milliseconds>,
         /// Whether it was in slow start.
-        pub cold: bool,
+        pub in_slow_start: bool,
     }
 
     impl From<Snapshot> for super::Snapshot {
@@ -292,27 +318,27 @@
             let [own_seen, all_seen, width, usual_load, usual_slow, speed] = old.fleet;
             let engine = |engine: Engine| super::Engine {
                 id: engine.id,
-                started: engine.started,
-                confirmed: engine.confirmed,
-                slow: engine.slow,
-                errors: engine.errors,
-                ejected: engine.ejected,
-                cold: engine.cold,
+                started_at: engine.started_at,
+                confirmed_at: engine.confirmed_at,
+                slowdown: engine.slowdown,
+                error_rate: engine.error_rate,
+                ejected_until: engine.ejected_until,
+                in_slow_start: engine.in_slow_start,
                 ..super::Engine::default()
             };
             Self {
-                taken: old.taken,
+                taken_at: old.taken_at,
                 gateway: String::new(),
-                bound: old.bound,
+                concurrency_limit: old.concurrency_limit,
                 fleet: super::Fleet {
-                    own_seen,
-                    all_seen,
-                    width,
-                    usual_load,
-                    jammed: 0.0,
-                    usual_slow,
+                    own_threads: own_seen,
+                    all_threads: all_seen,
+                    threads_per_query: width,
+                    other_load: usual_load,
+                    overloaded_share: 0.0,
+                    median_slowdown: usual_slow,
                     speed,
-                    floors: Vec::new(),
+                    shortest_health_checks: Vec::new(),
                 },
                 classes: old.classes,
                 engines: old.engines.into_iter().map(engine).collect(),
--- a/crates/persistence/tests/crash.rs
+++ b/crates/persistence/tests/crash.rs
@@ -28,7 +28,7 @@
 
 fn found(disk: &FaultyDisk) -> (u64, usize) {
     let loaded = load(disk, MOST).expect("it can be read");
-    (loaded.snapshot.map_or(0, |(_, s)| s.taken as u64), loaded.faults.len())
+    (loaded.snapshot.map_or(0, |(_, s)| s.taken_at as u64), loaded.faults.len())
 }
 
 #[rstest]
--- a/crates/persistence/tests/recovery.rs
+++ b/crates/persistence/tests/recovery.rs
@@ -17,7 +17,7 @@
 }
 
 fn engine(started: Option<f64>, cold: bool) -> Engine {
-    Engine { started, cold, ..snapshot(TAKEN, 1).engines.remove(0) }
+    Engine { started_at: started, in_slow_start: cold, ..snapshot(TAKEN, 1).engines.remove(0) }
 }
 
 #[rstest]
@@ -27,7 +27,7 @@
 #[case::new_start_time(engine(Some(5.0), false), Some(9.0), 100.0, Uncertainty::Restarted)]
 #[case::start_time_told_for_the_first_time(engine(None, false), Some(9.0), 100.0, Uncertainty::Restarted)]
 #[case::cold_when_last_seen(engine(None, true), None, 100.0, Uncertainty::WasInSlowStart)]
-#[case::never_heard_of(Engine { confirmed: None, ..engine(None, false) }, None, 100.0, Uncertainty::NotHeardRecently)]
+#[case::never_heard_of(Engine { confirmed_at: None, ..engine(None, false) }, None, 100.0, Uncertainty::NotHeardRecently)]
 #[case::heard_of_in_the_future(engine(None, false), None, -5_000.0, Uncertainty::NotHeardRecently)]
 fn engine_is_perhaps_cold_unless_it_is_surely_the_process_that_was_warm(
     #[case] known: Engine,
@@ -83,7 +83,9 @@
     let (soon, late) = (after(1_000.0), after(60_000.0));
     // Latencies stay, traffic is gone, an engine's slowness has lost half.
     assert!(late.classes[0].bands[0].samples > 0.9 * soon.classes[0].bands[0].samples);
-    assert!(late.classes[0].best_latency == 200.0 && late.classes[0].arrivals < 0.02 * soon.classes[0].arrivals);
+    assert!(
+        late.classes[0].best_latency == 200.0 && late.classes[0].arrivals < 0.02 * soon.classes[0].arrivals
+    );
     assert!((soon.engines[0].slowdown - 2.0).abs() < 0.02 && (late.engines[0].slowdown - 1.5).abs() < 0.01);
     assert!(late.engines[0].other_threads < 0.001 && soon.engines[0].other_threads > 3.0);
     assert!(late.fleet.own_threads < 0.1 && soon.fleet.own_threads > 2.5);
--- a/crates/persistence/tests/snapshot.rs
+++ b/crates/persistence/tests/snapshot.rs
@@ -43,19 +43,19 @@
 #[test]
 fn version_before_is_read_from_the_bytes_that_it_left() {
     let read = decode(OLD).expect("version 1 is read");
-    assert_eq!((read.taken, read.bound, read.fleet.speed), (1_700_000_000_000.0, 1.5, 0.8));
-    assert_eq!((read.engines.len(), read.engines[0].id.as_str(), read.engines[0].slow), (2, "s-0", 1.5));
+    assert_eq!((read.taken_at, read.concurrency_limit, read.fleet.speed), (1_700_000_000_000.0, 1.5, 0.8));
+    assert_eq!((read.engines.len(), read.engines[0].id.as_str(), read.engines[0].slowdown), (2, "s-0", 1.5));
     assert_eq!(read.classes, snapshot(1_700_000_000_000.0, 0).classes);
     let again = v1::Snapshot {
-        taken: 1_700_000_000_000.0,
-        bound: 1.5,
+        taken_at: 1_700_000_000_000.0,
+        concurrency_limit: 1.5,
         fleet: [3.0, 9.0, 1.25, 0.2, 1.0, 0.8],
         classes: snapshot(1_700_000_000_000.0, 0).classes,
         engines: (0..2)
             .map(|n| v1::Engine {
                 id: format!("s-{n}"),
-                confirmed: Some(1_699_999_999_900.0),
-                slow: 1.5,
+                confirmed_at: Some(1_699_999_999_900.0),
+                slowdown: 1.5,
                 ..v1::Engine::default()
             })
             .collect(),
@@ -75,7 +75,7 @@
 #[test]
 fn where_not_all_fits_the_engines_heard_last_are_kept() {
     let mut large = snapshot(1_000_000.0, 400);
-    large.engines[390].confirmed = Some(1_000_000.0);
+    large.engines[390].confirmed_at = Some(1_000_000.0);
     let bytes = encode(&large, 8_000).expect("some fit");
     let kept = decode(&bytes).expect("whole").engines;
     assert!(bytes.len() <= 8_000 && !kept.is_empty() && kept.len() < 400);
--- a/src/net/persistence/snapshots.rs
+++ b/src/net/persistence/snapshots.rs
@@ -29,7 +29,7 @@
     let (generation, snapshot) = loaded.snapshot?;
     match RestoredState::new(&snapshot, now, rules) {
         Ok(restored) => {
-            let (engines, age) = (snapshot.engines.len(), now - snapshot.taken);
+            let (engines, age) = (snapshot.engines.len(), now - snapshot.taken_at);
             info!(generation, engines, age_s = %format_args!("{:.1}", age / 1000.0), "snapshot restored");
             Some(restored)
         }
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -210,7 +210,7 @@
     first.step(Event::AttemptEnded(send, AttemptEnd::plain(Outcome::Ok)));
     let learned = first.core.learned(first.now);
     let snapshot = Snapshot::new("n0", &learned, &first.core.addresses());
-    assert!(snapshot.engines.iter().any(|e| e.confirmed.is_some()), "{snapshot:?}");
+    assert!(snapshot.engines.iter().any(|e| e.confirmed_at.is_some()), "{snapshot:?}");
 
     let mut second = Harness::new(settings());
     second.now = first.now + 500.0;
--- a/tests/recall.rs
+++ b/tests/recall.rs
@@ -17,8 +17,13 @@
 fn restored(from: EngineLearned) -> Balancer {
     let settings = Settings { gateways: 1, ..default_settings() };
     let mut balancer = Balancer::new(settings, 0.0).expect("sound");
-    let short =
-        ClassLearned { name: "short".into(), threads: 1.0, best_latency: 400.0, control_steps: 50.0, ..Default::default() };
+    let short = ClassLearned {
+        name: "short".into(),
+        threads: 1.0,
+        best_latency: 400.0,
+        control_steps: 50.0,
+        ..Default::default()
+    };
     let learned = Learned {
         concurrency_limit: 1.5,
         classes: vec![short],
@@ -53,7 +58,8 @@
 
 #[test]
 fn engine_whose_budget_was_spent_gets_nothing_until_the_span_is_over() {
-    let mut balancer = restored(EngineLearned { maybe_in_slow_start: true, budget_spent: true, ..Default::default() });
+    let mut balancer =
+        restored(EngineLearned { maybe_in_slow_start: true, budget_spent: true, ..Default::default() });
     assert_eq!(sent(&mut balancer), 0);
     let details = RequestDetails { deadline: 5_000.0, ..incoming(900, 0, 0.0) };
     let later: usize = (0..20)
@@ -122,5 +128,8 @@
     let balancer = restored(absurd);
     let back = &balancer.learned().engines[0];
     assert!((back.slowdown, back.error_rate, back.other_threads) == (1.0, 0.0, 0.0), "{back:?}");
-    assert!(back.ejected_until.is_none() && back.ejection_ended_at.is_none() && back.ejections <= 6, "{back:?}");
+    assert!(
+        back.ejected_until.is_none() && back.ejection_ended_at.is_none() && back.ejections <= 6,
+        "{back:?}"
+    );
 }
