--- a/crates/persistence/src/deduplication_window.rs
+++ b/crates/persistence/src/deduplication_window.rs
@@ -68,13 +68,13 @@
 
 /// Whether a keyed attempt may be sent.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Leave {
+pub enum SendPermission {
     /// At once.
     Now,
     /// Once the record of this send is durable.
     AfterRecord(KeySend),
     /// No: the attempt is not executed.
-    No,
+    Denied,
 }
 
 /// The contents of a log file that is to be written.
@@ -256,21 +256,21 @@
     }
 
     /// Whether an attempt with this key may be sent. From here on it counts as sent.
-    pub fn leave(&mut self, key: &Key, window: Milliseconds, now: Milliseconds) -> Leave {
+    pub fn permit_send(&mut self, key: &Key, window: Milliseconds, now: Milliseconds) -> SendPermission {
         self.expire(now);
         if self.blocked(now).is_some() {
-            return Leave::No;
+            return SendPermission::Denied;
         }
         let send = KeySend { at: now, window };
         let sends = match self.tracked.get(key) {
             Some(tracked) => tracked.sends.and(send),
-            None if self.tracked.len() >= self.max_keys => return Leave::No,
+            None if self.tracked.len() >= self.max_keys => return SendPermission::Denied,
             None => KeySends::one(send),
         };
         self.track(*key, TrackedKey { sends, durable: false });
         match self.log {
-            LogState::Open { .. } if self.healthy => Leave::AfterRecord(send),
-            _ => Leave::Now,
+            LogState::Open { .. } if self.healthy => SendPermission::AfterRecord(send),
+            _ => SendPermission::Now,
         }
     }
 
--- a/crates/persistence/tests/twice.rs
+++ b/crates/persistence/tests/twice.rs
@@ -6,7 +6,7 @@
 use starlingplank_persistence::boot_time::BootTime;
 use starlingplank_persistence::clock_offset::ClockOffset;
 use starlingplank_persistence::deduplication_window::{
-    key, Admission, DeduplicationWindow, Key, KeySend, KeySends, Leave, LogState,
+    key, Admission, DeduplicationWindow, Key, KeySend, KeySends, LogState, SendPermission,
 };
 use starlingplank_persistence::disk::Disk as _;
 use starlingplank_persistence::idempotency_log::{self, IdempotencyLog, Record};
@@ -89,10 +89,10 @@
     }
 
     fn leave(&mut self, key: Key, now: f64) -> bool {
-        match self.deduplication.leave(&key, WINDOW, now) {
-            Leave::No => false,
-            Leave::Now => true,
-            Leave::AfterRecord(sent) => {
+        match self.deduplication.permit_send(&key, WINDOW, now) {
+            SendPermission::Denied => false,
+            SendPermission::Now => true,
+            SendPermission::AfterRecord(sent) => {
                 let there = self.offset.stored_send(sent);
                 if let Some(Ok(_)) = self.log.as_mut().map(|log| log.append(&[Record::KeySend(key, there)])) {
                     self.deduplication.recorded(&key, sent, now)
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -55,41 +55,41 @@
 
 /// Where learned state is persisted, and for how long it is valid.
 #[derive(Debug, Clone, PartialEq)]
-pub struct KnowledgeSettings {
+pub struct PersistenceSettings {
     /// The folder; it is created if it does not exist.
     pub folder: PathBuf,
     /// Whether the program ends at its start if the folder cannot be used.
     pub required: bool,
     /// Time between two snapshots.
-    pub every: Milliseconds,
+    pub snapshot_interval: Milliseconds,
     /// Largest size of a snapshot, in bytes.
-    pub most_bytes: usize,
+    pub max_snapshot_bytes: usize,
     /// Whether idempotency keys are logged.
-    pub keys: bool,
+    pub logs_keys: bool,
     /// Largest number of idempotency keys.
-    pub most_keys: usize,
+    pub max_keys: usize,
     /// The shortest time in which an engine can restart: one that was not seen for longer may be cold.
     pub restart_within: Milliseconds,
     /// An older snapshot is ignored.
-    pub keep_for: Milliseconds,
+    pub max_snapshot_age: Milliseconds,
     /// How long state of engines that are not in the endpoint list is kept for them to appear there.
-    pub list_wait: Milliseconds,
+    pub unlisted_retention: Milliseconds,
 }
 
-impl KnowledgeSettings {
+impl PersistenceSettings {
     fn read(fields: &Fields) -> Result<Option<Self>, LineError> {
         let Some(folder) = fields.opt("knowledge.folder") else { return Ok(None) };
         let max_snapshot_mib = fields.number_or("knowledge.most_mb", DEFAULT_MAX_SNAPSHOT_MIB);
         Ok(Some(Self {
             folder: folder.into(),
             required: fields.opt("knowledge.required") == Some("true"),
-            every: fields.number_or("knowledge.every", DEFAULT_SNAPSHOT_INTERVAL)?,
-            most_bytes: (max_snapshot_mib? * MIB) as usize,
-            keys: fields.opt("knowledge.keys") != Some("false"),
-            most_keys: fields.number_or("knowledge.most_keys", DEFAULT_MAX_KEYS)? as usize,
+            snapshot_interval: fields.number_or("knowledge.every", DEFAULT_SNAPSHOT_INTERVAL)?,
+            max_snapshot_bytes: (max_snapshot_mib? * MIB) as usize,
+            logs_keys: fields.opt("knowledge.keys") != Some("false"),
+            max_keys: fields.number_or("knowledge.most_keys", DEFAULT_MAX_KEYS)? as usize,
             restart_within: fields.number_or("knowledge.restart_within", recovery::DEFAULT.restart_within)?,
-            keep_for: fields.number_or("knowledge.keep_for", recovery::DEFAULT.keep_for)?,
-            list_wait: fields.number_or("knowledge.list_wait", recovery::DEFAULT.list_wait)?,
+            max_snapshot_age: fields.number_or("knowledge.keep_for", recovery::DEFAULT.keep_for)?,
+            unlisted_retention: fields.number_or("knowledge.list_wait", recovery::DEFAULT.list_wait)?,
         }))
     }
 }
@@ -146,7 +146,7 @@
     /// How the log is written.
     pub log: LogSettings,
     /// Where learned state is persisted; without it, it ends with the program.
-    pub knowledge: Option<KnowledgeSettings>,
+    pub knowledge: Option<PersistenceSettings>,
     /// Where operators call, if anywhere; a new version may then take over in service as well.
     pub operator: Option<SocketAddr>,
 }
@@ -215,7 +215,7 @@
             endpoints_version: raw.serial,
             endpoints: read_endpoints(&raw.engines, &settings)?,
             log,
-            knowledge: KnowledgeSettings::read(&fields)?,
+            knowledge: PersistenceSettings::read(&fields)?,
             operator: fields
                 .opt("gateway.operator")
                 .map(|address| parse_address(address, "operator"))
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -9,7 +9,7 @@
     EngineId, Event as DecisionEvent, Milliseconds, Outcome, Placement, ProgressUpdate, RequestId,
 };
 use starlingplank_decision::permission::send::{may_repeat, may_send, EarlierAttempt, SendFacts, SendPermit};
-use starlingplank_persistence::deduplication_window::Leave;
+use starlingplank_persistence::deduplication_window::SendPermission;
 
 /// The final answer that follows from the end of an attempt; otherwise the error to keep for a later answer.
 fn final_answer(
@@ -55,9 +55,11 @@
         request.attempts.push(Attempt::new(engine, placement, now, SendPermit::new(self.list_lease.clone())));
         let deadline = request.attempt_deadline(now, timeout, self.limits.answer_margin);
         match self.permission_to_leave(now, attempt, deadline, effects) {
-            Leave::No => self.end_attempt(now, attempt, AttemptEnd::plain(Outcome::NotExecuted), effects),
-            Leave::Now => self.transmit(now, attempt, deadline, effects),
-            Leave::AfterRecord(sent) => {
+            SendPermission::Denied => {
+                self.end_attempt(now, attempt, AttemptEnd::plain(Outcome::NotExecuted), effects);
+            }
+            SendPermission::Now => self.transmit(now, attempt, deadline, effects),
+            SendPermission::AfterRecord(sent) => {
                 self.request_record(now, attempt, PendingRecord { sent, deadline }, effects);
             }
         }
@@ -70,13 +72,13 @@
         id: AttemptId,
         deadline: Milliseconds,
         effects: &mut Vec<Effect>,
-    ) -> Leave {
+    ) -> SendPermission {
         if !self.may_send(now, id, deadline, effects) {
-            return Leave::No;
+            return SendPermission::Denied;
         }
         match self.requests.get(&id.request).and_then(|request| request.key) {
-            Some(RequestKey { key, window }) => self.deduplication.leave(&key, window, now),
-            None => Leave::Now,
+            Some(RequestKey { key, window }) => self.deduplication.permit_send(&key, window, now),
+            None => SendPermission::Now,
         }
     }
 
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -21,7 +21,7 @@
 /// slow client slows down its own engine and memory stays bounded.
 pub trait FlowControl: Debug {
     /// Waits until at most this many bytes are queued for the client, or the client has disconnected.
-    fn room(&self, bytes: usize) -> Pin<Box<dyn Future<Output = ()> + '_>>;
+    fn wait_for_capacity(&self, bytes: usize) -> Pin<Box<dyn Future<Output = ()> + '_>>;
 }
 
 /// What a request carries to its engine; decisions do not depend on it.
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -18,7 +18,12 @@
 use tokio::time::{timeout, timeout_at, Instant};
 
 /// An operator's call, and where its reply goes.
-pub type Asked = (Call, oneshot::Sender<Reply>);
+pub struct PendingCall {
+    /// The call.
+    pub call: Call,
+    /// Where its reply goes.
+    pub reply_to: oneshot::Sender<Reply>,
+}
 
 /// What all connections of the second address share.
 #[derive(Clone)]
@@ -28,7 +33,7 @@
     /// The state of all connections.
     pub shared: Rc<SharedState>,
     /// Takes the calls.
-    pub calls: mpsc::Sender<Asked>,
+    pub calls: mpsc::Sender<PendingCall>,
 }
 
 /// Accepts operators' connections; `open_connections` counts them. Operators are few: beyond the limit the connection that
@@ -40,7 +45,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                log::seldom_error("an operator's connection cannot be accepted", &error);
+                log::error_rate_limited("an operator's connection cannot be accepted", &error);
                 let wait = backoff.wait_to_accept(&error);
                 if !wait.is_zero() {
                     // Out of descriptors: the connection that has been open longest gives its own up.
@@ -112,9 +117,9 @@
 }
 
 /// Passes a call on and waits for its reply.
-async fn forward(call: Call, calls: &mpsc::Sender<Asked>) -> Reply {
+async fn forward(call: Call, calls: &mpsc::Sender<PendingCall>) -> Reply {
     let (sender, reply) = oneshot::channel();
-    let is_sent = calls.send((call, sender)).await.is_ok();
+    let is_sent = calls.send(PendingCall { call, reply_to: sender }).await.is_ok();
     match (is_sent, reply.await) {
         (true, Ok(reply)) => reply,
         _ => Reply::line(503, "this process is ending"),
--- a/src/net/connection/write_queue.rs
+++ b/src/net/connection/write_queue.rs
@@ -89,7 +89,7 @@
         if self.bytes.get() + length > limits.max_write_queue_bytes
             || self.shared.buffered_bytes.get() + length > max_buffered_bytes
         {
-            log::seldom("a connection was closed: its reader is too slow");
+            log::warn_rate_limited("a connection was closed: its reader is too slow");
             return self.close(CloseMode::Immediately);
         }
         self.count_bytes(length, 0);
@@ -190,7 +190,7 @@
             tracing::debug!(request = request.0, attempt, reason = refusal.name(), "attempt not written");
         }
         if refusal.is_violation() {
-            log::seldom_error("an attempt was about to be written against the rules", refusal.name());
+            log::error_rate_limited("an attempt was about to be written against the rules", refusal.name());
         }
         self.expired_attempts.borrow_mut().extend(frame.attempt);
         self.attempt_expired.notify_one();
@@ -275,7 +275,7 @@
 }
 
 impl FlowControl for WriteQueue {
-    fn room(&self, bytes: usize) -> Pin<Box<dyn Future<Output = ()> + '_>> {
+    fn wait_for_capacity(&self, bytes: usize) -> Pin<Box<dyn Future<Output = ()> + '_>> {
         Box::pin(async move {
             while self.bytes.get() > bytes && !self.is_closing() {
                 self.drained.notified().await;
--- a/src/net/discovery/poller.rs
+++ b/src/net/discovery/poller.rs
@@ -89,7 +89,7 @@
             self.handle(datagram).await?;
         }
         let Some(poll) = self.start_poll().await else {
-            log::seldom("no socket is available to poll the name service");
+            log::warn_rate_limited("no socket is available to poll the name service");
             sleep(RETRY_DELAY).await;
             return Ok(());
         };
@@ -169,10 +169,10 @@
 fn log_response(response: Response, verdict: Verdict) {
     match response {
         Response::Truncated => {
-            log::seldom("a response of the name service is truncated; the list in use stays");
+            log::warn_rate_limited("a response of the name service is truncated; the list in use stays");
         }
         Response::Malformed => {
-            log::seldom("a response of the name service is malformed; the list in use stays");
+            log::warn_rate_limited("a response of the name service is malformed; the list in use stays");
         }
         Response::List { .. } => {}
     }
--- a/src/net/engine/clickhouse/mod.rs
+++ b/src/net/engine/clickhouse/mod.rs
@@ -121,7 +121,7 @@
         let job = Job::Attempt(send.id, send.statement.flow.clone());
         let (id, engine, address) = (send.id, send.engine.clone(), send.address);
         if !self.assign(&engine, address, job, Frame::for_attempt(send, request::encode)) {
-            log::seldom_error("no connection is left for an attempt on an engine", &engine.0);
+            log::error_rate_limited("no connection is left for an attempt on an engine", &engine.0);
             events.push(Event::AttemptEnded(id, AttemptEnd::plain(Outcome::NotExecuted)));
         }
     }
--- a/src/net/engine/clickhouse/response.rs
+++ b/src/net/engine/clickhouse/response.rs
@@ -226,7 +226,7 @@
         let job = self.connection.job().ok_or(ConnectionFailed)?;
         if let (Job::Attempt(_, Some(flow)), true) = (&job, response.is_streaming) {
             // The engine is read no faster than the client reads.
-            flow.room(self.limits.max_result_bytes).await;
+            flow.wait_for_capacity(self.limits.max_result_bytes).await;
         }
         let slot = self.events.reserve().await.map_err(|_| ConnectionFailed)?;
         let (id, flow) = match self.connection.job().ok_or(ConnectionFailed)? {
@@ -242,7 +242,7 @@
             response.is_streaming = true;
             slot.send(Event::ResponseStarted(id, std::mem::take(&mut response.rows)));
         } else if response.bytes > self.limits.max_message_bytes {
-            log::seldom("a result that is too large cannot be passed on whole");
+            log::warn_rate_limited("a result that is too large cannot be passed on whole");
             self.connection.end_job();
             slot.send(Event::AttemptEnded(id, AttemptEnd::plain(Outcome::Error)));
             return Err(ConnectionFailed);
--- a/src/net/engine/driver.rs
+++ b/src/net/engine/driver.rs
@@ -90,7 +90,7 @@
             ReplyEffect::Event(event) => slot.send(event),
             // It is not known which attempts the replies after this one belong to.
             ReplyEffect::ProtocolError => {
-                log::seldom("an invalid reply of an engine; the connection was closed");
+                log::warn_rate_limited("an invalid reply of an engine; the connection was closed");
                 return ControlFlow::Break(());
             }
         }
@@ -114,7 +114,7 @@
             ControlFlow::Continue(())
         }
         () = sleep_until_deadline(complete_by) => {
-            log::seldom("an engine stopped inside a reply; the connection was closed");
+            log::warn_rate_limited("an engine stopped inside a reply; the connection was closed");
             ControlFlow::Break(())
         }
     }
--- a/src/net/engine/pool.rs
+++ b/src/net/engine/pool.rs
@@ -131,7 +131,7 @@
     fn send(&mut self, send: Send, events: &mut Vec<Event>) {
         let name = send.statement.name.clone();
         let Some(connection) = self.choose_connection(&send.engine, send.address, &name) else {
-            log::seldom_error("no connection is left for an attempt on an engine", &send.engine.0);
+            log::error_rate_limited("no connection is left for an attempt on an engine", &send.engine.0);
             return events.push(Event::AttemptEnded(send.id, AttemptEnd::plain(Outcome::NotExecuted)));
         };
         connection.last_used.set(Instant::now());
--- a/src/net/engine/replies.rs
+++ b/src/net/engine/replies.rs
@@ -79,7 +79,7 @@
         Ok(Some(update)) => ReplyEffect::Event(Event::ProgressUpdate(attempt.id, update)),
         Ok(None) => ReplyEffect::Ignored,
         Err(InvalidProgressUpdate) => {
-            log::seldom("an invalid progress update of an engine was dropped");
+            log::warn_rate_limited("an invalid progress update of an engine was dropped");
             ReplyEffect::Ignored
         }
     }
--- a/src/net/front/clickhouse/session.rs
+++ b/src/net/front/clickhouse/session.rs
@@ -59,7 +59,7 @@
             Err(ReadError::Closed) => continue,
             Err(ReadError::Invalid(exception, message)) => {
                 session.keep_alive.set(false);
-                log::seldom("an invalid HTTP request was rejected");
+                log::warn_rate_limited("an invalid HTTP request was rejected");
                 session.send_exception(exception, message, &[]);
                 continue;
             }
--- a/src/net/front/thrift/session.rs
+++ b/src/net/front/thrift/session.rs
@@ -88,14 +88,16 @@
     loop {
         while let Some(length) = frame_len(read_buffer.unread()) {
             if length > limits.max_message_bytes {
-                return log::seldom("a client's frame is too long; the connection was closed");
+                return log::warn_rate_limited("a client's frame is too long; the connection was closed");
             }
             let Some(frame) = read_buffer.unread().get(FRAME_HEADER_BYTES..length) else { break };
             let Some(message) = message(frame) else {
-                return log::seldom("a client's message cannot be read; the connection was closed");
+                return log::warn_rate_limited(
+                    "a client's message cannot be read; the connection was closed",
+                );
             };
             if let Err(ProtocolViolation) = session.handle_message(message, frontend).await {
-                return log::seldom(
+                return log::warn_rate_limited(
                     "a client sent a sequence number out of order, or a name twice; the connection was closed",
                 );
             }
--- a/src/net/hot_restart/mod.rs
+++ b/src/net/hot_restart/mod.rs
@@ -128,7 +128,9 @@
                     self.peers.insert(incarnation, peer);
                 }
                 Err(error) if error.kind() == io::ErrorKind::NotFound => {}
-                Err(error) => log::seldom_error("another process of this gateway cannot be observed", error),
+                Err(error) => {
+                    log::error_rate_limited("another process of this gateway cannot be observed", error);
+                }
             }
         }
     }
@@ -137,7 +139,9 @@
     pub fn observe(&mut self, now: Milliseconds) -> Observation {
         match incarnations(&self.path) {
             Ok(incarnations) => self.add_peers(incarnations),
-            Err(error) => log::seldom_error("the folder shared with other processes cannot be read", error),
+            Err(error) => {
+                log::error_rate_limited("the folder shared with other processes cannot be read", error);
+            }
         }
         // Keys are read before it is checked which processes have ended, so that the last ones are not missed.
         let mut keys = self.peer_keys(now);
@@ -175,7 +179,7 @@
     fn remove_ended(&mut self, incarnation: u64, now: Milliseconds) {
         self.peers.remove(&incarnation);
         if let Err(error) = self.keys.rewrite(now) {
-            return log::seldom_error("the keys of an ended process cannot be taken over yet", error);
+            return log::error_rate_limited("the keys of an ended process cannot be taken over yet", error);
         }
         // Prefixes, so that half-written files and those for successors are removed as well.
         let prefixes = [KEYS_PREFIX, LEARNED_PREFIX, MEMBERSHIP_PREFIX, PROCESS_PREFIX]
--- a/src/net/hot_restart/overrides.rs
+++ b/src/net/hot_restart/overrides.rs
@@ -56,7 +56,7 @@
         let bytes = match Files::new(&self.folder).read(OVERRIDES_FILE, MAX_FILE_BYTES) {
             Ok(bytes) => bytes,
             Err(error) => {
-                log::seldom_error("operator overrides cannot be read", error);
+                log::error_rate_limited("operator overrides cannot be read", error);
                 return false;
             }
         };
--- a/src/net/log.rs
+++ b/src/net/log.rs
@@ -74,7 +74,7 @@
 }
 
 /// Logs a warning at a limited rate; what is left out is counted.
-pub fn seldom(what: &'static str) {
+pub fn warn_rate_limited(what: &'static str) {
     if let Some(more) = is_due(what) {
         match more {
             0 => tracing::warn!("{what}"),
@@ -84,7 +84,7 @@
 }
 
 /// Logs an error with its cause at a limited rate; what is left out is counted.
-pub fn seldom_error(what: &'static str, cause: impl Display) {
+pub fn error_rate_limited(what: &'static str, cause: impl Display) {
     if let Some(more) = is_due(what) {
         match more {
             0 => tracing::error!("{what}: {cause}"),
--- a/src/net/persistence/endpoint_cache.rs
+++ b/src/net/persistence/endpoint_cache.rs
@@ -1,6 +1,6 @@
 //! The cached endpoint list: what is written of a list, and what a list is made of from it.
 
-use crate::config::{describe, KnowledgeSettings};
+use crate::config::{describe, PersistenceSettings};
 use crate::core::Endpoint;
 use crate::interface::{Availability, Milliseconds, Settings};
 use starlingplank_persistence::cached_endpoints::{self, CachedEndpoint, CachedEndpoints};
@@ -38,11 +38,11 @@
 /// The list that the previous process cached, as it holds now.
 pub(super) fn load(
     disk: &dyn Disk,
-    settings: &KnowledgeSettings,
+    settings: &PersistenceSettings,
     now: Milliseconds,
 ) -> Option<CachedEndpoints> {
     match cached_endpoints::load(disk) {
-        Ok(cached) => cached?.aged(now, settings.restart_within, settings.keep_for),
+        Ok(cached) => cached?.aged(now, settings.restart_within, settings.max_snapshot_age),
         Err(reason) => {
             let (folder, file) = (settings.folder.display(), cached_endpoints::FILE);
             warn!(%folder, file, %reason, "stored file is invalid");
--- a/src/net/persistence/mod.rs
+++ b/src/net/persistence/mod.rs
@@ -14,7 +14,7 @@
 pub use endpoint_cache::endpoints_from_cache;
 pub use error::PersistenceError;
 
-use crate::config::{Config, KnowledgeSettings};
+use crate::config::{Config, PersistenceSettings};
 use crate::core::{Core, Event};
 use crate::interface::{Class, Idempotency, Milliseconds, Settings};
 use idempotency_log::{markers_of_ended_processes, LogCoverage, RecoveredLog, UnrecordedSendsMarker};
@@ -59,11 +59,11 @@
 }
 
 /// The rules for aging stored knowledge.
-pub fn rules(settings: &KnowledgeSettings, overload_collapse_after: Milliseconds) -> Rules {
+pub fn rules(settings: &PersistenceSettings, overload_collapse_after: Milliseconds) -> Rules {
     Rules {
         restart_within: settings.restart_within,
-        keep_for: settings.keep_for,
-        list_wait: settings.list_wait,
+        keep_for: settings.max_snapshot_age,
+        list_wait: settings.unlisted_retention,
         overload_collapse_after,
     }
 }
@@ -80,7 +80,7 @@
 /// What a starting process needs to open its folder.
 struct Opening<'a> {
     config: &'a Config,
-    settings: &'a KnowledgeSettings,
+    settings: &'a PersistenceSettings,
     window: Milliseconds,
     /// Whether keyed requests are recorded.
     keyed: bool,
@@ -91,14 +91,14 @@
     fn open_folder(&self) -> Result<(Folder, Store, Loaded), FolderError> {
         let folder = Folder::open(&self.settings.folder)?;
         let disk = folder.disk().closing_written_files();
-        let opened = Store::open(Box::new(disk), self.settings.most_bytes);
+        let opened = Store::open(Box::new(disk), self.settings.max_snapshot_bytes);
         let (store, loaded) =
             opened.map_err(|source| FolderError::Io { path: self.settings.folder.clone(), source })?;
         Ok((folder, store, loaded))
     }
 
     fn deduplication(&self, log: LogState) -> DeduplicationWindow {
-        DeduplicationWindow::new(log, self.window, self.settings.most_keys, self.now)
+        DeduplicationWindow::new(log, self.window, self.settings.max_keys, self.now)
     }
 
     /// Serves without a folder that cannot be used: waits for one that another process of this gateway may have, and else
@@ -192,7 +192,7 @@
     ) -> Result<Self, PersistenceError> {
         let Some(settings) = &config.knowledge else { return Ok(Self::off()) };
         let window = longest_window(config);
-        let keyed = settings.keys && window > 0.0;
+        let keyed = settings.logs_keys && window > 0.0;
         let opening = Opening { config, settings, window, keyed, now };
         let (folder, store, loaded) = match opening.open_folder() {
             Ok(opened) => opened,
--- a/src/net/persistence/takeover.rs
+++ b/src/net/persistence/takeover.rs
@@ -6,7 +6,7 @@
     self, markers_of_ended_processes, LogCoverage, RecoveredLog, UnrecordedSendsMarker,
 };
 use super::{longest_window, Persistence};
-use crate::config::{Config, KnowledgeSettings};
+use crate::config::{Config, PersistenceSettings};
 use crate::core::{Core, Event};
 use crate::interface::Milliseconds;
 use starlingplank_persistence::deduplication_window::{DeduplicationWindow, LogState};
@@ -31,7 +31,7 @@
     /// recorded where both look. Where the folder is required they wait for it.
     pub fn follow(&mut self, config: &Config, core: &mut Core, now: Milliseconds) {
         let Some(settings) = &config.knowledge else { return };
-        if !self.awaits_folder || !settings.keys || settings.required {
+        if !self.awaits_folder || !settings.logs_keys || settings.required {
             return;
         }
         let files = Files::new(&settings.folder);
@@ -57,7 +57,7 @@
         let recovered = RecoveredLog::read(&files, LogCoverage::OwnersSends, window, now);
         recovered.log_outcome(window);
         let state = if recovered.log.is_ok() { LogState::Off } else { LogState::Missing };
-        let mut deduplication = DeduplicationWindow::new(state, window, settings.most_keys, now);
+        let mut deduplication = DeduplicationWindow::new(state, window, settings.max_keys, now);
         if let Ok(trusted) = recovered.log {
             deduplication.restore(trusted, now);
         }
@@ -66,8 +66,8 @@
 
     /// Whether the latest snapshot in the folder is of this gateway. Each process writes one every second and one as it
     /// ends.
-    fn owns_snapshot_in(&self, files: &Files, settings: &KnowledgeSettings) -> bool {
-        let loaded = snapshot_store::load(files, settings.most_bytes).ok();
+    fn owns_snapshot_in(&self, files: &Files, settings: &PersistenceSettings) -> bool {
+        let loaded = snapshot_store::load(files, settings.max_snapshot_bytes).ok();
         loaded
             .and_then(|loaded| loaded.snapshot)
             .is_some_and(|(_, snapshot)| snapshot.gateway == self.gateway)
@@ -85,7 +85,7 @@
         if settings.required {
             return Err(PersistenceError::Required(reason));
         }
-        if settings.keys && longest_window(config) > 0.0 {
+        if settings.logs_keys && longest_window(config) > 0.0 {
             error!(%reason, "serving without persistent state and rejecting all keyed requests");
         } else {
             error!(%reason, "serving without persistent state");
@@ -138,16 +138,16 @@
         &mut self,
         folder: Folder,
         config: &Config,
-        settings: &KnowledgeSettings,
+        settings: &PersistenceSettings,
         now: Milliseconds,
         events: &Sender<Event>,
     ) -> Result<TakenOver, PersistenceError> {
         let disk = folder.disk().closing_written_files();
-        let (store, _) = Store::open(Box::new(disk), settings.most_bytes)?;
+        let (store, _) = Store::open(Box::new(disk), settings.max_snapshot_bytes)?;
         let window = longest_window(config);
         // A process that rejected all keyed requests knows of none that were sent without a record.
         let coverage = if self.marker.is_some() { LogCoverage::OwnersSends } else { LogCoverage::AllSends };
-        let keyed = settings.keys && window > 0.0;
+        let keyed = settings.logs_keys && window > 0.0;
         let log = keyed.then(|| RecoveredLog::read(&folder.disk(), coverage, window, now));
         self.start_state_writers(&folder, store)?;
         if let Some(recovered) = &log {
--- a/src/net/runtime/effects.rs
+++ b/src/net/runtime/effects.rs
@@ -28,7 +28,7 @@
                 tracing::debug!(request = id.0, class, reason, waited_ms, "request rejected");
             }
             Effect::LogViolation { attempt: AttemptId { request: id, number: attempt }, refusal } => {
-                log::seldom_error(
+                log::error_rate_limited(
                     "an attempt was asked for against the rules",
                     format_args!("{}.{attempt}: {}", id.0, refusal.name()),
                 );
@@ -72,7 +72,10 @@
         let recorded = hot_restart
             .record(deduplication_window::key(key), KeySend { at: self.frontend.clock.now(), window });
         if let Err(error) = &recorded {
-            log::seldom_error("a keyed request was not sent, as other versions would not hear of it", error);
+            log::error_rate_limited(
+                "a keyed request was not sent, as other versions would not hear of it",
+                error,
+            );
         }
         recorded.is_ok()
     }
--- a/src/net/runtime/inputs.rs
+++ b/src/net/runtime/inputs.rs
@@ -1,9 +1,9 @@
 //! The inputs of the loop: signals, events, operators' calls and timers.
 
-use crate::config::KnowledgeSettings;
+use crate::config::PersistenceSettings;
 use crate::core::Event;
 use crate::limits::Limits;
-use crate::net::admin::Asked;
+use crate::net::admin::PendingCall;
 use crate::net::runtime::signals::{Received, Signals};
 use crate::net::tasks::TaskName;
 use std::time::Duration;
@@ -21,7 +21,7 @@
     /// The other processes of this gateway are due to be polled.
     ObservePeers,
     /// An operator calls.
-    Call(Asked),
+    Call(PendingCall),
     /// The maintenance tick of persisted state.
     MaintainKnowledge,
     /// A snapshot is due.
@@ -44,9 +44,9 @@
 
 impl Timers {
     /// Starts all timers. All but the one for snapshots have their first tick at once.
-    pub(super) fn start(limits: &Limits, knowledge: Option<&KnowledgeSettings>) -> Self {
+    pub(super) fn start(limits: &Limits, knowledge: Option<&PersistenceSettings>) -> Self {
         let snapshot_interval = knowledge.map_or(limits.log_maintenance_interval, |settings| {
-            Duration::from_secs_f64(settings.every / 1000.0)
+            Duration::from_secs_f64(settings.snapshot_interval / 1000.0)
         });
         Self {
             maintain_engines: delayed(interval(limits.maintenance_interval)),
@@ -78,7 +78,7 @@
     /// Events for the reducer.
     pub events: Receiver<Event>,
     /// Operators' calls.
-    pub calls: Receiver<Asked>,
+    pub calls: Receiver<PendingCall>,
     /// Tasks that failed.
     pub failed_tasks: Receiver<TaskName>,
     /// Timers.
@@ -116,7 +116,7 @@
     }
 
     /// An operator's call that is queued, if there is one.
-    pub(super) fn next_waiting_call(&mut self) -> Option<Asked> {
+    pub(super) fn next_waiting_call(&mut self) -> Option<PendingCall> {
         self.calls.try_recv().ok()
     }
 }
--- a/src/net/runtime/listeners.rs
+++ b/src/net/runtime/listeners.rs
@@ -133,7 +133,7 @@
                 (slot, Ok(stream)) => self.spawn(stream, slot, queue.arrived(self.earliest())),
                 // Descriptors lack, or the client has disconnected: others may still be served.
                 (_, Err(error)) => {
-                    log::seldom_error("a connection cannot be accepted", &error);
+                    log::error_rate_limited("a connection cannot be accepted", &error);
                     sleep(queue.backoff.wait_to_accept(&error)).await;
                 }
             }
@@ -228,7 +228,7 @@
     F: Future<Output = ()>,
 {
     let Some(connection) = frontend.accept_connection().await else {
-        return log::seldom("a connection was closed: all others have requests open");
+        return log::warn_rate_limited("a connection was closed: all others have requests open");
     };
     drop(waiting_slot);
     connection.set_arrived_at(arrived);
--- a/src/net/runtime/mod.rs
+++ b/src/net/runtime/mod.rs
@@ -24,6 +24,7 @@
 use crate::config::{Config, LoadError};
 use crate::core::{Core, Event};
 use crate::interface::{Milliseconds, SettingsError};
+use crate::net::admin::PendingCall;
 use crate::net::engine::Engines;
 use crate::net::front::{FrontendState, ShutdownPhase};
 use crate::net::hot_restart::HotRestart;
@@ -166,7 +167,7 @@
             self.handle_input(input, reload, &mut events);
             inputs.drain_events(&mut events, self.frontend.limits.event_queue_capacity);
             let delay = self.check_delay(due_at);
-            while let Some((call, reply_to)) = inputs.next_waiting_call() {
+            while let Some(PendingCall { call, reply_to }) = inputs.next_waiting_call() {
                 drop(reply_to.send(self.answer_call(call, &mut events)));
             }
             let begun = Instant::now();
@@ -216,7 +217,9 @@
                 log::report_lost_lines();
             }
             Input::ObservePeers => self.poll_peers(events),
-            Input::Call((call, reply_to)) => drop(reply_to.send(self.answer_call(call, events))),
+            Input::Call(PendingCall { call, reply_to }) => {
+                drop(reply_to.send(self.answer_call(call, events)));
+            }
             Input::MaintainKnowledge => events.push(Event::MaintenanceTick),
             Input::Snapshot => self.write_snapshot(),
             Input::Reload => self.begin_reload(reload()),
--- a/src/net/runtime/peers.rs
+++ b/src/net/runtime/peers.rs
@@ -24,7 +24,7 @@
         let said = hot_restart.publish_stage(stage);
         self.unpublished.set(said.is_err().then_some(stage));
         if let Err(e) = said {
-            log::seldom_error("other versions cannot see how far this one is", e);
+            log::error_rate_limited("other versions cannot see how far this one is", e);
         }
     }
 
--- a/src/net/runtime/startup.rs
+++ b/src/net/runtime/startup.rs
@@ -3,7 +3,7 @@
 use crate::config::{Config, EngineWire};
 use crate::core::{Core, Endpoint, Event};
 use crate::limits::Limits;
-use crate::net::admin::{self, Asked};
+use crate::net::admin::{self, PendingCall};
 use crate::net::connection::SharedState;
 use crate::net::discovery::sockets::Sockets;
 use crate::net::discovery::{self, Poller};
@@ -33,7 +33,7 @@
     /// Events for the reducer.
     pub events: Receiver<Event>,
     /// Operators' calls.
-    pub calls: Receiver<Asked>,
+    pub calls: Receiver<PendingCall>,
     /// Tasks that failed.
     pub failed_tasks: Receiver<TaskName>,
     /// The gateway.
@@ -113,7 +113,7 @@
     at: SocketAddr,
     name: &str,
     frontend: &FrontendState,
-    calls: Sender<Asked>,
+    calls: Sender<PendingCall>,
     callers: Rc<Cell<usize>>,
     tasks: &Tasks,
 ) -> io::Result<()> {
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -92,7 +92,10 @@
     let text = "knowledge {\n  folder = \"/tmp/k\"\n  every = \"2s\"\n}\nlog {\n  form = \"json\"\n}\n";
     let config = Config::load(Some(PLATFORM), Some(("o.hcl", text))).expect("it can be used");
     let knowledge = config.knowledge.expect("set up");
-    assert_eq!((knowledge.every, knowledge.keys, knowledge.required), (2_000.0, true, false));
+    assert_eq!(
+        (knowledge.snapshot_interval, knowledge.logs_keys, knowledge.required),
+        (2_000.0, true, false)
+    );
     assert!(config.log.json);
     let example = include_str!("../deploy/knowledge.hcl");
     assert!(Config::load(Some(PLATFORM), Some(("o.hcl", example)))
