--- a/crates/experiments/src/fleet/clients.rs
+++ b/crates/experiments/src/fleet/clients.rs
@@ -1,6 +1,6 @@
 //! The clients of a fleet: each sends a request again where its gateway rejected it or was not there, for as long as it waits.
 
-use super::FleetRun;
+use super::run::FleetRun;
 use crate::harness::clients::{CompletedRequest, ConnectionPool};
 use crate::harness::workload::{arrivals, Job, CLASSES};
 use rand::{Rng, SeedableRng};
--- a/crates/experiments/src/fleet/evaluation.rs
+++ b/crates/experiments/src/fleet/evaluation.rs
@@ -1,8 +1,8 @@
 //! The result of a run, from what the doubles and the clients recorded, on the run's clock in seconds.
 
 use super::clients::{AttemptRecord, MAX_ATTEMPTS};
+use super::run::{FleetResult, FleetRun, TimeSeries};
 use super::setup::service_script;
-use super::{FleetResult, FleetRun, TimeSeries};
 use crate::ledger::{self, ClientAttempt};
 use serde_json::{json, Value};
 use starlingplank_test_doubles::engine::Arrival;
--- a/crates/experiments/src/fleet/setup.rs
+++ b/crates/experiments/src/fleet/setup.rs
@@ -2,7 +2,7 @@
 
 use super::gateway::{Gateway, Listening};
 use super::plan::{engine_up_at, EngineCounts};
-use super::{EngineStart, FleetOptions, FleetRun};
+use super::run::{EngineStart, FleetOptions, FleetRun};
 use crate::harness::clients::ConnectionPool;
 use crate::harness::configuration::operator_file;
 use crate::harness::engines::Engines;
--- a/crates/experiments/src/fleet/steps.rs
+++ b/crates/experiments/src/fleet/steps.rs
@@ -2,8 +2,8 @@
 
 use super::gateway::Span;
 use super::plan::{PlannedStep, Step};
+use super::run::{EngineStart, FleetRun};
 use super::setup::unix_milliseconds;
-use super::{EngineStart, FleetRun};
 use crate::harness::Failure;
 use crate::scenario::FaultKind;
 use rustix::process::Signal;
--- a/crates/experiments/src/soak/context.rs
+++ b/crates/experiments/src/soak/context.rs
@@ -1,7 +1,7 @@
 //! What all parts of a run share.
 
 use super::ledger::Ledger;
-use super::run::SoakOptions;
+use super::options::SoakOptions;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
--- a/crates/experiments/src/soak/mod.rs
+++ b/crates/experiments/src/soak/mod.rs
@@ -13,12 +13,14 @@
 mod discovery;
 mod engine;
 mod faults;
+mod options;
 mod process;
 mod report;
 mod run;
 mod schedule;
 
-pub use run::{run_soak, SoakOptions, SoakResult};
+pub use options::SoakOptions;
+pub use run::{run_soak, SoakResult};
 
 use crate::harness::{Failure, RunOptions};
 use crate::report::Figures;
--- a/crates/experiments/src/soak/oracle/drains.rs
+++ b/crates/experiments/src/soak/oracle/drains.rs
@@ -8,7 +8,7 @@
 //!
 //! whichever is first. A pause of the process or a backoff is no excuse.
 
-use super::RuleParameters;
+use super::parameters::RuleParameters;
 use crate::soak::ledger::{AttemptRecord, Drain, Ledger, ProcessEvent, ProcessRecord};
 
 /// No new attempt is sent to an engine that drains or was removed, after the grace.
--- a/crates/experiments/src/soak/oracle/processes.rs
+++ b/crates/experiments/src/soak/oracle/processes.rs
@@ -1,6 +1,6 @@
 //! The rules for processes: they listen in time, end when they are told to and not before, count no violation, and log little.
 
-use super::RuleParameters;
+use super::parameters::RuleParameters;
 use crate::soak::ledger::{Ledger, ProcessEvent, ProcessRecord, RequestEnd, RequestRecord};
 
 /// Checks all processes of all gateways.
--- a/crates/experiments/src/soak/oracle/retry_budgets.rs
+++ b/crates/experiments/src/soak/oracle/retry_budgets.rs
@@ -1,7 +1,7 @@
 //! The rule on retry budgets: the retries of a process keep to its budget, which begins with the process. During a hot restart it
 //! is not known which of two processes sent an attempt: the attempts of their gateway are counted together.
 
-use super::{RetryBudget, RuleParameters};
+use super::parameters::{RetryBudget, RuleParameters};
 use crate::soak::ledger::{Ledger, ProcessEvent, ProcessRecord};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/experiments/src/soak/report.rs
+++ b/crates/experiments/src/soak/report.rs
@@ -1,7 +1,8 @@
 //! The report of a run: its figures, and the trace of each violation.
 
 use super::ledger::{Answer, RequestEnd};
-use super::run::{SoakOptions, SoakResult};
+use super::options::SoakOptions;
+use super::run::SoakResult;
 use serde_json::{json, Value};
 
 /// The characters of the first violation that are kept as a figure.
--- a/crates/experiments/src/soak/run.rs
+++ b/crates/experiments/src/soak/run.rs
@@ -5,6 +5,7 @@
 use super::discovery::Discovery;
 use super::engine::Engine;
 use super::ledger::{EngineRecord, Ledger, RecoveryCheck};
+use super::options::SoakOptions;
 use super::process::{Footprint, Process};
 use super::schedule::{self, PlannedFault};
 use super::{oracle, rule_parameters};
@@ -13,7 +14,6 @@
 use starlingplank_test_doubles::name_service::ListedEngine;
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, TcpListener};
-use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::task::{spawn_local, JoinHandle};
@@ -42,24 +42,6 @@
 const END_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 const MAX_END_CHECKS: usize = 800;
 
-/// The options of a run.
-pub struct SoakOptions {
-    /// The program.
-    pub program: PathBuf,
-    /// The library of system-call faults.
-    pub faults_library: PathBuf,
-    /// An empty folder.
-    pub folder: PathBuf,
-    /// All random draws follow from it.
-    pub seed: u64,
-    /// The number of gateways.
-    pub gateways: usize,
-    /// The time in which faults begin, in seconds.
-    pub seconds: f64,
-    /// The faults to leave out, by their numbers in the schedule, to shorten a failing seed.
-    pub without: Vec<usize>,
-}
-
 /// The result of a run.
 pub struct SoakResult {
     /// What was planned.
--- a/crates/test-doubles/src/capacity_model.rs
+++ b/crates/test-doubles/src/capacity_model.rs
@@ -212,6 +212,14 @@
         self.queries.extract_if(.., |query| query.work_left <= 0.0).map(|query| query.id).collect()
     }
 
+    /// The field of an answer that reports the load; empty where the engine does not report it.
+    pub fn load_report(&self) -> String {
+        if !self.spec.reports_load {
+            return String::new();
+        }
+        format!(",use=util:{:.3}", self.utilization())
+    }
+
     /// The share of its cores in use, over the last half second.
     pub fn utilization(&self) -> f64 {
         self.utilization
--- a/crates/test-doubles/src/engine.rs
+++ b/crates/test-doubles/src/engine.rs
@@ -15,7 +15,7 @@
 use crate::lock;
 use crate::resp::MAX_MESSAGE_BYTES;
 use command::encode_served;
-use execution::{load_report, Connection};
+pub use command::EngineProtocol;
 pub use fleet::Fleet;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -39,15 +39,6 @@
 /// The arrivals that are recorded. A reader sees that a longer record ends early.
 pub const MAX_ARRIVALS: usize = 2_000_000;
 
-/// The protocol of an engine.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EngineProtocol {
-    /// The platform's commands.
-    Resp,
-    /// The ClickHouse HTTP interface.
-    ClickHouse,
-}
-
 /// How an engine treats new connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListenerMode {
@@ -84,6 +75,12 @@
     },
 }
 
+/// Where the answers to the commands of one connection go.
+struct Connection {
+    id: u64,
+    answers: UnboundedSender<Vec<u8>>,
+}
+
 /// A statement that is being executed.
 struct Execution {
     request: String,
@@ -272,7 +269,7 @@
         for id in state.model.advance(now) {
             let Some(execution) = state.executions.remove(&id) else { continue };
             self.fleet.end_attempt(&execution.request, now);
-            let load = load_report(&state.model);
+            let load = state.model.load_report();
             let answer = encode_served(self.protocol, &execution.request, execution.work, &load);
             let _ = execution.answers.send(answer);
         }
--- a/crates/test-doubles/src/engine/command.rs
+++ b/crates/test-doubles/src/engine/command.rs
@@ -1,8 +1,16 @@
 //! What an engine reads and writes: the platform's RESP commands, and the ClickHouse HTTP interface.
 
-use super::EngineProtocol;
 use crate::resp::{self, MAX_MESSAGE_BYTES};
 
+/// The protocol of an engine.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum EngineProtocol {
+    /// The platform's commands.
+    Resp,
+    /// The ClickHouse HTTP interface.
+    ClickHouse,
+}
+
 /// The end of the head of an HTTP message.
 pub(crate) const HEAD_END: &[u8] = b"\r\n\r\n";
 
--- a/crates/test-doubles/src/engine/execution.rs
+++ b/crates/test-doubles/src/engine/execution.rs
@@ -1,23 +1,16 @@
 //! What an engine does with a command.
 
 use super::command::{encode_failed, encode_healthy, encode_served, Command};
-use super::{ArrivalKind, Engine, Execution, State};
-use crate::capacity_model::{CapacityModel, QueryWork};
+use super::{ArrivalKind, Connection, Engine, Execution, State};
+use crate::capacity_model::QueryWork;
 use crate::lock;
 use rand::Rng;
-use tokio::sync::mpsc::UnboundedSender;
 
 /// The work of a statement that states none, and of a duplicate, in milliseconds on one core.
 const DEFAULT_WORK: f64 = 1.0;
 const DEFAULT_THREADS: f64 = 1.0;
 const MIN_THREADS: f64 = 0.1;
 
-/// Where the answers to the commands of one connection go.
-pub(super) struct Connection {
-    pub(super) id: u64,
-    pub(super) answers: UnboundedSender<Vec<u8>>,
-}
-
 /// An attempt as a command describes it.
 struct Attempt<'a> {
     request: &'a str,
@@ -32,7 +25,7 @@
         match command {
             Command::HealthCheck(tag) => {
                 self.record(&mut state, ArrivalKind::HealthCheck);
-                Some(encode_healthy(self.protocol, tag, &load_report(&state.model)))
+                Some(encode_healthy(self.protocol, tag, &state.model.load_report()))
             }
             Command::Cancel(request) => {
                 self.cancel(&mut state, request);
@@ -65,7 +58,7 @@
         let is_failed = state.rng.random_bool(error_share);
         if is_duplicate || is_failed || state.model.spec.answers_at_once {
             self.fleet.end_attempt(attempt.request, now);
-            let load = load_report(&state.model);
+            let load = state.model.load_report();
             return Some(match is_failed && !is_duplicate {
                 true => encode_failed(self.protocol, attempt.request, &load),
                 false => encode_served(self.protocol, attempt.request, DEFAULT_WORK, &load),
@@ -98,11 +91,3 @@
     let end = rest.find(|char: char| !char.is_ascii_digit() && char != '.').unwrap_or(rest.len());
     rest[..end].parse().unwrap_or(default)
 }
-
-/// The field of an answer that reports the engine's load.
-pub(super) fn load_report(model: &CapacityModel) -> String {
-    if !model.spec.reports_load {
-        return String::new();
-    }
-    format!(",use=util:{:.3}", model.utilization())
-}
