--- /dev/null
+++ b/tests/rules/checker.rs
@@ -0,0 +1,261 @@
+//! A checker that knows only the rules.
+
+use crate::common::{engine, member};
+use starlingplank::interface::*;
+use std::collections::BTreeMap;
+
+/// The work of a query at least, and the cores of an engine of the list.
+const MIN_WORK: Milliseconds = 20.0;
+const CORES: f64 = 8.0;
+
+/// How an attempt ended.
+#[derive(Clone, Copy)]
+pub struct AttemptResult {
+    pub at: Milliseconds,
+    pub outcome: Outcome,
+}
+
+pub struct SentAttempt {
+    pub at: Milliseconds,
+    pub engine: usize,
+    pub timeout: Milliseconds,
+    pub result: Option<AttemptResult>,
+}
+
+impl SentAttempt {
+    fn may_have_run(&self) -> bool {
+        !matches!(
+            self.result,
+            Some(AttemptResult {
+                outcome: Outcome::Full | Outcome::ConnectFailed | Outcome::NotExecuted,
+                ..
+            })
+        )
+    }
+}
+
+pub struct SeenRequest {
+    pub details: RequestDetails,
+    pub received_at: Milliseconds,
+    pub answered_at: Option<Milliseconds>,
+    pub attempts: Vec<SentAttempt>,
+}
+
+/// The rules, implemented from their wording, apart from the decision module. Engines are known by their number.
+pub struct Checker {
+    settings: Settings,
+    pub requests: BTreeMap<u64, SeenRequest>,
+    /// The requests of each ordered key, as received.
+    order: BTreeMap<u64, Vec<u64>>,
+    pub drained_at: BTreeMap<usize, Milliseconds>,
+    pub started_at: BTreeMap<usize, Milliseconds>,
+    received_times: Vec<Milliseconds>,
+    retry_times: Vec<Milliseconds>,
+    slow_start_sends: BTreeMap<usize, Vec<Milliseconds>>,
+}
+
+impl Checker {
+    pub fn new(settings: Settings) -> Self {
+        Self {
+            settings,
+            requests: BTreeMap::new(),
+            order: BTreeMap::new(),
+            drained_at: BTreeMap::new(),
+            started_at: BTreeMap::new(),
+            received_times: Vec::new(),
+            retry_times: Vec::new(),
+            slow_start_sends: BTreeMap::new(),
+        }
+    }
+
+    pub fn engine_started(&mut self, number: usize, now: Milliseconds) {
+        self.started_at.insert(number, now);
+        self.slow_start_sends.remove(&number);
+    }
+
+    pub fn request_received(&mut self, details: RequestDetails, now: Milliseconds) {
+        let id = details.id.0;
+        if let Some(key) = details.key {
+            self.order.entry(key.0).or_default().push(id);
+        }
+        self.received_times.push(now);
+        let request = SeenRequest { details, received_at: now, answered_at: None, attempts: vec![] };
+        self.requests.insert(id, request);
+    }
+
+    /// The gateway is killed and restarts: nothing that it had open goes on.
+    pub fn gateway_restarted(&mut self, now: Milliseconds) {
+        for request in self.requests.values_mut() {
+            request.answered_at.get_or_insert(now);
+            for attempt in &mut request.attempts {
+                attempt.result.get_or_insert(AttemptResult { at: now, outcome: Outcome::NotExecuted });
+            }
+        }
+        self.received_times.clear();
+        self.retry_times.clear();
+        self.order.clear();
+    }
+
+    pub fn action(&mut self, now: Milliseconds, action: &Action) {
+        match action {
+            Action::Send { id, engine, timeout } => {
+                self.send(now, id.0, engine_number(engine), *timeout);
+            }
+            Action::Reject { id, retry_after, .. } => self.reject(now, id.0, *retry_after),
+            Action::Fail { id } => self.answer(now, id.0),
+            Action::Cancel { id, attempt } => {
+                assert!(self.settings.may_cancel);
+                assert!(self.requests[&id.0].attempts.len() > *attempt as usize);
+            }
+            Action::CheckHealth { .. } => assert!(self.settings.may_check_health),
+            Action::Terms { .. } | Action::Timer { .. } | Action::Watch => {}
+        }
+    }
+
+    fn answer(&mut self, now: Milliseconds, id: u64) {
+        let request = self.requests.get_mut(&id).expect("a request of ours");
+        assert!(request.answered_at.is_none(), "rule 1: two answers");
+        request.answered_at = Some(now);
+    }
+
+    fn reject(&mut self, now: Milliseconds, id: u64, retry_after: Milliseconds) {
+        assert!(retry_after <= self.settings.max_retry_after, "advice that is not allowed");
+        self.answer(now, id);
+        let request = &self.requests[&id];
+        let may_have_run = request.attempts.iter().any(SentAttempt::may_have_run);
+        match self.settings.classes[request.details.class.0].idempotency {
+            Idempotency::NotIdempotent => {
+                assert!(!may_have_run, "rule 2: refused what may have run")
+            }
+            Idempotency::Keyed { scope, .. } => {
+                assert!(scope == Scope::All || !may_have_run, "rule 2: refused a keyed one")
+            }
+            Idempotency::Idempotent => {}
+        }
+    }
+
+    fn send(&mut self, now: Milliseconds, id: u64, to: usize, timeout: Milliseconds) {
+        self.check_drain(now, to);
+        self.check_attempt_allowed(id, &member(to));
+        self.check_repeats(now, id, &member(to));
+        self.check_order(now, id);
+        self.check_retry_budget(now, id);
+        self.check_slow_start_budget(now, to);
+        let request = self.requests.get_mut(&id).expect("known");
+        assert!(
+            timeout >= 0.0 && now + timeout <= request.details.deadline + 1e-6,
+            "time-out past the deadline"
+        );
+        request.attempts.push(SentAttempt { at: now, engine: to, timeout, result: None });
+    }
+
+    fn class_of(&self, request: &SeenRequest) -> &Class {
+        &self.settings.classes[request.details.class.0]
+    }
+
+    fn check_drain(&self, now: Milliseconds, to: usize) {
+        if let Some(drained) = self.drained_at.get(&to) {
+            assert!(now <= drained + self.settings.drain_grace, "rule 3: sent to one that drains");
+        }
+    }
+
+    fn check_attempt_allowed(&self, id: u64, to: &Member) {
+        let request = &self.requests[&id];
+        let class = self.class_of(request);
+        assert!(request.answered_at.is_none(), "rule 1: sent after the end");
+        assert!(request.attempts.len() < self.settings.max_attempts as usize, "send cap");
+        if let Some(kinds) = &class.kinds {
+            assert!(kinds.contains(&to.kind.expect("kind")), "rule 6: kind");
+        }
+        if let Some(zones) = &class.zones {
+            assert!(zones.contains(&to.zone.expect("zone")), "rule 6: zone");
+        }
+        let in_flight = request.attempts.iter().filter(|attempt| attempt.result.is_none()).count();
+        assert!(self.settings.may_hedge || in_flight == 0, "rule 2: two at once");
+    }
+
+    fn check_repeats(&self, now: Milliseconds, id: u64, to: &Member) {
+        let request = &self.requests[&id];
+        for attempt in request.attempts.iter().filter(|attempt| attempt.may_have_run()) {
+            match self.class_of(request).idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NotIdempotent => panic!("rule 2: unsafe sent again"),
+                Idempotency::Keyed { scope, window } => {
+                    let previous = member(attempt.engine);
+                    let same_scope = match scope {
+                        Scope::All => true,
+                        Scope::Zone => previous.zone == to.zone,
+                        Scope::Cell => previous.cell == to.cell,
+                    };
+                    assert!(
+                        same_scope && now <= attempt.at + window,
+                        "rule 2: keyed sent out of its group or window"
+                    );
+                }
+            }
+        }
+    }
+
+    fn check_order(&self, now: Milliseconds, id: u64) {
+        let request = &self.requests[&id];
+        let (true, Some(key)) = (self.class_of(request).ordered, request.details.key) else { return };
+        let is_retry = !request.attempts.is_empty();
+        for earlier_id in self.order[&key.0].iter().take_while(|earlier| **earlier != id) {
+            let earlier = &self.requests[earlier_id];
+            assert!(earlier.answered_at.is_some(), "rule 5: an earlier one is unfinished");
+            for attempt in &earlier.attempts {
+                let result = attempt.result.expect("rule 5: an earlier attempt is out");
+                if matches!(result.outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
+                    assert!(
+                        is_retry || now >= result.at + self.settings.ordered_key_pause,
+                        "rule 5: the key rests"
+                    );
+                }
+            }
+        }
+    }
+
+    fn check_retry_budget(&mut self, now: Milliseconds, id: u64) {
+        if self.requests[&id].attempts.is_empty() {
+            return;
+        }
+        self.retry_times.push(now);
+        if let Some(retry_budget) = self.settings.retry_budget {
+            let recent = |times: &[Milliseconds]| {
+                times.iter().filter(|at| **at > now - retry_budget.span).count() as f64
+            };
+            let max_retries = retry_budget.free + retry_budget.per_request * recent(&self.received_times);
+            assert!(recent(&self.retry_times) <= max_retries, "rule 7: ration");
+        }
+    }
+
+    /// Checks this gateway's share of the budget, at full capacity and at least 20 ms of work a query.
+    fn check_slow_start_budget(&mut self, now: Milliseconds, to: usize) {
+        let settings = &self.settings;
+        if self.started_at.get(&to).is_none_or(|at| now >= at + settings.slow_start_duration) {
+            return;
+        }
+        let sends = self.slow_start_sends.entry(to).or_default();
+        sends.push(now);
+        let span = settings.overload_collapse_after;
+        let recent = sends.iter().filter(|at| **at > now - span).count() as f64;
+        let share = settings.overload_collapse_multiple * CORES * span / settings.gateways as f64;
+        assert!(recent * MIN_WORK <= share, "rule 4: a burst into a cold engine");
+    }
+
+    /// Checks that no request is past its deadline without an answer.
+    pub fn check_deadlines(&self, now: Milliseconds) {
+        for request in self.requests.values() {
+            let due = request.details.deadline + self.settings.answer_grace;
+            assert!(
+                request.answered_at.is_some() || now < due,
+                "rule 1: taken at {}, no answer",
+                request.received_at
+            );
+        }
+    }
+}
+
+fn engine_number(id: &EngineId) -> usize {
+    (0..32).find(|number| engine(*number) == *id).expect("an engine of the list")
+}
--- /dev/null
+++ b/tests/rules/main.rs
@@ -0,0 +1,40 @@
+//! Random days under varied settings, checked by a checker that knows only the rules.
+
+mod checker;
+#[path = "../common/mod.rs"]
+mod common;
+mod day;
+mod settings;
+
+use common::{incoming, settings as default_settings};
+use day::Day;
+use starlingplank::decide::Balancer;
+use starlingplank::interface::*;
+
+#[test]
+fn rules_hold_on_arbitrary_days() {
+    let (mut received, mut sent) = (0, 0);
+    for seed in 0..120 {
+        let day = std::panic::catch_unwind(|| Day::run(seed));
+        let totals = day.unwrap_or_else(|_| panic!("day {seed} broke a rule"));
+        received += totals.received;
+        sent += totals.sent;
+    }
+    assert!(received > 10_000 && sent > received / 6, "days were idle: {received} received, {sent} sent");
+}
+
+#[test]
+fn same_events_same_actions() {
+    let run = || {
+        let mut balancer = Balancer::new(default_settings(), 0.0).expect("settings are good");
+        let mut actions = Vec::new();
+        balancer.run_cycle(0.0, &[common::fleet(5)], &mut actions);
+        for id in 0..200_u64 {
+            let now = id as f64 * 7.0;
+            let details = incoming(id, (id % 7 == 0).into(), now + 900.0);
+            balancer.run_cycle(now, &[Event::Request(details), Event::Timer(0)], &mut actions);
+        }
+        actions
+    };
+    assert_eq!(run(), run());
+}
--- /dev/null
+++ b/tests/rules/settings.rs
@@ -0,0 +1,54 @@
+//! Settings that differ from day to day.
+
+use crate::common::settings as default_settings;
+use starlingplank::interface::*;
+
+const RETRY_SPANS: [Milliseconds; 2] = [2_000.0, 5_000.0];
+const DRAIN_GRACES: [Milliseconds; 3] = [0.0, 250.0, 1_000.0];
+const ORDERED_KEY_PAUSES: [Milliseconds; 2] = [0.0, 500.0];
+const KEY_WINDOW: Milliseconds = 800.0;
+
+/// Draws the settings of a day.
+pub fn draw_settings(rng: &mut fastrand::Rng) -> Settings {
+    let mut settings = default_settings();
+    settings.seed = rng.u64(..);
+    settings.gateways = rng.usize(1..6);
+    settings.may_hedge = rng.bool();
+    settings.may_cancel = rng.bool();
+    settings.may_check_health = rng.bool();
+    settings.priorities = rng.bool();
+    settings.grants = rng.bool();
+    settings.max_attempts = rng.u32(1..6);
+    settings.subscribes_to_endpoints = rng.bool();
+    settings.reporting = [Reporting::Answers, Reporting::Probes, Reporting::Never][rng.usize(..3)];
+    let span = RETRY_SPANS[rng.usize(..2)];
+    settings.retry_budget =
+        rng.bool().then_some(RetryBudgetSettings { free: rng.f64() * 4.0, per_request: 0.1, span });
+    settings.drain_grace = DRAIN_GRACES[rng.usize(..3)];
+    settings.overload_collapse_multiple = 2.5 + rng.f64();
+    settings.max_retry_after = if rng.bool() { 1_000.0 } else { 0.0 };
+    settings.ordered_key_pause = ORDERED_KEY_PAUSES[rng.usize(..2)];
+    if rng.bool() {
+        settings.tenants =
+            (0..2).map(|i| Tenant { name: format!("t{i}"), quota_per_s: rng.f64() * 20.0 }).collect();
+    }
+    for class in &mut settings.classes {
+        draw_class_terms(class, rng);
+    }
+    settings
+}
+
+fn draw_class_terms(class: &mut Class, rng: &mut fastrand::Rng) {
+    class.idempotency = match rng.u8(..5) {
+        0 => Idempotency::NotIdempotent,
+        1 => Idempotency::Keyed { scope: Scope::All, window: KEY_WINDOW },
+        2 => Idempotency::Keyed { scope: Scope::Zone, window: KEY_WINDOW },
+        3 => Idempotency::Keyed { scope: Scope::Cell, window: KEY_WINDOW },
+        _ => Idempotency::Idempotent,
+    };
+    class.ordered = rng.u8(..3) == 0;
+    class.kinds = (rng.u8(..4) == 0).then(|| vec![KindId(rng.usize(..2))]);
+    class.zones = (rng.u8(..4) == 0).then(|| vec![ZoneId(rng.usize(..2))]);
+    class.is_load = rng.u8(..5) == 0;
+    class.waits_for_loads = rng.u8(..5) == 0;
+}
