--- a/tests/decide/slow_start.rs
+++ b/tests/decide/slow_start.rs
@@ -19,71 +19,134 @@
     assert!((1..=15).contains(&short), "{short} of 60 short ones sent at once");
 }
 
+const GATEWAYS: usize = 300;
+/// The engines; the first is in slow start.
+const ENGINES: usize = 12;
+/// The round in which two thirds of the gateways restart, and the one that follows a pause of all.
+const RESTART_ROUND: usize = 30;
+const ROUND_AFTER_PAUSE: usize = 60;
+
+/// Work that was sent to the engine in slow start.
+struct SentWork {
+    at: Milliseconds,
+    work: Milliseconds,
+}
+
+/// Hundreds of gateways before a fleet with one engine in slow start.
+struct StartingFleet {
+    settings: Settings,
+    /// The class of all requests, and the work of one.
+    class: usize,
+    usual_work: Milliseconds,
+    /// What warm engines report, if any do.
+    reported: Option<LoadReport>,
+    members: Vec<Member>,
+    gateways: Vec<TestGateway>,
+    /// What each gateway sent in its last cycle. The next answers it.
+    in_flight: Vec<Vec<(u64, EngineId)>>,
+    sent_to_starting: Vec<SentWork>,
+}
+
+impl StartingFleet {
+    fn new(class: usize, usual_work: Milliseconds, reported: Option<LoadReport>) -> Self {
+        let settings = default_settings();
+        let mut starting = member(0);
+        starting.started = Some(0.0);
+        Self {
+            class,
+            usual_work,
+            reported,
+            members: std::iter::once(starting).chain((1..ENGINES).map(member)).collect(),
+            gateways: (0..GATEWAYS as u64).map(|seed| start_gateway(&settings, seed)).collect(),
+            settings,
+            in_flight: vec![Vec::new(); GATEWAYS],
+            sent_to_starting: Vec::new(),
+        }
+    }
+
+    fn run(&mut self) {
+        let mut times: Vec<Milliseconds> = (0..ROUND_AFTER_PAUSE).map(|round| round as f64 * 100.0).collect();
+        times.extend((0..40).map(|round| 8_000.0 + f64::from(round) * 100.0));
+        for (round, now) in times.into_iter().enumerate() {
+            for index in 0..GATEWAYS {
+                self.step(index, round, now);
+            }
+        }
+    }
+
+    fn step(&mut self, index: usize, round: usize, now: Milliseconds) {
+        let restarts = round == RESTART_ROUND && !index.is_multiple_of(3);
+        if restarts {
+            self.gateways[index] = start_gateway(&self.settings, 1_000 + index as u64);
+        }
+        self.gateways[index].now = now;
+        let mut events = vec![Event::Timer(0)];
+        if round == 0 || restarts {
+            events.push(Event::Members { complete: true, members: self.members.clone() });
+        }
+        if let Some(reported) = self.reported {
+            events.extend((1..ENGINES).map(|number| health_checked(number, reported)));
+            let inflight = reported.inflight.map(|_| 0.0);
+            events.push(health_checked(0, LoadReport { inflight, util: Some(0.0), ..reported }));
+        }
+        self.receive_requests(index, round, &mut events);
+        let took = self.usual_work / self.settings.classes[self.class].threads;
+        let answered = std::mem::take(&mut self.in_flight[index]);
+        events.extend(answered.iter().map(|(id, sent_to)| outcome(*id, 0, sent_to, Outcome::Ok, took)));
+        let sent = sends(&self.gateways[index].run_cycle(&events));
+        for _ in sent.iter().filter(|(_, sent_to)| *sent_to == engine(0)) {
+            self.sent_to_starting.push(SentWork { at: now, work: self.usual_work });
+        }
+        self.in_flight[index] = sent;
+    }
+
+    /// Three queries a second reach each gateway; more at once after the pause.
+    fn receive_requests(&mut self, index: usize, round: usize, events: &mut Vec<Event>) {
+        let gateway = &mut self.gateways[index];
+        let count =
+            if round == ROUND_AFTER_PAUSE { 6 } else { usize::from((round + index).is_multiple_of(3)) };
+        for _ in 0..count {
+            gateway.next += 1;
+            events.push(Event::Request(incoming(gateway.next, self.class, gateway.now + 3_000.0)));
+        }
+    }
+
+    fn check_budget(&self) {
+        let Self { settings, class, reported, sent_to_starting: sent, .. } = self;
+        for start in sent.iter().map(|sent| sent.at) {
+            let end = start + settings.overload_collapse_after;
+            let span = sent.iter().filter(|sent| sent.at >= start && sent.at < end);
+            let work: f64 = span.map(|sent| sent.work).sum();
+            let warmth = settings.slow_start_from
+                + (1.0 - settings.slow_start_from) * start / settings.slow_start_duration;
+            let budget =
+                settings.overload_collapse_multiple * warmth * 8.0 * settings.overload_collapse_after;
+            assert!(work <= budget, "{work} of {budget} from {start}: class {class}, {reported:?}");
+        }
+        // Few heavy queries fill that budget: chance may leave them none.
+        assert!(*class > 0 || sent.len() > 10, "only {} queries: a cold engine must be used", sent.len());
+    }
+}
+
+fn start_gateway(settings: &Settings, seed: u64) -> TestGateway {
+    TestGateway::new(Settings { gateways: GATEWAYS, seed, ..settings.clone() }, 0)
+}
+
+fn health_checked(number: usize, report: LoadReport) -> Event {
+    Event::HealthChecked { engine: engine(number), ok: true, took: 1.0, report: Some(report) }
+}
+
 /// What 300 gateways together send to one engine in slow start stays under its budget in any span of the stated length:
 /// however load is reported, for light and heavy classes, under steady load, in a burst, after a pause of all, and with
 /// two thirds of the gateways restarted in between, which have forgotten what they sent.
 fn hundreds_of_gateways_before_a_starting_engine(
     class: usize,
-    usual: Milliseconds,
+    usual_work: Milliseconds,
     reported: Option<LoadReport>,
 ) {
-    let settings = default_settings();
-    let start = |seed| TestGateway::new(Settings { gateways: 300, seed, ..settings.clone() }, 0);
-    let mut gateways: Vec<TestGateway> = (0..300).map(start).collect();
-    let mut starting = member(0);
-    starting.started = Some(0.0);
-    let members: Vec<Member> = std::iter::once(starting).chain((1..12).map(member)).collect();
-    let mut sent: Vec<(Milliseconds, f64)> = Vec::new();
-    // Each is answered by the next cycle.
-    let mut in_flight: Vec<Vec<(u64, EngineId)>> = vec![Vec::new(); gateways.len()];
-    let mut times: Vec<Milliseconds> = (0..60).map(|round| f64::from(round) * 100.0).collect();
-    times.extend((0..40).map(|round| 8_000.0 + f64::from(round) * 100.0));
-    for (round, now) in times.iter().enumerate() {
-        for (index, gateway) in gateways.iter_mut().enumerate() {
-            let restarts = round == 30 && index % 3 > 0;
-            if restarts {
-                *gateway = start(1_000 + index as u64);
-            }
-            gateway.now = *now;
-            let mut events = vec![Event::Timer(0)];
-            if round == 0 || restarts {
-                events.push(Event::Members { complete: true, members: members.clone() });
-            }
-            if let Some(r) = reported {
-                let health_checked = |n, report| Event::HealthChecked {
-                    engine: engine(n),
-                    ok: true,
-                    took: 1.0,
-                    report: Some(report),
-                };
-                events.extend((1..12).map(|n| health_checked(n, r)));
-                let idle = LoadReport { inflight: r.inflight.map(|_| 0.0), util: Some(0.0), ..r };
-                events.push(health_checked(0, idle));
-            }
-            // Three queries a second each; more at once after the pause.
-            let count = if round == 60 { 6 } else { usize::from((round + index) % 3 == 0) };
-            for _ in 0..count {
-                gateway.next += 1;
-                events.push(Event::Request(incoming(gateway.next, class, now + 3_000.0)));
-            }
-            events.extend(std::mem::take(&mut in_flight[index]).iter().map(|(id, sent_to)| {
-                outcome(*id, 0, sent_to, Outcome::Ok, usual / settings.classes[class].threads)
-            }));
-            in_flight[index] = sends(&gateway.run_cycle(&events));
-            let to_starting = in_flight[index].iter().filter(|(_, e)| *e == engine(0)).count();
-            sent.extend((0..to_starting).map(|_| (*now, usual)));
-        }
-    }
-    for (start, _) in &sent {
-        let span = sent.iter().filter(|(t, _)| t >= start && *t < start + settings.overload_collapse_after);
-        let work: f64 = span.map(|(_, w)| w).sum();
-        let warmth = settings.slow_start_from
-            + (1.0 - settings.slow_start_from) * start / settings.slow_start_duration;
-        let budget = settings.overload_collapse_multiple * warmth * 8.0 * settings.overload_collapse_after;
-        assert!(work <= budget, "{work} of {budget} from {start}: class {class}, {reported:?}");
-    }
-    // Few heavy queries fill that budget: chance may leave them none.
-    assert!(class > 0 || sent.len() > 10, "only {} queries: a cold engine must be used", sent.len());
+    let mut fleet = StartingFleet::new(class, usual_work, reported);
+    fleet.run();
+    fleet.check_budget();
 }
 
 #[test]
