--- a/crates/persistence/tests/twice/engines.rs
+++ b/crates/persistence/tests/twice/engines.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 
 /// How long an engine drops repeats of a key, in ms.
-pub const WINDOW: f64 = 12_000.0;
+pub(crate) const WINDOW: f64 = 12_000.0;
 
 /// A run of a request, in ms.
 struct Run {
@@ -15,14 +15,14 @@
 
 /// All engines as one: any of them drops the repeats of a key that another ran.
 #[derive(Default)]
-pub struct Engines {
+pub(crate) struct Engines {
     first_run: HashMap<Key, f64>,
     runs: HashMap<Key, Vec<Run>>,
 }
 
 impl Engines {
     /// Runs a request unless it repeats a key within its window.
-    pub fn execute(&mut self, key: Key, received: f64, now: f64) {
+    pub(crate) fn execute(&mut self, key: Key, received: f64, now: f64) {
         if self.first_run.get(&key).is_some_and(|at| now < at + WINDOW) {
             return;
         }
@@ -31,13 +31,13 @@
     }
 
     /// Counts runs of a request that was received within the window of an earlier run, or before it.
-    pub fn repeated_runs(&self) -> usize {
+    pub(crate) fn repeated_runs(&self) -> usize {
         let is_repeat = |pair: &&[Run]| pair[1].received < pair[0].began + WINDOW;
         self.runs.values().map(|runs| runs.windows(2).filter(is_repeat).count()).sum()
     }
 
     /// Counts all runs.
-    pub fn run_count(&self) -> usize {
+    pub(crate) fn run_count(&self) -> usize {
         self.runs.values().map(Vec::len).sum()
     }
 }
--- a/crates/persistence/tests/twice/incarnation.rs
+++ b/crates/persistence/tests/twice/incarnation.rs
@@ -6,20 +6,20 @@
 use starlingplank_persistence::boot_time::BootTime;
 use starlingplank_persistence::clock_offset::ClockOffset;
 use starlingplank_persistence::deduplication_window::{
-    key, Admission, DeduplicationWindow, Key, KeySends, SendPermission, LogState,
+    key, Admission, DeduplicationWindow, Key, KeySends, LogState, SendPermission,
 };
 use starlingplank_persistence::idempotency_log::{self, IdempotencyLog, Record};
 use starlingplank_test_doubles::disk::FaultyDisk;
 
 /// How long before the end of a window the last send of its key may be, in ms.
-pub const MARGIN: f64 = 20.0;
+pub(crate) const MARGIN: f64 = 20.0;
 /// How many keys clients use.
 const KEYS: u64 = 12;
 /// How many keys a process remembers at most.
-pub const MAX_KEYS: usize = 1_000;
+pub(crate) const MAX_KEYS: usize = 1_000;
 
 /// A request that was admitted and waits to be sent. Times in ms.
-pub struct WaitingRequest {
+pub(crate) struct WaitingRequest {
     pub key: Key,
     pub received: f64,
     pub send_at: f64,
@@ -28,7 +28,7 @@
 }
 
 /// A process of the gateway.
-pub struct Incarnation {
+pub(crate) struct Incarnation {
     pub deduplication: DeduplicationWindow,
     pub log: Option<IdempotencyLog>,
     /// Between the boot clock and this process's.
@@ -36,7 +36,7 @@
 }
 
 impl Incarnation {
-    pub fn start(disk: &FaultyDisk, mode: LogState, now: f64, offset: ClockOffset) -> Self {
+    pub(crate) fn start(disk: &FaultyDisk, mode: LogState, now: f64, offset: ClockOffset) -> Self {
         let mut deduplication = DeduplicationWindow::new(mode, WINDOW, MAX_KEYS, now);
         let log = matches!(mode, LogState::Open { .. }).then(|| {
             let boot = BootTime { now: now + offset.by, boot_id: Some(offset.boot_id) };
@@ -51,7 +51,7 @@
     }
 
     /// Rewrites the log, or appends a mark, where one is due. Called once a second.
-    pub fn maintain(&mut self, now: f64) {
+    pub(crate) fn maintain(&mut self, now: f64) {
         if let Some(rewrite) = self.deduplication.rewrite(now) {
             let stored = |(key, sends): &(Key, KeySends)| (*key, self.offset.stored_sends(*sends));
             let keys: Vec<_> = rewrite.keys.iter().map(stored).collect();
@@ -71,7 +71,7 @@
     }
 
     /// Receives a request under one of the keys. Returns it where it is admitted.
-    pub fn receive_request(&mut self, rng: &mut Pcg64Mcg, now: f64) -> Option<WaitingRequest> {
+    pub(crate) fn receive_request(&mut self, rng: &mut Pcg64Mcg, now: f64) -> Option<WaitingRequest> {
         let key = key(&rng.random_range(0..KEYS).to_string());
         let Admission::Until(admitted_until) = self.deduplication.admit(&key, WINDOW, now, MARGIN) else {
             return None;
@@ -83,7 +83,7 @@
     }
 
     /// Returns whether the request may be sent now. Its send is in the log then, where one is required.
-    pub fn may_send(&mut self, request: &WaitingRequest, now: f64) -> bool {
+    pub(crate) fn may_send(&mut self, request: &WaitingRequest, now: f64) -> bool {
         now < request.admitted_until && self.record_send(request.key, now)
     }
 
@@ -93,12 +93,12 @@
             SendPermission::Now => true,
             SendPermission::AfterRecord(send) => {
                 let stored = self.offset.stored_send(send);
-                match self.log.as_mut().map(|log| log.append(&[Record::KeySend(key, stored)])) {
-                    Some(Ok(_)) => self.deduplication.recorded(&key, send, now),
-                    _ => {
-                        self.deduplication.failed();
-                        false
-                    }
+                if let Some(Ok(_)) = self.log.as_mut().map(|log| log.append(&[Record::KeySend(key, stored)]))
+                {
+                    self.deduplication.recorded(&key, send, now)
+                } else {
+                    self.deduplication.failed();
+                    false
                 }
             }
         }
--- a/crates/persistence/tests/twice/machine.rs
+++ b/crates/persistence/tests/twice/machine.rs
@@ -8,28 +8,28 @@
 const MAX_LONG_DOWNTIME: f64 = 40_000.0;
 
 /// The boot clock when the running process started, in ms, and the id of the boot.
-pub struct Machine {
+pub(crate) struct Machine {
     clock: f64,
     boot_id: [u8; 16],
 }
 
 impl Machine {
-    pub fn new() -> Self {
+    pub(crate) fn new() -> Self {
         Self { clock: 5_000.0, boot_id: [1; 16] }
     }
 
     /// Returns the offset between the boot clock and that of a process that starts at `now`.
-    pub fn clock_offset(&self, now: f64) -> ClockOffset {
+    pub(crate) fn clock_offset(&self, now: f64) -> ClockOffset {
         ClockOffset { by: self.clock - now, boot_id: self.boot_id }
     }
 
     /// Lets the boot clock run on by so many ms.
-    pub fn advance(&mut self, elapsed: f64) {
+    pub(crate) fn advance(&mut self, elapsed: f64) {
         self.clock += elapsed;
     }
 
     /// Restarts the machine now and then. Returns whether it did.
-    pub fn may_restart(&mut self, rng: &mut Pcg64Mcg) -> bool {
+    pub(crate) fn may_restart(&mut self, rng: &mut Pcg64Mcg) -> bool {
         let restarts = rng.random_bool(0.1);
         if restarts {
             *self = Self { clock: rng.random_range(0.0..20_000.0), boot_id: [rng.random(); 16] };
@@ -39,7 +39,7 @@
 }
 
 /// Draws the time between two processes, in ms: mostly below `max_short`.
-pub fn downtime(rng: &mut Pcg64Mcg, max_short: f64) -> f64 {
+pub(crate) fn downtime(rng: &mut Pcg64Mcg, max_short: f64) -> f64 {
     if rng.random_bool(0.7) {
         rng.random_range(5.0..max_short)
     } else {
--- a/crates/persistence/tests/twice/restarts.rs
+++ b/crates/persistence/tests/twice/restarts.rs
@@ -14,7 +14,7 @@
 
 /// What the disk may do.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Disk {
+pub(crate) enum Disk {
     /// It only stops with the program.
     Good,
     /// It fails, runs full, and is missing for whole processes.
@@ -22,7 +22,7 @@
 }
 
 /// Ten minutes of successive processes.
-pub struct Restarts {
+pub(crate) struct Restarts {
     rng: Pcg64Mcg,
     disk: FaultyDisk,
     disk_is: Disk,
@@ -37,7 +37,7 @@
 }
 
 impl Restarts {
-    pub fn simulate(seed: u64, log_required: bool, disk_is: Disk, has_log: bool) -> Self {
+    pub(crate) fn simulate(seed: u64, log_required: bool, disk_is: Disk, has_log: bool) -> Self {
         let mut simulation = Self {
             rng: Pcg64Mcg::seed_from_u64(seed),
             disk: FaultyDisk::new(seed),
--- a/crates/persistence/tests/twice/upgrades.rs
+++ b/crates/persistence/tests/twice/upgrades.rs
@@ -44,7 +44,7 @@
 
 /// Ten minutes of upgrades: versions follow each other, either of two processes or both are killed at any moment, the
 /// shared folder is sometimes emptied before the next start, the machine sometimes started anew.
-pub struct Upgrades {
+pub(crate) struct Upgrades {
     rng: Pcg64Mcg,
     disk: FaultyDisk,
     machine: Machine,
@@ -59,7 +59,7 @@
 }
 
 impl Upgrades {
-    pub fn simulate(seed: u64, creates_marker: bool) -> Self {
+    pub(crate) fn simulate(seed: u64, creates_marker: bool) -> Self {
         let mut simulation = Self {
             rng: Pcg64Mcg::seed_from_u64(seed),
             disk: FaultyDisk::new(seed),
--- a/tests/rules/checker.rs
+++ b/tests/rules/checker.rs
@@ -10,12 +10,12 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy)]
-pub struct AttemptResult {
+pub(crate) struct AttemptResult {
     pub at: Milliseconds,
     pub outcome: Outcome,
 }
 
-pub struct SentAttempt {
+pub(crate) struct SentAttempt {
     pub at: Milliseconds,
     pub engine: usize,
     pub timeout: Milliseconds,
@@ -34,7 +34,7 @@
     }
 }
 
-pub struct SeenRequest {
+pub(crate) struct SeenRequest {
     pub details: RequestDetails,
     pub received_at: Milliseconds,
     pub answered_at: Option<Milliseconds>,
@@ -42,7 +42,7 @@
 }
 
 /// The rules, implemented from their wording, apart from the decision module. Engines are known by their number.
-pub struct Checker {
+pub(crate) struct Checker {
     settings: Settings,
     pub requests: BTreeMap<u64, SeenRequest>,
     /// The requests of each ordered key, as received.
@@ -55,7 +55,7 @@
 }
 
 impl Checker {
-    pub fn new(settings: Settings) -> Self {
+    pub(crate) fn new(settings: Settings) -> Self {
         Self {
             settings,
             requests: BTreeMap::new(),
@@ -68,12 +68,12 @@
         }
     }
 
-    pub fn engine_started(&mut self, number: usize, now: Milliseconds) {
+    pub(crate) fn engine_started(&mut self, number: usize, now: Milliseconds) {
         self.started_at.insert(number, now);
         self.slow_start_sends.remove(&number);
     }
 
-    pub fn request_received(&mut self, details: RequestDetails, now: Milliseconds) {
+    pub(crate) fn request_received(&mut self, details: RequestDetails, now: Milliseconds) {
         let id = details.id.0;
         if let Some(key) = details.key {
             self.order.entry(key.0).or_default().push(id);
@@ -84,7 +84,7 @@
     }
 
     /// The gateway is killed and restarts: nothing that it had open goes on.
-    pub fn gateway_restarted(&mut self, now: Milliseconds) {
+    pub(crate) fn gateway_restarted(&mut self, now: Milliseconds) {
         for request in self.requests.values_mut() {
             request.answered_at.get_or_insert(now);
             for attempt in &mut request.attempts {
@@ -96,7 +96,7 @@
         self.order.clear();
     }
 
-    pub fn action(&mut self, now: Milliseconds, action: &Action) {
+    pub(crate) fn action(&mut self, now: Milliseconds, action: &Action) {
         match action {
             Action::Send { id, engine, timeout } => {
                 self.send(now, id.0, engine_number(engine), *timeout);
@@ -125,10 +125,10 @@
         let may_have_run = request.attempts.iter().any(SentAttempt::may_have_run);
         match self.settings.classes[request.details.class.0].idempotency {
             Idempotency::NotIdempotent => {
-                assert!(!may_have_run, "rule 2: refused what may have run")
+                assert!(!may_have_run, "rule 2: refused what may have run");
             }
             Idempotency::Keyed { scope, .. } => {
-                assert!(scope == Scope::All || !may_have_run, "rule 2: refused a keyed one")
+                assert!(scope == Scope::All || !may_have_run, "rule 2: refused a keyed one");
             }
             Idempotency::Idempotent => {}
         }
@@ -244,7 +244,7 @@
     }
 
     /// Checks that no request is past its deadline without an answer.
-    pub fn check_deadlines(&self, now: Milliseconds) {
+    pub(crate) fn check_deadlines(&self, now: Milliseconds) {
         for request in self.requests.values() {
             let due = request.details.deadline + self.settings.answer_grace;
             assert!(
--- a/tests/rules/day.rs
+++ b/tests/rules/day.rs
@@ -15,13 +15,13 @@
 const ENGINES: usize = 6;
 
 /// What a day came to.
-pub struct DayTotals {
+pub(crate) struct DayTotals {
     pub received: usize,
     pub sent: usize,
 }
 
 /// A day as far as it has come.
-pub struct Day {
+pub(crate) struct Day {
     rng: fastrand::Rng,
     settings: Settings,
     balancer: Balancer,
@@ -33,7 +33,7 @@
 
 impl Day {
     /// Runs the day of a seed, and panics where a rule is broken.
-    pub fn run(seed: u64) -> DayTotals {
+    pub(crate) fn run(seed: u64) -> DayTotals {
         let mut rng = fastrand::Rng::with_seed(seed);
         let settings = draw_settings(&mut rng);
         let balancer = Balancer::new(settings.clone(), 0.0).expect("settings are good");
--- a/tests/rules/settings.rs
+++ b/tests/rules/settings.rs
@@ -9,7 +9,7 @@
 const KEY_WINDOW: Milliseconds = 800.0;
 
 /// Draws the settings of a day.
-pub fn draw_settings(rng: &mut fastrand::Rng) -> Settings {
+pub(crate) fn draw_settings(rng: &mut fastrand::Rng) -> Settings {
     let mut settings = default_settings();
     settings.seed = rng.u64(..);
     settings.gateways = rng.usize(1..6);
