--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -36,8 +36,15 @@
     AttemptEnded(AttemptId, AttemptEnd),
     /// An engine sent a progress update of an attempt.
     ProgressUpdate(AttemptId, ProgressUpdate),
-    /// A health check ended: its number, whether it succeeded, the engine's load.
-    HealthChecked(u64, bool, Option<LoadReport>),
+    /// A health check ended.
+    HealthChecked {
+        /// The number that [`Effect::CheckHealth`] gave.
+        number: u64,
+        /// Whether the engine answered in time and well.
+        succeeded: bool,
+        /// The engine's load, where it reports that.
+        report: Option<LoadReport>,
+    },
     /// The time of a timer has come.
     TimersDue,
     /// All events of a batch were handled: run a decision cycle if one is due.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -222,7 +222,9 @@
             Event::LogRewritten(keys) => self.log_rewritten(now, &keys, effects),
             Event::MaintenanceTick => self.maintain_log(now, effects),
             Event::PeerKeys(keys) => self.add_peer_keys(now, keys),
-            Event::HealthChecked(number, ok, report) => self.end_health_check(now, number, ok, report),
+            Event::HealthChecked { number, succeeded: ok, report } => {
+                self.end_health_check(now, number, ok, report);
+            }
             Event::TimersDue => self.fire_due_timers(now, effects),
             Event::RunDecisionCycle => self.decision_cycle(now, effects),
             Event::Terminate => self.terminate(now),
--- a/src/net/engine/clickhouse/driver.rs
+++ b/src/net/engine/clickhouse/driver.rs
@@ -30,7 +30,7 @@
     connection.write_queue.close(CloseMode::Immediately);
     let event = match connection.end_job() {
         None => return,
-        Some(Job::HealthCheck(tag)) => Event::HealthChecked(tag, false, None),
+        Some(Job::HealthCheck(tag)) => Event::HealthChecked { number: tag, succeeded: false, report: None },
         Some(Job::Attempt(id, _)) => {
             let outcome = match &stream {
                 Err(error) => error.outcome(),
--- a/src/net/engine/clickhouse/mod.rs
+++ b/src/net/engine/clickhouse/mod.rs
@@ -140,7 +140,7 @@
     fn check_health(&mut self, tag: u64, engine: &EngineId, address: SocketAddr, events: &mut Vec<Event>) {
         let frame = Frame::plain(format!("GET /ping HTTP/1.1\r\nHost: {address}\r\n\r\n").into_bytes());
         if !self.assign(engine, address, Job::HealthCheck(tag), frame) {
-            events.push(Event::HealthChecked(tag, false, None));
+            events.push(Event::HealthChecked { number: tag, succeeded: false, report: None });
         }
     }
 
--- a/src/net/engine/clickhouse/response.rs
+++ b/src/net/engine/clickhouse/response.rs
@@ -135,7 +135,9 @@
         let slot = self.events.reserve().await.map_err(|_| ConnectionFailed)?;
         let job = self.connection.end_job().ok_or(ConnectionFailed)?;
         slot.send(match job {
-            Job::HealthCheck(tag) => Event::HealthChecked(tag, response.status == OK, None),
+            Job::HealthCheck(tag) => {
+                Event::HealthChecked { number: tag, succeeded: response.status == OK, report: None }
+            }
             Job::Attempt(id, _) => Event::AttemptEnded(id, attempt_end(response.status, response.rows)),
         });
         Ok(head.keep_alive)
--- a/src/net/engine/driver.rs
+++ b/src/net/engine/driver.rs
@@ -150,6 +150,6 @@
 async fn report_failed_health_checks(connection: &Connection, events: &Sender<Event>) {
     let health_checks = std::mem::take(&mut *connection.health_checks.borrow_mut());
     for (tag, _) in health_checks {
-        let _ = events.send(Event::HealthChecked(tag, false, None)).await;
+        let _ = events.send(Event::HealthChecked { number: tag, succeeded: false, report: None }).await;
     }
 }
--- a/src/net/engine/pool.rs
+++ b/src/net/engine/pool.rs
@@ -173,7 +173,7 @@
 
     fn check_health(&mut self, tag: u64, engine: &EngineId, address: SocketAddr, events: &mut Vec<Event>) {
         let Some(connection) = self.choose_connection(engine, address, "") else {
-            return events.push(Event::HealthChecked(tag, false, None));
+            return events.push(Event::HealthChecked { number: tag, succeeded: false, report: None });
         };
         connection.health_checks.borrow_mut().insert(tag, Instant::now());
         connection.write_queue.push(resp::command(&["busy", &format!("p{tag}")]), &self.limits);
--- a/src/net/engine/replies.rs
+++ b/src/net/engine/replies.rs
@@ -48,7 +48,11 @@
         return ReplyEffect::Ignored;
     }
     connection.last_used.set(Instant::now());
-    ReplyEffect::Event(Event::HealthChecked(tag, reply.kind == b"green", reply.load_report()))
+    ReplyEffect::Event(Event::HealthChecked {
+        number: tag,
+        succeeded: reply.kind == b"green",
+        report: reply.load_report(),
+    })
 }
 
 /// Ends an attempt that has no result.
--- a/src/net/runtime/cycle.rs
+++ b/src/net/runtime/cycle.rs
@@ -78,7 +78,9 @@
             let AttemptEnd { outcome, work, report, .. } = end;
             tracing::trace!(request = request.0, attempt, ?outcome, ?work, ?report, "attempt ended");
         }
-        Event::HealthChecked(tag, ok, report) => tracing::trace!(tag, ok, ?report, "health checked"),
+        Event::HealthChecked { number: tag, succeeded: ok, report } => {
+            tracing::trace!(tag, ok, ?report, "health checked");
+        }
         Event::EndpointList { version, endpoints } => {
             tracing::trace!(version, engines = endpoints.len(), "endpoint list received");
         }
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -259,7 +259,9 @@
         let mut engines = RespEngines::new(limits, SharedState::new(1), sender);
         let (engine, mut at_once) = (EngineId("s-0".into()), Vec::new());
         engines.check_health(1, &engine, at, &mut at_once);
-        let Some(Event::HealthChecked(1, true, Some(probed))) = events.recv().await else {
+        let Some(Event::HealthChecked { number: 1, succeeded: true, report: Some(probed) }) =
+            events.recv().await
+        else {
             panic!("a report")
         };
         let statement = Statement { name: ID.into(), class: "lookup".into(), ..Statement::default() };
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -357,7 +357,7 @@
         }
         let util = Some(self.engines[engine].utilization);
         let report = Some(LoadReport { util, ..LoadReport::default() });
-        self.gateways[index].events.push(Event::HealthChecked(number, true, report));
+        self.gateways[index].events.push(Event::HealthChecked { number, succeeded: true, report });
     }
 
     /// Checks that the cold engine received no more work over any span than it withstands.
--- a/tests/idle.rs
+++ b/tests/idle.rs
@@ -163,7 +163,9 @@
             match next {
                 Next::Request { client } => self.request(client),
                 Next::AttemptEnd { request, attempt } => self.end_attempt(request, attempt),
-                Next::HealthChecked(number) => self.step(Event::HealthChecked(number, true, None)),
+                Next::HealthChecked(number) => {
+                    self.step(Event::HealthChecked { number, succeeded: true, report: None });
+                }
                 // The module's own timers go on forever after the last answer.
                 Next::TimersDue if self.open.is_empty() && self.left == 0 => {}
                 Next::TimersDue => self.step(Event::TimersDue),
