--- a/tests/deadlines.rs
+++ b/tests/deadlines.rs
@@ -1,4 +1,4 @@
-//! The deadline that is told to an engine is at most what the client has left.
+//! The deadline that is passed to an engine is at most the time that the client has left.
 
 mod stand;
 
@@ -13,38 +13,54 @@
 
 /// How long the client waits, in milliseconds.
 const LIMIT: u64 = 8_000;
-/// What the deadline told may lie over what is left.
+/// By how much the passed deadline may exceed the time that is left.
 const SLACK: Duration = Duration::from_millis(150);
 
-/// The budget of a request of the platform, or of one over HTTP, whose deadline is told in whole seconds.
-fn told(parts: &[String]) -> Option<Duration> {
+/// The deadline that a request on the platform's wire passes to its engine.
+fn passed_deadline(parts: &[String]) -> Option<Duration> {
     let budget = parts.get(2)?.split(',').find_map(|field| field.strip_prefix("budget="))?;
     budget.parse().ok().map(Duration::from_millis)
 }
 
-/// When a request arrived at its engine, and what that was told.
-type Arrival = (Instant, Duration);
+/// The arrival of a request at its engine.
+#[derive(Clone, Copy)]
+struct Arrival {
+    at: Instant,
+    /// The time that the engine was given.
+    deadline: Duration,
+}
+
+impl Arrival {
+    fn now(parts: &[String]) -> Self {
+        Self { at: Instant::now(), deadline: passed_deadline(parts).expect("a budget") }
+    }
 
-/// What was told is at most what was left of the client's time.
-fn assert_not_over(sent: Instant, (at, told): Arrival) {
-    let left = Duration::from_millis(LIMIT).saturating_sub(at - sent);
-    assert!(told <= left + SLACK, "{told:?} was told, {left:?} were left");
+    /// Returns what was left of the client's time.
+    fn left(self, sent: Instant) -> Duration {
+        Duration::from_millis(LIMIT).saturating_sub(self.at - sent)
+    }
 }
 
-/// An engine that serves everything and notes the last arrival.
-fn engine_that_notes() -> (SocketAddr, Arc<Mutex<Option<Arrival>>>) {
+/// Checks that the passed deadline is at most what was left of the client's time.
+fn assert_not_over(sent: Instant, arrival: Arrival) {
+    let (deadline, left) = (arrival.deadline, arrival.left(sent));
+    assert!(deadline <= left + SLACK, "{deadline:?} was told, {left:?} were left");
+}
+
+/// An engine that serves everything and records the last arrival.
+fn recording_engine() -> (SocketAddr, Arc<Mutex<Option<Arrival>>>) {
     let arrived = Arc::new(Mutex::new(None));
     let seen = arrived.clone();
     let (at, _) = resp_engine(move |parts| {
         if parts[0] == "want" {
-            *seen.lock().expect("seen") = Some((Instant::now(), told(parts).expect("a budget")));
+            *seen.lock().expect("seen") = Some(Arrival::now(parts));
         }
         served(parts)
     });
     (at, arrived)
 }
 
-/// The connection comes up a second after the request was handed to it.
+/// The connection is established a second after the request was queued for it.
 #[rstest]
 #[case::first_on_its_connection(1)]
 #[case::behind_others(3)]
@@ -69,7 +85,7 @@
     drop(filling);
     let _log = resp_engine_at(listener, move |parts| {
         if parts[0] == "want" {
-            seen.lock().expect("seen").push((Instant::now(), told(parts).expect("a budget")));
+            seen.lock().expect("seen").push(Arrival::now(parts));
         }
         served(parts)
     });
@@ -81,13 +97,13 @@
     }
 }
 
-/// What arrived while the process stood still is as old as that.
+/// A request that arrived while the process was paused counts from its arrival.
 #[rstest]
 #[case::on_a_connection_that_rests(true)]
 #[case::on_a_new_connection(false)]
 fn deadline_counts_from_when_the_request_arrived_and_not_from_when_it_was_read(#[case] rests: bool) {
     const PAUSE: Duration = Duration::from_millis(600);
-    let (at, arrived) = engine_that_notes();
+    let (at, arrived) = recording_engine();
     let gateway = Gateway::start(&never_late(&config(&[at], "resp", 60_000)));
     let mut resting = rests.then(|| gateway.client());
     if let Some(client) = &mut resting {
@@ -107,11 +123,11 @@
     assert_not_over(sent, arrival);
 }
 
-/// A new client waits until there is room for its connection; its request lies there meanwhile.
+/// A new client waits until there is capacity for its connection; its request is unread meanwhile.
 #[test]
 fn deadline_counts_from_when_the_request_arrived_though_there_was_no_room() {
     const WAIT: Duration = Duration::from_millis(600);
-    // Of 64 descriptors 24 are kept back, and clients have three fifths of the rest.
+    // Of 64 descriptors 24 are reserved, and clients have three fifths of the rest.
     const CAPACITY: usize = 24;
     let arrived = Arc::new(Mutex::new(None));
     let seen = arrived.clone();
@@ -122,7 +138,7 @@
             return Some(String::new());
         }
         if parts[0] == "want" {
-            *seen.lock().expect("seen") = Some((Instant::now(), told(parts).expect("a budget")));
+            *seen.lock().expect("seen") = Some(Arrival::now(parts));
         }
         served(parts)
     });
@@ -145,29 +161,29 @@
     assert_not_over(sent, arrival);
 }
 
-/// A client connects long before it asks: its request has not waited.
+/// A client connects long before it sends: its request has not waited.
 #[test]
 fn deadline_counts_from_when_the_request_arrived_and_not_from_when_its_connection_was_made() {
-    const RESTS: Duration = Duration::from_millis(1_200);
-    let (at, arrived) = engine_that_notes();
+    const IDLE: Duration = Duration::from_millis(1_200);
+    let (at, arrived) = recording_engine();
     let gateway = Gateway::start(&never_late(&config(&[at], "resp", 60_000)));
     let mut client = gateway.client();
-    std::thread::sleep(RESTS);
+    std::thread::sleep(IDLE);
     let fields = [("verb", "lookup"), ("txn", &*name(1)), ("limit", &*LIMIT.to_string())];
     let sent = Instant::now();
     client.write_all(&call(1, &fields, "select 1")).expect("sent");
     assert_eq!(answer(&mut client).1, "served");
-    let (at, told) = arrived.lock().expect("seen").expect("it arrived");
-    let left = Duration::from_millis(LIMIT).saturating_sub(at - sent);
-    assert!(told + SLACK >= left, "{told:?} was told, {left:?} were left");
+    let arrival = arrived.lock().expect("seen").expect("it arrived");
+    let (deadline, left) = (arrival.deadline, arrival.left(sent));
+    assert!(deadline + SLACK >= left, "{deadline:?} was told, {left:?} were left");
 }
 
-/// Three at once: the process stands still, a connection comes, and as it goes on `accept` fails for a while.
+/// Three faults at once: the process is paused, a client connects meanwhile, and after the pause `accept` fails for a while.
 #[test]
 fn deadline_counts_from_the_pause_though_the_connection_is_accepted_long_after_it() {
     const PAUSE: Duration = Duration::from_millis(600);
     const FAILING: Duration = Duration::from_millis(120);
-    let (at, arrived) = engine_that_notes();
+    let (at, arrived) = recording_engine();
     let faults = Faults::new("accept=1");
     let config = never_late(&config(&[at], "resp", 60_000));
     let gateway = Gateway::start_with_faults(&config, &faults);
@@ -187,7 +203,7 @@
     assert_not_over(sent, arrival);
 }
 
-/// Over HTTP the time is told in seconds, and not rounded up past the slack.
+/// Over HTTP the deadline is passed in seconds, and not rounded up past the slack.
 #[rstest]
 #[case::between_two_seconds("1.3")]
 #[case::under_a_second("0.4")]
@@ -199,9 +215,9 @@
     let (status, _) = ask(&mut gateway.web(), &head);
     assert!(status.starts_with("HTTP/1.1 200"), "{status}");
     let log = log.lock().expect("log");
-    let target = &log.iter().find(|l| l[0].contains("query_id")).expect("sent")[0];
-    let (_, rest) = target.split_once("max_execution_time=").expect("told");
-    let told: f64 = rest.split('&').next().and_then(|t| t.parse().ok()).expect("a number");
+    let target = &log.iter().find(|line| line[0].contains("query_id")).expect("sent")[0];
+    let (_, rest) = target.split_once("max_execution_time=").expect("passed");
+    let passed: f64 = rest.split('&').next().and_then(|t| t.parse().ok()).expect("a number");
     let limit: f64 = limit.parse().expect("a number");
-    assert!(told > 0.0 && told <= limit + SLACK.as_secs_f64(), "{told} s of {limit} s");
+    assert!(passed > 0.0 && passed <= limit + SLACK.as_secs_f64(), "{passed} s of {limit} s");
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
 //! Two hundred reducers before one fleet of simulated engines, in virtual time and on one seed: what no gateway can observe alone,
-//! the sums over all of them, keeps the rules while engines drain, start cold and fall silent, and gateways are killed.
+//! the sums over all of them, keeps the rules while engines drain, begin in slow start and fall silent, and gateways are killed.
 
 mod common;
 mod simulated_engine;
@@ -18,16 +18,16 @@
 
 const SEED: u64 = 5;
 const GATEWAYS: usize = 200;
-/// The engines at the start. The first one drains; the one after the last joins cold.
+/// The engines at the start. The first one drains; the one after the last joins in slow start.
 const ENGINES: usize = 24;
 const DRAINING_ENGINE: usize = 0;
 const SILENT_ENGINE: usize = 3;
-const COLD_ENGINE: usize = ENGINES;
+const STARTING_ENGINE: usize = ENGINES;
 
 const BEGIN: Milliseconds = 100_000.0;
 const BUSY_UNTIL: Milliseconds = BEGIN + 3_000.0;
 const DRAIN_AT: Milliseconds = BEGIN + 4_000.0;
-const COLD_AT: Milliseconds = BEGIN + 5_000.0;
+const STARTED_AT: Milliseconds = BEGIN + 5_000.0;
 const KILL_AT: Milliseconds = BEGIN + 8_000.0;
 const SILENCE: Range<Milliseconds> = BEGIN + 10_000.0..BEGIN + 12_000.0;
 const LAST_REQUEST_AT: Milliseconds = BEGIN + 14_000.0;
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Passes the changes of the list on that have reached it.
+    /// Hands the list changes that are due to the reducer.
     fn receive_lists(&mut self, now: Milliseconds) {
         while self.notified < self.notified_at.len() && now >= self.notified_at[self.notified] {
             self.notified += 1;
@@ -156,7 +156,7 @@
                 kind: Some(KindId(0)),
                 cell: 0,
                 availability: if drains { Availability::Draining } else { Availability::Live },
-                started: (number == COLD_ENGINE).then_some(COLD_AT),
+                started: (number == STARTING_ENGINE).then_some(STARTED_AT),
             },
             address: "127.0.0.1:1".parse().expect("an address"),
         }
@@ -165,12 +165,12 @@
     Event::EndpointList { version: 1 + changes as u64, endpoints: engines.map(engine).collect() }
 }
 
-/// The share of its capacity that the cold engine has.
-fn cold_share(now: Milliseconds) -> f64 {
-    SLOW_START_FROM + (1.0 - SLOW_START_FROM) * (now - COLD_AT) / SLOW_START_DURATION
+/// The share of its capacity that the engine in slow start has.
+fn slow_start_share(now: Milliseconds) -> f64 {
+    SLOW_START_FROM + (1.0 - SLOW_START_FROM) * (now - STARTED_AT) / SLOW_START_DURATION
 }
 
-/// Work that was sent to the cold engine.
+/// Work that was sent to the engine in slow start.
 #[derive(Clone, Copy)]
 struct SentWork {
     at: Milliseconds,
@@ -183,7 +183,7 @@
     gateways: Vec<Gateway>,
     engines: BTreeMap<EngineId, SimulatedEngine>,
     next_request: u64,
-    sent_to_cold: Vec<SentWork>,
+    sent_to_starting: Vec<SentWork>,
     /// The most threads for each core while all gateways begin.
     max_initial_threads_per_core: f64,
     sends: usize,
@@ -195,7 +195,7 @@
         let mut rng = fastrand::Rng::with_seed(SEED);
         let mut notified_at = || {
             let drain = DRAIN_AT + MAX_NOTIFICATION_DELAY * rng.f64();
-            [drain, COLD_AT + MAX_NOTIFICATION_DELAY * rng.f64()]
+            [drain, STARTED_AT + MAX_NOTIFICATION_DELAY * rng.f64()]
         };
         let gateway = |index| Gateway::start(index, index as u64, BEGIN, notified_at());
         let gateways = (0..GATEWAYS).map(gateway).collect();
@@ -203,9 +203,9 @@
         Self {
             gateways,
             rng,
-            engines: (0..=COLD_ENGINE).map(engine).collect(),
+            engines: (0..=STARTING_ENGINE).map(engine).collect(),
             next_request: 1,
-            sent_to_cold: Vec::new(),
+            sent_to_starting: Vec::new(),
             max_initial_threads_per_core: 0.0,
             sends: 0,
             served: 0,
@@ -255,8 +255,8 @@
             if number == SILENT_ENGINE && SILENCE.contains(&now) {
                 continue;
             }
-            let is_cold = number == COLD_ENGINE;
-            let share = if is_cold { cold_share(now).clamp(SLOW_START_FROM, 1.0) } else { 1.0 };
+            let is_starting = number == STARTING_ENGINE;
+            let share = if is_starting { slow_start_share(now).clamp(SLOW_START_FROM, 1.0) } else { 1.0 };
             let util = Some((engine.utilization * 20.0).round() / 20.0);
             for finished in engine.advance(CORES * share) {
                 let ExecutionId { gateway, incarnation, attempt } = finished.id;
@@ -336,8 +336,8 @@
         if send.id.number > 0 {
             gateway.retried_at.push(now);
         }
-        if send.engine == engine_id(COLD_ENGINE) {
-            self.sent_to_cold.push(SentWork { at: now, work: request.work });
+        if send.engine == engine_id(STARTING_ENGINE) {
+            self.sent_to_starting.push(SentWork { at: now, work: request.work });
         }
         self.sends += 1;
         let work = Work { threads: request.threads, work: request.work };
@@ -360,15 +360,15 @@
         self.gateways[index].events.push(Event::HealthChecked(number, true, report));
     }
 
-    /// Checks that the cold engine received no more work over any span than it withstands.
-    fn check_cold_budget(&self) {
+    /// Checks that the engine in slow start received no more work over any span than it withstands.
+    fn check_slow_start_budget(&self) {
         let work_within = |from: Milliseconds| -> f64 {
             let within =
-                self.sent_to_cold.iter().filter(|sent| sent.at >= from && sent.at < from + COLLAPSE_SPAN);
+                self.sent_to_starting.iter().filter(|sent| sent.at >= from && sent.at < from + COLLAPSE_SPAN);
             within.map(|sent| sent.work).sum()
         };
-        for sent in &self.sent_to_cold {
-            let share = cold_share(sent.at).min(1.0);
+        for sent in &self.sent_to_starting {
+            let share = slow_start_share(sent.at).min(1.0);
             let budget = COLLAPSE_MULTIPLE * share * CORES * COLLAPSE_SPAN;
             let work = work_within(sent.at);
             assert!(work <= budget, "a cold engine got {work:.0} of {budget:.0} core ms");
@@ -386,11 +386,11 @@
     for gateway in &fleet.gateways {
         gateway.check_retry_budget();
     }
-    fleet.check_cold_budget();
+    fleet.check_slow_start_budget();
     // 15, and 1,104 served, where each gateway begins by taking itself for most of the traffic.
     let threads = fleet.max_initial_threads_per_core;
     assert!(threads < 5.0, "{threads:.2} threads a core while all begin");
-    let (to_cold, sends, served) = (fleet.sent_to_cold.len(), fleet.sends, fleet.served);
-    assert!(to_cold > 0 && sends > 4_000, "{to_cold} to the cold engine, {sends} in all");
+    let (to_starting, sends, served) = (fleet.sent_to_starting.len(), fleet.sends, fleet.served);
+    assert!(to_starting > 0 && sends > 4_000, "{to_starting} to the cold engine, {sends} in all");
     assert!(served > 5_400, "{served} of {} were served", fleet.next_request);
 }
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -1,4 +1,4 @@
-//! Steps of the wall clock: what is a span of real time stays one.
+//! Steps of the wall clock: spans of real time keep their length.
 
 mod stand;
 
@@ -11,11 +11,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Nothing has ended yet, so that a request counts as the work of its class's whole aim, in milliseconds.
+/// No request has ended yet, so that each counts as its class's full latency objective of work, in milliseconds.
 const WORK_MS: f64 = 20_000.0;
-/// What the settings allow a cold engine of 32 cores: multiple x share x cores x span over the work of a request.
+/// What the settings allow an engine of 32 cores in slow start: multiple x share x cores x span over the work of a request.
 const BUDGET: f64 = 3.0 * 0.31 * 32.0 * 2_000.0 / WORK_MS;
-/// The span over which it is counted.
+/// The span over which the budget is counted.
 const SPAN: Duration = Duration::from_millis(2_000);
 /// Client connections, and requests on each.
 const CLIENTS: usize = 4;
@@ -37,11 +37,11 @@
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
     let at = socket.local_addr().expect("bound");
     let (listing, log) = (Arc::new(Mutex::new((1, first))), Log::default());
-    let (says, seen) = (listing.clone(), log.clone());
+    let (current, seen) = (listing.clone(), log.clone());
     std::thread::spawn(move || {
         let mut bytes = [0; 512];
         while let Ok((len, from)) = socket.recv_from(&mut bytes) {
-            let (serial, list) = says.lock().expect("said").clone();
+            let (serial, list) = current.lock().expect("listing").clone();
             let _ = socket.send_to(&names_answer_with_starts(&bytes[..len], serial, &list), from);
             seen.lock().expect("log").push(vec![serial.to_string()]);
         }
@@ -49,10 +49,10 @@
     (at, listing, log)
 }
 
-/// An engine that answers no request, and notes when it was asked.
+/// An engine that answers no request: its address, and when it received each.
 fn holding_engine() -> (SocketAddr, Arc<Mutex<Vec<Instant>>>) {
-    let asked = Arc::new(Mutex::new(Vec::new()));
-    let times = asked.clone();
+    let received = Arc::new(Mutex::new(Vec::new()));
+    let times = received.clone();
     let (at, _) = resp_engine(move |parts| {
         Some(match parts[0].as_str() {
             "want" => {
@@ -63,28 +63,29 @@
             _ => String::new(),
         })
     });
-    (at, asked)
+    (at, received)
 }
 
-/// The most that were asked within any span.
+/// The most requests that were received within any span.
 fn most_within_a_span(times: &[Instant]) -> usize {
-    let from = |i: usize| times[i..].iter().take_while(|t| **t - times[i] <= SPAN).count();
-    (0..times.len()).map(from).max().unwrap_or(0)
+    let count_from =
+        |first: usize| times[first..].iter().take_while(|time| **time - times[first] <= SPAN).count();
+    (0..times.len()).map(count_from).max().unwrap_or(0)
 }
 
-/// Sends all requests at once; returns how many are answered, as it is counted on.
-fn ask_all(gateway: &Gateway) -> Arc<AtomicUsize> {
+/// Sends all requests at once. Returns the running count of answers.
+fn send_all(gateway: &Gateway) -> Arc<AtomicUsize> {
     let answered = Arc::new(AtomicUsize::new(0));
-    for c in 0..CLIENTS {
+    for client_number in 0..CLIENTS {
         let mut client = gateway.client();
         for seq in 1..=REQUESTS {
-            let txn = format!("{:016x}", c * REQUESTS + seq);
+            let txn = format!("{:016x}", client_number * REQUESTS + seq);
             let fields = [("verb", "lookup"), ("txn", txn.as_str()), ("limit", "20000")];
             client.write_all(&call(seq as i32, &fields, "select 1")).expect("sent");
         }
         let answered = answered.clone();
         std::thread::spawn(move || {
-            // A frame is read whole before it counts; the end of the test ends the connection.
+            // A frame counts once all of it was read; the end of the test ends the connection.
             let mut len = [0; 4];
             while client.read_exact(&mut len).is_ok() {
                 let mut frame = vec![0; u32::from_be_bytes(len) as usize];
@@ -104,22 +105,23 @@
 #[case::twenty_seconds_back(-20_000)]
 #[case::five_seconds_on(5_000)]
 fn engine_that_joins_after_a_step_of_the_wall_clock_is_in_slow_start(#[case] step_ms: i64) {
-    let (warm, asked_warm) = holding_engine();
-    let (cold, asked_cold) = holding_engine();
-    let (names, listing, heard) = list_service_with_starts(vec![("s-0", warm, false, 0)]);
+    let (warm, received_by_warm) = holding_engine();
+    let (starting, received_by_starting) = holding_engine();
+    let (names, listing, list_log) = list_service_with_starts(vec![("s-0", warm, false, 0)]);
     let faults = Faults::new(&format!("wall_step_ms={step_ms}"));
     let config = with_slow_start(&config(&[warm], "resp", 20_000), names);
     let gateway = Gateway::start_with_faults(&config, &faults);
-    until(&heard, |log| !log.is_empty());
+    until(&list_log, |log| !log.is_empty());
     faults.begin();
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as i64;
     let started = (unix + step_ms) as u64;
-    *listing.lock().expect("said") = (2, vec![("s-0", warm, false, 0), ("s-1", cold, false, started)]);
-    until(&heard, |log| log.iter().filter(|line| line[0] == "2").count() >= 2);
-    let answered = ask_all(&gateway);
-    let sent = || asked_warm.lock().expect("times").len() + asked_cold.lock().expect("times").len();
+    *listing.lock().expect("listing") = (2, vec![("s-0", warm, false, 0), ("s-1", starting, false, started)]);
+    until(&list_log, |log| log.iter().filter(|line| line[0] == "2").count() >= 2);
+    let answered = send_all(&gateway);
+    let sent =
+        || received_by_warm.lock().expect("times").len() + received_by_starting.lock().expect("times").len();
     until_true(|| sent() + answered.load(Ordering::SeqCst) == CLIENTS * REQUESTS);
-    let most = most_within_a_span(&asked_cold.lock().expect("times"));
+    let most = most_within_a_span(&received_by_starting.lock().expect("times"));
     let allowed = BUDGET + 3.0 * BUDGET.sqrt() + 3.0;
     assert!(most as f64 <= allowed, "{most} in a span, {allowed:.1} are allowed");
 }
