--- a/tests/clickhouse.rs
+++ b/tests/clickhouse.rs
@@ -37,7 +37,7 @@
     assert!(head.starts_with("HTTP/1.1 200") && head.contains("X-ClickHouse-Query-Id: q7"), "{head}");
     assert!(head.contains("X-ClickHouse-Format: TabSeparated") && !head.contains("X-Other"), "{head}");
     assert_eq!(body, "1\t2\n");
-    // The same connection serves on; a body may come in chunks.
+    // The connection is reused; a body may be chunked.
     let chunked = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n7\r\nselect \r\n1\r\n2\r\n0\r\n\r\n";
     assert_eq!(ask(&mut web, chunked).1, "1\t2\n");
     assert_eq!(ask(&mut web, "GET /ping HTTP/1.1\r\n\r\n").1, "Ok.\n");
@@ -116,7 +116,7 @@
     let gateway = Gateway::start(&config(&[at], "clickhouse", 20_000));
     let mut web = gateway.web();
     web.write_all(post("/", "select 1").as_bytes()).expect("sent");
-    // The first of the result is there; then the client leaves.
+    // The client disconnects after the first part of the result.
     assert!(std::io::Read::read(&mut web, &mut [0; 64]).expect("a head") > 0);
     drop(web);
     until(&log, |l| l.iter().any(|r| r[0] == "closed"));
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -120,9 +120,9 @@
     let platform = changed(SETTINGS, r#","window":12000"#, "");
     let stderr = stderr_of(".json", "--config", &platform);
     assert!(stderr.contains("classes.1.window") && !stderr.contains("panic"), "{stderr}");
-    let whole = include_str!("../deploy/clickhouse.hcl");
+    let example = include_str!("../deploy/clickhouse.hcl");
     let twice = r#"["room-a", "room-b", "room-a"]"#;
-    let stderr = stderr_of(".hcl", "--operator", &changed(whole, r#"["room-a", "room-b"]"#, twice));
+    let stderr = stderr_of(".hcl", "--operator", &changed(example, r#"["room-a", "room-b"]"#, twice));
     assert!(stderr.contains("zones") && stderr.contains("twice") && !stderr.contains("panic"), "{stderr}");
 }
 
@@ -289,7 +289,7 @@
 #[case::given(true, Some("Retry-After: 1"))]
 #[case::not_given(false, None)]
 fn refusal_over_http_advises_only_where_advice_is_given(#[case] given: bool, #[case] advice: Option<&str>) {
-    let (_held, at) = refusing();
+    let (_listener, at) = refusing();
     let text =
         changed(&config(&[at], "resp", 5_000), r#""retry_after":true"#, &format!(r#""retry_after":{given}"#));
     let gateway = Gateway::start(&text);
--- a/tests/notes.rs
+++ b/tests/notes.rs
@@ -1,4 +1,4 @@
-//! Progress updates of engines: news of an attempt that is out, never an answer to it.
+//! Progress updates of engines: the state of an attempt in flight, never an answer to it.
 
 mod stand;
 
@@ -42,7 +42,7 @@
     assert_eq!(read.progress_update(), expected);
 }
 
-/// An update was taken for a spoilt answer: the connection was closed with all that was open on it.
+/// An update was once taken for an invalid answer: its connection was closed with all requests on it.
 #[rstest]
 #[case::progress("detail=p,v=0.5")]
 #[case::waits("detail=w,v=2")]
@@ -52,7 +52,7 @@
 fn updates_before_an_answer_leave_its_request_and_their_neighbours_alone(#[case] fields: &'static str) {
     let (at, log) = resp_engine(move |parts| {
         Some(match parts[0].as_str() {
-            // Doubled, and for nobody; then the answer.
+            // Twice, then one for an unknown request, then the answer.
             "want" => {
                 update(&parts[1], fields).repeat(2)
                     + &update("00000000000000ff", fields)
@@ -75,7 +75,7 @@
     assert!(!log.iter().any(|p| p[0] == "closed"), "{log:?}");
 }
 
-/// Whatever an engine tells of a query whose result has begun, its pages are the result.
+/// Updates on a query whose result has begun change nothing in its pages.
 #[test]
 fn updates_between_and_after_pages_change_nothing() {
     let (at, log) = resp_engine(|parts| {
@@ -102,7 +102,7 @@
     assert!(!log.lock().expect("log").iter().any(|p| p[0] == "closed"));
 }
 
-/// An update for a query that was given up is late news, and no second answer.
+/// An update for a cancelled query is no second answer.
 #[test]
 fn update_for_a_query_that_was_given_up_changes_nothing() {
     let first: Arc<Mutex<Option<String>>> = Arc::default();
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -1,11 +1,11 @@
-//! The operator's file: what is right becomes settings, what is wrong is told whole, with file, line and key.
+//! The operator's file: what is right becomes settings, every fault is reported, with file, line and key.
 
 use rstest::rstest;
 use starlingplank::config::{Config, ConfigError, EngineWire};
 use starlingplank::interface::{Idempotency, Scope};
 use std::process::Command;
 
-const WHOLE: &str = include_str!("../deploy/clickhouse.hcl");
+const EXAMPLE: &str = include_str!("../deploy/clickhouse.hcl");
 
 fn problems(text: &str, platform: Option<&str>) -> Vec<String> {
     match Config::load(platform, Some(("o.hcl", text))) {
@@ -16,15 +16,26 @@
 
 #[test]
 fn whole_example_becomes_settings() {
-    let config = Config::load(None, Some(("o.hcl", WHOLE))).expect("it can be used");
-    let s = &config.settings;
-    assert_eq!((config.name.as_str(), s.seed, s.gateways), ("gateway-1", 0x5f2c_9a1e_77d0_4b36, 1));
+    let config = Config::load(None, Some(("o.hcl", EXAMPLE))).expect("it can be used");
+    let settings = &config.settings;
+    assert_eq!(
+        (config.name.as_str(), settings.seed, settings.gateways),
+        ("gateway-1", 0x5f2c_9a1e_77d0_4b36, 1)
+    );
     assert_eq!((config.engine_wire, config.endpoints.len()), (EngineWire::ClickHouse, 2));
-    assert_eq!(s.kinds[0].memory_mb, 24_576.0);
-    assert_eq!(s.classes[2].idempotency, Idempotency::Keyed { scope: Scope::All, window: 12_000.0 });
-    assert!(s.classes[2].is_load && s.classes[0].waits_for_loads && !s.classes[1].is_load);
-    assert_eq!((s.classes[1].threads, s.max_retry_after, s.max_attempts), (3.0, 1_000.0, 3));
-    assert_eq!(s.retry_budget.map(|r| (r.free, r.per_request, r.span)), Some((2.0, 0.2, 10_000.0)));
+    assert_eq!(settings.kinds[0].memory_mb, 24_576.0);
+    assert_eq!(settings.classes[2].idempotency, Idempotency::Keyed { scope: Scope::All, window: 12_000.0 });
+    assert!(
+        settings.classes[2].is_load && settings.classes[0].waits_for_loads && !settings.classes[1].is_load
+    );
+    assert_eq!(
+        (settings.classes[1].threads, settings.max_retry_after, settings.max_attempts),
+        (3.0, 1_000.0, 3)
+    );
+    assert_eq!(
+        settings.retry_budget.map(|budget| (budget.free, budget.per_request, budget.span)),
+        Some((2.0, 0.2, 10_000.0))
+    );
     assert!(config.clickhouse.is_some() && config.knowledge.is_none());
 }
 
@@ -66,17 +77,17 @@
     "",
     "clickhouse.rule: must end with a rule that holds for all statements"
 )]
-fn fault_is_told_with_its_line_and_key(#[case] from: &str, #[case] to: &str, #[case] told: &str) {
-    let text = WHOLE.replacen(from, to, 1);
-    assert_ne!(text, WHOLE, "{from} is in the example");
+fn fault_is_told_with_its_line_and_key(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
+    let text = EXAMPLE.replacen(from, to, 1);
+    assert_ne!(text, EXAMPLE, "{from} is in the example");
     let all = problems(&text, None);
-    assert!(all.iter().any(|p| p.contains(told) && p.starts_with("o.hcl:")), "{all:#?}");
+    assert!(all.iter().any(|p| p.contains(expected) && p.starts_with("o.hcl:")), "{all:#?}");
 }
 
 #[test]
 fn all_faults_are_told_at_once_in_the_order_of_lines() {
     let text =
-        WHOLE.replace("gateways      = 1", "gateways = -1").replace("worth       = 5", "worth = \"5\"");
+        EXAMPLE.replace("gateways      = 1", "gateways = -1").replace("worth       = 5", "worth = \"5\"");
     let all = problems(&text.replace("most_grant = 0.4", "most_grant = 40"), None);
     assert_eq!(all.len(), 3, "{all:#?}");
     let line = |p: &String| p.split(':').nth(1).and_then(|l| l.parse::<u32>().ok()).expect("a line");
@@ -104,7 +115,7 @@
     assert!(all.iter().all(|p| p.ends_with("is the platform's to give; leave it out here")), "{all:#?}");
 }
 
-/// On the platform the pace of the list is the rules'; elsewhere an overloaded service is spared.
+/// On the platform the rules set the poll interval; elsewhere it grows to spare an overloaded service.
 #[test]
 fn slowest_pace_of_the_list_is_the_steady_one_on_the_platform_and_slower_elsewhere() {
     let slowest = |platform, text: &str| {
@@ -113,7 +124,7 @@
     let set = "pacing {\n  list_slowest = \"3s\"\n}\n";
     assert_eq!(Config::read(PLATFORM).expect("it can be used").limits.slowest_poll_interval, 200.0);
     assert_eq!((slowest(Some(PLATFORM), ""), slowest(Some(PLATFORM), set)), (200.0, 3_000.0));
-    assert_eq!((slowest(None, WHOLE), slowest(None, &format!("{WHOLE}{set}"))), (1_250.0, 3_000.0));
+    assert_eq!((slowest(None, EXAMPLE), slowest(None, &format!("{EXAMPLE}{set}"))), (1_250.0, 3_000.0));
     let all = problems("pacing {\n  list_slowest = \"100ms\"\n}\n", Some(PLATFORM));
     assert!(all.len() == 1 && all[0].contains("pacing.list_slowest"), "{all:#?}");
 }
@@ -123,7 +134,7 @@
     let file = std::env::temp_dir().join(format!("starlingplank-operator-{}.hcl", std::process::id()));
     std::fs::write(
         &file,
-        WHOLE.replace("cancel          = true", "cancel = 1").replace("zone          =", "zoen ="),
+        EXAMPLE.replace("cancel          = true", "cancel = 1").replace("zone          =", "zoen ="),
     )
     .expect("a file");
     let run = Command::new(env!("CARGO_BIN_EXE_starlingplank"))
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -8,7 +8,7 @@
 use std::fs;
 use std::io::Write;
 
-/// The file is away as the signal comes, and there a moment later: the signal is not forgotten.
+/// The file is missing when the signal arrives, and there a moment later: the reload is tried again.
 #[test]
 fn reload_that_cannot_read_its_file_for_a_moment_is_made_once_it_can() {
     let (at, _) = resp_engine(served);
@@ -20,22 +20,22 @@
     };
     let mut gateway = Gateway::start(&text(first));
     // The second service lists another engine, which refuses connections.
-    let (_held, refuses) = refusing();
+    let (_listener, refuses) = refusing();
     *list.lock().expect("list") = Some((2, vec![("s-1", refuses, false)]));
     is_served(gateway.client(), 1);
     fs::remove_file(&gateway.file).expect("it was there");
     gateway.signal("-HUP");
-    // What is asked after the signal is answered after the reload was tried.
+    // Requests that are sent after the signal are answered after the reload was tried.
     is_served(gateway.client(), 2);
     is_served(gateway.client(), 3);
     let new = gateway.file.with_extension("new");
     fs::write(&new, text(second)).expect("a file");
     fs::rename(&new, &gateway.file).expect("renamed");
-    let asked = Cell::new(3);
+    let last_lookup = Cell::new(3);
     until_true(|| {
-        asked.set(asked.get() + 1);
+        last_lookup.set(last_lookup.get() + 1);
         let mut client = gateway.client();
-        client.write_all(&lookup(1, asked.get())).expect("sent");
+        client.write_all(&lookup(1, last_lookup.get())).expect("sent");
         answer(&mut client).1 != "served"
     });
     ends_well(&mut gateway);
--- a/tests/slow_clients.rs
+++ b/tests/slow_clients.rs
@@ -8,10 +8,10 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// A client that says nothing for longer is closed.
-const SILENT: Duration = Duration::from_millis(1_500);
+/// A client that sends nothing for longer is closed.
+const MAX_SILENCE: Duration = Duration::from_millis(1_500);
 
-/// The first byte comes late, the last one after the time in which a new connection has to say something.
+/// The first byte comes late, the last one after the time in which a new connection has to send its first.
 #[test]
 fn message_that_begins_late_on_a_new_connection_is_waited_for() {
     let (at, _) = resp_engine(served);
@@ -19,9 +19,9 @@
     let mut client = gateway.client();
     let message = lookup(1, 1);
     let (first, rest) = message.split_at(message.len() / 2);
-    sleep(SILENT * 4 / 5);
+    sleep(MAX_SILENCE * 4 / 5);
     client.write_all(first).expect("sent");
-    sleep(SILENT * 2 / 5);
+    sleep(MAX_SILENCE * 2 / 5);
     client.write_all(rest).expect("sent");
     assert_eq!(answer(&mut client).1, "served");
 }
@@ -36,12 +36,12 @@
     let message = lookup(1, 1);
     for piece in message.chunks(message.len().div_ceil(PIECES)) {
         client.write_all(piece).expect("sent");
-        sleep(SILENT * 2 / 5);
+        sleep(MAX_SILENCE * 2 / 5);
     }
     assert_eq!(answer(&mut client).1, "served");
 }
 
-/// The connection that has been idle longest has half a message on it: another one gives way.
+/// The connection that has been idle longest has half a message on it: another one is closed.
 #[test]
 fn full_house_closes_no_connection_on_which_a_message_has_begun() {
     // Of 20 descriptors at least 16 count, and clients have three fifths of them.
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -44,9 +44,9 @@
 
 #[test]
 fn lost_page_is_an_error_that_may_have_run_and_a_safe_request_goes_out_again() {
-    let tries = std::sync::atomic::AtomicUsize::new(0);
+    let attempts = std::sync::atomic::AtomicUsize::new(0);
     let (at, log) = resp_engine(move |parts| {
-        let first = || tries.fetch_add(1, std::sync::atomic::Ordering::SeqCst) == 0;
+        let first = || attempts.fetch_add(1, std::sync::atomic::Ordering::SeqCst) == 0;
         Some(match parts[0].as_str() {
             "want" if first() => reply(&[&parts[1], "served", "pages=2,cost=5,need=8", "1\t\t\n"]),
             "turn" => reply(&[&parts[1], "crashed", "-", ""]),
@@ -57,7 +57,7 @@
     let mut client = gateway.client();
     client.write_all(&call(1, &LOOKUP, "select 1")).expect("sent");
     let (_, kind, body) = answer(&mut client);
-    // Alone, the ill engine is left for a while: the answer is a refusal or the second try's rows, never half.
+    // The only engine is ejected for a while: the answer is a rejection or the rows of the retry, never a part of them.
     assert!(kind == "overloaded" && body.contains("later") || body == "a\tb\tc\n", "{kind} {body}");
     assert!(log.lock().expect("log").iter().filter(|p| p[0] == "want").count() <= 2);
 }
@@ -84,7 +84,7 @@
     let (seq, kind, _) = answer(&mut client);
     assert!(seq == 1 && kind != "served", "{kind}");
     until(&log, |l| l.iter().any(|p| p[0] == "never_mind"));
-    // The next thing that comes is the answer to the next question, not a second answer.
+    // The next frame answers the next call; there is no second answer.
     client.write_all(&health(2)).expect("sent");
     assert_eq!(answer(&mut client).0, 2);
 }
@@ -92,13 +92,13 @@
 #[rstest]
 #[case::cancel(true)]
 #[case::close(false)]
-fn client_that_leaves_gives_its_attempts_up(#[case] says_so: bool) {
+fn client_that_leaves_gives_its_attempts_up(#[case] sends_cancel: bool) {
     let (at, log) = resp_engine(|parts| if parts[0] == "want" { Some(String::new()) } else { served(parts) });
     let gateway = Gateway::start(&config(&[at], "resp", 20_000));
     let mut client = gateway.client();
     client.write_all(&call(1, &LOOKUP, "select 1")).expect("sent");
     until(&log, |l| l.iter().any(|p| p[0] == "want"));
-    if says_so {
+    if sends_cancel {
         client.write_all(&cancel(1)).expect("sent");
     } else {
         drop(client);
@@ -133,15 +133,17 @@
     assert!(gateway.child.wait().expect("it ends").success());
 }
 
-/// SIGHUP ended the program. A reload asks the new name service alone, and nothing that is open notices it.
+/// A reload polls the new name service alone, and disturbs nothing that is open. SIGHUP once ended the program.
 #[test]
 fn sighup_moves_the_name_service_and_keeps_all_else() {
     let names = [(); 2].map(|()| UdpSocket::bind("127.0.0.1:0").expect("a port"));
-    names.iter().for_each(|n| n.set_read_timeout(Some(std::time::Duration::from_secs(30))).expect("set"));
+    for service in &names {
+        service.set_read_timeout(Some(std::time::Duration::from_secs(30))).expect("set");
+    }
     let at = |i: usize| names[i].local_addr().expect("bound");
-    let question = |i: usize| {
+    let next_poll = |i: usize| {
         let mut bytes = [0; 512];
-        let (len, from) = names[i].recv_from(&mut bytes).expect("asked");
+        let (len, from) = names[i].recv_from(&mut bytes).expect("polled");
         (bytes[..len].to_vec(), from)
     };
     let (first, _) = resp_engine(served);
@@ -150,21 +152,21 @@
         |i: usize| config(&[first], "resp", 5000).replacen('{', &format!("{{\"names\":\"{}\",", at(i)), 1);
     let gateway = Gateway::start(&with(0));
     let mut client = gateway.client();
-    let mut ask = |seq| {
+    let mut send_lookup = |seq| {
         client.write_all(&call(seq, &LOOKUP, "select 1")).expect("sent");
         answer(&mut client)
     };
-    assert_eq!(ask(1).1, "served");
-    // What cannot be used changes nothing: the old address is asked on.
+    assert_eq!(send_lookup(1).1, "served");
+    // An invalid configuration changes nothing: the old address is still polled.
     gateway.reload("{");
-    let old = [(); 3].map(|()| question(0))[2].clone();
+    let old = [(); 3].map(|()| next_poll(0))[2].clone();
     gateway.reload(&with(1));
-    let (asked, from) = question(1);
-    // The old address still answers a question of its own, with a later number and no engine at all.
+    let (poll, from) = next_poll(1);
+    // The old address still answers its own poll, with a later serial and an empty list.
     names[0].send_to(&names_answer(&old.0, 1000, &[]), old.1).expect("sent");
-    names[1].send_to(&names_answer(&asked, 99, &[("s-9", second)]), from).expect("sent");
+    names[1].send_to(&names_answer(&poll, 99, &[("s-9", second)]), from).expect("sent");
     while log.lock().expect("log").iter().all(|p| p[0] != "want") {
-        assert_eq!(ask(2).1, "served");
+        assert_eq!(send_lookup(2).1, "served");
     }
 }
 
@@ -188,16 +190,16 @@
 fn closed(stream: &mut std::net::TcpStream) -> bool {
     match std::io::Read::read(stream, &mut [0; 16]) {
         Ok(read) => read == 0,
-        Err(e) => e.kind() == std::io::ErrorKind::ConnectionReset,
+        Err(error) => error.kind() == std::io::ErrorKind::ConnectionReset,
     }
 }
 
-/// A full house turned new connections away, with the requests on them, while idle ones kept their places.
+/// At the connection limit, the connection that has been idle longest is closed for a new one. New ones were once rejected.
 #[test]
 fn full_house_closes_what_has_been_idle_longest_and_serves_what_is_new() {
     let (at, _) = resp_engine(served);
     let gateway = Gateway::start(&config(&[at], "resp", 5000).replace("\"sockets\":256", "\"sockets\":20"));
-    let ask = |client: &mut std::net::TcpStream, seq, n| {
+    let send_lookup = |client: &mut std::net::TcpStream, seq, n| {
         let txn = format!("{n:016x}");
         let fields = [("verb", "lookup"), ("txn", &*txn), ("limit", "5000")];
         client.write_all(&call(seq, &fields, "select 1")).expect("sent");
@@ -206,12 +208,12 @@
     let mut stayed: Vec<_> = (1..=30)
         .map(|n| {
             let mut client = gateway.client();
-            assert_eq!(ask(&mut client, 1, n), "served", "client {n}");
+            assert_eq!(send_lookup(&mut client, 1, n), "served", "client {n}");
             client
         })
         .collect();
     assert!(closed(&mut stayed[0]), "the first has been idle longest");
-    assert_eq!(ask(&mut stayed[29], 2, 31), "served");
+    assert_eq!(send_lookup(&mut stayed[29], 2, 31), "served");
 }
 
 #[rstest]
@@ -226,7 +228,7 @@
     assert!(closed(&mut client), "a close, not a read that timed out");
 }
 
-/// Such figures were passed over, and what was left of the request was served.
+/// An invalid or missing field fails the request. Such fields were once ignored, and the rest was served.
 #[rstest]
 #[case(&[("verb", "lookup"), ("txn", "a1"), ("limit", "NaN")])]
 #[case(&[("verb", "lookup"), ("txn", "a1"), ("limit", "-5")])]
@@ -247,7 +249,7 @@
     assert!(log.lock().expect("log").iter().all(|p| p[0] != "want"));
 }
 
-/// Two requests under one number or name can't be told apart: the engine's answer to one would pass for the other's.
+/// Two requests under one number or name are ambiguous: the engine's answer to one would pass for the other's.
 #[rstest]
 #[case::number(1, "00000000000000a2")]
 #[case::name(2, "00000000000000a1")]
@@ -265,8 +267,8 @@
     until(&log, |l| l.iter().any(|p| p[0] == "never_mind"));
 }
 
-/// Numbers start at 1 and count up on each connection. Copies of others' requests came on connections that began
-/// elsewhere, earned further attempts and spent them, and the ration was broken for the requests that there were.
+/// Numbers start at 1 and count up on each connection. A copy of another client's request arrives on a connection that
+/// begins elsewhere: it would add to the retry budget, and spend it.
 #[rstest]
 #[case::begins_elsewhere(&[475])]
 #[case::begins_at_none(&[0])]
@@ -276,25 +278,26 @@
     let (at, log) = resp_engine(served);
     let gateway = Gateway::start(&config(&[at], "resp", 5000));
     let mut client = gateway.client();
-    let (out, before) = numbers.split_last().expect("some");
+    let (out_of_turn, before) = numbers.split_last().expect("some");
     for (n, seq) in before.iter().enumerate() {
         let txn = format!("{n:016x}");
         let fields = [("verb", "lookup"), ("txn", &*txn), ("limit", "5000")];
         client.write_all(&call(*seq, &fields, "select 1")).expect("sent");
         assert_eq!(answer(&mut client).1, "served");
     }
-    client.write_all(&call(*out, &LOOKUP, "select 1")).expect("sent");
+    client.write_all(&call(*out_of_turn, &LOOKUP, "select 1")).expect("sent");
     assert!(closed(&mut client));
     let mut other = gateway.client();
     other.write_all(&call(1, &LOOKUP, "select 1")).expect("sent");
     assert_eq!(answer(&mut other).1, "served");
-    let wants = log.lock().expect("kept").iter().filter(|p| p[0] == "want").count();
+    let wants = log.lock().expect("log").iter().filter(|p| p[0] == "want").count();
     assert_eq!(wants, before.len() + 1);
 }
 
 const ID: &str = "00000000000000a1";
 
-/// What is spoilt made its request fail alone, on a connection that was used on, or was served as it came.
+/// An invalid answer ends its connection. Once it failed its request alone, on a connection that stayed in use, or was
+/// served as it was.
 #[rstest]
 #[case::noise("\u{1}\u{2}noise\r\n".into())]
 #[case::unknown_word(reply(&[ID, "maybe", "-", ""]))]
@@ -316,13 +319,13 @@
     until(&log, |l| l.iter().any(|p| p[0] == "want"));
     let fields = [("verb", "load"), ("txn", ID), ("limit", "60000"), ("unique", "k1")];
     client.write_all(&call(2, &fields, "insert into s_1.t")).expect("sent");
-    // Both were on the connection, and for neither is there anything more to wait for.
+    // Both requests were on the connection, so both are answered.
     let kinds = [answer(&mut client).1, answer(&mut client).1];
     assert!(!kinds.contains(&"served"), "{kinds:?}");
     until(&log, |l| l.iter().any(|p| p[0] == "closed"));
 }
 
-/// A copy of the first page ended its request as an error, though all pages came.
+/// A copy of a page is ignored. A copy of the first page once ended its request as an error, though all pages came.
 #[test]
 fn copies_and_answers_to_nobody_change_nothing() {
     let (at, log) = resp_engine(|parts| {
@@ -353,7 +356,7 @@
     })
 }
 
-/// A page that never came kept its request waiting to its deadline. Nothing but the wait for that page ends the attempt.
+/// Nothing but the timeout of a missing page ends the attempt. Its request once waited until its deadline.
 #[test]
 fn page_that_is_kept_back_ends_its_attempt() {
     let (at, log) = resp_engine(first_page_alone);
@@ -369,7 +372,8 @@
     assert_eq!(words, ["want", "turn", "shut"]);
 }
 
-/// A request is withdrawn after its first page has come: the engine is told to release the pages, not to stop the query.
+/// A request is cancelled after its first page has arrived: the engine is notified to release the pages, not to stop the
+/// query.
 #[test]
 fn withdrawal_between_pages_releases_the_result() {
     let (at, log) = resp_engine(first_page_alone);
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -27,10 +27,10 @@
     let mut gateway = Gateway::start_with_faults(&never_late(&config(&[at], wire, 60_000)), &faults);
     faults.begin();
     let clients: Vec<_> = (0..CLIENTS).map(|_| gateway.client()).collect();
-    let clients = clients.into_iter().enumerate().map(|(c, mut client)| {
+    let clients = clients.into_iter().enumerate().map(|(number, mut client)| {
         thread::spawn(move || {
             for seq in 1..=REQUESTS {
-                client.write_all(&lookup(seq as i32, c * REQUESTS + seq)).expect("sent");
+                client.write_all(&lookup(seq as i32, number * REQUESTS + seq)).expect("sent");
                 assert_eq!(answer(&mut client).1, "served");
             }
         })
@@ -50,7 +50,7 @@
     }
 }
 
-/// Connections to engines that cannot be made for a moment are made a moment later, and cost the engine nothing.
+/// Connections to an engine that fail for a moment are retried, and the engine is not ejected.
 #[test]
 fn engine_is_used_where_sockets_and_connects_fail_for_a_moment() {
     const REQUESTS: usize = 30;
@@ -69,7 +69,7 @@
     assert_eq!(attempts(&log).values().sum::<usize>(), REQUESTS);
 }
 
-/// A start may meet a moment without descriptors.
+/// There may be no descriptors for a moment at the start.
 #[test]
 fn process_starts_where_its_first_sockets_fail() {
     let (at, _) = resp_engine(served);
@@ -78,7 +78,7 @@
     is_served(gateway.client(), 1);
 }
 
-/// The file is a pipe: until the test writes it, the process is where it reads its configuration.
+/// The file is a pipe: until the test writes it, the process waits for its configuration.
 #[test]
 fn hangup_before_the_configuration_is_read_does_not_end_the_process() {
     let (at, _) = resp_engine(served);
--- a/tests/tenants.rs
+++ b/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Whose a request is: the platform's calls say it in `team`, by the names of the settings.
+//! The tenant of a request: the platform's calls name it in `team`, by the names of the settings.
 
 mod common;
 mod stand;
@@ -21,12 +21,12 @@
 #[case::not_said(None, None)]
 fn request_is_its_team_s(#[case] team: Option<&str>, #[case] tenant: Option<TenantId>) {
     let tenants = ["docks", "yards"].map(|name| Tenant { name: name.into(), quota_per_s: 1.0 });
-    let s = Settings { tenants: tenants.to_vec(), ..settings() };
+    let settings = Settings { tenants: tenants.to_vec(), ..settings() };
     let limits = Limits::read(&Fields::new("settings", BTreeMap::new())).expect("defaults");
     let rt = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     rt.block_on(tokio::task::LocalSet::new().run_until(async {
         let (sender, mut events) = tokio::sync::mpsc::channel(8);
-        let frontend = FrontendState::new(Rc::new(s), Rc::new(limits), sender);
+        let frontend = FrontendState::new(Rc::new(settings), Rc::new(limits), sender);
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let at = listener.local_addr().expect("bound");
         let mut client = tokio::net::TcpStream::connect(at).await.expect("up");
@@ -34,7 +34,7 @@
         let connection = frontend.accept_connection().await.expect("room");
         tokio::task::spawn_local(thrift::serve(stream, connection, frontend.clone()));
         let mut fields = vec![("verb", "short"), ("txn", "00000000000000a1"), ("limit", "1000")];
-        fields.extend(team.map(|t| ("team", t)));
+        fields.extend(team.map(|name| ("team", name)));
         client.write_all(&call(1, &fields, "select 1")).await.expect("sent");
         let Some(Event::RequestReceived(request)) = events.recv().await else { panic!("a request") };
         assert_eq!(request.details.tenant, tenant);
