--- a/tests/clickhouse.rs
+++ b/tests/clickhouse.rs
@@ -42,7 +42,7 @@
     assert_eq!(ask(&mut web, chunked).1, "1\t2\n");
     assert_eq!(ask(&mut web, "GET /ping HTTP/1.1\r\n\r\n").1, "Ok.\n");
     let log = log.lock().expect("log");
-    let sent: Vec<_> = log.iter().filter(|r| r[0].starts_with("/?")).collect();
+    let sent: Vec<_> = log.iter().filter(|line| line[0].starts_with("/?")).collect();
     assert!(
         sent[0][0].contains("query_id=q7&max_execution_time=2&") && sent[0][0].contains("readonly=2"),
         "{sent:?}"
@@ -57,7 +57,7 @@
     let (head, body) = ask(&mut gateway.web(), &post("/", "select bad"));
     assert!(head.starts_with("HTTP/1.1 400") && head.contains("X-ClickHouse-Exception-Code: 62"), "{head}");
     assert!(body.contains("SYNTAX_ERROR"));
-    assert_eq!(log.lock().expect("log").iter().filter(|r| r[1] == "select bad").count(), 1);
+    assert_eq!(log.lock().expect("log").iter().filter(|line| line[1] == "select bad").count(), 1);
 }
 
 #[test]
@@ -78,7 +78,7 @@
     let gateway = Gateway::start(&config(&[at], "clickhouse", 20_000));
     let (head, _) = ask(&mut gateway.web(), &post("/?max_execution_time=0.3", "select 1"));
     assert!(head.starts_with("HTTP/1.1 503") || head.starts_with("HTTP/1.1 408"), "{head}");
-    until(&log, |l| l.iter().any(|r| r[0] == "closed"));
+    until(&log, |log| log.iter().any(|line| line[0] == "closed"));
 }
 
 #[test]
@@ -88,8 +88,8 @@
     // The engine drops a block whose token it knows, as ClickHouse does.
     let (at, _) = http_engine(move |target, _| {
         let token =
-            target.split('&').find(|p| p.starts_with("insert_deduplication_token=")).map(str::to_owned);
-        if let Some(token) = token.filter(|t| seen.lock().expect("seen").insert(t.clone())) {
+            target.split('&').find(|pair| pair.starts_with("insert_deduplication_token=")).map(str::to_owned);
+        if let Some(token) = token.filter(|token| seen.lock().expect("seen").insert(token.clone())) {
             assert!(token.len() > 30);
             count.fetch_add(1, Ordering::SeqCst);
         }
@@ -119,7 +119,7 @@
     // The client disconnects after the first part of the result.
     assert!(std::io::Read::read(&mut web, &mut [0; 64]).expect("a head") > 0);
     drop(web);
-    until(&log, |l| l.iter().any(|r| r[0] == "closed"));
+    until(&log, |log| log.iter().any(|line| line[0] == "closed"));
     let counts = gateway.counts();
     assert_eq!(
         counts[0],
--- a/tests/deadlines.rs
+++ b/tests/deadlines.rs
@@ -149,7 +149,7 @@
     for (n, client) in crowd.iter_mut().enumerate() {
         client.write_all(&lookup(1, n + 1)).expect("sent");
     }
-    until(&log, |log| log.iter().filter(|p| p[0] == "want").count() == CAPACITY);
+    until(&log, |log| log.iter().filter(|parts| parts[0] == "want").count() == CAPACITY);
     let mut client = gateway.client();
     let fields = [("verb", "lookup"), ("txn", last.as_str()), ("limit", &*LIMIT.to_string())];
     let sent = Instant::now();
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -1,5 +1,4 @@
-//! What a deployment's settings say is what the program does, on every deployment; settings that contradict themselves
-//! are refused at the start.
+//! The program honours the settings of every deployment; settings that contradict themselves are rejected at the start.
 
 mod stand;
 
@@ -22,7 +21,7 @@
 
 const ID: &str = "00000000000000a1";
 
-/// Two classes, two kinds and two zones, with all that may contradict.
+/// Two classes, two kinds and two zones, with all keys that may contradict each other.
 const SETTINGS: &str = r#"{"listen":"127.0.0.1:0","seed":"7","limits":{"cores":1.0,"memory_mb":192,"sockets":256},
  "settings":{"balancers":2,"rank":1,"zones":["east","west"],"locality":"west","skus":["std","big"],"tick":1.0,
   "classes":[
@@ -38,11 +37,12 @@
 
 #[test]
 fn settings_without_contradiction_are_taken() {
-    let s = Config::read(SETTINGS).expect("it can be used").settings;
-    assert_eq!(s.zone, Some(ZoneId(1)));
+    let settings = Config::read(SETTINGS).expect("it can be used").settings;
+    assert_eq!(settings.zone, Some(ZoneId(1)));
     // A key whose value is null is absent: the class may run on every kind.
-    assert_eq!((s.classes[0].kinds.clone(), s.classes[0].zones.clone()), (None, Some(vec![ZoneId(0)])));
-    assert!(s.classes[1].is_load && s.classes[0].waits_for_loads);
+    let (lookup, load) = (&settings.classes[0], &settings.classes[1]);
+    assert_eq!((lookup.kinds.clone(), lookup.zones.clone()), (None, Some(vec![ZoneId(0)])));
+    assert!(load.is_load && lookup.waits_for_loads);
 }
 
 #[rstest]
@@ -97,7 +97,7 @@
     assert!(error.contains(key), "{error}");
 }
 
-/// What the program says at its start of a file that cannot be used.
+/// Returns what the program prints on standard error about an invalid file.
 fn stderr_of(kind: &str, flag: &str, text: &str) -> String {
     let mut file = tempfile::Builder::new().suffix(kind).tempfile().expect("a file");
     file.write_all(text.as_bytes()).expect("written");
@@ -126,20 +126,20 @@
     assert!(stderr.contains("zones") && stderr.contains("twice") && !stderr.contains("panic"), "{stderr}");
 }
 
-/// Connections are kept by the deployment's own figures.
+/// Connections have the limits of the deployment's settings.
 #[rstest]
 #[case::one(r#"{"streams_per_conn":32,"connect_timeout":250,"idle_close":15000,"max_open":20000}"#, (32, 250, 12_000, 20_000))]
 #[case::other(r#"{"streams_per_conn":8,"connect_timeout":180,"idle_close":5000,"max_open":500}"#, (8, 180, 4_000, 500))]
 fn limits_of_connections_are_the_settings(#[case] limits: &str, #[case] expected: (usize, u64, u64, usize)) {
     let own = r#"{"send_cap":3,"retry_after":true,"max_retry_after":1000,"connect_timeout":250}"#;
-    let l = Config::read(&changed(SETTINGS, own, limits)).expect("it can be used").limits;
-    let ms = |d: Duration| d.as_millis() as u64;
+    let limits = Config::read(&changed(SETTINGS, own, limits)).expect("it can be used").limits;
+    let ms = |duration: Duration| duration.as_millis() as u64;
     assert_eq!(
         (
-            l.max_attempts_per_connection,
-            ms(l.connect_timeout),
-            ms(l.engine_idle_timeout),
-            l.max_open_requests
+            limits.max_attempts_per_connection,
+            ms(limits.connect_timeout),
+            ms(limits.engine_idle_timeout),
+            limits.max_open_requests
         ),
         expected
     );
@@ -150,13 +150,13 @@
 fn connection_to_an_engine_carries_no_more_attempts_than_the_settings_allow() {
     let open: Arc<Mutex<BTreeMap<u16, usize>>> = Arc::default();
     let released = Arc::new(AtomicBool::new(false));
-    let (counts, goes_on) = (open.clone(), released.clone());
+    let (counts, ends_connections) = (open.clone(), released.clone());
     let (at, log) = resp_engine_that(move |parts, stream| {
         let from = stream.peer_addr().expect("connected").port();
         match parts[0].as_str() {
-            // Nothing is answered, so all stay open.
+            // No request is answered, so all stay in flight.
             "want" => *counts.lock().expect("counts").entry(from).or_default() += 1,
-            _ if goes_on.load(Ordering::SeqCst) => return false,
+            _ if ends_connections.load(Ordering::SeqCst) => return false,
             _ => {}
         }
         true
@@ -173,13 +173,13 @@
         let fields = [("verb", "lookup"), ("txn", &*format!("{seq:016x}")), ("limit", "60000")];
         client.write_all(&call(seq, &fields, "select 1")).expect("sent");
     }
-    until(&log, |l| l.iter().filter(|p| p[0] == "want").count() == 6);
+    until(&log, |log| log.iter().filter(|parts| parts[0] == "want").count() == 6);
     released.store(true, Ordering::SeqCst);
     let open = open.lock().expect("counts");
     assert!(open.values().all(|n| *n <= 2), "{open:?}");
 }
 
-/// Where the engine alone grants memory, the gateway asks for none, whatever the estimate.
+/// Where the engine alone grants memory, the gateway requests none, whatever the estimate.
 #[rstest]
 #[case::heeded(true, Some("mem=154"))]
 #[case::engine_s_alone(false, None)]
@@ -193,7 +193,7 @@
     client.write_all(&call(1, &fields, "select 1")).expect("sent");
     assert_eq!(answer(&mut client).1, "served");
     let log = log.lock().expect("log");
-    let want = log.iter().find(|p| p[0] == "want").expect("sent");
+    let want = log.iter().find(|parts| parts[0] == "want").expect("sent");
     assert_eq!(want[2].split(',').find(|field| field.starts_with("mem=")), granted, "{want:?}");
 }
 
@@ -230,11 +230,11 @@
     let fields = [("verb", class), ("txn", ID), ("limit", "60000")];
     client.write_all(&call(1, &fields, "select 1")).expect("sent");
     assert_eq!(answer(&mut client).1, "overloaded", "nothing ran");
-    assert_eq!(log.lock().expect("log").iter().filter(|p| p[0] == "want").count(), attempts);
+    assert_eq!(log.lock().expect("log").iter().filter(|parts| parts[0] == "want").count(), attempts);
 }
 
-/// Load reports come with probes alone on one deployment, with answers as well on another; each field that is there is
-/// read, and one that is not is not made up.
+/// Load reports arrive with health checks alone on one deployment, with answers as well on another; each field that is
+/// present is read, and an absent one stays absent.
 #[rstest]
 #[case::queue_and_util("queue:3;util:0.61", LoadReport { queue: Some(3.0), util: Some(0.61), ..LoadReport::default() })]
 #[case::inflight("inflight:7", LoadReport { inflight: Some(7.0), ..LoadReport::default() })]
@@ -253,8 +253,8 @@
         })
     });
     let limits = Rc::new(Limits::read(&Fields::new("settings", BTreeMap::new())).expect("defaults"));
-    let rt = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    rt.block_on(tokio::task::LocalSet::new().run_until(async {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    runtime.block_on(tokio::task::LocalSet::new().run_until(async {
         let (sender, mut events) = tokio::sync::mpsc::channel(8);
         let mut engines = RespEngines::new(limits, SharedState::new(1), sender);
         let (engine, mut at_once) = (EngineId("s-0".into()), Vec::new());
@@ -284,7 +284,7 @@
     }));
 }
 
-/// Advice on when to come back goes to clients only where the deployment gives any.
+/// Clients receive Retry-After only where the deployment gives it.
 #[rstest]
 #[case::given(true, Some("Retry-After: 1"))]
 #[case::not_given(false, None)]
--- a/tests/notes.rs
+++ b/tests/notes.rs
@@ -71,8 +71,8 @@
         assert_eq!(answer(&mut client), (seq, "served", "a\tb\tc\n".into()));
     }
     let log = log.lock().expect("log");
-    assert_eq!(log.iter().filter(|p| p[0] == "want").count(), 3, "{log:?}");
-    assert!(!log.iter().any(|p| p[0] == "closed"), "{log:?}");
+    assert_eq!(log.iter().filter(|parts| parts[0] == "want").count(), 3, "{log:?}");
+    assert!(!log.iter().any(|parts| parts[0] == "closed"), "{log:?}");
 }
 
 /// Updates on a query whose result has begun change nothing in its pages.
@@ -99,7 +99,7 @@
     let fields = [("verb", "lookup"), ("txn", "00000000000000a2"), ("limit", "60000")];
     client.write_all(&call(2, &fields, "select 1")).expect("sent");
     assert_eq!(answer(&mut client).1, "served");
-    assert!(!log.lock().expect("log").iter().any(|p| p[0] == "closed"));
+    assert!(!log.lock().expect("log").iter().any(|parts| parts[0] == "closed"));
 }
 
 /// An update for a cancelled query is no second answer.
@@ -121,11 +121,11 @@
     let gateway = Gateway::start(&config(&[at], "resp", 60_000));
     let mut client = gateway.client();
     client.write_all(&call(1, &LOOKUP, "select 1")).expect("sent");
-    until(&log, |l| l.iter().any(|p| p[0] == "want"));
+    until(&log, |log| log.iter().any(|parts| parts[0] == "want"));
     client.write_all(&cancel(1)).expect("sent");
-    until(&log, |l| l.iter().any(|p| p[0] == "never_mind"));
+    until(&log, |log| log.iter().any(|parts| parts[0] == "never_mind"));
     let fields = [("verb", "lookup"), ("txn", "00000000000000a2"), ("limit", "60000")];
     client.write_all(&call(2, &fields, "select 1")).expect("sent");
     assert_eq!(answer(&mut client), (2, "served", "a\tb\tc\n".into()));
-    assert!(!log.lock().expect("log").iter().any(|p| p[0] == "closed"));
+    assert!(!log.lock().expect("log").iter().any(|parts| parts[0] == "closed"));
 }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! Tables of cases for the parsers: what is read, what needs more, what is refused.
+//! Tables of cases for the parsers: what is read, what needs more bytes, what is rejected.
 
 use rstest::rstest;
 use starlingplank::interface::Settings;
@@ -18,16 +18,16 @@
 #[case("+OK\r\n", "bad")]
 #[case("*4\r\n$-1\r\n", "bad")]
 fn engine_answers(#[case] bytes: &str, #[case] expected: &str) {
-    let got = match resp::read(bytes.as_bytes(), 1000) {
-        Read::Reply(r, used) => {
-            let word = String::from_utf8_lossy(r.kind);
-            let pages = r.field("pages").unwrap_or("-");
-            format!("{} {word} {pages} {} {}", r.id, r.body.len(), &bytes[used..])
+    let parsed = match resp::read(bytes.as_bytes(), 1000) {
+        Read::Reply(reply, used) => {
+            let kind = String::from_utf8_lossy(reply.kind);
+            let pages = reply.field("pages").unwrap_or("-");
+            format!("{} {kind} {pages} {} {}", reply.id, reply.body.len(), &bytes[used..])
         }
         Read::More => "more".into(),
         Read::Bad => "bad".into(),
     };
-    assert_eq!(got, expected);
+    assert_eq!(parsed, expected);
 }
 
 #[test]
@@ -60,12 +60,12 @@
 #[case("POST / HTTP/1.1\r\nHost", "more")]
 #[case("POST / HTTP/1.1\r\nno header\r\n\r\n", "bad")]
 fn heads(#[case] text: &str, #[case] expected: &str) {
-    let got = match http::read_head(text.as_bytes()) {
+    let parsed = match http::read_head(text.as_bytes()) {
         http::Read::Done(head, _) => format!("{} {:?}", head.first, head.body(http::Length::Bytes(0))),
         http::Read::More => "more".into(),
         http::Read::Bad => "bad".into(),
     };
-    assert_eq!(got, expected);
+    assert_eq!(parsed, expected);
     assert_eq!(http::decode("%41+b%"), "A b%");
 }
 
@@ -77,17 +77,17 @@
 
 /// One engine, its names compressed: the target's zone and the owner point back into the question.
 fn packet() -> Vec<u8> {
-    let mut p = vec![0, 9, 0x84, 0, 0, 1, 0, 1, 0, 1, 0, 2];
-    p.extend(b"\x05_work\x04_tcp\x05fleet\x05local\x00\x00\x21\x00\x01");
-    p.extend(b"\xc0\x0c\x00\x21\x00\x01\x00\x00\x00\x00\x00\x17\x00\x01\x00\x28\x23\x82\x04s-ab\x04west\x05hosts\x00");
-    let target = (p.len() - 17) as u8;
-    p.extend(b"\xc0\x0c\x00\x06\x00\x01\x00\x00\x00\x00\x00\x16\x00\x00\x00\x00\x00\x2a");
-    p.extend([0; 16]);
-    p.extend([0xc0, target]);
-    p.extend(b"\x00\x01\x00\x01\x00\x00\x00\x00\x00\x04\x7f\x00\x00\x05");
-    p.extend([0xc0, target]);
-    p.extend(b"\x00\x10\x00\x01\x00\x00\x00\x00\x00\x10\x08kind=std\x06cell=2");
-    p
+    let mut packet = vec![0, 9, 0x84, 0, 0, 1, 0, 1, 0, 1, 0, 2];
+    packet.extend(b"\x05_work\x04_tcp\x05fleet\x05local\x00\x00\x21\x00\x01");
+    packet.extend(b"\xc0\x0c\x00\x21\x00\x01\x00\x00\x00\x00\x00\x17\x00\x01\x00\x28\x23\x82\x04s-ab\x04west\x05hosts\x00");
+    let target = (packet.len() - 17) as u8;
+    packet.extend(b"\xc0\x0c\x00\x06\x00\x01\x00\x00\x00\x00\x00\x16\x00\x00\x00\x00\x00\x2a");
+    packet.extend([0; 16]);
+    packet.extend([0xc0, target]);
+    packet.extend(b"\x00\x01\x00\x01\x00\x00\x00\x00\x00\x04\x7f\x00\x00\x05");
+    packet.extend([0xc0, target]);
+    packet.extend(b"\x00\x10\x00\x01\x00\x00\x00\x00\x00\x10\x08kind=std\x06cell=2");
+    packet
 }
 
 #[test]
@@ -104,18 +104,18 @@
         let parsed = message::parse(&packet[..cut], &settings(), &KnownAddresses::new());
         assert_eq!(parsed, Err(MessageError::Malformed), "cut at {cut}");
     }
-    // Names are the same whatever their case (RFC 4343).
-    let mut shouted = packet.clone();
-    let zone = shouted.windows(4).position(|bytes| bytes == b"west").expect("it is there");
-    let address_owner = shouted.len() - 26 - 16 - 2;
-    assert_eq!(shouted[address_owner], 0xc0, "the owner of the address is a pointer");
-    shouted.splice(address_owner..address_owner + 2, *b"\x04S-AB\x04WEST\x05HOSTS\x00");
+    // Names are compared without regard to case (RFC 4343).
+    let mut uppercase = packet.clone();
+    let zone = uppercase.windows(4).position(|bytes| bytes == b"west").expect("it is there");
+    let address_owner = uppercase.len() - 26 - 16 - 2;
+    assert_eq!(uppercase[address_owner], 0xc0, "the owner of the address is a pointer");
+    uppercase.splice(address_owner..address_owner + 2, *b"\x04S-AB\x04WEST\x05HOSTS\x00");
     assert!(zone < address_owner);
     assert_eq!(
-        message::parse(&shouted, &settings(), &KnownAddresses::new()).expect("parsed").endpoints[0].address,
+        message::parse(&uppercase, &settings(), &KnownAddresses::new()).expect("parsed").endpoints[0].address,
         engine.address
     );
-    // A name that points at itself ends.
+    // A name that points at itself is malformed.
     let mut looped = packet.clone();
     looped[12..14].copy_from_slice(&[0xc0, 0x0c]);
     let parsed = message::parse(&looped, &settings(), &KnownAddresses::new());
--- a/tests/recall.rs
+++ b/tests/recall.rs
@@ -32,9 +32,9 @@
 /// The number of queries sent within two seconds while 100 a second arrive and none is answered.
 fn sent(balancer: &mut Balancer) -> usize {
     let mut count = 0;
-    for n in 0..200_u64 {
-        let now = n as f64 * 10.0;
-        let details = RequestDetails { deadline: now + 2_900.0, ..incoming(n, 0, 0.0) };
+    for id in 0..200_u64 {
+        let now = id as f64 * 10.0;
+        let details = RequestDetails { deadline: now + 2_900.0, ..incoming(id, 0, 0.0) };
         count += sends(&run_cycle(balancer, now, &[Event::Request(details), Event::Timer(0)])).len();
     }
     count
@@ -42,13 +42,13 @@
 
 #[test]
 fn perhaps_cold_engine_gets_no_more_than_a_cold_one_s_budget() {
-    let cold = sent(&mut restored(EngineLearned { perhaps_cold: true, ..Default::default() }));
+    let starting = sent(&mut restored(EngineLearned { perhaps_cold: true, ..Default::default() }));
     // 0.8 of three times 0.3 of eight cores for two seconds, in queries of 400 ms; a little more as it warms.
     let budget = 0.8 * 3.0 * 0.3 * 8.0 * 2_000.0 / 400.0;
     let max = budget * (0.3 + 0.7 * 2.0 / 15.0) / 0.3 + 1.0;
-    assert!(cold >= 3 && (cold as f64) <= max, "{cold} of {max}");
+    assert!(starting >= 3 && (starting as f64) <= max, "{starting} of {max}");
     let warm = sent(&mut restored(EngineLearned::default()));
-    assert!(warm > 2 * cold, "{warm} against {cold}");
+    assert!(warm > 2 * starting, "{warm} against {starting}");
 }
 
 #[test]
@@ -57,43 +57,40 @@
     assert_eq!(sent(&mut balancer), 0);
     let details = RequestDetails { deadline: 5_000.0, ..incoming(900, 0, 0.0) };
     let later: usize = (0..20)
-        .map(|n| {
-            let now = 2_100.0 + f64::from(n) * 50.0;
-            let events = if n == 0 { vec![Event::Request(details.clone())] } else { vec![Event::Timer(0)] };
+        .map(|cycle| {
+            let now = 2_100.0 + f64::from(cycle) * 50.0;
+            let events =
+                if cycle == 0 { vec![Event::Request(details.clone())] } else { vec![Event::Timer(0)] };
             sends(&run_cycle(&mut balancer, now, &events)).len()
         })
         .sum();
     assert!(later >= 1, "and then it is an engine like others");
 }
 
+/// A query that the engine runs.
+struct InFlight {
+    sent_at: Milliseconds,
+    id: u64,
+}
+
 /// The most queries in flight at once under steady load whose answers take `took`, after two seconds of such answers.
 fn max_in_flight(took: Milliseconds) -> usize {
     let mut balancer = restored(EngineLearned { perhaps_cold: true, ..Default::default() });
-    let mut in_flight: Vec<(f64, u64)> = Vec::new();
+    let mut in_flight: Vec<InFlight> = Vec::new();
     let mut max = 0;
-    for n in 0..300_u64 {
-        let now = n as f64 * 10.0;
+    for id in 0..300_u64 {
+        let now = id as f64 * 10.0;
         let mut events =
-            vec![Event::Request(RequestDetails { deadline: now + 2_900.0, ..incoming(n, 0, 0.0) })];
-        for (_, id) in in_flight.extract_if(.., |(at, _)| *at + took <= now) {
-            let Event::Outcome { id, attempt, engine, outcome, took, over, report, .. } =
-                outcome(id, 0, &engine(0), Outcome::Ok, took)
-            else {
-                unreachable!("an outcome")
-            };
-            events.push(Event::Outcome {
-                id,
-                attempt,
-                engine,
-                outcome,
-                took,
-                over,
-                work: Some(100.0),
-                report,
-            });
+            vec![Event::Request(RequestDetails { deadline: now + 2_900.0, ..incoming(id, 0, 0.0) })];
+        for ended in in_flight.extract_if(.., |query| query.sent_at + took <= now) {
+            let mut end = outcome(ended.id, 0, &engine(0), Outcome::Ok, took);
+            if let Event::Outcome { work, .. } = &mut end {
+                *work = Some(100.0);
+            }
+            events.push(end);
         }
         for (id, _) in sends(&run_cycle(&mut balancer, now, &events)) {
-            in_flight.push((now, id));
+            in_flight.push(InFlight { sent_at: now, id });
         }
         if now > 2_000.0 {
             max = max.max(in_flight.len());
@@ -120,7 +117,7 @@
         ..Default::default()
     };
     let balancer = restored(absurd);
-    let back = &balancer.learned().engines[0];
-    assert!((back.slow, back.errors, back.others) == (1.0, 0.0, 0.0), "{back:?}");
-    assert!(back.ejected.is_none() && back.back.is_none() && back.ejections <= 6, "{back:?}");
+    let learned = &balancer.learned().engines[0];
+    assert!((learned.slow, learned.errors, learned.others) == (1.0, 0.0, 0.0), "{learned:?}");
+    assert!(learned.ejected.is_none() && learned.back.is_none() && learned.ejections <= 6, "{learned:?}");
 }
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -37,7 +37,7 @@
     client.write_all(&call(1, &fields, "insert into s_1.t\r\n")).expect("sent");
     assert_eq!(answer(&mut client), (1, "served", "1\t\t\n2\t\t\n3\t\t\n".into()));
     let log = log.lock().expect("log");
-    let want = log.iter().find(|p| p[0] == "want").expect("sent");
+    let want = log.iter().find(|parts| parts[0] == "want").expect("sent");
     assert_eq!((want[1].as_str(), want[3].as_str()), ("00000000000000a1", "insert into s_1.t\r\n"));
     assert!(want[2].starts_with("queue=load,budget=") && want[2].contains(",uniq=k1"), "{want:?}");
 }
@@ -59,7 +59,7 @@
     let (_, kind, body) = answer(&mut client);
     // The only engine is ejected for a while: the answer is a rejection or the rows of the retry, never a part of them.
     assert!(kind == "overloaded" && body.contains("later") || body == "a\tb\tc\n", "{kind} {body}");
-    assert!(log.lock().expect("log").iter().filter(|p| p[0] == "want").count() <= 2);
+    assert!(log.lock().expect("log").iter().filter(|parts| parts[0] == "want").count() <= 2);
 }
 
 #[test]
@@ -83,7 +83,7 @@
         .expect("sent");
     let (seq, kind, _) = answer(&mut client);
     assert!(seq == 1 && kind != "served", "{kind}");
-    until(&log, |l| l.iter().any(|p| p[0] == "never_mind"));
+    until(&log, |log| log.iter().any(|parts| parts[0] == "never_mind"));
     // The next frame answers the next call; there is no second answer.
     client.write_all(&health(2)).expect("sent");
     assert_eq!(answer(&mut client).0, 2);
@@ -97,13 +97,13 @@
     let gateway = Gateway::start(&config(&[at], "resp", 20_000));
     let mut client = gateway.client();
     client.write_all(&call(1, &LOOKUP, "select 1")).expect("sent");
-    until(&log, |l| l.iter().any(|p| p[0] == "want"));
+    until(&log, |log| log.iter().any(|parts| parts[0] == "want"));
     if sends_cancel {
         client.write_all(&cancel(1)).expect("sent");
     } else {
         drop(client);
     }
-    until(&log, |l| l.iter().any(|p| p[0] == "never_mind" && p[1] == "00000000000000a1"));
+    until(&log, |log| log.iter().any(|parts| parts[0] == "never_mind" && parts[1] == "00000000000000a1"));
 }
 
 #[rstest]
@@ -127,7 +127,7 @@
     client
         .write_all(&call(1, &[("verb", "lookup"), ("txn", "a1"), ("limit", "20000")], "select 1"))
         .expect("sent");
-    until(&log, |l| l.iter().any(|p| p[0] == "want"));
+    until(&log, |log| log.iter().any(|parts| parts[0] == "want"));
     gateway.terminate();
     assert_eq!(answer(&mut client).1, "overloaded");
     assert!(gateway.child.wait().expect("it ends").success());
@@ -165,7 +165,7 @@
     // The old address still answers its own poll, with a later serial and an empty list.
     names[0].send_to(&names_answer(&old.0, 1000, &[]), old.1).expect("sent");
     names[1].send_to(&names_answer(&poll, 99, &[("s-9", second)]), from).expect("sent");
-    while log.lock().expect("log").iter().all(|p| p[0] != "want") {
+    while log.lock().expect("log").iter().all(|parts| parts[0] != "want") {
         assert_eq!(send_lookup(2).1, "served");
     }
 }
@@ -246,7 +246,7 @@
     let mut client = gateway.client();
     client.write_all(&call(1, fields, "select 1")).expect("sent");
     assert_eq!(answer(&mut client).1, "internal");
-    assert!(log.lock().expect("log").iter().all(|p| p[0] != "want"));
+    assert!(log.lock().expect("log").iter().all(|parts| parts[0] != "want"));
 }
 
 /// Two requests under one number or name are ambiguous: the engine's answer to one would pass for the other's.
@@ -258,13 +258,13 @@
     let gateway = Gateway::start(&config(&[at], "resp", 5000));
     let (mut client, mut other) = (gateway.client(), gateway.client());
     client.write_all(&call(1, &LOOKUP, "select 1")).expect("sent");
-    until(&log, |l| l.iter().any(|p| p[0] == "want"));
+    until(&log, |log| log.iter().any(|parts| parts[0] == "want"));
     other.write_all(&call(1, &LOOKUP, "select 2")).expect("sent");
     assert_eq!(answer(&mut other).1, "internal", "another connection's is an error of its own");
     let fields = [("verb", "lookup"), ("txn", txn), ("limit", "5000")];
     client.write_all(&call(seq, &fields, "select 2")).expect("sent");
     assert!(closed(&mut client));
-    until(&log, |l| l.iter().any(|p| p[0] == "never_mind"));
+    until(&log, |log| log.iter().any(|parts| parts[0] == "never_mind"));
 }
 
 /// Numbers start at 1 and count up on each connection. A copy of another client's request arrives on a connection that
@@ -290,7 +290,7 @@
     let mut other = gateway.client();
     other.write_all(&call(1, &LOOKUP, "select 1")).expect("sent");
     assert_eq!(answer(&mut other).1, "served");
-    let wants = log.lock().expect("log").iter().filter(|p| p[0] == "want").count();
+    let wants = log.lock().expect("log").iter().filter(|parts| parts[0] == "want").count();
     assert_eq!(wants, before.len() + 1);
 }
 
@@ -316,13 +316,13 @@
     let mut client = gateway.client();
     let fields = [("verb", "lookup"), ("txn", "00000000000000a2"), ("limit", "60000")];
     client.write_all(&call(1, &fields, "select 1")).expect("sent");
-    until(&log, |l| l.iter().any(|p| p[0] == "want"));
+    until(&log, |log| log.iter().any(|parts| parts[0] == "want"));
     let fields = [("verb", "load"), ("txn", ID), ("limit", "60000"), ("unique", "k1")];
     client.write_all(&call(2, &fields, "insert into s_1.t")).expect("sent");
     // Both requests were on the connection, so both are answered.
     let kinds = [answer(&mut client).1, answer(&mut client).1];
     assert!(!kinds.contains(&"served"), "{kinds:?}");
-    until(&log, |l| l.iter().any(|p| p[0] == "closed"));
+    until(&log, |log| log.iter().any(|parts| parts[0] == "closed"));
 }
 
 /// A copy of a page is ignored. A copy of the first page once ended its request as an error, though all pages came.
@@ -345,7 +345,7 @@
     assert_eq!(answer(&mut client), (1, "served", "a\tb\tc\nd\te\tf\n".into()));
     client.write_all(&health(2)).expect("sent");
     assert_eq!(answer(&mut client).0, 2);
-    assert!(log.lock().expect("log").iter().all(|p| p[0] != "closed"));
+    assert!(log.lock().expect("log").iter().all(|parts| parts[0] != "closed"));
 }
 
 /// An engine that sends the first page of two, and no other.
@@ -366,7 +366,7 @@
     let fields = [("verb", "lookup"), ("txn", ID), ("limit", "60000")];
     client.write_all(&call(1, &fields, "select 1")).expect("sent");
     assert_eq!(answer(&mut client).1, "overloaded");
-    until(&log, |l| l.iter().any(|p| p[0] == "shut"));
+    until(&log, |log| log.iter().any(|parts| parts[0] == "shut"));
     let log = log.lock().expect("log");
     let words: Vec<&str> = log.iter().map(|parts| parts[0].as_str()).collect();
     assert_eq!(words, ["want", "turn", "shut"]);
@@ -381,8 +381,8 @@
     let mut client = gateway.client();
     let fields = [("verb", "lookup"), ("txn", ID), ("limit", "60000")];
     client.write_all(&call(1, &fields, "select 1")).expect("sent");
-    until(&log, |l| l.iter().any(|p| p[0] == "turn"));
+    until(&log, |log| log.iter().any(|parts| parts[0] == "turn"));
     client.write_all(&cancel(1)).expect("sent");
-    until(&log, |l| l.iter().any(|p| p[0] == "shut" && p[1] == ID));
-    assert!(log.lock().expect("log").iter().all(|p| p[0] != "never_mind"));
+    until(&log, |log| log.iter().any(|parts| parts[0] == "shut" && parts[1] == ID));
+    assert!(log.lock().expect("log").iter().all(|parts| parts[0] != "never_mind"));
 }
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -39,7 +39,8 @@
         client.join().expect("each request is served");
     }
     ends_well(&mut gateway);
-    let queries = |log: &Log| log.lock().expect("log").iter().filter(|l| l[0].contains("query_id")).count();
+    let queries =
+        |log: &Log| log.lock().expect("log").iter().filter(|line| line[0].contains("query_id")).count();
     match wire {
         "resp" => {
             let attempts = attempts(&log);
--- a/tests/tenants.rs
+++ b/tests/tenants.rs
@@ -23,8 +23,8 @@
     let tenants = ["docks", "yards"].map(|name| Tenant { name: name.into(), quota_per_s: 1.0 });
     let settings = Settings { tenants: tenants.to_vec(), ..settings() };
     let limits = Limits::read(&Fields::new("settings", BTreeMap::new())).expect("defaults");
-    let rt = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    rt.block_on(tokio::task::LocalSet::new().run_until(async {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    runtime.block_on(tokio::task::LocalSet::new().run_until(async {
         let (sender, mut events) = tokio::sync::mpsc::channel(8);
         let frontend = FrontendState::new(Rc::new(settings), Rc::new(limits), sender);
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
