--- a/crates/admin/src/inherited_membership/tests.rs
+++ b/crates/admin/src/inherited_membership/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
 use proptest::prelude::*;
 
-fn heard() -> InheritedMembership {
+fn membership() -> InheritedMembership {
     InheritedMembership::new(1_000.0, ["s-1", "s-3"].map(str::to_owned))
 }
 
 #[test]
 fn drained_and_gone_engines_are_kept_out_for_as_long_as_it_binds() {
-    assert!(!heard().excludes("s-0", 1_000.0), "one of which nothing was heard is used");
-    assert!(heard().excludes("s-1", 1_000.0) && heard().excludes("s-1", 60_999.0));
-    assert!(!heard().excludes("s-1", 61_000.0), "it ends by itself");
+    assert!(!membership().excludes("s-0", 1_000.0), "one of which nothing was heard is used");
+    assert!(membership().excludes("s-1", 1_000.0) && membership().excludes("s-1", 60_999.0));
+    assert!(!membership().excludes("s-1", 61_000.0), "it ends by itself");
 }
 
 #[test]
@@ -27,8 +27,8 @@
 
 #[test]
 fn file_is_read_as_it_was_written_and_every_cut_or_changed_byte_is_noticed() {
-    let bytes = heard().encode().expect("small");
-    assert_eq!(InheritedMembership::decode(&bytes), Ok(heard()));
+    let bytes = membership().encode().expect("small");
+    assert_eq!(InheritedMembership::decode(&bytes), Ok(membership()));
     for at in 0..bytes.len() {
         assert!(InheritedMembership::decode(&bytes[..at]).is_err(), "cut at {at}");
         let mut changed = bytes.clone();
@@ -45,10 +45,10 @@
 fn what_is_taken_over_binds_for_its_time_whatever_the_clock_of_the_other_process_shows() {
     for step in [-3_600_000.0, 0.0, 3_600_000.0] {
         let now = 5_000_000.0;
-        let heard = InheritedMembership::new(now + step, ["s-1".to_owned()]).taken_over(now);
+        let membership = InheritedMembership::new(now + step, ["s-1".to_owned()]).taken_over(now);
         assert!(
-            heard.excludes("s-1", now + BINDING_DURATION - 1.0)
-                && !heard.excludes("s-1", now + BINDING_DURATION)
+            membership.excludes("s-1", now + BINDING_DURATION - 1.0)
+                && !membership.excludes("s-1", now + BINDING_DURATION)
         );
     }
 }
--- a/crates/admin/src/operator_overrides.rs
+++ b/crates/admin/src/operator_overrides.rs
@@ -49,11 +49,16 @@
     ///
     /// # Errors
     /// The engine is unknown, or too many are excluded.
-    pub fn exclude(&mut self, id: &str, listed: bool, now: UnixMilliseconds) -> Result<bool, OverrideError> {
+    pub fn exclude(
+        &mut self,
+        id: &str,
+        is_member: bool,
+        now: UnixMilliseconds,
+    ) -> Result<bool, OverrideError> {
         if self.is_excluded(id) {
             return Ok(false);
         }
-        if !listed || id.len() > MAX_ID_BYTES {
+        if !is_member || id.len() > MAX_ID_BYTES {
             return Err(OverrideError::Unknown);
         }
         if self.excluded.len() >= MAX_EXCLUDED {
@@ -67,12 +72,17 @@
     ///
     /// # Errors
     /// The engine is unknown.
-    pub fn include(&mut self, id: &str, listed: bool, now: UnixMilliseconds) -> Result<bool, OverrideError> {
+    pub fn include(
+        &mut self,
+        id: &str,
+        is_member: bool,
+        now: UnixMilliseconds,
+    ) -> Result<bool, OverrideError> {
         if let Some(excluded_at) = self.excluded.remove(id) {
             self.included.insert(id.to_owned(), EndedExclusion { excluded_at, included_at: now });
             return Ok(true);
         }
-        if !listed {
+        if !is_member {
             return Err(OverrideError::Unknown);
         }
         Ok(false)
@@ -104,10 +114,10 @@
 
     /// When an engine counts as started, given the start that the list tells. If that lies after the exclusion it holds. For
     /// any other engine that was excluded it is unknown what was done to it meanwhile: it starts when it is included.
-    pub fn start_time(&self, id: &str, listed: Option<UnixMilliseconds>) -> Option<UnixMilliseconds> {
+    pub fn start_time(&self, id: &str, reported: Option<UnixMilliseconds>) -> Option<UnixMilliseconds> {
         match self.included.get(id) {
-            Some(ended) => listed.filter(|at| *at > ended.excluded_at).or(Some(ended.included_at)),
-            None => listed,
+            Some(ended) => reported.filter(|at| *at > ended.excluded_at).or(Some(ended.included_at)),
+            None => reported,
         }
     }
 
--- a/crates/admin/src/process_lifecycle/tests.rs
+++ b/crates/admin/src/process_lifecycle/tests.rs
@@ -29,12 +29,12 @@
 #[case::before_one_that_starts(&[(3, Stage::Starting)], false, true, ZERO, true)]
 fn a_successor_listens_once_it_could_serve_as_well(
     #[case] list: &[(u64, Stage)],
-    #[case] heard: bool,
+    #[case] list_received: bool,
     #[case] knows: bool,
     #[case] waited: Duration,
     #[case] may: bool,
 ) {
-    let readiness = Readiness { list_received: heard, knows_engines: knows, waited };
+    let readiness = Readiness { list_received, knows_engines: knows, waited };
     assert_eq!(may_listen(2, &others(list), readiness), may);
 }
 
@@ -71,36 +71,36 @@
             dice % n
         };
         // Stage by incarnation; told to end, and done.
-        let mut lives: Vec<(Stage, bool, bool)> = vec![(Stage::Listening, false, false)];
+        let mut processes: Vec<(Stage, bool, bool)> = vec![(Stage::Listening, false, false)];
         for _ in 0..200 {
             let i = roll(3) as usize;
-            let seen = |of: usize, lives: &[(Stage, bool, bool)]| -> Vec<PeerProcess> {
+            let seen = |of: usize, processes: &[(Stage, bool, bool)]| -> Vec<PeerProcess> {
                 let other =
                     |(j, l): (usize, &(Stage, bool, bool))| PeerProcess { incarnation: j as u64, stage: l.0 };
-                lives.iter().enumerate().filter(|(j, l)| *j != of && !l.2).map(other).collect()
+                processes.iter().enumerate().filter(|(j, l)| *j != of && !l.2).map(other).collect()
             };
-            match (lives.get(i).copied(), roll(4)) {
-                (None, _) if lives.len() < 3 => lives.push((Stage::Starting, false, false)),
+            match (processes.get(i).copied(), roll(4)) {
+                (None, _) if processes.len() < 3 => processes.push((Stage::Starting, false, false)),
                 (Some((Stage::Starting, _, false)), 0)
                     if may_listen(
                         i as u64,
-                        &seen(i, &lives),
+                        &seen(i, &processes),
                         Readiness { list_received: roll(2) == 0, knows_engines: roll(2) == 0, waited: ZERO },
                     ) =>
                 {
-                    lives[i].0 = Stage::Listening;
+                    processes[i].0 = Stage::Listening;
                 }
                 // Only the last is never told to end: there is nobody after it.
-                (Some((Stage::Listening, told, false)), 1) if i + 1 < lives.len() => {
-                    lives[i].1 = true;
-                    if (told || roll(2) == 0) && successor_listens(i as u64, &seen(i, &lives)) {
-                        lives[i] = (Stage::Draining, true, roll(2) == 0);
+                (Some((Stage::Listening, told, false)), 1) if i + 1 < processes.len() => {
+                    processes[i].1 = true;
+                    if (told || roll(2) == 0) && successor_listens(i as u64, &seen(i, &processes)) {
+                        processes[i] = (Stage::Draining, true, roll(2) == 0);
                     }
                 }
                 _ => {}
             }
-            let listens = lives.iter().any(|(stage, _, done)| *stage == Stage::Listening && !done);
-            assert!(listens, "seed {seed}: {lives:?}");
+            let listens = processes.iter().any(|(stage, _, done)| *stage == Stage::Listening && !done);
+            assert!(listens, "seed {seed}: {processes:?}");
         }
     }
 }
--- a/src/net/discovery/message.rs
+++ b/src/net/discovery/message.rs
@@ -127,8 +127,8 @@
         let mut labels = target.split('.');
         let (engine, zone) = (labels.next().unwrap_or_default(), labels.next().unwrap_or_default());
         let owner = target.to_ascii_lowercase();
-        let listed = self.addresses.get(&owner).map(|ip| SocketAddr::new(IpAddr::V4(*ip), *port));
-        let address = listed.or_else(|| known.get(engine).copied())?;
+        let address_of_owner = self.addresses.get(&owner).map(|ip| SocketAddr::new(IpAddr::V4(*ip), *port));
+        let address = address_of_owner.or_else(|| known.get(engine).copied())?;
         let kind = self.text(&owner, "kind").unwrap_or("");
         let cell = self.number(&owner, "cell") as u64;
         let started = self.number(&owner, "started");
--- a/src/net/front/shutdown_phase.rs
+++ b/src/net/front/shutdown_phase.rs
@@ -29,7 +29,7 @@
     }
 
     /// Whether another process takes over.
-    pub fn hands_over(self) -> bool {
+    pub fn is_hot_restart(self) -> bool {
         matches!(self, Self::HandingOver | Self::ClosingIdle)
     }
 
--- a/src/net/runtime/calls.rs
+++ b/src/net/runtime/calls.rs
@@ -25,12 +25,14 @@
                 Reply { status: 200, text: self.frontend.shared.metrics.text(&names, gauges) }
             }
             Call::Exclude(id) => {
-                let (listed, now) = (self.core.is_member(&id), self.frontend.clock.now());
-                self.change_exclusion(&id, "out", events, |hand| hand.exclude(&id, listed, now))
+                let (is_member, now) = (self.core.is_member(&id), self.frontend.clock.now());
+                self.change_exclusion(&id, "out", events, |overrides| overrides.exclude(&id, is_member, now))
             }
             Call::Include(id) => {
-                let (listed, now) = (self.core.is_member(&id), self.frontend.clock.now());
-                self.change_exclusion(&id, "in use", events, |hand| hand.include(&id, listed, now))
+                let (is_member, now) = (self.core.is_member(&id), self.frontend.clock.now());
+                self.change_exclusion(&id, "in use", events, |overrides| {
+                    overrides.include(&id, is_member, now)
+                })
             }
         }
     }
--- a/src/net/runtime/inputs.rs
+++ b/src/net/runtime/inputs.rs
@@ -94,7 +94,7 @@
             () = sleep_until(due) => Input::Due,
             _ = timers.maintain_engines.tick() => Input::MaintainEngines,
             _ = timers.observe_peers.tick(), if optional.peers => Input::ObservePeers,
-            Some(asked) = self.calls.recv() => Input::Call(asked),
+            Some(call) = self.calls.recv() => Input::Call(call),
             _ = timers.maintain_knowledge.tick(), if optional.knowledge => Input::MaintainKnowledge,
             _ = timers.snapshots.tick(), if optional.knowledge => Input::Snapshot,
             signal = signals.next() => match signal {
--- a/src/net/runtime/peers.rs
+++ b/src/net/runtime/peers.rs
@@ -21,9 +21,9 @@
     /// Publishes the stage of this process to the others of this gateway. A failure is retried at the next poll.
     pub(super) fn publish_stage(&self, stage: Stage) {
         let Some(hot_restart) = &self.hot_restart else { return };
-        let said = hot_restart.publish_stage(stage);
-        self.unpublished.set(said.is_err().then_some(stage));
-        if let Err(e) = said {
+        let published = hot_restart.publish_stage(stage);
+        self.unpublished.set(published.is_err().then_some(stage));
+        if let Err(e) = published {
             log::error_rate_limited("other versions cannot see how far this one is", e);
         }
     }
@@ -49,7 +49,7 @@
         if self.frontend.shutdown_phase() == ShutdownPhase::Draining
             && process_lifecycle::successor_listens(own, &others)
         {
-            self.hand_over(&mut events);
+            self.begin_hot_restart(&mut events);
         }
         events
     }
@@ -62,7 +62,7 @@
     }
 
     /// Begins to hand over to a newer process: each connection closes after its next answer.
-    fn hand_over(&self, events: &mut Vec<Event>) {
+    fn begin_hot_restart(&self, events: &mut Vec<Event>) {
         tracing::info!("a new version listens: what is open is answered, and the rest is for it");
         self.frontend.enter_shutdown_phase(ShutdownPhase::HandingOver);
         self.publish_stage(Stage::Draining);
--- a/src/net/runtime/shutdown.rs
+++ b/src/net/runtime/shutdown.rs
@@ -35,10 +35,10 @@
 
     /// How long requests are answered after SIGTERM.
     fn drain_window(&self) -> Duration {
-        let hands_over = self.frontend.shutdown_phase().hands_over();
+        let is_hot_restart = self.frontend.shutdown_phase().is_hot_restart();
         let limits = &self.frontend.limits;
         let window =
-            if hands_over { limits.hot_restart_answer_deadline } else { limits.shutdown_answer_deadline };
+            if is_hot_restart { limits.hot_restart_answer_deadline } else { limits.shutdown_answer_deadline };
         Duration::from_secs_f64(window / 1000.0)
     }
 
--- a/src/net/runtime/startup.rs
+++ b/src/net/runtime/startup.rs
@@ -160,12 +160,14 @@
             overload_collapse_after: config.settings.overload_collapse_after,
             ..recovery::DEFAULT
         };
-        if let Some(recall) = hot_restart.inherit_learned(clock.now(), rules, limits).await {
-            self.core.set_restored_state(recall);
+        if let Some(restored_state) = hot_restart.inherit_learned(clock.now(), rules, limits).await {
+            self.core.set_restored_state(restored_state);
         }
         // Without a list service the list at the start is the list.
-        let heard = hot_restart.inherit_membership().filter(|_| config.name_service.is_some());
-        inherited.extend(heard.map(|heard| Event::InheritedMembership(heard.taken_over(clock.now()))));
+        let membership = hot_restart.inherit_membership().filter(|_| config.name_service.is_some());
+        inherited.extend(
+            membership.map(|membership| Event::InheritedMembership(membership.taken_over(clock.now()))),
+        );
         inherited
     }
 
@@ -199,16 +201,16 @@
     /// else the drains and removals of the kept list bind until the name service answers.
     fn initial_list(&self, inherited: &mut Vec<Event>) -> Vec<Endpoint> {
         let known = self.config.endpoints.clone();
-        let Some(kept) = self.persistence.cached_endpoints().filter(|_| self.config.name_service.is_some())
+        let Some(cached) = self.persistence.cached_endpoints().filter(|_| self.config.name_service.is_some())
         else {
             return known;
         };
         if !known.is_empty() {
-            inherited.push(Event::InheritedMembership(out_of_service(kept)));
+            inherited.push(Event::InheritedMembership(out_of_service(cached)));
             return known;
         }
-        let age = (self.frontend.clock.now() - kept.confirmed_at) / 1000.0;
-        let known = persistence::endpoints_from_cache(kept, &self.config.settings);
+        let age = (self.frontend.clock.now() - cached.confirmed_at) / 1000.0;
+        let known = persistence::endpoints_from_cache(cached, &self.config.settings);
         tracing::info!("starting with the list of {age:.1} s ago: {} engines", known.len());
         known
     }
@@ -230,7 +232,7 @@
 }
 
 /// The engines that drain in a kept list, or were removed from it.
-fn out_of_service(kept: &CachedEndpoints) -> InheritedMembership {
-    let draining = kept.endpoints.iter().filter(|engine| !engine.live).map(|engine| engine.id.clone());
-    InheritedMembership::new(kept.confirmed_at, draining.chain(kept.removed.iter().cloned()))
+fn out_of_service(cached: &CachedEndpoints) -> InheritedMembership {
+    let draining = cached.endpoints.iter().filter(|engine| !engine.live).map(|engine| engine.id.clone());
+    InheritedMembership::new(cached.confirmed_at, draining.chain(cached.removed.iter().cloned()))
 }
