--- a/crates/decision/src/checkpoint.rs
+++ b/crates/decision/src/checkpoint.rs
@@ -4,7 +4,7 @@
 
 use crate::balancer::Balancer;
 use crate::execution_terms::{MAX_GRANT_FACTOR, MIN_GRANT_FACTOR};
-use crate::learned::{BandLearned, ClassLearned, EngineLearned, FleetLearned, Learned};
+use crate::learned::{LearnedBand, LearnedClass, LearnedEngine, LearnedFleet, LearnedState};
 use crate::load_levels::{level_index, LEVELS, MAX_LEVEL, MIN_LEVEL};
 use crate::load_reports::MAX_BELIEVED_LOAD;
 use crate::outlier_ejection::{MAX_EJECTION, MAX_SLOWDOWN, MIN_SLOWDOWN, SLOWDOWN_PRIOR};
@@ -32,10 +32,10 @@
 
 impl Balancer {
     /// What has been learned so far.
-    pub fn learned(&self) -> Learned {
+    pub fn learned(&self) -> LearnedState {
         let classes = self.classes.iter().zip(&self.settings.classes);
         let engines = self.engines.iter();
-        Learned {
+        LearnedState {
             recorded_at: self.now,
             concurrency_limit: self.concurrency_limit(),
             fleet: self.fleet_learned(),
@@ -44,12 +44,12 @@
         }
     }
 
-    fn fleet_learned(&self) -> FleetLearned {
+    fn fleet_learned(&self) -> LearnedFleet {
         let fleet = &self.fleet;
         let zone_name = |zone: &Option<ZoneId>| {
             zone.and_then(|zone| self.settings.zones.get(zone.0)).cloned().unwrap_or_default()
         };
-        FleetLearned {
+        LearnedFleet {
             own_threads: fleet.mean_own_threads,
             all_threads: fleet.mean_all_threads,
             threads_per_query: fleet.threads_per_query,
@@ -65,9 +65,9 @@
         }
     }
 
-    fn engine_learned(&self, id: &EngineId, engine: &Engine) -> EngineLearned {
+    fn engine_learned(&self, id: &EngineId, engine: &Engine) -> LearnedEngine {
         let ejection_ended_at = engine.ejection.ended_at;
-        EngineLearned {
+        LearnedEngine {
             id: id.0.to_string(),
             started_at: engine.member.started,
             confirmed_at: engine.confirmed_at,
@@ -81,12 +81,12 @@
             connections_refused_at: engine.connections_refused_at,
             in_slow_start: self.warmth(engine) < 1.0,
             maybe_in_slow_start: engine.slow_start.start_suspected,
-            budget_spent: false,
+            slow_start_budget_exhausted: false,
         }
     }
 
     /// Restores records. Classes and engines that are not known are left out.
-    pub(crate) fn restore(&mut self, learned: &Learned) {
+    pub(crate) fn restore(&mut self, learned: &LearnedState) {
         for class_learned in &learned.classes {
             let classes = &self.settings.classes;
             let Some(index) = classes.iter().position(|class| class.name == class_learned.name) else {
@@ -105,7 +105,7 @@
         }
     }
 
-    fn restore_class(&mut self, class: ClassId, from: &ClassLearned) {
+    fn restore_class(&mut self, class: ClassId, from: &LearnedClass) {
         let max_latency = self.settings.classes[class.0].client_timeout.max(1.0);
         let state = &mut self.classes[class.0];
         for learned in &from.bands {
@@ -124,7 +124,7 @@
         state.confirmed_at = from.confirmed_at;
     }
 
-    fn restore_fleet(&mut self, from: &FleetLearned) {
+    fn restore_fleet(&mut self, from: &LearnedFleet) {
         let fleet: &mut Fleet = &mut self.fleet;
         restore_value(&mut fleet.mean_own_threads, from.own_threads, 0.0..=MAX_RESTORED_COUNT);
         restore_value(&mut fleet.mean_all_threads, from.all_threads, 0.0..=MAX_RESTORED_COUNT);
@@ -141,7 +141,7 @@
         }
     }
 
-    fn restore_engine(&mut self, from: &EngineLearned) {
+    fn restore_engine(&mut self, from: &LearnedEngine) {
         let now = self.now;
         let Some(engine) = self.engines.get_mut(&EngineId(from.id.as_str().into())) else { return };
         // What was learned in this incarnation is newer than any record.
@@ -163,7 +163,7 @@
         if from.maybe_in_slow_start {
             (engine.slow_start.started_at, engine.slow_start.start_suspected) = (Some(now), true);
         }
-        if from.budget_spent {
+        if from.slow_start_budget_exhausted {
             engine.slow_start.recent_sends.push_back(SentWork { sent_at: now, work: WORK_PAST_ANY_BUDGET });
             engine.slow_start.recent_work += WORK_PAST_ANY_BUDGET;
         }
@@ -180,7 +180,7 @@
     *value = within(restored, limits).unwrap_or(*value);
 }
 
-fn restored_band(learned: &BandLearned, max_latency: Milliseconds) -> Option<LatencyStatistics> {
+fn restored_band(learned: &LearnedBand, max_latency: Milliseconds) -> Option<LatencyStatistics> {
     Some(LatencyStatistics {
         count: within(learned.samples, 0.0..=MAX_RESTORED_SAMPLES)?,
         mean: within(learned.mean, 0.0..=10.0 * max_latency)?,
@@ -194,9 +194,9 @@
     ThreadTimes { taken: (slowdown * (alone + SLOWDOWN_PRIOR) - SLOWDOWN_PRIOR).max(0.0), alone }
 }
 
-fn class_learned(state: &ClassState, class: &Class) -> ClassLearned {
+fn class_learned(state: &ClassState, class: &Class) -> LearnedClass {
     let bands = state.bands.iter().zip(LEVELS).filter(|(band, _)| band.count > MIN_BAND_SAMPLES);
-    ClassLearned {
+    LearnedClass {
         name: class.name.clone(),
         threads: class.threads,
         confirmed_at: state.confirmed_at,
@@ -212,8 +212,8 @@
     }
 }
 
-fn band_learned(band: &LatencyStatistics, level: f64) -> BandLearned {
-    BandLearned { level, samples: band.count, mean: band.mean, variance: band.variance }
+fn band_learned(band: &LatencyStatistics, level: f64) -> LearnedBand {
+    LearnedBand { level, samples: band.count, mean: band.mean, variance: band.variance }
 }
 
 #[cfg(test)]
--- a/crates/decision/src/checkpoint/tests.rs
+++ b/crates/decision/src/checkpoint/tests.rs
@@ -23,12 +23,12 @@
 
 #[test]
 fn band_with_one_value_out_of_range_is_left_out() {
-    let band = BandLearned { level: 1.0, samples: 5.0, mean: 100.0, variance: 4.0 };
+    let band = LearnedBand { level: 1.0, samples: 5.0, mean: 100.0, variance: 4.0 };
     assert!(restored_band(&band, 1_000.0).is_some());
     for damaged in [
-        BandLearned { samples: -1.0, ..band },
-        BandLearned { mean: f64::NAN, ..band },
-        BandLearned { variance: f64::INFINITY, ..band },
+        LearnedBand { samples: -1.0, ..band },
+        LearnedBand { mean: f64::NAN, ..band },
+        LearnedBand { variance: f64::INFINITY, ..band },
     ] {
         assert!(restored_band(&damaged, 1_000.0).is_none());
     }
--- a/crates/decision/src/decide.rs
+++ b/crates/decision/src/decide.rs
@@ -89,25 +89,25 @@
 
     fn learn(&mut self, event: &Event) {
         match event {
-            Event::Members { complete, members } => self.learn_members(*complete, members),
-            Event::ListFailed => self.resubscribe_soon(),
+            Event::EndpointListReceived { complete, members } => self.learn_members(*complete, members),
+            Event::EndpointPollFailed => self.resubscribe_soon(),
             Event::Request(details) => self.learn_request(details),
-            Event::Outcome { id, attempt, engine, outcome, took, over, work, report } => {
+            Event::Outcome { id, attempt, engine, outcome, elapsed, request_finished, work, report } => {
                 self.learn_report(engine, report.as_ref(), None);
                 if let Some(request) = self.requests.get_mut(id) {
-                    request.closed |= over;
+                    request.closed |= request_finished;
                 }
                 self.learn_outcome(AttemptOutcome {
                     id: *id,
                     attempt: *attempt,
                     outcome: *outcome,
-                    took: *took,
+                    elapsed: *elapsed,
                     work: *work,
                 });
             }
             Event::ProgressUpdate { id, attempt, update } => self.learn_progress(*id, *attempt, *update),
-            Event::HealthChecked { engine, ok, took, report } => {
-                self.learn_report(engine, report.as_ref(), ok.then_some(*took));
+            Event::HealthChecked { engine, ok, elapsed, report } => {
+                self.learn_report(engine, report.as_ref(), ok.then_some(*elapsed));
                 if let Some(engine) = self.engines.get_mut(engine).filter(|_| *ok) {
                     engine.confirmed_at = Some(self.now);
                 }
@@ -118,7 +118,7 @@
                 }
                 self.forget_if_done(*id);
             }
-            Event::Restored(learned) => self.restore(learned),
+            Event::StateRestored(learned) => self.restore(learned),
             Event::ProcessCount(count) => {
                 self.aperture.set_process_count(*count, &mut self.engines, self.fleet.share);
             }
@@ -175,7 +175,7 @@
         let after = if self.requests.is_empty() {
             CONTROL_PERIOD
         } else {
-            (CYCLES_PER_TIMER * self.settings.tick).clamp(1.0, MAX_BUSY_TIMER)
+            (CYCLES_PER_TIMER * self.settings.min_decision_interval).clamp(1.0, MAX_BUSY_TIMER)
         };
         if self.now >= self.next_timer || self.now + after < self.next_timer {
             self.next_timer = self.now + after - TIMER_SLACK;
--- a/crates/decision/src/dispatch.rs
+++ b/crates/decision/src/dispatch.rs
@@ -27,7 +27,8 @@
             && self.may_repeat_on(request, engine)
             && (self.settings.may_hedge || request.in_flight() == 0)
             && request.attempts.len() < self.settings.max_attempts as usize
-            && self.now + CYCLES_BEFORE_DEADLINE * self.settings.tick < request.details.deadline
+            && self.now + CYCLES_BEFORE_DEADLINE * self.settings.min_decision_interval
+                < request.details.deadline
             && (!is_retry || self.retry_budget_allows())
             && self.is_first_of_key(request)
             && self.slow_start_budget_allows(request, engine)
@@ -38,7 +39,7 @@
         let earlier = request
             .may_have_run()
             .map(|attempt| EarlierAttempt { sent_at: attempt.sent_at, placement: attempt.placement });
-        let sent_by = self.now + self.settings.tick;
+        let sent_by = self.now + self.settings.min_decision_interval;
         may_repeat(self.class_of(request).idempotency, earlier, engine.member.placement(), sent_by)
     }
 
--- a/crates/decision/src/endpoints.rs
+++ b/crates/decision/src/endpoints.rs
@@ -25,8 +25,9 @@
     }
 
     fn learn_member(&mut self, member: &Member) {
-        let kinds = &self.settings.kinds;
-        let kind = member.kind.and_then(|kind| kinds.get(kind.0)).unwrap_or(&kinds[0]);
+        let machine_types = &self.settings.machine_types;
+        let kind =
+            member.machine_type.and_then(|kind| machine_types.get(kind.0)).unwrap_or(&machine_types[0]);
         let (now, rng) = (self.now, &mut self.rng);
         let unknown_engine = || Engine::new(member.clone(), kind, now, rng.f64());
         let engine = self.engines.entry(member.engine.clone()).or_insert_with(unknown_engine);
@@ -49,7 +50,7 @@
     pub(crate) fn subscribe_if_due(&mut self, actions: &mut Vec<Action>) {
         if self.subscribe_at.is_some_and(|at| self.now >= at) {
             self.subscribe_at = None;
-            actions.push(Action::Watch);
+            actions.push(Action::SubscribeToEndpoints);
         }
     }
 
--- a/crates/decision/src/execution_terms.rs
+++ b/crates/decision/src/execution_terms.rs
@@ -27,7 +27,7 @@
     /// The priority of a request: short queries first, and what is late last, so that few runaway queries do not hold
     /// up the many.
     pub(crate) fn priority(&self, request: &Request) -> u8 {
-        if !self.settings.priorities {
+        if !self.settings.supports_priorities {
             return DEFAULT_PRIORITY;
         }
         // All that reads the data set of a load waits there until it ends, and keeps its memory.
@@ -46,7 +46,9 @@
     /// The memory to grant a request on an engine, in MB; 0: the engine chooses.
     pub(crate) fn memory_grant_mb(&self, request: &Request, engine: &Engine) -> f64 {
         let estimate = request.details.memory_mb;
-        let Some(estimate) = estimate.filter(|memory| self.settings.grants && memory.is_finite()) else {
+        let Some(estimate) =
+            estimate.filter(|memory| self.settings.supports_memory_grants && memory.is_finite())
+        else {
             return 0.0;
         };
         let max_grant = self.settings.max_grant_share * engine.memory_mb;
--- a/crates/decision/src/health_checks.rs
+++ b/crates/decision/src/health_checks.rs
@@ -21,7 +21,7 @@
 
 /// The health checks that each request pays for, at most one.
 fn credit_per_request(settings: &Settings) -> f64 {
-    (SPENDING_SHARE / settings.health_check_price.max(0.0)).min(1.0)
+    (SPENDING_SHARE / settings.health_check_cost.max(0.0)).min(1.0)
 }
 
 impl Balancer {
--- a/crates/decision/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -2,11 +2,11 @@
 //! No decision is taken here. All points in time and durations are milliseconds.
 
 pub use crate::settings::{
-    Class, Idempotency, Kind, RetryBudgetSettings, Scope, Settings, SettingsError, Tenant,
+    Class, Idempotency, MachineType, RetryBudgetSettings, Scope, Settings, SettingsError, Tenant,
 };
 pub use crate::types::{
-    Availability, ClassId, DataSet, EngineId, KindId, Member, Milliseconds, OrderKey, Placement, RequestId,
-    TenantId, ZoneId,
+    Availability, ClassId, DataSet, EngineId, MachineTypeId, Member, Milliseconds, OrderKey, Placement,
+    RequestId, TenantId, ZoneId,
 };
 
 /// The load that an engine reports. Figures may be late, noisy or absurd; each may be missing.
@@ -85,14 +85,14 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// The endpoint list arrived, complete or as changes.
-    Members {
+    EndpointListReceived {
         /// Whether the list is complete: engines that it does not name were removed.
         complete: bool,
         /// The entries.
         members: Vec<Member>,
     },
     /// A poll of the endpoint list failed, or the subscription broke.
-    ListFailed,
+    EndpointPollFailed,
     /// A request was received.
     Request(RequestDetails),
     /// A timer expired; it carries the token of its [`Action::Timer`].
@@ -108,9 +108,9 @@
         /// How it ended.
         outcome: Outcome,
         /// Time since the send.
-        took: Milliseconds,
+        elapsed: Milliseconds,
         /// The request has its final answer.
-        over: bool,
+        request_finished: bool,
         /// Its true work, where the engine reports it.
         work: Option<Milliseconds>,
         /// The engine's load report, if one came with the outcome.
@@ -137,7 +137,7 @@
         /// Whether the engine answered.
         ok: bool,
         /// Time since the health check was sent.
-        took: Milliseconds,
+        elapsed: Milliseconds,
         /// Its load report.
         report: Option<LoadReport>,
     },
@@ -148,7 +148,7 @@
     /// The number of processes of this gateway that run now.
     ProcessCount(u32),
     /// What an earlier incarnation learned, as far as it still holds; its engines are in the list already.
-    Restored(Box<crate::learned::Learned>),
+    StateRestored(Box<crate::learned::LearnedState>),
 }
 
 /// Why a request cannot be sent now. Of all engines, the one that came furthest in the order of these
@@ -263,7 +263,7 @@
         token: u64,
     },
     /// Subscribes to changes of the endpoint list.
-    Watch,
+    SubscribeToEndpoints,
     /// Checks the health of an engine.
     CheckHealth {
         /// The engine.
--- a/crates/decision/src/latency_model.rs
+++ b/crates/decision/src/latency_model.rs
@@ -99,7 +99,7 @@
     pub(crate) fn learn_runtime(&mut self, ended: &EndedAttempt) {
         let class_settings = &self.settings.classes[ended.class.0];
         let state = &mut self.classes[ended.class.0];
-        state.runtime += ended.took.clamp(0.0, class_settings.client_timeout);
+        state.runtime += ended.elapsed.clamp(0.0, class_settings.client_timeout);
         let Some(work) = ended.work.filter(|work| ended.outcome == Outcome::Ok && *work > 0.0) else {
             return;
         };
@@ -119,9 +119,9 @@
             Outcome::Timeout => !ended.counted && !is_outlier,
             _ => false,
         };
-        let is_measure = !self.was_paused() && ended.took.is_finite() && ended.took >= 0.0;
+        let is_measure = !self.was_paused() && ended.elapsed.is_finite() && ended.elapsed >= 0.0;
         if is_sample && is_measure {
-            self.add_sample(ended.class, ended.load_level, ended.took / ended.relative_size);
+            self.add_sample(ended.class, ended.load_level, ended.elapsed / ended.relative_size);
         }
     }
 
--- a/crates/decision/src/learned.rs
+++ b/crates/decision/src/learned.rs
@@ -1,6 +1,6 @@
 //! What the decision module has learned, as plain records: handed out by
 //! [`Balancer::learned`](crate::decide::Balancer::learned), and taken back as
-//! [`Event::Restored`](crate::interface::Event::Restored). Whoever restores records decides how much of an old record
+//! [`Event::StateRestored`](crate::interface::Event::StateRestored). Whoever restores records decides how much of an old record
 //! still holds.
 
 use crate::types::Milliseconds;
@@ -8,22 +8,22 @@
 /// What a gateway has learned and the next incarnation starts from. Points in time are on the clock of the
 /// decision cycles.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Learned {
+pub struct LearnedState {
     /// When the records were made.
     pub recorded_at: Milliseconds,
     /// The concurrency limit last chosen, in threads a core; 0: none.
     pub concurrency_limit: f64,
     /// What was learned of all engines together.
-    pub fleet: FleetLearned,
+    pub fleet: LearnedFleet,
     /// What was learned by class.
-    pub classes: Vec<ClassLearned>,
+    pub classes: Vec<LearnedClass>,
     /// What was learned by engine.
-    pub engines: Vec<EngineLearned>,
+    pub engines: Vec<LearnedEngine>,
 }
 
 /// What was learned of all engines together.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct FleetLearned {
+pub struct LearnedFleet {
     /// This gateway's threads of late, averaged.
     pub own_threads: f64,
     /// All gateways' threads of late, averaged.
@@ -44,7 +44,7 @@
 
 /// Latencies of a class in one band of load.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct BandLearned {
+pub struct LearnedBand {
     /// The band, in threads a core.
     pub level: f64,
     /// The number of samples, faded.
@@ -57,7 +57,7 @@
 
 /// What was learned of a class.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct ClassLearned {
+pub struct LearnedClass {
     /// The name of the class.
     pub name: String,
     /// Threads of a query when this was learned. Latencies do not carry over to another number.
@@ -65,7 +65,7 @@
     /// When the last latency sample was taken.
     pub confirmed_at: Option<Milliseconds>,
     /// The bands that have samples.
-    pub bands: Vec<BandLearned>,
+    pub bands: Vec<LearnedBand>,
     /// The lowest mean latency of late.
     pub best_latency: Milliseconds,
     /// The latency of a usual query that runs alone.
@@ -86,7 +86,7 @@
 
 /// What was learned of an engine.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct EngineLearned {
+pub struct LearnedEngine {
     /// The identifier of the engine.
     pub id: String,
     /// When its process started, where the endpoint list states it.
@@ -115,5 +115,5 @@
     /// time or answers show otherwise.
     pub maybe_in_slow_start: bool,
     /// Set by whoever restores: its slow start budget was just used up.
-    pub budget_spent: bool,
+    pub slow_start_budget_exhausted: bool,
 }
--- a/crates/decision/src/outcomes.rs
+++ b/crates/decision/src/outcomes.rs
@@ -14,7 +14,7 @@
     pub(crate) attempt: u32,
     pub(crate) outcome: Outcome,
     /// Time since the send.
-    pub(crate) took: Milliseconds,
+    pub(crate) elapsed: Milliseconds,
     /// Its true work, where the engine reports it.
     pub(crate) work: Option<Milliseconds>,
 }
@@ -57,7 +57,7 @@
             counted: attempt.counted,
             never_ran: attempt.never_ran,
             outcome: reported.outcome,
-            took: reported.took,
+            elapsed: reported.elapsed,
             work: reported.work,
         };
         if request.in_flight() == 0 {
--- a/crates/decision/src/outlier_ejection.rs
+++ b/crates/decision/src/outlier_ejection.rs
@@ -85,18 +85,18 @@
             return;
         }
         let threads = self.settings.classes[ended.class.0].threads;
-        let longest = if ended.outcome == Outcome::Ok { f64::INFINITY } else { ended.took };
+        let longest = if ended.outcome == Outcome::Ok { f64::INFINITY } else { ended.elapsed };
         let alone = self.unloaded_latency_of_ended(ended).min(longest);
         if let Some(engine) = self.engines.get_mut(&ended.engine) {
-            engine.thread_times.add(ended.took * threads, alone * threads);
+            engine.thread_times.add(ended.elapsed * threads, alone * threads);
         }
     }
 
     /// Learns from an outcome the state of its engine; returns what it shows of the engine's health.
     pub(crate) fn learn_response(&mut self, ended: &EndedAttempt) -> HealthSignal {
         let now = self.now;
-        let slowdown =
-            (ended.took / self.unloaded_latency_of_ended(ended).max(1.0)).clamp(MIN_SLOWDOWN, MAX_SLOWDOWN);
+        let slowdown = (ended.elapsed / self.unloaded_latency_of_ended(ended).max(1.0))
+            .clamp(MIN_SLOWDOWN, MAX_SLOWDOWN);
         let threads = self.settings.classes[ended.class.0].threads;
         let Some(engine) = self.engines.get_mut(&ended.engine) else { return HealthSignal::Neutral };
         match ended.outcome {
@@ -216,7 +216,8 @@
     /// spill, and reports decide whether there is load.
     fn learn_unloaded_slowdown(&mut self) {
         let fleet = &mut self.fleet;
-        let is_load_known = !self.settings.grants || fleet.report_age < MAX_TRUSTED_REPORT_AGE;
+        let is_load_known =
+            !self.settings.supports_memory_grants || fleet.report_age < MAX_TRUSTED_REPORT_AGE;
         let is_unloaded = is_load_known && fleet.load() < BEST_LATENCY_LEVEL;
         if is_unloaded || fleet.slowdown < fleet.unloaded_slowdown {
             let slowdown = fleet.slowdown.clamp(1.0, MAX_UNLOADED_SLOWDOWN);
--- a/crates/decision/src/permission/close.rs
+++ b/crates/decision/src/permission/close.rs
@@ -2,7 +2,7 @@
 
 /// The state of a connection.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct ConnectionFacts {
+pub struct CloseConditions {
     /// The number of its requests that have no final answer.
     pub open_requests: usize,
     /// The number of bytes in the write queue.
@@ -30,8 +30,8 @@
 ///
 /// # Errors
 /// The first reason against it.
-pub fn may_close(facts: &ConnectionFacts) -> Result<(), KeepReason> {
-    may_cut_off(facts)?;
+pub fn may_close(facts: &CloseConditions) -> Result<(), KeepReason> {
+    may_close_mid_message(facts)?;
     if facts.incomplete > 0 {
         return Err(KeepReason::Incomplete);
     }
@@ -42,7 +42,7 @@
 ///
 /// # Errors
 /// The first reason against it.
-pub fn may_cut_off(facts: &ConnectionFacts) -> Result<(), KeepReason> {
+pub fn may_close_mid_message(facts: &CloseConditions) -> Result<(), KeepReason> {
     if facts.open_requests > 0 {
         return Err(KeepReason::RequestOpen);
     }
--- a/crates/decision/src/permission/list_lease.rs
+++ b/crates/decision/src/permission/list_lease.rs
@@ -28,7 +28,7 @@
     }
 
     /// Whether the lease holds at that time.
-    pub fn holds(&self, now: Milliseconds) -> bool {
+    pub fn is_valid(&self, now: Milliseconds) -> bool {
         now < self.0.get()
     }
 }
--- a/crates/decision/src/permission/process.rs
+++ b/crates/decision/src/permission/process.rs
@@ -2,16 +2,16 @@
 
 /// The state of a process that is shutting down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct EndFacts {
+pub struct ShutdownConditions {
     /// The window for new requests is over, and every request has its final answer.
-    pub settled: bool,
+    pub requests_finished: bool,
     /// No client is connected, and no connection is pending or can arrive.
-    pub unconnected: bool,
+    pub no_connections: bool,
     /// The window for closing connections is over as well.
-    pub overdue: bool,
+    pub close_window_expired: bool,
 }
 
 /// Whether the process may exit. It never exits with an open request, which has a deadline of its own.
-pub fn may_end(facts: &EndFacts) -> bool {
-    facts.settled && (facts.unconnected || facts.overdue)
+pub fn may_exit(facts: &ShutdownConditions) -> bool {
+    facts.requests_finished && (facts.no_connections || facts.close_window_expired)
 }
--- a/crates/decision/src/permission/send.rs
+++ b/crates/decision/src/permission/send.rs
@@ -9,23 +9,23 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SendRefusal {
     /// The request is answered, or its client has disconnected or cancelled it.
-    RequestOver,
+    RequestFinished,
     /// The endpoint list is older than the rule on drains allows: the engine may be draining by now.
     ListExpired,
     /// The engine is draining, was removed, or has no address.
     EngineNotLive,
     /// The deadline of the attempt has passed.
-    DeadlineOver,
+    DeadlinePassed,
     /// The engines may have forgotten the idempotency key by now.
-    WindowOver,
+    DeduplicationWindowExpired,
     /// Another attempt is in flight.
     AnotherInFlight,
     /// An earlier attempt may have run, and the class does not allow another.
     MayNotRepeat,
     /// The request has used its maximum of attempts.
-    AttemptsSpent,
+    MaxAttemptsReached,
     /// The retry budget of this gateway is used up.
-    RetryBudgetSpent,
+    RetryBudgetExhausted,
     /// The attempt has ended already, but was still in the write queue.
     Revoked,
 }
@@ -33,30 +33,30 @@
 impl SendRefusal {
     /// All reasons, in the order of their discriminants.
     pub const ALL: [Self; 10] = [
-        Self::RequestOver,
+        Self::RequestFinished,
         Self::ListExpired,
         Self::EngineNotLive,
-        Self::DeadlineOver,
-        Self::WindowOver,
+        Self::DeadlinePassed,
+        Self::DeduplicationWindowExpired,
         Self::AnotherInFlight,
         Self::MayNotRepeat,
-        Self::AttemptsSpent,
-        Self::RetryBudgetSpent,
+        Self::MaxAttemptsReached,
+        Self::RetryBudgetExhausted,
         Self::Revoked,
     ];
 
     /// The name in logs.
     pub fn name(self) -> &'static str {
         match self {
-            Self::RequestOver => "request over",
+            Self::RequestFinished => "request over",
             Self::ListExpired => "list expired",
             Self::EngineNotLive => "engine not live",
-            Self::DeadlineOver => "deadline over",
-            Self::WindowOver => "window over",
+            Self::DeadlinePassed => "deadline over",
+            Self::DeduplicationWindowExpired => "window over",
             Self::AnotherInFlight => "another in flight",
             Self::MayNotRepeat => "may not repeat",
-            Self::AttemptsSpent => "attempts spent",
-            Self::RetryBudgetSpent => "retry budget spent",
+            Self::MaxAttemptsReached => "attempts spent",
+            Self::RetryBudgetExhausted => "retry budget spent",
             Self::Revoked => "revoked",
         }
     }
@@ -64,7 +64,7 @@
     /// Whether the refusal shows a fault of this program: no outside event explains it, so the caller should not have
     /// tried to send.
     pub fn is_violation(self) -> bool {
-        matches!(self, Self::AnotherInFlight | Self::MayNotRepeat | Self::AttemptsSpent | Self::Revoked)
+        matches!(self, Self::AnotherInFlight | Self::MayNotRepeat | Self::MaxAttemptsReached | Self::Revoked)
     }
 }
 
@@ -106,7 +106,7 @@
 
 /// The state of an attempt that is about to be sent.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct SendFacts {
+pub struct SendConditions {
     /// The request has no final answer yet, and its client is connected.
     pub request_open: bool,
     /// The endpoint list is recent enough.
@@ -135,16 +135,16 @@
 ///
 /// # Errors
 /// The first reason against it.
-pub fn may_send(facts: &SendFacts) -> Result<(), SendRefusal> {
+pub fn may_send(facts: &SendConditions) -> Result<(), SendRefusal> {
     let refusals = [
-        (!facts.request_open, SendRefusal::RequestOver),
+        (!facts.request_open, SendRefusal::RequestFinished),
         (!facts.list_reliable, SendRefusal::ListExpired),
         (!facts.engine_live, SendRefusal::EngineNotLive),
-        (facts.now >= facts.deadline, SendRefusal::DeadlineOver),
-        (facts.now >= facts.send_by, SendRefusal::WindowOver),
+        (facts.now >= facts.deadline, SendRefusal::DeadlinePassed),
+        (facts.now >= facts.send_by, SendRefusal::DeduplicationWindowExpired),
         (facts.in_flight > 0 && !facts.may_hedge, SendRefusal::AnotherInFlight),
         (!facts.may_repeat, SendRefusal::MayNotRepeat),
-        (facts.attempts >= facts.max_attempts, SendRefusal::AttemptsSpent),
+        (facts.attempts >= facts.max_attempts, SendRefusal::MaxAttemptsReached),
     ];
     refusals.iter().find(|(holds, _)| *holds).map_or(Ok(()), |(_, refusal)| Err(*refusal))
 }
@@ -176,7 +176,7 @@
         if self.revoked.get() {
             return Err(SendRefusal::Revoked);
         }
-        if !self.list_lease.holds(now) {
+        if !self.list_lease.is_valid(now) {
             return Err(SendRefusal::ListExpired);
         }
         Ok(())
--- a/crates/decision/src/permission/tests.rs
+++ b/crates/decision/src/permission/tests.rs
@@ -6,7 +6,7 @@
 use crate::interface::{Idempotency, Outcome, Placement, Scope};
 use rstest::rstest;
 
-const FACTS: SendFacts = SendFacts {
+const FACTS: SendConditions = SendConditions {
     request_open: true,
     list_reliable: true,
     engine_live: true,
@@ -31,15 +31,15 @@
 }
 
 #[rstest]
-#[case::client_gone(SendFacts { request_open: false, ..FACTS }, SendRefusal::RequestOver)]
-#[case::list_too_old(SendFacts { list_reliable: false, ..FACTS }, SendRefusal::ListExpired)]
-#[case::draining(SendFacts { engine_live: false, ..FACTS }, SendRefusal::EngineNotLive)]
-#[case::at_its_deadline(SendFacts { deadline: 1_000.0, ..FACTS }, SendRefusal::DeadlineOver)]
-#[case::past_its_window(SendFacts { send_by: 999.0, ..FACTS }, SendRefusal::WindowOver)]
-#[case::second_copy(SendFacts { in_flight: 1, ..FACTS }, SendRefusal::AnotherInFlight)]
-#[case::may_have_run(SendFacts { may_repeat: false, ..FACTS }, SendRefusal::MayNotRepeat)]
-#[case::at_the_cap(SendFacts { attempts: 3, ..FACTS }, SendRefusal::AttemptsSpent)]
-fn each_reason_is_enough(#[case] facts: SendFacts, #[case] refusal: SendRefusal) {
+#[case::client_gone(SendConditions { request_open: false, ..FACTS }, SendRefusal::RequestFinished)]
+#[case::list_too_old(SendConditions { list_reliable: false, ..FACTS }, SendRefusal::ListExpired)]
+#[case::draining(SendConditions { engine_live: false, ..FACTS }, SendRefusal::EngineNotLive)]
+#[case::at_its_deadline(SendConditions { deadline: 1_000.0, ..FACTS }, SendRefusal::DeadlinePassed)]
+#[case::past_its_window(SendConditions { send_by: 999.0, ..FACTS }, SendRefusal::DeduplicationWindowExpired)]
+#[case::second_copy(SendConditions { in_flight: 1, ..FACTS }, SendRefusal::AnotherInFlight)]
+#[case::may_have_run(SendConditions { may_repeat: false, ..FACTS }, SendRefusal::MayNotRepeat)]
+#[case::at_the_cap(SendConditions { attempts: 3, ..FACTS }, SendRefusal::MaxAttemptsReached)]
+fn each_reason_is_enough(#[case] facts: SendConditions, #[case] refusal: SendRefusal) {
     assert_eq!(may_send(&facts), Err(refusal));
 }
 
@@ -76,13 +76,13 @@
 }
 
 #[rstest]
-#[case::resting(ConnectionFacts::default(), Ok(()))]
-#[case::open(ConnectionFacts { open_requests: 1, ..Default::default() }, Err(KeepReason::RequestOpen))]
-#[case::unwritten(ConnectionFacts { unwritten: 1, ..Default::default() }, Err(KeepReason::Unwritten))]
-#[case::begun(ConnectionFacts { incomplete: 1, ..Default::default() }, Err(KeepReason::Incomplete))]
-#[case::arrived(ConnectionFacts { unread: 1, ..Default::default() }, Err(KeepReason::Unread))]
+#[case::resting(CloseConditions::default(), Ok(()))]
+#[case::open(CloseConditions { open_requests: 1, ..Default::default() }, Err(KeepReason::RequestOpen))]
+#[case::unwritten(CloseConditions { unwritten: 1, ..Default::default() }, Err(KeepReason::Unwritten))]
+#[case::begun(CloseConditions { incomplete: 1, ..Default::default() }, Err(KeepReason::Incomplete))]
+#[case::arrived(CloseConditions { unread: 1, ..Default::default() }, Err(KeepReason::Unread))]
 fn resting_connection_is_closed_with_nothing_pending(
-    #[case] facts: ConnectionFacts,
+    #[case] facts: CloseConditions,
     #[case] verdict: Result<(), KeepReason>,
 ) {
     assert_eq!(may_close(&facts), verdict);
@@ -90,23 +90,28 @@
 
 #[test]
 fn client_that_stops_inside_a_message_is_cut_off_unless_more_has_arrived() {
-    let stopped = ConnectionFacts { incomplete: 9, ..Default::default() };
-    assert_eq!(may_cut_off(&stopped), Ok(()));
-    assert_eq!(may_cut_off(&ConnectionFacts { unread: 1, ..stopped }), Err(KeepReason::Unread));
+    let stopped = CloseConditions { incomplete: 9, ..Default::default() };
+    assert_eq!(may_close_mid_message(&stopped), Ok(()));
+    assert_eq!(may_close_mid_message(&CloseConditions { unread: 1, ..stopped }), Err(KeepReason::Unread));
 }
 
 #[test]
 fn process_with_an_open_request_does_not_end() {
-    let open = EndFacts { settled: false, unconnected: true, overdue: true };
-    assert!(!may_end(&open));
-    assert!(may_end(&EndFacts { settled: true, overdue: false, ..open }));
-    assert!(!may_end(&EndFacts { settled: true, unconnected: false, overdue: false }));
+    let open =
+        ShutdownConditions { requests_finished: false, no_connections: true, close_window_expired: true };
+    assert!(!may_exit(&open));
+    assert!(may_exit(&ShutdownConditions { requests_finished: true, close_window_expired: false, ..open }));
+    assert!(!may_exit(&ShutdownConditions {
+        requests_finished: true,
+        no_connections: false,
+        close_window_expired: false
+    }));
 }
 
 #[test]
 fn violations_are_counted_apart_from_refusals() {
     let counters = RuleCounters::default();
-    counters.count(SendRefusal::RequestOver);
+    counters.count(SendRefusal::RequestFinished);
     assert_eq!(counters.violations(), 0);
     counters.count(SendRefusal::Revoked);
     assert_eq!((counters.violations(), counters.refused(SendRefusal::Revoked)), (1, 1));
--- a/crates/decision/src/queueing.rs
+++ b/crates/decision/src/queueing.rs
@@ -117,7 +117,8 @@
         // What stands too far back in the order of its key to end in time is answered now.
         let earlier = if is_first_of_key { 0 } else { self.earlier_requests_of_key(request) };
         // A pause of the process may pass the deadline.
-        let next_look = self.now + CYCLES_TO_NEXT_LOOK * self.settings.tick + self.longest_recent_pause;
+        let next_look =
+            self.now + CYCLES_TO_NEXT_LOOK * self.settings.min_decision_interval + self.longest_recent_pause;
         if next_look + earlier as f64 * expected_latency >= request.details.deadline {
             return true;
         }
--- a/crates/decision/src/retries_and_hedging.rs
+++ b/crates/decision/src/retries_and_hedging.rs
@@ -103,6 +103,6 @@
 
     /// Whether the retry budget of this gateway allows a further attempt.
     pub(crate) fn retry_budget_allows(&self) -> bool {
-        self.retry_budget.allows(self.now, BUDGET_MARGIN_CYCLES * self.settings.tick)
+        self.retry_budget.allows(self.now, BUDGET_MARGIN_CYCLES * self.settings.min_decision_interval)
     }
 }
--- a/crates/decision/src/retry_budget.rs
+++ b/crates/decision/src/retry_budget.rs
@@ -42,14 +42,14 @@
     /// by it for requests that earned them: times are not known more exactly.
     pub fn allows(&self, now: Milliseconds, margin: Milliseconds) -> bool {
         let Some(settings) = self.settings else { return true };
-        let spent = count_since(&self.retries, now - settings.span - margin);
-        let earned = count_since(&self.received, now - settings.span + margin);
-        spent + 1.0 <= settings.free + settings.per_request * earned
+        let spent = count_since(&self.retries, now - settings.window - margin);
+        let earned = count_since(&self.received, now - settings.window + margin);
+        spent + 1.0 <= settings.min_retries + settings.retry_ratio * earned
     }
 
     /// Forgets what lies before the window with that margin.
     pub fn forget(&mut self, now: Milliseconds, margin: Milliseconds) {
-        let from = now - margin - self.settings.map_or(0.0, |settings| settings.span);
+        let from = now - margin - self.settings.map_or(0.0, |settings| settings.window);
         for times in [&mut self.received, &mut self.retries] {
             while times.front().is_some_and(|at| *at < from) {
                 times.pop_front();
--- a/crates/decision/src/retry_budget/tests.rs
+++ b/crates/decision/src/retry_budget/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn budget() -> RetryBudget {
-    RetryBudget::new(Some(RetryBudgetSettings { free: 1.0, per_request: 0.5, span: 1_000.0 }))
+    RetryBudget::new(Some(RetryBudgetSettings { min_retries: 1.0, retry_ratio: 0.5, window: 1_000.0 }))
 }
 
 #[test]
--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -1,6 +1,6 @@
 //! What a gateway is configured with: request classes, machine types, tenants and the rules of the deployment.
 
-use crate::types::{KindId, Member, Milliseconds, Placement, ZoneId};
+use crate::types::{MachineTypeId, Member, Milliseconds, Placement, ZoneId};
 use thiserror::Error;
 
 /// The engines that recognise a repeated idempotency key.
@@ -68,7 +68,7 @@
     /// Requests with the same key run one after another.
     pub ordered: bool,
     /// The machine types that may run it; `None`: all.
-    pub kinds: Option<Vec<KindId>>,
+    pub machine_types: Option<Vec<MachineTypeId>>,
     /// The zones that may run it; `None`: all.
     pub zones: Option<Vec<ZoneId>>,
     /// The threads that one query runs on.
@@ -82,8 +82,10 @@
 impl Class {
     /// Whether the placement rules of the class allow that engine.
     pub fn may_run_on(&self, engine: &Member) -> bool {
-        let among_kinds =
-            self.kinds.as_ref().is_none_or(|kinds| engine.kind.is_some_and(|kind| kinds.contains(&kind)));
+        let among_kinds = self
+            .machine_types
+            .as_ref()
+            .is_none_or(|kinds| engine.machine_type.is_some_and(|kind| kinds.contains(&kind)));
         let among_zones =
             self.zones.as_ref().is_none_or(|zones| engine.zone.is_some_and(|zone| zones.contains(&zone)));
         among_kinds && among_zones
@@ -92,7 +94,7 @@
 
 /// A machine type.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Kind {
+pub struct MachineType {
     /// The label.
     pub name: String,
     /// Number of cores.
@@ -114,11 +116,11 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudgetSettings {
     /// Retries allowed whatever the traffic.
-    pub free: f64,
+    pub min_retries: f64,
     /// Retries allowed for each request received.
-    pub per_request: f64,
+    pub retry_ratio: f64,
     /// Length of the window over which both are counted.
-    pub span: Milliseconds,
+    pub window: Milliseconds,
 }
 
 /// The configuration of a gateway.
@@ -135,7 +137,7 @@
     /// Request classes.
     pub classes: Vec<Class>,
     /// Machine types.
-    pub kinds: Vec<Kind>,
+    pub machine_types: Vec<MachineType>,
     /// Zone names.
     pub zones: Vec<String>,
     /// Tenants; may be empty.
@@ -149,7 +151,7 @@
     /// The gateway may check the health of engines.
     pub may_check_health: bool,
     /// What a health check costs, as a share of a request's priority weight.
-    pub health_check_price: f64,
+    pub health_check_cost: f64,
     /// The longest Retry-After that clients heed.
     pub max_retry_after: Milliseconds,
     /// The most attempts of one request.
@@ -161,7 +163,7 @@
     /// How long after the notice of a drain work may still be sent.
     pub drain_grace: Milliseconds,
     /// The share of its capacity that an engine starts with, in (0, 1].
-    pub slow_start_from: f64,
+    pub slow_start_initial_share: f64,
     /// How long after its start an engine reaches its full capacity.
     pub slow_start_duration: Milliseconds,
     /// An engine in slow start collapses under this multiple of its capacity ...
@@ -173,13 +175,13 @@
     /// Pause of an ordered key after an attempt that may still be running.
     pub ordered_key_pause: Milliseconds,
     /// Engines heed memory grants.
-    pub grants: bool,
+    pub supports_memory_grants: bool,
     /// The largest share of an engine's memory that one query may be granted.
     pub max_grant_share: f64,
     /// Engines heed priorities, 0 to 3.
-    pub priorities: bool,
+    pub supports_priorities: bool,
     /// The shortest time between decision cycles.
-    pub tick: Milliseconds,
+    pub min_decision_interval: Milliseconds,
 }
 
 impl Settings {
@@ -201,10 +203,10 @@
         if self.classes.iter().any(|class| !is_positive(class.threads)) {
             return bad("specifics.width_by_class", "must lie above 0");
         }
-        if self.kinds.is_empty() || self.kinds.iter().any(|kind| !is_positive(kind.cores)) {
+        if self.machine_types.is_empty() || self.machine_types.iter().any(|kind| !is_positive(kind.cores)) {
             return bad("specifics.cpu_of_kind", "every kind needs cores");
         }
-        if !(is_positive(self.slow_start_from) && self.slow_start_from <= 1.0) {
+        if !(is_positive(self.slow_start_initial_share) && self.slow_start_initial_share <= 1.0) {
             return bad("rules.cold_from", "must lie above 0 and not past 1");
         }
         let durations_and_factors = [
@@ -213,9 +215,9 @@
             ("rules.fall_multiple", self.overload_collapse_multiple),
             ("rules.tip_after", self.overload_collapse_after),
             ("rules.order_pause", self.ordered_key_pause),
-            ("rules.extra_free", self.retry_budget.map_or(0.0, |budget| budget.free)),
-            ("rules.extra_per_request", self.retry_budget.map_or(0.0, |budget| budget.per_request)),
-            ("rules.ratio_span", self.retry_budget.map_or(0.0, |budget| budget.span)),
+            ("rules.extra_free", self.retry_budget.map_or(0.0, |budget| budget.min_retries)),
+            ("rules.extra_per_request", self.retry_budget.map_or(0.0, |budget| budget.retry_ratio)),
+            ("rules.ratio_span", self.retry_budget.map_or(0.0, |budget| budget.window)),
         ];
         if let Some((name, _)) =
             durations_and_factors.iter().find(|(_, value)| *value < 0.0 || !value.is_finite())
--- a/crates/decision/src/slow_start.rs
+++ b/crates/decision/src/slow_start.rs
@@ -36,7 +36,7 @@
         });
         let started_at = refusals_ended_at.max(engine.slow_start.started_at.unwrap_or(NEVER));
         let progress = (self.now - started_at) / self.settings.slow_start_duration.max(1.0);
-        let from = self.settings.slow_start_from;
+        let from = self.settings.slow_start_initial_share;
         from + (1.0 - from) * progress.clamp(0.0, 1.0)
     }
 
@@ -95,7 +95,7 @@
         let Some(started_at) = self.slow_start.started_at.filter(|_| self.slow_start.start_suspected) else {
             return;
         };
-        let from = settings.slow_start_from;
+        let from = settings.slow_start_initial_share;
         let increase = (1.0 - from).max(MIN_CAPACITY_INCREASE) / settings.slow_start_duration.max(1.0);
         let load = (self.load.own_threads + answer.threads) / self.cores.max(MIN_CORES);
         let shown_warmth = load.min(1.0) / answer.slowdown.max(1.0);
--- a/crates/decision/src/state/engine.rs
+++ b/crates/decision/src/state/engine.rs
@@ -1,6 +1,6 @@
 //! What is known of an engine.
 
-use crate::settings::Kind;
+use crate::settings::MachineType;
 use crate::types::{Availability, DataSet, Member, Milliseconds};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -179,7 +179,7 @@
 
 impl Engine {
     /// An engine of which nothing is known yet.
-    pub(crate) fn new(member: Member, kind: &Kind, now: Milliseconds, jitter: f64) -> Self {
+    pub(crate) fn new(member: Member, kind: &MachineType, now: Milliseconds, jitter: f64) -> Self {
         Self {
             stable_hash: member.engine.stable_hash(),
             member,
@@ -207,7 +207,7 @@
     /// Replaces the record after a restart of the engine's process: nothing that was learned of the earlier
     /// process holds. Attempts in flight, the aperture and the slow start budget are carried over.
     pub(crate) fn restart(&mut self, started_at: Milliseconds) {
-        let kind = Kind { name: String::new(), cores: self.cores, memory_mb: self.memory_mb };
+        let kind = MachineType { name: String::new(), cores: self.cores, memory_mb: self.memory_mb };
         let mut fresh = Self::new(self.member.clone(), &kind, self.last_answer_at, self.jitter);
         fresh.aperture_share = self.aperture_share;
         fresh.load.own_threads = self.load.own_threads;
--- a/crates/decision/src/state/request.rs
+++ b/crates/decision/src/state/request.rs
@@ -67,7 +67,7 @@
     pub(crate) never_ran: bool,
     pub(crate) outcome: Outcome,
     /// Time since the send.
-    pub(crate) took: Milliseconds,
+    pub(crate) elapsed: Milliseconds,
     /// Its true work, where the engine reports it.
     pub(crate) work: Option<Milliseconds>,
 }
--- a/crates/decision/src/types.rs
+++ b/crates/decision/src/types.rs
@@ -24,9 +24,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClassId(pub usize);
 
-/// Index into [`Settings::kinds`](crate::settings::Settings::kinds).
+/// Index into [`Settings::machine_types`](crate::settings::Settings::machine_types).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct KindId(pub usize);
+pub struct MachineTypeId(pub usize);
 
 /// Index into [`Settings::zones`](crate::settings::Settings::zones).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -72,7 +72,7 @@
     /// Its zone, if it is one of those in the settings.
     pub zone: Option<ZoneId>,
     /// Its machine type, if it is one of those in the settings.
-    pub kind: Option<KindId>,
+    pub machine_type: Option<MachineTypeId>,
     /// Its cell.
     pub cell: u64,
     /// Whether it accepts work.
--- a/crates/experiments/src/experiments/turns.rs
+++ b/crates/experiments/src/experiments/turns.rs
@@ -30,7 +30,7 @@
         late_weight_share: 0.0,
         idempotency: Idempotency::Idempotent,
         ordered: false,
-        kinds: None,
+        machine_types: None,
         zones: None,
         threads,
         is_load: false,
@@ -45,29 +45,29 @@
         gateway_index: Some(seed % gateways as u64),
         zone: Some(ZoneId(0)),
         classes: vec![class("lookup", 1_200.0, 1.0), class("report", 1_500.0, 3.0)],
-        kinds: vec![Kind { name: "std-12".into(), cores: 12.0, memory_mb: 24_576.0 }],
+        machine_types: vec![MachineType { name: "std-12".into(), cores: 12.0, memory_mb: 24_576.0 }],
         zones: vec!["a".into(), "b".into()],
         tenants: vec![],
         subscribes_to_endpoints: false,
         may_cancel: true,
         may_hedge: false,
         may_check_health: true,
-        health_check_price: 0.01,
+        health_check_cost: 0.01,
         max_retry_after: 1_000.0,
         max_attempts: 3,
         answer_grace: 20.0,
         max_poll_interval: 10_000.0,
         drain_grace: 2_000.0,
-        slow_start_from: 0.31,
+        slow_start_initial_share: 0.31,
         slow_start_duration: 15_000.0,
         overload_collapse_multiple: 3.0,
         overload_collapse_after: 2_000.0,
-        retry_budget: Some(RetryBudgetSettings { free: 2.0, per_request: 0.2, span: 10_000.0 }),
+        retry_budget: Some(RetryBudgetSettings { min_retries: 2.0, retry_ratio: 0.2, window: 10_000.0 }),
         ordered_key_pause: 500.0,
-        grants: true,
+        supports_memory_grants: true,
         max_grant_share: 0.4,
-        priorities: true,
-        tick: 5.0,
+        supports_priorities: true,
+        min_decision_interval: 5.0,
     }
 }
 
@@ -92,7 +92,8 @@
     fn new(engines: usize, gateways: usize, seed: u64) -> Result<Self, Failure> {
         let mut balancer = Balancer::new(settings(gateways, seed), 0.0)?;
         let mut actions = Vec::new();
-        let list = Event::Members { complete: true, members: (0..engines).map(member).collect() };
+        let list =
+            Event::EndpointListReceived { complete: true, members: (0..engines).map(member).collect() };
         balancer.run_cycle(0.0, &[list], &mut actions);
         Ok(Self { balancer, in_flight: BTreeMap::new(), actions })
     }
@@ -115,8 +116,8 @@
             attempt: 0,
             engine,
             outcome: Outcome::Ok,
-            took: 200.0,
-            over: true,
+            elapsed: 200.0,
+            request_finished: true,
             work: Some(180.0),
             report: Some(LoadReport { util: Some(0.2), ..LoadReport::default() }),
         })
@@ -139,7 +140,7 @@
     Member {
         engine: EngineId(format!("s-{number:05}").as_str().into()),
         zone: Some(ZoneId(number % 2)),
-        kind: Some(KindId(0)),
+        machine_type: Some(MachineTypeId(0)),
         cell: 0,
         availability: Availability::Live,
         started: None,
--- a/crates/persistence/src/lib.rs
+++ b/crates/persistence/src/lib.rs
@@ -1,6 +1,6 @@
 //! State that outlives a gateway process: what it has learned, the idempotency keys it has sent, and the endpoint list.
 //!
-//! The decision module's records ([`Learned`](starlingplank_decision::learned::Learned)) and keyed sends go in. Out come
+//! The decision module's records ([`LearnedState`](starlingplank_decision::learned::LearnedState)) and keyed sends go in. Out come
 //! records, aged by the time that has passed ([`recovery`]), and whether a keyed request may be sent now
 //! ([`deduplication_window`]). Invariants: **what may have been sent under a key is never forgotten while an engine
 //! would run it again**, whatever stops the program; and an engine that may have restarted unseen is in slow start.
--- a/crates/persistence/src/recovery.rs
+++ b/crates/persistence/src/recovery.rs
@@ -7,7 +7,7 @@
 
 use crate::snapshot_records::{Engine, Snapshot};
 use starlingplank_decision::interface::Milliseconds;
-use starlingplank_decision::learned::{EngineLearned, FleetLearned, Learned};
+use starlingplank_decision::learned::{LearnedEngine, LearnedFleet, LearnedState};
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
@@ -132,7 +132,7 @@
     }
 }
 
-fn age_classes(snapshot: &Snapshot, now: Milliseconds, learned: &mut Learned) {
+fn age_classes(snapshot: &Snapshot, now: Milliseconds, learned: &mut LearnedState) {
     for class in &mut learned.classes {
         let age = now - class.confirmed_at.unwrap_or(snapshot.taken_at);
         let latency = retained_weight(age, LATENCY_HALF_LIFE);
@@ -149,7 +149,7 @@
     }
 }
 
-fn age_fleet(age: Milliseconds, fleet: &mut FleetLearned) {
+fn age_fleet(age: Milliseconds, fleet: &mut LearnedFleet) {
     let traffic = retained_weight(age, TRAFFIC_HALF_LIFE);
     let load = retained_weight(age, LOAD_HALF_LIFE);
     let health = retained_weight(age, HEALTH_HALF_LIFE);
@@ -171,14 +171,14 @@
     taken: Milliseconds,
     now: Milliseconds,
     rules: &Rules,
-) -> EngineLearned {
+) -> LearnedEngine {
     let uncertainty = uncertainty(known, identity, now, rules);
     let perhaps_cold = uncertainty != Uncertainty::None;
-    let fresh = EngineLearned {
+    let fresh = LearnedEngine {
         id: identity.id.clone(),
         slowdown: 1.0,
         maybe_in_slow_start: perhaps_cold,
-        ..EngineLearned::default()
+        ..LearnedEngine::default()
     };
     let same_process = !matches!(uncertainty, Uncertainty::Restarted | Uncertainty::UnknownId);
     let Some(known) = known.filter(|_| same_process) else { return fresh };
@@ -187,7 +187,7 @@
     // How much of a slow start's budget was left at the very end is unknown.
     let spent = known.in_slow_start
         && now - seen.max(taken) <= rules.overload_collapse_after.max(rules.restart_within);
-    EngineLearned {
+    LearnedEngine {
         slowdown: 1.0 + (known.slowdown - 1.0) * health,
         error_rate: known.error_rate * health,
         other_threads: known.other_threads
@@ -199,7 +199,7 @@
         ejection_ended_at: known.ejection_ended_at,
         connections_refused_at: known.connections_refused_at.filter(|_| !perhaps_cold),
         in_slow_start: known.in_slow_start,
-        budget_spent: spent,
+        slow_start_budget_exhausted: spent,
         ..fresh
     }
 }
@@ -210,7 +210,7 @@
     rules: Rules,
     taken: Milliseconds,
     /// What is not of single engines, until it is handed out with the first of them.
-    fleet: Option<Learned>,
+    fleet: Option<LearnedState>,
     known: BTreeMap<String, Engine>,
     /// Ids of engines that were handed out already.
     restored: BTreeSet<String>,
@@ -241,7 +241,7 @@
 
     /// What there is to restore now that the list names these engines, if anything. An engine is restored once; one that
     /// the list names for the first time after the wait is left to the decision module.
-    pub fn restore(&mut self, listed: &[EndpointIdentity], now: Milliseconds) -> Option<Learned> {
+    pub fn restore(&mut self, listed: &[EndpointIdentity], now: Milliseconds) -> Option<LearnedState> {
         if listed.is_empty() {
             return None;
         }
@@ -262,7 +262,7 @@
             self.restored.insert(identity.id.clone());
             self.known.remove(&identity.id);
         }
-        Some(Learned { engines, ..self.fleet.take().unwrap_or_default() })
+        Some(LearnedState { engines, ..self.fleet.take().unwrap_or_default() })
     }
 
     /// Number of engines that the list has not named yet.
--- a/crates/persistence/src/snapshot_records.rs
+++ b/crates/persistence/src/snapshot_records.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 use starlingplank_decision::interface::Milliseconds;
-use starlingplank_decision::learned::{BandLearned, ClassLearned, EngineLearned, FleetLearned, Learned};
+use starlingplank_decision::learned::{LearnedBand, LearnedClass, LearnedEngine, LearnedFleet, LearnedState};
 use std::collections::BTreeMap;
 
 /// A snapshot, as version 2 stores it. Times are Unix milliseconds.
@@ -122,8 +122,8 @@
 
 impl Snapshot {
     /// Records what the decision module has learned, with the addresses that the endpoint list gave.
-    pub fn new(gateway: &str, learned: &Learned, addresses: &BTreeMap<String, String>) -> Self {
-        let engine = |engine: &EngineLearned| {
+    pub fn new(gateway: &str, learned: &LearnedState, addresses: &BTreeMap<String, String>) -> Self {
+        let engine = |engine: &LearnedEngine| {
             let address = addresses.get(&engine.id).cloned().unwrap_or_default();
             Engine { address, ..Engine::from(engine) }
         };
@@ -138,19 +138,19 @@
     }
 
     /// The decision module's records, as they were taken.
-    pub fn learned(&self) -> Learned {
-        Learned {
+    pub fn learned(&self) -> LearnedState {
+        LearnedState {
             recorded_at: self.taken_at,
             concurrency_limit: self.concurrency_limit,
-            fleet: FleetLearned::from(&self.fleet),
-            classes: self.classes.iter().map(ClassLearned::from).collect(),
-            engines: self.engines.iter().map(EngineLearned::from).collect(),
+            fleet: LearnedFleet::from(&self.fleet),
+            classes: self.classes.iter().map(LearnedClass::from).collect(),
+            engines: self.engines.iter().map(LearnedEngine::from).collect(),
         }
     }
 }
 
-impl From<&FleetLearned> for Fleet {
-    fn from(fleet: &FleetLearned) -> Self {
+impl From<&LearnedFleet> for Fleet {
+    fn from(fleet: &LearnedFleet) -> Self {
         Self {
             own_threads: fleet.own_threads,
             all_threads: fleet.all_threads,
@@ -164,7 +164,7 @@
     }
 }
 
-impl From<&Fleet> for FleetLearned {
+impl From<&Fleet> for LearnedFleet {
     fn from(fleet: &Fleet) -> Self {
         Self {
             own_threads: fleet.own_threads,
@@ -179,22 +179,22 @@
     }
 }
 
-impl From<&BandLearned> for Band {
-    fn from(band: &BandLearned) -> Self {
-        let BandLearned { level, samples, mean, variance } = *band;
+impl From<&LearnedBand> for Band {
+    fn from(band: &LearnedBand) -> Self {
+        let LearnedBand { level, samples, mean, variance } = *band;
         Self { level, samples, mean, variance }
     }
 }
 
-impl From<&Band> for BandLearned {
+impl From<&Band> for LearnedBand {
     fn from(band: &Band) -> Self {
         let Band { level, samples, mean, variance } = *band;
         Self { level, samples, mean, variance }
     }
 }
 
-impl From<&ClassLearned> for Class {
-    fn from(class: &ClassLearned) -> Self {
+impl From<&LearnedClass> for Class {
+    fn from(class: &LearnedClass) -> Self {
         Self {
             name: class.name.clone(),
             threads: class.threads,
@@ -212,13 +212,13 @@
     }
 }
 
-impl From<&Class> for ClassLearned {
+impl From<&Class> for LearnedClass {
     fn from(class: &Class) -> Self {
         Self {
             name: class.name.clone(),
             threads: class.threads,
             confirmed_at: class.confirmed_at,
-            bands: class.bands.iter().map(BandLearned::from).collect(),
+            bands: class.bands.iter().map(LearnedBand::from).collect(),
             best_latency: class.best_latency,
             unloaded_latency: class.unloaded_latency,
             control_steps: class.control_steps,
@@ -232,8 +232,8 @@
 }
 
 /// Without an address: the decision module knows none.
-impl From<&EngineLearned> for Engine {
-    fn from(engine: &EngineLearned) -> Self {
+impl From<&LearnedEngine> for Engine {
+    fn from(engine: &LearnedEngine) -> Self {
         Self {
             id: engine.id.clone(),
             address: String::new(),
@@ -253,7 +253,7 @@
 }
 
 /// What is decided on recovery is unset: [`recovery::engine`](crate::recovery::engine) decides it.
-impl From<&Engine> for EngineLearned {
+impl From<&Engine> for LearnedEngine {
     fn from(engine: &Engine) -> Self {
         Self {
             id: engine.id.clone(),
@@ -269,7 +269,7 @@
             connections_refused_at: engine.connections_refused_at,
             in_slow_start: engine.in_slow_start,
             maybe_in_slow_start: false,
-            budget_spent: false,
+            slow_start_budget_exhausted: false,
         }
     }
 }
--- a/crates/persistence/tests/recovery.rs
+++ b/crates/persistence/tests/recovery.rs
@@ -124,8 +124,8 @@
             .remove(0)
     };
     assert!(
-        back(500.0).budget_spent && !back(500.0).maybe_in_slow_start,
+        back(500.0).slow_start_budget_exhausted && !back(500.0).maybe_in_slow_start,
         "its start is told: the list says how cold it is"
     );
-    assert!(!back(5_000.0).budget_spent);
+    assert!(!back(5_000.0).slow_start_budget_exhausted);
 }
--- a/crates/test-doubles/src/capacity_model.rs
+++ b/crates/test-doubles/src/capacity_model.rs
@@ -13,7 +13,7 @@
     /// The number of cores.
     pub cores: f64,
     /// The share of its capacity at its start.
-    pub slow_start_from: f64,
+    pub slow_start_initial_share: f64,
     /// The time from its start until it is warm.
     pub slow_start_duration: f64,
     /// It collapses above this multiple of its capacity ...
@@ -40,7 +40,7 @@
     fn default() -> Self {
         Self {
             cores: 12.0,
-            slow_start_from: 0.31,
+            slow_start_initial_share: 0.31,
             slow_start_duration: 15_000.0,
             overload_collapse_multiple: 3.0,
             overload_collapse_after: 2_000.0,
@@ -124,7 +124,8 @@
     /// Its capacity at that time, in cores.
     pub fn capacity(&self, at: f64) -> f64 {
         let age = ((at - self.started_at) / self.spec.slow_start_duration.max(1.0)).clamp(0.0, 1.0);
-        self.spec.cores * (self.spec.slow_start_from + (1.0 - self.spec.slow_start_from) * age)
+        self.spec.cores
+            * (self.spec.slow_start_initial_share + (1.0 - self.spec.slow_start_initial_share) * age)
     }
 
     /// The work that it can receive over a span without a collapse, in core-milliseconds.
--- a/src/bin/starlingplank-wirehost.rs
+++ b/src/bin/starlingplank-wirehost.rs
@@ -157,11 +157,11 @@
     fn add_registry_event(&mut self, id: &GatewayId, registry: Registry) -> Result<(), HostError> {
         let instance = find(&mut self.instances, id)?;
         let event = match registry {
-            Registry::Failed => Event::ListFailed,
+            Registry::Failed => Event::EndpointPollFailed,
             Registry::List { bank, complete } => {
                 let list = self.lists.get(&bank).ok_or(HostError::UnknownList(bank))?;
                 let to_member = |entry| simulator::member(entry, &instance.settings);
-                Event::Members { complete, members: list.iter().map(to_member).collect() }
+                Event::EndpointListReceived { complete, members: list.iter().map(to_member).collect() }
             }
         };
         instance.events.push(event);
--- a/src/config/raw.rs
+++ b/src/config/raw.rs
@@ -1,7 +1,7 @@
 //! The common form of all configuration files: settings by paths, and the endpoint list at the start.
 
 use crate::core::Endpoint;
-use crate::interface::{Availability, EngineId, KindId, Member, Milliseconds, Settings};
+use crate::interface::{Availability, EngineId, MachineTypeId, Member, Milliseconds, Settings};
 use crate::simulator;
 use std::collections::BTreeMap;
 
@@ -63,7 +63,7 @@
     Member {
         engine: EngineId(id.into()),
         zone: simulator::zone_of(&settings.zones, zone),
-        kind: settings.kinds.iter().position(|known| known.name == kind).map(KindId),
+        machine_type: settings.machine_types.iter().position(|known| known.name == kind).map(MachineTypeId),
         cell,
         availability,
         started: Some(started).filter(|time| *time > 0.0),
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -8,7 +8,9 @@
 use crate::interface::{
     EngineId, Event as DecisionEvent, Milliseconds, Outcome, Placement, ProgressUpdate, RequestId,
 };
-use starlingplank_decision::permission::send::{may_repeat, may_send, EarlierAttempt, SendFacts, SendPermit};
+use starlingplank_decision::permission::send::{
+    may_repeat, may_send, EarlierAttempt, SendConditions, SendPermit,
+};
 use starlingplank_persistence::deduplication_window::SendPermission;
 
 /// The final answer that follows from the end of an attempt; otherwise the error to keep for a later answer.
@@ -99,7 +101,7 @@
         false
     }
 
-    fn send_facts(&self, now: Milliseconds, id: AttemptId, deadline: Milliseconds) -> Option<SendFacts> {
+    fn send_facts(&self, now: Milliseconds, id: AttemptId, deadline: Milliseconds) -> Option<SendConditions> {
         let request = self.requests.get(&id.request)?;
         let own = request.attempt(id.number)?;
         let others = || {
@@ -110,9 +112,9 @@
             .filter(|other| other.may_have_run())
             .map(|other| EarlierAttempt { sent_at: other.sent_at, placement: other.placement });
         let idempotency = self.settings.classes[request.class.0].idempotency;
-        Some(SendFacts {
+        Some(SendConditions {
             request_open: !request.is_closed(),
-            list_reliable: self.list_lease.holds(now),
+            list_reliable: self.list_lease.is_valid(now),
             engine_live: self.live_address(&own.engine).is_some(),
             now,
             deadline,
@@ -209,21 +211,21 @@
         };
         let AttemptEnd { outcome, work, report, rows, error } = end;
         attempt.end(outcome);
-        let (engine, took) = (attempt.engine.clone(), now - attempt.sent_at);
+        let (engine, elapsed) = (attempt.engine.clone(), now - attempt.sent_at);
         self.counts[request.class.0].outcomes[outcome as usize] += 1;
         match final_answer(outcome, request.has_streamed(), rows, error) {
             Ok(answer) => self.answer(id.request, answer, effects),
             Err(error) => request.last_error = error,
         }
-        let over = !self.is_open(id.request);
-        self.decision_urgent |= !over;
+        let request_finished = !self.is_open(id.request);
+        self.decision_urgent |= !request_finished;
         self.pending_events.push(DecisionEvent::Outcome {
             id: id.request,
             attempt: id.number,
             engine,
             outcome,
-            took,
-            over,
+            elapsed,
+            request_finished,
             work,
             report,
         });
--- a/src/core/decisions.rs
+++ b/src/core/decisions.rs
@@ -75,7 +75,7 @@
             }
             Action::Timer { after, token } => self.set_timer(now + after, Due::DecisionTimer(token)),
             // The name service is polled continuously; there is nothing to subscribe to.
-            Action::Watch => {}
+            Action::SubscribeToEndpoints => {}
             Action::CheckHealth { engine } => self.request_health_check(now, engine, effects),
         }
     }
--- a/src/core/health_checks.rs
+++ b/src/core/health_checks.rs
@@ -49,7 +49,7 @@
         report: Option<LoadReport>,
     ) {
         let Some(HealthCheck { engine, sent_at }) = self.health_checks.remove(&number) else { return };
-        let took = now - sent_at;
-        self.pending_events.push(DecisionEvent::HealthChecked { engine, ok, took, report });
+        let elapsed = now - sent_at;
+        self.pending_events.push(DecisionEvent::HealthChecked { engine, ok, elapsed, report });
     }
 }
--- a/src/core/membership.rs
+++ b/src/core/membership.rs
@@ -261,7 +261,7 @@
     }
 
     fn apply_list_lease(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
-        let expired = !self.list_lease.holds(now);
+        let expired = !self.list_lease.is_valid(now);
         if std::mem::replace(&mut self.list_expired, expired) != expired {
             effects.push(Effect::LogListReliability(!expired));
             self.rebuild_engines(now, effects);
@@ -296,8 +296,8 @@
         let members = endpoints.into_iter().zip(reported_starts);
         let members = members.map(|(endpoint, start)| self.with_local_start(now, endpoint.member, start));
         let members = members.collect();
-        self.pending_events.push(DecisionEvent::Members { complete: true, members });
-        self.pending_events.extend(restored.map(|learned| DecisionEvent::Restored(Box::new(learned))));
+        self.pending_events.push(DecisionEvent::EndpointListReceived { complete: true, members });
+        self.pending_events.extend(restored.map(|learned| DecisionEvent::StateRestored(Box::new(learned))));
         self.restored_state.take_if(|state| state.is_finished(now));
     }
 
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -34,7 +34,7 @@
 use shutdown::Termination;
 use starlingplank_admin::inherited_membership::{InheritedMembership, RemovedEndpoints};
 use starlingplank_admin::operator_overrides::OperatorOverrides;
-use starlingplank_decision::learned::Learned;
+use starlingplank_decision::learned::LearnedState;
 use starlingplank_decision::permission::counters::RuleCounters;
 use starlingplank_decision::permission::list_lease::ListLease;
 use starlingplank_decision::start_times::StartTimes;
@@ -187,8 +187,8 @@
     }
 
     /// What the decision module has learned so far.
-    pub fn learned(&self, now: Milliseconds) -> Learned {
-        Learned { recorded_at: now, ..self.balancer.learned() }
+    pub fn learned(&self, now: Milliseconds) -> LearnedState {
+        LearnedState { recorded_at: now, ..self.balancer.learned() }
     }
 
     /// Sets what an earlier incarnation learned, unless that is set already.
--- a/src/net/connection/frame.rs
+++ b/src/net/connection/frame.rs
@@ -117,15 +117,15 @@
         take_from_retry_budget: impl FnOnce() -> bool,
     ) -> Result<(), SendRefusal> {
         if self.transmit_before.is_some_and(|limit| limit <= Instant::now()) {
-            return Err(SendRefusal::DeadlineOver);
+            return Err(SendRefusal::DeadlinePassed);
         }
         let Some(queued) = &mut self.queued_attempt else { return Ok(()) };
         if queued.send.statement.is_abandoned() {
-            return Err(SendRefusal::RequestOver);
+            return Err(SendRefusal::RequestFinished);
         }
         queued.send.permit.check(queued.now())?;
         if queued.send.is_retry && !queued.admitted && !take_from_retry_budget() {
-            return Err(SendRefusal::RetryBudgetSpent);
+            return Err(SendRefusal::RetryBudgetExhausted);
         }
         queued.admitted = true;
         Ok(())
--- a/src/net/front/client_connection.rs
+++ b/src/net/front/client_connection.rs
@@ -4,7 +4,7 @@
 use crate::net::connection::frame::Frame;
 use crate::net::connection::{CloseMode, ReadBuffer, WriteQueue};
 use crate::net::front::shutdown_phase::ShutdownPhase;
-use starlingplank_decision::permission::close::{may_close, may_cut_off, ConnectionFacts};
+use starlingplank_decision::permission::close::{may_close, may_close_mid_message, CloseConditions};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -159,7 +159,7 @@
         if deadline > Instant::now() {
             return Ok(deadline);
         }
-        match may_cut_off(&self.facts_apart_from_writes(read_buffer, stream)) {
+        match may_close_mid_message(&self.facts_apart_from_writes(read_buffer, stream)) {
             Ok(()) if silence_deadline.is_some() => Err(CloseReason::Silent),
             Ok(()) => Err(CloseReason::Idle),
             // What has arrived may be the rest of a request, or a whole one.
@@ -228,8 +228,8 @@
         closes
     }
 
-    fn facts(&self, read_buffer: &ReadBuffer, stream: &TcpStream) -> ConnectionFacts {
-        ConnectionFacts {
+    fn facts(&self, read_buffer: &ReadBuffer, stream: &TcpStream) -> CloseConditions {
+        CloseConditions {
             open_requests: self.open_requests.get(),
             unwritten: self.write_queue.queued_bytes(),
             incomplete: read_buffer.unread().len(),
@@ -239,8 +239,8 @@
     }
 
     /// The facts where queued bytes do not keep the connection open: they are written as it closes.
-    fn facts_apart_from_writes(&self, read_buffer: &ReadBuffer, stream: &TcpStream) -> ConnectionFacts {
-        ConnectionFacts { unwritten: 0, ..self.facts(read_buffer, stream) }
+    fn facts_apart_from_writes(&self, read_buffer: &ReadBuffer, stream: &TcpStream) -> CloseConditions {
+        CloseConditions { unwritten: 0, ..self.facts(read_buffer, stream) }
     }
 
     /// Since when it has had no open request and no queued bytes; none where it has some, or is closing.
--- a/src/net/persistence/endpoint_cache.rs
+++ b/src/net/persistence/endpoint_cache.rs
@@ -23,7 +23,7 @@
 pub(super) fn cached_endpoint(endpoint: &Endpoint, settings: &Settings) -> CachedEndpoint {
     let member = &endpoint.member;
     let zone = member.zone.and_then(|zone| settings.zones.get(zone.0));
-    let machine_type = member.kind.and_then(|kind| settings.kinds.get(kind.0));
+    let machine_type = member.machine_type.and_then(|kind| settings.machine_types.get(kind.0));
     CachedEndpoint {
         id: member.engine.0.to_string(),
         address: endpoint.address.to_string(),
--- a/src/net/runtime/shutdown.rs
+++ b/src/net/runtime/shutdown.rs
@@ -6,7 +6,7 @@
 use crate::net::runtime::Runtime;
 use starlingplank_admin::metrics::Count;
 use starlingplank_admin::process_lifecycle;
-use starlingplank_decision::permission::process::{may_end, EndFacts};
+use starlingplank_decision::permission::process::{may_exit, ShutdownConditions};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::time::{sleep, timeout, Instant};
@@ -24,11 +24,11 @@
         let closes_idle =
             matches!(self.frontend.shutdown_phase(), ShutdownPhase::ClosingIdle | ShutdownPhase::Stopping);
         // Connections that are in use until the end are answered and closed before the program ends.
-        may_end(&EndFacts {
-            settled: self.settled,
-            unconnected: closes_idle && self.frontend.has_no_connections(),
+        may_exit(&ShutdownConditions {
+            requests_finished: self.settled,
+            no_connections: closes_idle && self.frontend.has_no_connections(),
             // What clients sent while the process was paused is read before it ends.
-            overdue: waited >= window + self.frontend.limits.connection_close_wait
+            close_window_expired: waited >= window + self.frontend.limits.connection_close_wait
                 && !self.frontend.pauses.has_backlog(Instant::now()),
         })
     }
--- a/src/simulator/encode.rs
+++ b/src/simulator/encode.rs
@@ -26,7 +26,7 @@
         Action::Timer { after, token } => {
             writeln!(out, "TIMER\tfront_id={gateway}\tdelay={after:.3}\tcookie={token}")
         }
-        Action::Watch => writeln!(out, "SUBSCRIBE\tfront_id={gateway}\ton=1"),
+        Action::SubscribeToEndpoints => writeln!(out, "SUBSCRIBE\tfront_id={gateway}\ton=1"),
         Action::CheckHealth { engine } => {
             writeln!(out, "INSPECT\tfront_id={gateway}\tengine={}", engine.0)
         }
--- a/src/simulator/event.rs
+++ b/src/simulator/event.rs
@@ -27,8 +27,8 @@
             attempt: fields.get("send_no")?,
             engine: fields.engine()?,
             outcome: outcome(fields)?,
-            took: fields.number("duration")?,
-            over: fields.flag("ended")?,
+            elapsed: fields.number("duration")?,
+            request_finished: fields.flag("ended")?,
             work: fields
                 .get_opt::<u64>("stats")?
                 .filter(|units| *units > 0)
@@ -48,7 +48,7 @@
         "HEALTH_RESULT" => Event::HealthChecked {
             engine: fields.engine()?,
             ok: outcome(fields)? == Outcome::Ok,
-            took: fields.number_or("duration", 0.0)?,
+            elapsed: fields.number_or("duration", 0.0)?,
             report: fields.load_report()?,
         },
         other => return Err(LineError::Unknown(other.to_owned())),
--- a/src/simulator/line.rs
+++ b/src/simulator/line.rs
@@ -2,7 +2,7 @@
 
 use super::fields::{Fields, LineError};
 use super::settings::{settings, zone_of};
-use crate::interface::{Availability, EngineId, KindId, Member, Milliseconds, Settings};
+use crate::interface::{Availability, EngineId, MachineTypeId, Member, Milliseconds, Settings};
 use std::sync::Arc;
 
 /// The largest number of a numbered endpoint list.
@@ -134,7 +134,11 @@
     Member {
         engine: entry.engine.clone(),
         zone: zone_of(&settings.zones, &entry.zone),
-        kind: settings.kinds.iter().position(|kind| kind.name == entry.kind).map(KindId),
+        machine_type: settings
+            .machine_types
+            .iter()
+            .position(|kind| kind.name == entry.kind)
+            .map(MachineTypeId),
         cell: entry.cell,
         availability: entry.availability,
         started: entry.started,
--- a/src/simulator/settings.rs
+++ b/src/simulator/settings.rs
@@ -2,7 +2,8 @@
 
 use super::fields::{Fields, LineError};
 use crate::interface::{
-    Class, Idempotency, Kind, KindId, Milliseconds, RetryBudgetSettings, Scope, Settings, Tenant, ZoneId,
+    Class, Idempotency, MachineType, MachineTypeId, Milliseconds, RetryBudgetSettings, Scope, Settings,
+    Tenant, ZoneId,
 };
 
 /// The settings in these fields.
@@ -14,8 +15,8 @@
     let cores = fields.numbers("specifics.cpu_of_kind")?;
     let memory_mb = fields.numbers("specifics.memory_by_kind_mb")?;
     let class_lists = ClassLists::read(fields)?;
-    let kinds = kinds(fields, &cores, &memory_mb);
-    let classes = classes(fields, &class_lists, &kinds, &zones)?;
+    let machine_types = kinds(fields, &cores, &memory_mb);
+    let classes = classes(fields, &class_lists, &machine_types, &zones)?;
     let tenants = tenants(fields)?;
     let retry_budget = retry_budget(fields)?;
     check_reporting(fields)?;
@@ -26,29 +27,29 @@
         gateway_index: fields.get_opt("rank")?,
         zone: fields.opt("locality").and_then(|zone| zone_of(&zones, zone)),
         classes,
-        kinds,
+        machine_types,
         zones,
         tenants,
         subscribes_to_endpoints: subscribes_to_endpoints(fields)?,
         may_cancel: fields.flag("limits.cancelling")?,
         may_hedge: fields.flag("limits.may_duplicate")?,
         may_check_health: fields.flag("limits.probes")?,
-        health_check_price: fields.number_or("charges.probe", 0.0)?,
+        health_check_cost: fields.number_or("charges.probe", 0.0)?,
         max_retry_after: max_retry_after(fields, gives_retry_after)?,
         max_attempts: fields.get_opt("limits.send_cap")?.unwrap_or(1),
         answer_grace: fields.number_or("rules.answer_slack", 0.0)?,
         max_poll_interval: fields.number_or("rules.ask_within", 0.0)?,
         drain_grace: fields.number_or("rules.drain_grace", 0.0)?,
-        slow_start_from: fields.number_or("rules.cold_from", 1.0)?,
+        slow_start_initial_share: fields.number_or("rules.cold_from", 1.0)?,
         slow_start_duration: fields.number_or("rules.warm_within", 0.0)?,
         overload_collapse_multiple: fields.number_or("rules.fall_multiple", 1.0)?,
         overload_collapse_after: fields.number_or("rules.tip_after", 0.0)?,
         retry_budget,
         ordered_key_pause: fields.number_or("rules.order_pause", 0.0)?,
-        grants: fields.flag("specifics.grants_count")?,
+        supports_memory_grants: fields.flag("specifics.grants_count")?,
         max_grant_share: fields.number_or("specifics.most_grant", 1.0)?,
-        priorities: fields.flag("specifics.takes_priority")?,
-        tick: fields.number_or("tick", 1.0)?,
+        supports_priorities: fields.flag("specifics.takes_priority")?,
+        min_decision_interval: fields.number_or("tick", 1.0)?,
     })
 }
 
@@ -57,11 +58,11 @@
     zones.iter().position(|zone| zone == name).map(ZoneId)
 }
 
-fn kinds(fields: &Fields, cores: &[f64], memory_mb: &[f64]) -> Vec<Kind> {
+fn kinds(fields: &Fields, cores: &[f64], memory_mb: &[f64]) -> Vec<MachineType> {
     let item = |list: &[f64], index: usize| list.get(index).copied().unwrap_or(0.0);
     let names = fields.list("skus").into_iter().enumerate();
     names
-        .map(|(index, name)| Kind {
+        .map(|(index, name)| MachineType {
             name: name.to_owned(),
             cores: item(cores, index),
             memory_mb: item(memory_mb, index),
@@ -89,23 +90,23 @@
 fn classes(
     fields: &Fields,
     lists: &ClassLists,
-    kinds: &[Kind],
+    machine_types: &[MachineType],
     zones: &[String],
 ) -> Result<Vec<Class>, LineError> {
     let count: usize = fields.get_opt("classes.count")?.unwrap_or(0);
-    (0..count).map(|index| class(fields, index, lists, kinds, zones)).collect()
+    (0..count).map(|index| class(fields, index, lists, machine_types, zones)).collect()
 }
 
 fn class(
     fields: &Fields,
     index: usize,
     lists: &ClassLists,
-    kinds: &[Kind],
+    machine_types: &[MachineType],
     zones: &[String],
 ) -> Result<Class, LineError> {
     let path = |name: &str| format!("classes.{index}.{name}");
     let scope = deduplication_scope(fields, &path("dedup_scope"))?;
-    let kind_of = |name: &&str| kinds.iter().position(|kind| kind.name == *name).map(KindId);
+    let kind_of = |name: &&str| machine_types.iter().position(|kind| kind.name == *name).map(MachineTypeId);
     let allowed = |name: &str| fields.opt(&path(name)).map(|_| fields.list(&path(name)));
     Ok(Class {
         name: fields.text(&path("name"))?.to_owned(),
@@ -121,7 +122,7 @@
             _ => return Err(fields.invalid(&path("idempotency"), "is no idempotency")),
         },
         ordered: fields.flag(&path("serial_by_key"))?,
-        kinds: allowed("allowed_on").map(|names| names.iter().filter_map(kind_of).collect()),
+        machine_types: allowed("allowed_on").map(|names| names.iter().filter_map(kind_of).collect()),
         zones: allowed("allowed_in")
             .map(|names| names.iter().filter_map(|name| zone_of(zones, name)).collect()),
         threads: lists.threads.get(index).copied().unwrap_or(1.0),
@@ -156,9 +157,9 @@
         return Ok(None);
     }
     let budget = RetryBudgetSettings {
-        free: fields.number_or("rules.extra_free", 0.0)?,
-        per_request: fields.number_or("rules.extra_per_request", 0.0)?,
-        span: fields.number("rules.ratio_span")?,
+        min_retries: fields.number_or("rules.extra_free", 0.0)?,
+        retry_ratio: fields.number_or("rules.extra_per_request", 0.0)?,
+        window: fields.number("rules.ratio_span")?,
     };
     let has_amount =
         ["rules.extra_free", "rules.extra_per_request"].iter().any(|field| fields.opt(field).is_some());
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -37,7 +37,7 @@
 impl TestGateway {
     fn new(settings: Settings) -> Self {
         let mut balancer = Balancer::new(settings, 0.0).expect("settings are good");
-        let list = Event::Members { complete: true, members: vec![member(0)] };
+        let list = Event::EndpointListReceived { complete: true, members: vec![member(0)] };
         balancer.run_cycle(0.0, &[list], &mut Vec::new());
         Self { balancer, next_request: 1, due: Vec::new(), classes: BTreeMap::new() }
     }
@@ -106,7 +106,7 @@
         }
         let starting = Member { started: Some(STARTED_AT), ..member(0) };
         for gateway in &mut fleet {
-            let event = Event::Members { complete: true, members: vec![starting.clone()] };
+            let event = Event::EndpointListReceived { complete: true, members: vec![starting.clone()] };
             gateway.due.push(DueEvent { at: STARTED_AT, event });
         }
         let (mut sent, mut now) = (Vec::new(), STARTED_AT);
@@ -122,7 +122,7 @@
     fn start_gateways(&self, rng: &mut fastrand::Rng) -> Vec<TestGateway> {
         let mut settings = default_settings();
         settings.gateways = self.configured_gateways;
-        for kind in &mut settings.kinds {
+        for kind in &mut settings.machine_types {
             kind.cores = self.cores;
         }
         settings.classes[1].threads = 1.0;
@@ -152,8 +152,9 @@
 /// The budget that the settings allow in a span that ends then, in usual requests of that much work.
 fn budget(cores: f64, at: Milliseconds, usual_work: Milliseconds) -> f64 {
     let settings = default_settings();
-    let warmth = settings.slow_start_from
-        + (1.0 - settings.slow_start_from) * ((at - STARTED_AT) / settings.slow_start_duration).min(1.0);
+    let warmth = settings.slow_start_initial_share
+        + (1.0 - settings.slow_start_initial_share)
+            * ((at - STARTED_AT) / settings.slow_start_duration).min(1.0);
     settings.overload_collapse_multiple * warmth * cores * settings.overload_collapse_after / usual_work
 }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -18,7 +18,7 @@
         late_weight_share: 0.1,
         idempotency: Idempotency::Idempotent,
         ordered: false,
-        kinds: None,
+        machine_types: None,
         zones: None,
         threads,
         is_load: false,
@@ -33,9 +33,9 @@
         gateway_index: None,
         zone: Some(ZoneId(0)),
         classes: vec![class("short", 500.0, 3_000.0, 1.0), class("long", 3_000.0, 20_000.0, 4.0)],
-        kinds: vec![
-            Kind { name: "k0".into(), cores: 8.0, memory_mb: 16_384.0 },
-            Kind { name: "k1".into(), cores: 4.0, memory_mb: 8_192.0 },
+        machine_types: vec![
+            MachineType { name: "k0".into(), cores: 8.0, memory_mb: 16_384.0 },
+            MachineType { name: "k1".into(), cores: 4.0, memory_mb: 8_192.0 },
         ],
         zones: vec!["z0".into(), "z1".into()],
         tenants: vec![],
@@ -43,22 +43,22 @@
         may_cancel: false,
         may_hedge: false,
         may_check_health: false,
-        health_check_price: 0.0,
+        health_check_cost: 0.0,
         max_retry_after: 1_000.0,
         max_attempts: 3,
         answer_grace: 20.0,
         max_poll_interval: 10_000.0,
         drain_grace: 1_000.0,
-        slow_start_from: 0.3,
+        slow_start_initial_share: 0.3,
         slow_start_duration: 15_000.0,
         overload_collapse_multiple: 3.0,
         overload_collapse_after: 2_000.0,
         retry_budget: None,
         ordered_key_pause: 500.0,
-        grants: false,
+        supports_memory_grants: false,
         max_grant_share: 1.0,
-        priorities: false,
-        tick: 5.0,
+        supports_priorities: false,
+        min_decision_interval: 5.0,
     }
 }
 
@@ -70,7 +70,7 @@
     Member {
         engine: engine(n),
         zone: Some(ZoneId(n % 2)),
-        kind: Some(KindId(n / 2 % 2)),
+        machine_type: Some(MachineTypeId(n / 2 % 2)),
         cell: (n / 2) as u64,
         availability: Availability::Live,
         started: None,
@@ -78,7 +78,7 @@
 }
 
 pub(crate) fn fleet(n: usize) -> Event {
-    Event::Members { complete: true, members: (0..n).map(member).collect() }
+    Event::EndpointListReceived { complete: true, members: (0..n).map(member).collect() }
 }
 
 pub(crate) fn incoming(id: u64, class: usize, deadline: Milliseconds) -> RequestDetails {
@@ -100,15 +100,15 @@
     attempt: u32,
     engine: &EngineId,
     outcome: Outcome,
-    took: Milliseconds,
+    elapsed: Milliseconds,
 ) -> Event {
     Event::Outcome {
         id: RequestId(id),
         attempt,
         engine: engine.clone(),
         outcome,
-        took,
-        over: outcome == Outcome::Ok,
+        elapsed,
+        request_finished: outcome == Outcome::Ok,
         work: None,
         report: None,
     }
--- a/tests/decide/admission.rs
+++ b/tests/decide/admission.rs
@@ -96,7 +96,7 @@
                 drop(gateway.run_cycle(&[outcome(id, 0, &sent_to, Outcome::Ok, 1_000.0)]));
             });
             let report = Some(LoadReport { util: Some(0.15 * f64::from(second)), ..LoadReport::default() });
-            let reports = |n| Event::HealthChecked { engine: engine(n), ok: true, took: 1.0, report };
+            let reports = |n| Event::HealthChecked { engine: engine(n), ok: true, elapsed: 1.0, report };
             gateway.run_cycle(&(0..10).map(reports).collect::<Vec<_>>());
             let fleet = gateway.balancer.learned().fleet;
             sum += fleet.own_threads / fleet.all_threads;
--- a/tests/decide/engine_selection.rs
+++ b/tests/decide/engine_selection.rs
@@ -49,7 +49,7 @@
             ..member_entry
         }
     });
-    gateway.run_cycle(&[Event::Members { complete: true, members: members.collect() }]);
+    gateway.run_cycle(&[Event::EndpointListReceived { complete: true, members: members.collect() }]);
     let (_, sent_to) = gateway.receive(0);
     assert!(
         sent_to.is_some_and(|sent_to| !met.contains(&sent_to)),
@@ -80,7 +80,7 @@
         let health_checked = |(n, u): (usize, &f64)| Event::HealthChecked {
             engine: engine(n),
             ok: true,
-            took: 1.0,
+            elapsed: 1.0,
             report: util(*u),
         };
         let reports: Vec<_> = loads.iter().enumerate().map(health_checked).collect();
--- a/tests/decide/execution_terms.rs
+++ b/tests/decide/execution_terms.rs
@@ -8,7 +8,7 @@
 #[test]
 fn loads_run_first() {
     let mut settings = default_settings();
-    settings.priorities = true;
+    settings.supports_priorities = true;
     settings.classes[1].is_load = true;
     let mut gateway = TestGateway::new(settings, 1);
     let actions = gateway.run_cycle(&[Event::Request(incoming(1, 1, 20_000.0))]);
@@ -19,7 +19,7 @@
 #[test]
 fn grants_stay_over_the_estimate_where_nothing_tells_of_spills() {
     let mut settings = default_settings();
-    settings.grants = true;
+    settings.supports_memory_grants = true;
     let mut gateway = TestGateway::new(settings, 2);
     let mut least = f64::INFINITY;
     for id in 0..2_000 {
--- a/tests/decide/harness.rs
+++ b/tests/decide/harness.rs
@@ -80,7 +80,7 @@
     gateway.run_cycle(&[Event::HealthChecked {
         engine: engine(engine_number),
         ok: true,
-        took: 1.0,
+        elapsed: 1.0,
         report: Some(report),
     }]);
 }
--- a/tests/decide/health_checks.rs
+++ b/tests/decide/health_checks.rs
@@ -25,7 +25,8 @@
             let Action::CheckHealth { engine } = action else { continue };
             health_checked += 1;
             let report = Some(LoadReport { util: Some(0.1), inflight: Some(0.0), ..LoadReport::default() });
-            let actions = gateway.run_cycle(&[Event::HealthChecked { engine, ok: true, took: 1.0, report }]);
+            let actions =
+                gateway.run_cycle(&[Event::HealthChecked { engine, ok: true, elapsed: 1.0, report }]);
             placed |= !sends(&actions).is_empty();
         }
     }
@@ -61,7 +62,7 @@
         let settings = Settings {
             gateways: 100,
             may_check_health: true,
-            health_check_price: price,
+            health_check_cost: price,
             ..default_settings()
         };
         let mut gateway = TestGateway::new(settings, 30);
--- a/tests/decide/load_reports.rs
+++ b/tests/decide/load_reports.rs
@@ -14,7 +14,7 @@
             gateway.run_cycle(&[Event::HealthChecked {
                 engine: engine(n),
                 ok: true,
-                took: 1.0,
+                elapsed: 1.0,
                 report: Some(report),
             }]);
         }
@@ -30,7 +30,7 @@
             drop(gateway.run_cycle(&[Event::HealthChecked {
                 engine: engine(n),
                 ok: true,
-                took: 1.0,
+                elapsed: 1.0,
                 report: Some(report),
             }]));
         });
@@ -46,7 +46,7 @@
     settings.may_check_health = true;
     let mut gateway = TestGateway::new(settings, 6);
     let health_checked =
-        |n: usize, took| Event::HealthChecked { engine: engine(n), ok: true, took, report: None };
+        |n: usize, elapsed| Event::HealthChecked { engine: engine(n), ok: true, elapsed, report: None };
     // Engines of the other zone are far away: their checks take long though they are idle.
     let mut events: Vec<Event> =
         (0..6).map(|n| health_checked(n, if n % 2 == 1 { 3.0 } else { 0.6 })).collect();
@@ -71,7 +71,7 @@
 /// are fast.
 #[test]
 fn a_low_util_with_crawling_queries_is_a_jam() {
-    let sent = |took: Milliseconds| {
+    let sent = |elapsed: Milliseconds| {
         let mut settings = default_settings();
         settings.gateways = 200;
         let mut gateway = TestGateway::new(settings, 6);
@@ -81,11 +81,11 @@
             gateway.now += 100.0;
             let util = Some(LoadReport { util: Some(0.1), ..LoadReport::default() });
             let health_checked =
-                |n| Event::HealthChecked { engine: engine(n), ok: true, took: 1.0, report: util };
+                |n| Event::HealthChecked { engine: engine(n), ok: true, elapsed: 1.0, report: util };
             let mut events: Vec<Event> = (0..6).map(health_checked).collect();
-            if f64::from(round) * 100.0 == took {
+            if f64::from(round) * 100.0 == elapsed {
                 let sent = in_flight.iter().filter_map(|(id, sent_to)| Some((id, sent_to.as_ref()?)));
-                events.extend(sent.map(|(id, sent_to)| outcome(*id, 0, sent_to, Outcome::Ok, took)));
+                events.extend(sent.map(|(id, sent_to)| outcome(*id, 0, sent_to, Outcome::Ok, elapsed)));
             }
             gateway.run_cycle(&events);
         }
@@ -95,20 +95,21 @@
     assert!(quick > never, "{quick} sent where queries come back, {never} where none does");
 }
 
-/// A gateway before 24 idle cores, whose queries spill: each takes `took` for 100 ms of work. Engines report that
+/// A gateway before 24 idle cores, whose queries spill: each takes `elapsed` for 100 ms of work. Engines report that
 /// utilization or nothing, and heed memory grants or not.
-fn gateway_whose_queries_spill(took: Milliseconds, in_use: Option<f64>, grants: bool) -> TestGateway {
+fn gateway_whose_queries_spill(elapsed: Milliseconds, in_use: Option<f64>, grants: bool) -> TestGateway {
     let mut settings = default_settings();
-    settings.grants = grants;
+    settings.supports_memory_grants = grants;
     settings.gateways = 1;
     settings.classes[0].latency_objective = 2_000.0;
     let mut gateway = TestGateway::new(settings, 4);
     for _ in 0..400 {
         let (id, sent_to) = gateway.receive(0);
-        gateway.advance(took);
+        gateway.advance(elapsed);
         if let Some(util) = in_use {
             let report = Some(LoadReport { util: Some(util), ..LoadReport::default() });
-            let health_checked = |n| Event::HealthChecked { engine: engine(n), ok: true, took: 1.0, report };
+            let health_checked =
+                |n| Event::HealthChecked { engine: engine(n), ok: true, elapsed: 1.0, report };
             gateway.run_cycle(&(0..4).map(health_checked).collect::<Vec<_>>());
         }
         let ended = Event::Outcome {
@@ -116,8 +117,8 @@
             attempt: 0,
             engine: sent_to.expect("few threads run"),
             outcome: Outcome::Ok,
-            took,
-            over: true,
+            elapsed,
+            request_finished: true,
             work: Some(100.0),
             report: None,
         };
@@ -161,7 +162,7 @@
         gateway.run_cycle(&[Event::HealthChecked {
             engine: engine(n),
             ok: true,
-            took: 1.0,
+            elapsed: 1.0,
             report: Some(report),
         }]);
     }
--- a/tests/decide/outlier_ejection.rs
+++ b/tests/decide/outlier_ejection.rs
@@ -82,7 +82,7 @@
         let idle = |sent_to: &EngineId| Event::HealthChecked {
             engine: sent_to.clone(),
             ok: true,
-            took: 1.0,
+            elapsed: 1.0,
             report: Some(LoadReport { util: Some(0.1), ..LoadReport::default() }),
         };
         for (id, sent_to) in sent {
--- a/tests/decide/process_pauses.rs
+++ b/tests/decide/process_pauses.rs
@@ -37,7 +37,7 @@
     let new = Event::Request(incoming(801, 0, gateway.now + 2_950.0));
     assert!(sends(&gateway.run_cycle(&[old, new])).is_empty());
     let report = LoadReport { util: Some(0.2), inflight: Some(0.0), ..LoadReport::default() };
-    let idle = Event::HealthChecked { engine: engine(0), ok: true, took: 1.0, report: Some(report) };
+    let idle = Event::HealthChecked { engine: engine(0), ok: true, elapsed: 1.0, report: Some(report) };
     let order: Vec<u64> = sends(&gateway.run_cycle(&vec![idle; 120])).into_iter().map(|(id, _)| id).collect();
     assert_eq!(order.first(), Some(&801));
 }
--- a/tests/decide/queueing.rs
+++ b/tests/decide/queueing.rs
@@ -47,7 +47,7 @@
     let (short, sent_to) = gateway.receive(0);
     assert!(sent_to.is_none());
     let report = LoadReport { util: Some(0.2), inflight: Some(0.0), ..LoadReport::default() };
-    let idle = Event::HealthChecked { engine: engine(0), ok: true, took: 1.0, report: Some(report) };
+    let idle = Event::HealthChecked { engine: engine(0), ok: true, elapsed: 1.0, report: Some(report) };
     let order: Vec<u64> = sends(&gateway.run_cycle(&vec![idle; 120])).into_iter().map(|(id, _)| id).collect();
     assert_eq!(order.first(), Some(&short), "long was {long}, order {order:?}");
 }
--- a/tests/decide/retries_and_hedging.rs
+++ b/tests/decide/retries_and_hedging.rs
@@ -43,7 +43,8 @@
         let mut settings = default_settings();
         (settings.may_cancel, settings.max_attempts) = (true, max_attempts);
         settings.classes[0].idempotency = idempotency;
-        settings.retry_budget = Some(RetryBudgetSettings { free, per_request: 0.0, span: 5_000.0 });
+        settings.retry_budget =
+            Some(RetryBudgetSettings { min_retries: free, retry_ratio: 0.0, window: 5_000.0 });
         let mut gateway = TestGateway::new(settings, 4);
         gateway.serve(30, 0, 50.0);
         let (id, stuck_on) = gateway.receive(0);
@@ -73,7 +74,8 @@
 fn replacements_of_stuck_attempts(others: usize) -> Vec<Option<EngineId>> {
     let mut settings = default_settings();
     settings.may_cancel = true;
-    settings.retry_budget = Some(RetryBudgetSettings { free: 2.0, per_request: 0.0, span: 10_000.0 });
+    settings.retry_budget =
+        Some(RetryBudgetSettings { min_retries: 2.0, retry_ratio: 0.0, window: 10_000.0 });
     let mut gateway = TestGateway::new(settings, 6);
     gateway.serve(200, 0, 50.0);
     for _ in 0..others {
@@ -131,7 +133,8 @@
 #[test]
 fn requests_that_came_in_a_stand_still_count_for_the_ration_from_when_they_may_have_come() {
     let mut settings = default_settings();
-    settings.retry_budget = Some(RetryBudgetSettings { free: 0.0, per_request: 0.2, span: 10_000.0 });
+    settings.retry_budget =
+        Some(RetryBudgetSettings { min_retries: 0.0, retry_ratio: 0.2, window: 10_000.0 });
     let mut balancer = Balancer::new(settings, 0.0).expect("settings are good");
     let mut actions = Vec::new();
     balancer.run_cycle(0.0, &[fleet(4)], &mut actions);
--- a/tests/decide/slow_start.rs
+++ b/tests/decide/slow_start.rs
@@ -11,7 +11,7 @@
     let mut gateway = TestGateway::new(settings, 0);
     let mut starting = member(0);
     starting.started = Some(0.0);
-    gateway.run_cycle(&[Event::Members { complete: true, members: vec![starting] }]);
+    gateway.run_cycle(&[Event::EndpointListReceived { complete: true, members: vec![starting] }]);
     let long = (0..10).filter(|_| gateway.receive(1).1.is_some()).count();
     // 3 x 0.3 x 8 cores x 2 s x 0.8 / 4 gateways is 2.9 s of work; a long query counts 4.8 s before any is known.
     assert_eq!(long, 0);
@@ -82,7 +82,7 @@
         self.gateways[index].now = now;
         let mut events = vec![Event::Timer(0)];
         if round == 0 || restarts {
-            events.push(Event::Members { complete: true, members: self.members.clone() });
+            events.push(Event::EndpointListReceived { complete: true, members: self.members.clone() });
         }
         if let Some(reported) = self.reported {
             events.extend((1..ENGINES).map(|number| health_checked(number, reported)));
@@ -117,8 +117,8 @@
             let end = start + settings.overload_collapse_after;
             let span = sent.iter().filter(|sent| sent.at >= start && sent.at < end);
             let work: f64 = span.map(|sent| sent.work).sum();
-            let warmth = settings.slow_start_from
-                + (1.0 - settings.slow_start_from) * start / settings.slow_start_duration;
+            let warmth = settings.slow_start_initial_share
+                + (1.0 - settings.slow_start_initial_share) * start / settings.slow_start_duration;
             let budget =
                 settings.overload_collapse_multiple * warmth * 8.0 * settings.overload_collapse_after;
             assert!(work <= budget, "{work} of {budget} from {start}: class {class}, {reported:?}");
@@ -133,7 +133,7 @@
 }
 
 fn health_checked(number: usize, report: LoadReport) -> Event {
-    Event::HealthChecked { engine: engine(number), ok: true, took: 1.0, report: Some(report) }
+    Event::HealthChecked { engine: engine(number), ok: true, elapsed: 1.0, report: Some(report) }
 }
 
 /// What 300 gateways together send to one engine in slow start stays under its budget in any span of the stated length:
@@ -166,7 +166,8 @@
     settings.slow_start_duration = 1e9;
     let mut gateway = TestGateway::new(settings, 0);
     let started = |n| Member { started: Some(0.0), ..member(n) };
-    gateway.run_cycle(&[Event::Members { complete: true, members: (0..4).map(started).collect() }]);
+    gateway
+        .run_cycle(&[Event::EndpointListReceived { complete: true, members: (0..4).map(started).collect() }]);
     for _ in 0..200 {
         let (id, sent_to) = gateway.receive(0);
         gateway.advance(300.0);
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -41,7 +41,7 @@
     assert_eq!(settings.zone, Some(ZoneId(1)));
     // A key whose value is null is absent: the class may run on every kind.
     let (lookup, load) = (&settings.classes[0], &settings.classes[1]);
-    assert_eq!((lookup.kinds.clone(), lookup.zones.clone()), (None, Some(vec![ZoneId(0)])));
+    assert_eq!((lookup.machine_types.clone(), lookup.zones.clone()), (None, Some(vec![ZoneId(0)])));
     assert!(load.is_load && lookup.waits_for_loads);
 }
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -75,9 +75,9 @@
             gateways: GATEWAYS,
             gateway_index: Some(index as u64),
             retry_budget: Some(RetryBudgetSettings {
-                free: FREE_RETRIES,
-                per_request: RETRIES_PER_REQUEST,
-                span: RETRY_SPAN,
+                min_retries: FREE_RETRIES,
+                retry_ratio: RETRIES_PER_REQUEST,
+                window: RETRY_SPAN,
             }),
             drain_grace: DRAIN_GRACE,
             may_cancel: true,
@@ -153,7 +153,7 @@
             member: Member {
                 engine: engine_id(number),
                 zone: Some(ZoneId(number % 2)),
-                kind: Some(KindId(0)),
+                machine_type: Some(MachineTypeId(0)),
                 cell: 0,
                 availability: if drains { Availability::Draining } else { Availability::Live },
                 started: (number == STARTING_ENGINE).then_some(STARTED_AT),
--- a/tests/gate.rs
+++ b/tests/gate.rs
@@ -19,7 +19,7 @@
 }
 
 fn changed_to(n: usize, availability: Availability) -> Event {
-    Event::Members { complete: false, members: vec![Member { availability, ..member(n) }] }
+    Event::EndpointListReceived { complete: false, members: vec![Member { availability, ..member(n) }] }
 }
 
 #[test]
@@ -102,7 +102,7 @@
 fn rule_6_placement_holds_even_when_the_place_is_down() {
     let mut settings = default_settings();
     settings.classes[0].zones = Some(vec![ZoneId(1)]);
-    settings.classes[0].kinds = Some(vec![KindId(0)]);
+    settings.classes[0].machine_types = Some(vec![MachineTypeId(0)]);
     let mut balancer = start(settings, 4);
     let sent = sends(&run_cycle(&mut balancer, 0.0, &[Event::Request(incoming(1, 0, 3_000.0))]));
     assert_eq!(sent[0].1, engine(1));
@@ -115,7 +115,8 @@
 #[test]
 fn rule_7_further_attempts_stay_in_the_ration() {
     let mut settings = default_settings();
-    settings.retry_budget = Some(RetryBudgetSettings { free: 2.0, per_request: 0.0, span: 10_000.0 });
+    settings.retry_budget =
+        Some(RetryBudgetSettings { min_retries: 2.0, retry_ratio: 0.0, window: 10_000.0 });
     let mut balancer = start(settings, 6);
     let mut is_retried = 0;
     for id in 0..6 {
--- a/tests/idle.rs
+++ b/tests/idle.rs
@@ -207,7 +207,7 @@
         member: Member {
             engine: EngineId(format!("e-{number}").into()),
             zone: Some(ZoneId(0)),
-            kind: Some(KindId(0)),
+            machine_type: Some(MachineTypeId(0)),
             cell: 0,
             availability: Availability::Live,
             started: None,
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -23,7 +23,7 @@
         ("gateway-1", 0x5f2c_9a1e_77d0_4b36, 1)
     );
     assert_eq!((config.engine_wire, config.endpoints.len()), (EngineWire::ClickHouse, 2));
-    assert_eq!(settings.kinds[0].memory_mb, 24_576.0);
+    assert_eq!(settings.machine_types[0].memory_mb, 24_576.0);
     assert_eq!(settings.classes[2].idempotency, Idempotency::Keyed { scope: Scope::All, window: 12_000.0 });
     assert!(
         settings.classes[2].is_load && settings.classes[0].waits_for_loads && !settings.classes[1].is_load
@@ -33,7 +33,7 @@
         (3.0, 1_000.0, 3)
     );
     assert_eq!(
-        settings.retry_budget.map(|budget| (budget.free, budget.per_request, budget.span)),
+        settings.retry_budget.map(|budget| (budget.min_retries, budget.retry_ratio, budget.window)),
         Some((2.0, 0.2, 10_000.0))
     );
     assert!(config.clickhouse.is_some() && config.knowledge.is_none());
--- a/tests/recall.rs
+++ b/tests/recall.rs
@@ -5,7 +5,7 @@
 use common::{engine, fleet, incoming, outcome, sends, settings as default_settings};
 use starlingplank::decide::Balancer;
 use starlingplank::interface::*;
-use starlingplank_decision::learned::{ClassLearned, EngineLearned, Learned};
+use starlingplank_decision::learned::{LearnedClass, LearnedEngine, LearnedState};
 
 fn run_cycle(balancer: &mut Balancer, now: Milliseconds, events: &[Event]) -> Vec<Action> {
     let mut actions = Vec::new();
@@ -14,23 +14,23 @@
 }
 
 /// One engine of eight cores, `short` queries known to take 400 ms on one thread; the incarnation begins at 0.
-fn restored(from: EngineLearned) -> Balancer {
+fn restored(from: LearnedEngine) -> Balancer {
     let settings = Settings { gateways: 1, ..default_settings() };
     let mut balancer = Balancer::new(settings, 0.0).expect("sound");
-    let short = ClassLearned {
+    let short = LearnedClass {
         name: "short".into(),
         threads: 1.0,
         best_latency: 400.0,
         control_steps: 50.0,
         ..Default::default()
     };
-    let learned = Learned {
+    let learned = LearnedState {
         concurrency_limit: 1.5,
         classes: vec![short],
-        engines: vec![EngineLearned { id: engine(0).0.to_string(), slowdown: 1.0, ..from }],
-        ..Learned::default()
+        engines: vec![LearnedEngine { id: engine(0).0.to_string(), slowdown: 1.0, ..from }],
+        ..LearnedState::default()
     };
-    run_cycle(&mut balancer, 0.0, &[fleet(1), Event::Restored(Box::new(learned))]);
+    run_cycle(&mut balancer, 0.0, &[fleet(1), Event::StateRestored(Box::new(learned))]);
     balancer
 }
 
@@ -47,19 +47,22 @@
 
 #[test]
 fn perhaps_cold_engine_gets_no_more_than_a_cold_one_s_budget() {
-    let starting = sent(&mut restored(EngineLearned { maybe_in_slow_start: true, ..Default::default() }));
+    let starting = sent(&mut restored(LearnedEngine { maybe_in_slow_start: true, ..Default::default() }));
     // 0.8 of three times 0.3 of eight cores for two seconds, in queries of 400 ms; a little more as it warms.
     let budget = 0.8 * 3.0 * 0.3 * 8.0 * 2_000.0 / 400.0;
     let max = budget * (0.3 + 0.7 * 2.0 / 15.0) / 0.3 + 1.0;
     assert!(starting >= 3 && (starting as f64) <= max, "{starting} of {max}");
-    let warm = sent(&mut restored(EngineLearned::default()));
+    let warm = sent(&mut restored(LearnedEngine::default()));
     assert!(warm > 2 * starting, "{warm} against {starting}");
 }
 
 #[test]
 fn engine_whose_budget_was_spent_gets_nothing_until_the_span_is_over() {
-    let mut balancer =
-        restored(EngineLearned { maybe_in_slow_start: true, budget_spent: true, ..Default::default() });
+    let mut balancer = restored(LearnedEngine {
+        maybe_in_slow_start: true,
+        slow_start_budget_exhausted: true,
+        ..Default::default()
+    });
     assert_eq!(sent(&mut balancer), 0);
     let details = RequestDetails { deadline: 5_000.0, ..incoming(900, 0, 0.0) };
     let later: usize = (0..20)
@@ -81,7 +84,7 @@
 
 /// The most queries in flight at once under steady load whose answers take `took`, after two seconds of such answers.
 fn max_in_flight(took: Milliseconds) -> usize {
-    let mut balancer = restored(EngineLearned { maybe_in_slow_start: true, ..Default::default() });
+    let mut balancer = restored(LearnedEngine { maybe_in_slow_start: true, ..Default::default() });
     let mut in_flight: Vec<InFlight> = Vec::new();
     let mut max = 0;
     for id in 0..300_u64 {
@@ -113,7 +116,7 @@
 
 #[test]
 fn figures_that_are_none_or_past_all_sense_are_left_out() {
-    let absurd = EngineLearned {
+    let absurd = LearnedEngine {
         slowdown: f64::NAN,
         error_rate: -3.0,
         other_threads: 1e300,
--- a/tests/reducer/mod.rs
+++ b/tests/reducer/mod.rs
@@ -56,7 +56,7 @@
         member: Member {
             engine: EngineId(id.into()),
             zone: Some(ZoneId(0)),
-            kind: Some(KindId(0)),
+            machine_type: Some(MachineTypeId(0)),
             cell: 0,
             availability,
             started: None,
--- a/tests/rules/checker.rs
+++ b/tests/rules/checker.rs
@@ -108,7 +108,7 @@
                 assert!(self.requests[&id.0].attempts.len() > *attempt as usize);
             }
             Action::CheckHealth { .. } => assert!(self.settings.may_check_health),
-            Action::Terms { .. } | Action::Timer { .. } | Action::Watch => {}
+            Action::Terms { .. } | Action::Timer { .. } | Action::SubscribeToEndpoints => {}
         }
     }
 
@@ -164,8 +164,8 @@
         let class = self.class_of(request);
         assert!(request.answered_at.is_none(), "rule 1: sent after the end");
         assert!(request.attempts.len() < self.settings.max_attempts as usize, "send cap");
-        if let Some(kinds) = &class.kinds {
-            assert!(kinds.contains(&to.kind.expect("kind")), "rule 6: kind");
+        if let Some(kinds) = &class.machine_types {
+            assert!(kinds.contains(&to.machine_type.expect("kind")), "rule 6: kind");
         }
         if let Some(zones) = &class.zones {
             assert!(zones.contains(&to.zone.expect("zone")), "rule 6: zone");
@@ -222,9 +222,10 @@
         self.retry_times.push(now);
         if let Some(retry_budget) = self.settings.retry_budget {
             let recent = |times: &[Milliseconds]| {
-                times.iter().filter(|at| **at > now - retry_budget.span).count() as f64
+                times.iter().filter(|at| **at > now - retry_budget.window).count() as f64
             };
-            let max_retries = retry_budget.free + retry_budget.per_request * recent(&self.received_times);
+            let max_retries =
+                retry_budget.min_retries + retry_budget.retry_ratio * recent(&self.received_times);
             assert!(recent(&self.retry_times) <= max_retries, "rule 7: ration");
         }
     }
--- a/tests/rules/day.rs
+++ b/tests/rules/day.rs
@@ -53,7 +53,10 @@
         let now = f64::from(cycle) * STEP;
         let mut events = Vec::new();
         if cycle == 0 {
-            events.push(Event::Members { complete: true, members: (0..ENGINES).map(member).collect() });
+            events.push(Event::EndpointListReceived {
+                complete: true,
+                members: (0..ENGINES).map(member).collect(),
+            });
         }
         self.draw_list_events(now, &mut events);
         if restarts {
@@ -75,10 +78,10 @@
     fn draw_list_events(&mut self, now: Milliseconds, events: &mut Vec<Event>) {
         if self.rng.u8(..60) == 0 {
             let update = self.draw_member_update(now);
-            events.push(Event::Members { complete: false, members: vec![update] });
+            events.push(Event::EndpointListReceived { complete: false, members: vec![update] });
         }
         if self.rng.u8(..100) == 0 {
-            events.push(Event::ListFailed);
+            events.push(Event::EndpointPollFailed);
             events.push(Event::Peer((0..self.rng.usize(..300)).map(|_| self.rng.u8(..)).collect()));
         }
     }
@@ -112,7 +115,7 @@
             let availability = if drains { Availability::Draining } else { Availability::Live };
             Member { availability, started: checker.started_at.get(&number).copied(), ..member(number) }
         };
-        Event::Members { complete: true, members: (0..ENGINES).map(last_known).collect() }
+        Event::EndpointListReceived { complete: true, members: (0..ENGINES).map(last_known).collect() }
     }
 
     fn draw_request(&mut self, now: Milliseconds) -> Event {
@@ -154,8 +157,8 @@
                     attempt: number as u32,
                     engine: engine(attempt.engine),
                     outcome,
-                    took: now - attempt.at,
-                    over: request.answered_at.is_some(),
+                    elapsed: now - attempt.at,
+                    request_finished: request.answered_at.is_some(),
                     work: None,
                     report: draw_load_report(&mut self.rng, self.reports_load),
                 });
--- a/tests/rules/settings.rs
+++ b/tests/rules/settings.rs
@@ -22,14 +22,17 @@
     settings.may_hedge = rng.bool();
     settings.may_cancel = rng.bool();
     settings.may_check_health = rng.bool();
-    settings.priorities = rng.bool();
-    settings.grants = rng.bool();
+    settings.supports_priorities = rng.bool();
+    settings.supports_memory_grants = rng.bool();
     settings.max_attempts = rng.u32(1..6);
     settings.subscribes_to_endpoints = rng.bool();
     let reports_load = rng.usize(..3) == 0;
     let span = RETRY_SPANS[rng.usize(..2)];
-    settings.retry_budget =
-        rng.bool().then_some(RetryBudgetSettings { free: rng.f64() * 4.0, per_request: 0.1, span });
+    settings.retry_budget = rng.bool().then_some(RetryBudgetSettings {
+        min_retries: rng.f64() * 4.0,
+        retry_ratio: 0.1,
+        window: span,
+    });
     settings.drain_grace = DRAIN_GRACES[rng.usize(..3)];
     settings.overload_collapse_multiple = 2.5 + rng.f64();
     settings.max_retry_after = if rng.bool() { 1_000.0 } else { 0.0 };
@@ -53,7 +56,7 @@
         _ => Idempotency::Idempotent,
     };
     class.ordered = rng.u8(..3) == 0;
-    class.kinds = (rng.u8(..4) == 0).then(|| vec![KindId(rng.usize(..2))]);
+    class.machine_types = (rng.u8(..4) == 0).then(|| vec![MachineTypeId(rng.usize(..2))]);
     class.zones = (rng.u8(..4) == 0).then(|| vec![ZoneId(rng.usize(..2))]);
     class.is_load = rng.u8(..5) == 0;
     class.waits_for_loads = rng.u8(..5) == 0;
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -40,7 +40,7 @@
     let Ok(Line::Provision(front, s)) = simulator::parse(PROVISION) else { panic!("not read") };
     assert_eq!(&*front, "front_3");
     assert_eq!((s.gateways, s.seed, s.zone), (3, 513, Some(ZoneId(1))));
-    assert_eq!(s.kinds[1].cores, 4.0);
+    assert_eq!(s.machine_types[1].cores, 4.0);
     assert_eq!(s.classes[0].idempotency, Idempotency::Idempotent);
     assert_eq!(s.retry_budget, None);
     assert!(s.may_check_health && !s.may_cancel);
@@ -59,11 +59,11 @@
     let text = "SETTLED\tfront_id=front_3\tticket=9\tdisposition=ok\tduration=18.5\tended=1\tengine=e:1\t\
                 stats=69728\tsend_no=0\thealth_info=load_share:0.62,concurrent:7,new:3,x0:nan";
     let Ok(Line::Event(_, fields)) = simulator::parse(text) else { panic!("not read") };
-    let Ok(Event::Outcome { work, report, over, .. }) = simulator::event(&fields, &s) else {
+    let Ok(Event::Outcome { work, report, request_finished, .. }) = simulator::event(&fields, &s) else {
         panic!("no outcome")
     };
     assert_eq!(work, Some(17.0));
-    assert!(over);
+    assert!(request_finished);
     let report = report.expect("a report");
     assert_eq!((report.inflight, report.util), (Some(7.0), Some(0.62)));
 }
@@ -201,7 +201,7 @@
             "RESOURCES\tfront_id=f\tticket=9\tgrant_mb=640.0\tpriority=2\n",
         ),
         (Action::Timer { after: 500.0, token: 77 }, "TIMER\tfront_id=f\tdelay=500.000\tcookie=77\n"),
-        (Action::Watch, "SUBSCRIBE\tfront_id=f\ton=1\n"),
+        (Action::SubscribeToEndpoints, "SUBSCRIBE\tfront_id=f\ton=1\n"),
         (Action::CheckHealth { engine }, "INSPECT\tfront_id=f\tengine=e:1\n"),
     ] {
         let mut out = String::new();
@@ -225,5 +225,5 @@
     assert!(matches!(note("1"), Event::ProgressUpdate { update: ProgressUpdate::WaitsForMemory, .. }));
     assert!(matches!(note("2"), Event::ProgressUpdate { update: ProgressUpdate::WaitsForLoad, .. }));
     let probed = event("HEALTH_RESULT\tfront_id=front_3\tduration=1.4\tengine=e:1\tdisposition=ok");
-    assert!(matches!(probed, Event::HealthChecked { ok: true, took, report: None, .. } if took == 1.4));
+    assert!(matches!(probed, Event::HealthChecked { ok: true, elapsed, report: None, .. } if elapsed == 1.4));
 }
