--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::messages::{Effect, Send};
 use super::request_state::{Attempt, PendingRecord, RequestKey, ResponsePhase, Terms};
-use super::timers::Due;
+use super::timers::TimerKind;
 use super::types::{Answer, AttemptEnd, AttemptId, EngineError, ResultRows};
 use super::Core;
 use crate::interface::{
@@ -21,13 +21,13 @@
     error: Option<EngineError>,
 ) -> Result<Answer, Option<EngineError>> {
     match (outcome, streaming) {
-        (Outcome::Ok, true) => Ok(Answer::Finished),
+        (Outcome::Ok, true) => Ok(Answer::Streamed),
         (Outcome::Ok, false) => Ok(match error {
             // The engine executed the statement, which is itself at fault.
             Some(error) => Answer::Failed(Some(error)),
             None => Answer::Served(rows),
         }),
-        (_, true) => Ok(Answer::Cut),
+        (_, true) => Ok(Answer::Truncated),
         (_, false) => Err(error),
     }
 }
@@ -58,7 +58,7 @@
         let deadline = request.attempt_deadline(now, timeout, self.limits.answer_margin);
         match self.permission_to_leave(now, attempt, deadline, effects) {
             SendPermission::Denied => {
-                self.end_attempt(now, attempt, AttemptEnd::plain(Outcome::NotExecuted), effects);
+                self.end_attempt(now, attempt, AttemptEnd::from_outcome(Outcome::NotExecuted), effects);
             }
             SendPermission::Now => self.transmit(now, attempt, deadline, effects),
             SendPermission::AfterRecord(sent) => {
@@ -142,11 +142,11 @@
         effects: &mut Vec<Effect>,
     ) {
         if !self.may_send(now, id, deadline, effects) {
-            return self.end_attempt(now, id, AttemptEnd::plain(Outcome::NotExecuted), effects);
+            return self.end_attempt(now, id, AttemptEnd::from_outcome(Outcome::NotExecuted), effects);
         }
         let Some(send) = self.send_message(now, id, deadline) else { return };
         effects.push(Effect::Send(send));
-        self.set_timer(deadline, Due::AttemptTimeout(id));
+        self.set_timer(deadline, TimerKind::AttemptTimeout(id));
     }
 
     fn send_message(&self, now: Milliseconds, id: AttemptId, deadline: Milliseconds) -> Option<Send> {
@@ -161,7 +161,7 @@
             class: request.class,
             statement: request.statement.clone(),
             budget: deadline - now,
-            leave_within: Some(request.send_by - now).filter(|time| time.is_finite()),
+            transmit_within: Some(request.send_by - now).filter(|time| time.is_finite()),
             memory_mb: request.terms.memory_mb,
             priority: request.terms.priority,
             is_retry: request.numbered_attempts().any(is_earlier_send),
@@ -255,7 +255,7 @@
     ) {
         let Some(attempt) = self.find_attempt(id).filter(|attempt| attempt.is_in_flight()) else { return };
         effects.push(Effect::AbortAttempt { attempt: id, engine: attempt.engine.clone(), outcome });
-        self.end_attempt(now, id, AttemptEnd::plain(outcome), effects);
+        self.end_attempt(now, id, AttemptEnd::from_outcome(outcome), effects);
     }
 
     /// Aborts all attempts of a request.
--- a/src/core/decisions.rs
+++ b/src/core/decisions.rs
@@ -1,7 +1,7 @@
 //! Decision cycles: when the decision module runs, and what is done for its actions.
 
 use super::request_state::Terms;
-use super::timers::Due;
+use super::timers::TimerKind;
 use super::{AttemptId, Core, Effect};
 use crate::interface::{Action, BlockReason, Milliseconds, Outcome};
 
@@ -40,7 +40,7 @@
 
     fn set_decision_timer(&mut self) {
         if !std::mem::replace(&mut self.decision_timer_set, true) {
-            self.set_timer(self.next_decision_at, Due::DecisionCycle);
+            self.set_timer(self.next_decision_at, TimerKind::DecisionCycle);
         }
     }
 
@@ -73,7 +73,7 @@
             Action::Terms { id, memory_mb, priority } => {
                 self.set_terms(id, Terms { memory_mb, priority }, effects);
             }
-            Action::Timer { after, token } => self.set_timer(now + after, Due::DecisionTimer(token)),
+            Action::Timer { after, token } => self.set_timer(now + after, TimerKind::DecisionTimer(token)),
             // The name service is polled continuously; there is nothing to subscribe to.
             Action::SubscribeToEndpoints => {}
             Action::CheckHealth { engine } => self.request_health_check(now, engine, effects),
--- a/src/core/health_checks.rs
+++ b/src/core/health_checks.rs
@@ -1,6 +1,6 @@
 //! Health checks of engines.
 
-use super::timers::Due;
+use super::timers::TimerKind;
 use super::{Core, Effect};
 use crate::interface::{EngineId, Event as DecisionEvent, LoadReport, Milliseconds};
 
@@ -20,7 +20,7 @@
     ) {
         match self.initial_health_checks.request(engine, now) {
             Some(engine) => self.send_health_check(now, engine, effects),
-            None => self.set_timer(self.initial_health_checks.release_at, Due::InitialHealthChecks),
+            None => self.set_timer(self.initial_health_checks.release_at, TimerKind::InitialHealthChecks),
         }
     }
 
@@ -36,7 +36,7 @@
         self.last_number += 1;
         let number = self.last_number;
         self.health_checks.insert(number, HealthCheck { engine: engine.clone(), sent_at: now });
-        self.set_timer(now + self.limits.health_check_timeout, Due::HealthCheckTimeout(number));
+        self.set_timer(now + self.limits.health_check_timeout, TimerKind::HealthCheckTimeout(number));
         effects.push(Effect::CheckHealth { number, engine, address });
     }
 
--- a/src/core/membership.rs
+++ b/src/core/membership.rs
@@ -1,7 +1,7 @@
 //! The engines in use: the name service's list, merged with the operator override, the membership inherited from an
 //! earlier process of this gateway, and what previous addresses of the name service reported.
 
-use super::timers::Due;
+use super::timers::TimerKind;
 use super::{Core, Effect, Endpoint};
 use crate::interface::{Availability, EngineId, Event as DecisionEvent, Member, Milliseconds};
 use starlingplank_admin::inherited_membership::{InheritedMembership, RemovedEndpoints};
@@ -67,14 +67,14 @@
     }
 
     /// Rejects requests until the name service answers, unless a membership is known. For gateways with a name service.
-    pub fn await_list(&mut self, now: Milliseconds) {
+    pub fn await_endpoint_list(&mut self, now: Milliseconds) {
         if self.service_members.is_empty() && self.service_confirmed_at.is_none() {
             self.membership_wait = Some(RetryAfter::new(self.settings.seed, now));
         }
     }
 
     /// Whether requests are rejected as no membership is known.
-    pub fn awaits_list(&self) -> bool {
+    pub fn awaits_endpoint_list(&self) -> bool {
         self.membership_wait.is_some()
     }
 
@@ -172,7 +172,7 @@
         if self.service_confirmed_at.is_some() {
             return;
         }
-        self.set_timer(inherited.until(), Due::InheritedMembership);
+        self.set_timer(inherited.until(), TimerKind::InheritedMembership);
         self.inherited_membership = Some(inherited);
         self.rebuild_engines(now, effects);
     }
@@ -221,7 +221,7 @@
         let version = self.membership_version.take();
         let (Some(version), Some(membership)) = (version, self.membership_for_successor()) else { return };
         let membership = membership.taken_over(now);
-        self.set_timer(membership.until(), Due::PreviousAddress);
+        self.set_timer(membership.until(), TimerKind::PreviousAddress);
         self.previous_address = Some(PreviousAddress { version, membership });
     }
 
@@ -256,7 +256,7 @@
         let until = self.list_lease.until();
         if !self.list_timer_set && !self.list_expired && until.is_finite() {
             self.list_timer_set = true;
-            self.set_timer(until, Due::ListLease);
+            self.set_timer(until, TimerKind::ListLease);
         }
     }
 
@@ -283,7 +283,7 @@
         }
         for (engine, _) in before {
             effects.push(Effect::DropQueued(engine.clone()));
-            self.set_timer(now + self.limits.removed_engine_grace, Due::EngineRemoved(engine));
+            self.set_timer(now + self.limits.removed_engine_grace, TimerKind::EngineRemoved(engine));
         }
     }
 
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -90,7 +90,7 @@
     /// The time until its deadline.
     pub budget: Milliseconds,
     /// The time within which it must be transmitted or dropped, as engines forget keys.
-    pub leave_within: Option<Milliseconds>,
+    pub transmit_within: Option<Milliseconds>,
     /// Memory grant in MB; 0 leaves it to the engine.
     pub memory_mb: f64,
     /// Priority, 0 to 3.
--- a/src/core/records.rs
+++ b/src/core/records.rs
@@ -1,7 +1,7 @@
 //! Records of keyed sends, and maintenance of the log that holds them.
 
 use super::request_state::{Attempt, PendingRecord, RequestKey};
-use super::timers::Due;
+use super::timers::TimerKind;
 use super::{AttemptEnd, AttemptId, Core, Effect};
 use crate::interface::{Milliseconds, Outcome};
 use starlingplank_persistence::deduplication_window::{DeduplicationWindow, Key, KeySends, TrustedLog};
@@ -42,7 +42,7 @@
             attempt.pending_record = Some(record);
         }
         self.pending_records.insert(number, id);
-        self.set_timer(now + self.limits.record_timeout, Due::RecordTimeout(number));
+        self.set_timer(now + self.limits.record_timeout, TimerKind::RecordTimeout(number));
         effects.push(Effect::WriteRecord { number, key, sent });
     }
 
@@ -93,7 +93,7 @@
         if is_recorded {
             self.transmit(now, id, deadline, effects);
         } else {
-            self.end_attempt(now, id, AttemptEnd::plain(Outcome::NotExecuted), effects);
+            self.end_attempt(now, id, AttemptEnd::from_outcome(Outcome::NotExecuted), effects);
         }
     }
 
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -1,7 +1,7 @@
 //! Requests from their arrival to their one final answer: admission, rejection, client disconnects, removal.
 
 use super::request_state::{Attempt, Request, RequestKey, ResponsePhase, Terms};
-use super::timers::Due;
+use super::timers::TimerKind;
 use super::{Answer, ClientRequest, Core, Effect};
 use crate::interface::{
     ClassId, Event as DecisionEvent, Idempotency, Milliseconds, Outcome, RequestDetails, RequestId,
@@ -115,7 +115,7 @@
             phase: ResponsePhase::Pending,
         };
         self.requests.insert(id, request);
-        self.set_timer(deadline - self.limits.answer_margin / 2.0, Due::RequestDeadline(id));
+        self.set_timer(deadline - self.limits.answer_margin / 2.0, TimerKind::RequestDeadline(id));
         // Attempts end before the client's deadline, so that the answer can be sent in time. The decision module plans
         // with that earlier deadline: with the client's it would spend its retry budget on retries in between.
         let deadline = deadline - self.limits.answer_margin;
@@ -209,7 +209,8 @@
         let has_streamed = request.has_streamed();
         request.close();
         self.open_requests -= 1;
-        let answer = if has_streamed && !matches!(answer, Answer::Finished) { Answer::Cut } else { answer };
+        let answer =
+            if has_streamed && !matches!(answer, Answer::Streamed) { Answer::Truncated } else { answer };
         effects.push(Effect::Answer(id, answer));
         self.remove_if_done(id);
     }
--- a/src/core/shutdown.rs
+++ b/src/core/shutdown.rs
@@ -1,7 +1,7 @@
 //! Shutdown: open requests are answered in time, then the program exits.
 
 use super::request_state::{Attempt, Request};
-use super::timers::Due;
+use super::timers::TimerKind;
 use super::{Answer, Core, Effect};
 use crate::interface::{Event as DecisionEvent, Milliseconds, Outcome};
 use starlingplank_decision::permission::send::may_reject;
@@ -29,7 +29,7 @@
         }
         let accept_until = now + self.limits.shutdown_accept_window;
         self.termination = Some(Termination { requested_at, accept_until });
-        self.set_timer(accept_until, Due::TerminationWindow);
+        self.set_timer(accept_until, TimerKind::TerminationWindow);
         self.set_answer_by(requested_at + self.limits.shutdown_answer_deadline);
     }
 
@@ -42,7 +42,7 @@
 
     fn set_answer_by(&mut self, at: Milliseconds) {
         self.answer_by = at;
-        self.set_timer(at, Due::AnswerDeadline);
+        self.set_timer(at, TimerKind::AnswerDeadline);
     }
 
     /// Answers all requests, unless the time for answers was extended since the timer was set.
--- a/src/core/timers.rs
+++ b/src/core/timers.rs
@@ -5,7 +5,7 @@
 
 /// What a timer is set for.
 #[derive(Debug, Clone, PartialEq)]
-pub(super) enum Due {
+pub(super) enum TimerKind {
     /// A timer of the decision module, by its token.
     DecisionTimer(u64),
     /// The deadline of an attempt.
@@ -38,7 +38,7 @@
 pub(super) struct Timer {
     at: Milliseconds,
     number: u64,
-    due: Due,
+    due: TimerKind,
 }
 
 impl PartialEq for Timer {
@@ -68,7 +68,7 @@
     }
 
     /// Sets a timer. Timers are never cancelled: their handlers check whether they still apply.
-    pub(super) fn set_timer(&mut self, at: Milliseconds, due: Due) {
+    pub(super) fn set_timer(&mut self, at: Milliseconds, due: TimerKind) {
         self.last_number += 1;
         self.timers.push(Timer { at, number: self.last_number, due });
     }
@@ -80,28 +80,28 @@
         }
     }
 
-    fn pop_due(&mut self, now: Milliseconds) -> Option<Due> {
+    fn pop_due(&mut self, now: Milliseconds) -> Option<TimerKind> {
         self.timers.peek().filter(|timer| timer.at <= now)?;
         self.timers.pop().map(|timer| timer.due)
     }
 
-    fn fire(&mut self, now: Milliseconds, due: Due, effects: &mut Vec<Effect>) {
+    fn fire(&mut self, now: Milliseconds, due: TimerKind, effects: &mut Vec<Effect>) {
         match due {
-            Due::DecisionTimer(token) => self.pending_events.push(DecisionEvent::Timer(token)),
-            Due::AttemptTimeout(id) => self.attempt_timed_out(now, id, effects),
-            Due::RequestDeadline(id) => self.deadline_passed(now, id, effects),
-            Due::HealthCheckTimeout(number) => self.end_health_check(now, number, false, None),
-            Due::EngineRemoved(engine) => self.engine_removed(now, &engine, effects),
+            TimerKind::DecisionTimer(token) => self.pending_events.push(DecisionEvent::Timer(token)),
+            TimerKind::AttemptTimeout(id) => self.attempt_timed_out(now, id, effects),
+            TimerKind::RequestDeadline(id) => self.deadline_passed(now, id, effects),
+            TimerKind::HealthCheckTimeout(number) => self.end_health_check(now, number, false, None),
+            TimerKind::EngineRemoved(engine) => self.engine_removed(now, &engine, effects),
             // `exit_when_done` runs after every event.
-            Due::TerminationWindow => {}
+            TimerKind::TerminationWindow => {}
             // The cycle follows with the next `Event::RunDecisionCycle`.
-            Due::DecisionCycle => self.decision_timer_set = false,
-            Due::AnswerDeadline => self.answer_deadline_passed(now, effects),
-            Due::RecordTimeout(number) => self.record_timed_out(now, number, effects),
-            Due::InheritedMembership => self.inherited_membership_expired(now, effects),
-            Due::ListLease => self.list_lease_due(now, effects),
-            Due::PreviousAddress => self.previous_address_expired(now, effects),
-            Due::InitialHealthChecks => self.send_initial_health_checks(now, effects),
+            TimerKind::DecisionCycle => self.decision_timer_set = false,
+            TimerKind::AnswerDeadline => self.answer_deadline_passed(now, effects),
+            TimerKind::RecordTimeout(number) => self.record_timed_out(now, number, effects),
+            TimerKind::InheritedMembership => self.inherited_membership_expired(now, effects),
+            TimerKind::ListLease => self.list_lease_due(now, effects),
+            TimerKind::PreviousAddress => self.previous_address_expired(now, effects),
+            TimerKind::InitialHealthChecks => self.send_initial_health_checks(now, effects),
         }
     }
 }
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -98,9 +98,9 @@
     /// The complete result.
     Served(ResultRows),
     /// The streamed result is complete.
-    Finished,
+    Streamed,
     /// The streamed result cannot be completed.
-    Cut,
+    Truncated,
     /// Rejected before execution; the client may retry, best after this many milliseconds.
     Rejected(Milliseconds),
     /// Failed, with the engine's error if there is one.
@@ -135,7 +135,7 @@
 
 impl AttemptEnd {
     /// An end that has nothing but its outcome.
-    pub fn plain(outcome: Outcome) -> Self {
+    pub fn from_outcome(outcome: Outcome) -> Self {
         Self { outcome, work: None, report: None, rows: ResultRows::default(), error: None }
     }
 }
--- a/src/net/connection/frame.rs
+++ b/src/net/connection/frame.rs
@@ -96,7 +96,7 @@
             attempt: Some(send.id),
             segments: encode(&send),
             tally: Some((send.class.0, Count::Sends)),
-            transmit_before: Some(send.leave_within.map_or(deadline, after).min(deadline)),
+            transmit_before: Some(send.transmit_within.map_or(deadline, after).min(deadline)),
             queued_attempt: Some(QueuedAttempt {
                 send,
                 encode,
--- a/src/net/engine/clickhouse/driver.rs
+++ b/src/net/engine/clickhouse/driver.rs
@@ -37,7 +37,7 @@
                 Ok(_) if unsent.contains(&id) => Outcome::NotExecuted,
                 Ok(_) => Outcome::Reset,
             };
-            Event::AttemptEnded(id, AttemptEnd::plain(outcome))
+            Event::AttemptEnded(id, AttemptEnd::from_outcome(outcome))
         }
     };
     let _ = events.send(event).await;
@@ -48,7 +48,8 @@
     loop {
         let id = connection.write_queue.next_expired_attempt().await;
         if connection.carries(id) {
-            let _ = events.send(Event::AttemptEnded(id, AttemptEnd::plain(Outcome::NotExecuted))).await;
+            let _ =
+                events.send(Event::AttemptEnded(id, AttemptEnd::from_outcome(Outcome::NotExecuted))).await;
             connection.end_job();
         }
     }
--- a/src/net/engine/clickhouse/mod.rs
+++ b/src/net/engine/clickhouse/mod.rs
@@ -122,7 +122,7 @@
         let (id, engine, address) = (send.id, send.engine.clone(), send.address);
         if !self.assign(&engine, address, job, Frame::for_attempt(send, request::encode)) {
             log::error_rate_limited("no connection is left for an attempt on an engine", &engine.0);
-            events.push(Event::AttemptEnded(id, AttemptEnd::plain(Outcome::NotExecuted)));
+            events.push(Event::AttemptEnded(id, AttemptEnd::from_outcome(Outcome::NotExecuted)));
         }
     }
 
@@ -150,7 +150,7 @@
             for id in connection.write_queue.unsent_attempts() {
                 if connection.write_queue.withdraw(id) {
                     connection.end_job();
-                    events.push(Event::AttemptEnded(id, AttemptEnd::plain(Outcome::NotExecuted)));
+                    events.push(Event::AttemptEnded(id, AttemptEnd::from_outcome(Outcome::NotExecuted)));
                 }
             }
         }
--- a/src/net/engine/clickhouse/response.rs
+++ b/src/net/engine/clickhouse/response.rs
@@ -246,7 +246,7 @@
         } else if response.bytes > self.limits.max_message_bytes {
             log::warn_rate_limited("a result that is too large cannot be passed on whole");
             self.connection.end_job();
-            slot.send(Event::AttemptEnded(id, AttemptEnd::plain(Outcome::Error)));
+            slot.send(Event::AttemptEnded(id, AttemptEnd::from_outcome(Outcome::Error)));
             return Err(ConnectionFailed);
         }
         Ok(())
@@ -258,7 +258,7 @@
     let code = rows.headers.iter().find(|(name, _)| name.eq_ignore_ascii_case(EXCEPTION_CODE_HEADER));
     let code = code.and_then(|(_, value)| value.parse().ok());
     if status == OK && code.is_none() {
-        return AttemptEnd { rows, ..AttemptEnd::plain(Outcome::Ok) };
+        return AttemptEnd { rows, ..AttemptEnd::from_outcome(Outcome::Ok) };
     }
     let outcome = match (status, code) {
         (_, Some(TOO_MANY_SIMULTANEOUS_QUERIES)) => Outcome::Full,
@@ -267,5 +267,5 @@
         _ => Outcome::Error,
     };
     let error = EngineError { status, code: code.unwrap_or(0), text: rows.parts.concat() };
-    AttemptEnd { error: Some(error), ..AttemptEnd::plain(outcome) }
+    AttemptEnd { error: Some(error), ..AttemptEnd::from_outcome(outcome) }
 }
--- a/src/net/engine/connection.rs
+++ b/src/net/engine/connection.rs
@@ -140,7 +140,7 @@
             let Some(attempt) = self.end_attempt(&name) else { continue };
             self.write_queue.push(resp::command(&["shut", &name]), limits);
             self.retire_name(name, limits);
-            events.push(Event::AttemptEnded(attempt.id, AttemptEnd::plain(Outcome::Error)));
+            events.push(Event::AttemptEnded(attempt.id, AttemptEnd::from_outcome(Outcome::Error)));
         }
     }
 
--- a/src/net/engine/driver.rs
+++ b/src/net/engine/driver.rs
@@ -50,7 +50,7 @@
     loop {
         let id = connection.write_queue.next_expired_attempt().await;
         // It stays in flight until it is reported: if the connection ends meanwhile, its end is reported with it.
-        let _ = events.send(Event::AttemptEnded(id, AttemptEnd::plain(Outcome::NotExecuted))).await;
+        let _ = events.send(Event::AttemptEnded(id, AttemptEnd::from_outcome(Outcome::NotExecuted))).await;
         connection.remove_attempt(id);
     }
 }
@@ -142,7 +142,7 @@
             None if unsent.contains(&attempt.id) => Outcome::NotExecuted,
             None => Outcome::Reset,
         };
-        let _ = events.send(Event::AttemptEnded(attempt.id, AttemptEnd::plain(outcome))).await;
+        let _ = events.send(Event::AttemptEnded(attempt.id, AttemptEnd::from_outcome(outcome))).await;
     }
 }
 
--- a/src/net/engine/partial_result.rs
+++ b/src/net/engine/partial_result.rs
@@ -38,7 +38,7 @@
         let end = AttemptEnd {
             work: reply.number("cost"),
             report: reply.load_report(),
-            ..AttemptEnd::plain(Outcome::Ok)
+            ..AttemptEnd::from_outcome(Outcome::Ok)
         };
         let pages = (0..count).map(|_| None).collect();
         Some(Self { pages, bytes: 0, end, last_page_at: Instant::now() })
--- a/src/net/engine/pool.rs
+++ b/src/net/engine/pool.rs
@@ -132,7 +132,7 @@
         let name = send.statement.name.clone();
         let Some(connection) = self.choose_connection(&send.engine, send.address, &name) else {
             log::error_rate_limited("no connection is left for an attempt on an engine", &send.engine.0);
-            return events.push(Event::AttemptEnded(send.id, AttemptEnd::plain(Outcome::NotExecuted)));
+            return events.push(Event::AttemptEnded(send.id, AttemptEnd::from_outcome(Outcome::NotExecuted)));
         };
         connection.last_used.set(Instant::now());
         connection.in_flight.borrow_mut().insert(name.clone(), InFlight::new(send.id));
@@ -184,7 +184,7 @@
             connection.retired.set(true);
             for id in connection.withdraw_unsent() {
                 self.placements.remove(&id);
-                events.push(Event::AttemptEnded(id, AttemptEnd::plain(Outcome::NotExecuted)));
+                events.push(Event::AttemptEnded(id, AttemptEnd::from_outcome(Outcome::NotExecuted)));
             }
         }
     }
--- a/src/net/engine/replies.rs
+++ b/src/net/engine/replies.rs
@@ -66,7 +66,7 @@
     connection.retire_name(reply.id.to_owned(), limits);
     // An attempt whose result has begun was executed, whatever the reply says.
     let outcome = if attempt.result.is_some() { Outcome::Error } else { outcome };
-    let end = AttemptEnd { report: reply.load_report(), ..AttemptEnd::plain(outcome) };
+    let end = AttemptEnd { report: reply.load_report(), ..AttemptEnd::from_outcome(outcome) };
     ReplyEffect::Event(Event::AttemptEnded(attempt.id, end))
 }
 
--- a/src/net/front/clickhouse/response.rs
+++ b/src/net/front/clickhouse/response.rs
@@ -188,9 +188,9 @@
         let query_id = (QUERY_ID_HEADER, &*self.name);
         match answer {
             Answer::Served(rows) => session.send_response(200, &self.headers(&rows), rows.parts.clone()),
-            Answer::Finished => session.send(Frame::plain(b"0\r\n\r\n".to_vec()).counted(tally)),
+            Answer::Streamed => session.send(Frame::plain(b"0\r\n\r\n".to_vec()).counted(tally)),
             // Without the last chunk the client sees that the result is cut.
-            Answer::Cut => {
+            Answer::Truncated => {
                 session.keep_alive.set(false);
                 session.connection.write_queue.shared().metrics.add(tally);
             }
--- a/src/net/front/requests.rs
+++ b/src/net/front/requests.rs
@@ -37,8 +37,8 @@
 /// The metric under which an answer is counted.
 pub(super) fn count_of_answer(answer: &Answer) -> Count {
     match answer {
-        Answer::Served(_) | Answer::Finished => Count::Answered,
+        Answer::Served(_) | Answer::Streamed => Count::Answered,
         Answer::Rejected(_) => Count::Deferred,
-        Answer::Cut | Answer::Failed(_) | Answer::Expired => Count::Errored,
+        Answer::Truncated | Answer::Failed(_) | Answer::Expired => Count::Errored,
     }
 }
--- a/src/net/runtime/calls.rs
+++ b/src/net/runtime/calls.rs
@@ -12,7 +12,7 @@
     pub(super) fn answer_call(&mut self, call: Call, events: &mut Vec<Event>) -> Reply {
         match call {
             Call::Ready if self.terminated.is_some() => Reply::line(503, "ending"),
-            Call::Ready if !self.listening || self.core.awaits_list() => {
+            Call::Ready if !self.listening || self.core.awaits_endpoint_list() => {
                 Reply::line(503, "starting: the list of engines is awaited")
             }
             Call::Ready => Reply::line(200, "ready"),
--- a/src/net/runtime/cycle.rs
+++ b/src/net/runtime/cycle.rs
@@ -47,7 +47,7 @@
             self.core.handle(now, event, effects);
         }
         self.core.deduct_decision_time(self.frontend.clock.now() - now);
-        self.frontend.awaits_endpoint_list.set(self.core.awaits_list());
+        self.frontend.awaits_endpoint_list.set(self.core.awaits_endpoint_list());
     }
 
     /// Does what has to be done before the reducer takes an event.
--- a/src/net/runtime/effects.rs
+++ b/src/net/runtime/effects.rs
@@ -55,7 +55,7 @@
         if self.record_for_peers(&send) {
             self.engines.send(send, new_events);
         } else {
-            let end = AttemptEnd::plain(Outcome::NotExecuted);
+            let end = AttemptEnd::from_outcome(Outcome::NotExecuted);
             new_events.push(Event::AttemptEnded(send.id, end));
         }
     }
@@ -115,9 +115,9 @@
         Effect::DropQueued(engine) => tracing::trace!(engine = %engine.0, "queued attempts dropped"),
         Effect::Answer(id, answer) => {
             let kind = match answer {
-                Answer::Served(_) | Answer::Finished => "served",
+                Answer::Served(_) | Answer::Streamed => "served",
                 Answer::Rejected(_) => "refused",
-                Answer::Cut | Answer::Failed(_) => "failed",
+                Answer::Truncated | Answer::Failed(_) => "failed",
                 Answer::Expired => "expired",
             };
             tracing::trace!(request = id.0, kind, "request answered");
--- a/src/net/runtime/peers.rs
+++ b/src/net/runtime/peers.rs
@@ -14,7 +14,11 @@
         process_lifecycle::may_listen(
             hot_restart.incarnation(),
             &hot_restart.peers(),
-            Readiness { list_received: self.list_received, knows_engines: !self.core.awaits_list(), waited },
+            Readiness {
+                list_received: self.list_received,
+                knows_engines: !self.core.awaits_endpoint_list(),
+                waited,
+            },
         )
     }
 
--- a/src/net/runtime/startup.rs
+++ b/src/net/runtime/startup.rs
@@ -193,8 +193,8 @@
         ];
         self.run_decision_cycles(inherited.into_iter().chain(first).chain(observed));
         if self.config.name_service.is_some() {
-            self.core.await_list(self.frontend.clock.now());
-            self.frontend.awaits_endpoint_list.set(self.core.awaits_list());
+            self.core.await_endpoint_list(self.frontend.clock.now());
+            self.frontend.awaits_endpoint_list.set(self.core.awaits_endpoint_list());
         }
         // Without a name service the list at the start is the list.
         self.list_received = self.config.name_service.is_none();
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -16,13 +16,18 @@
     let mut harness = Harness::new(settings());
     harness.list(1, &["a", "b"]);
     let first = sent(&harness.take(1, None)).expect("sent");
-    let effects = harness.step(Event::AttemptEnded(first, AttemptEnd::plain(Outcome::ConnectFailed)));
+    let effects = harness.step(Event::AttemptEnded(first, AttemptEnd::from_outcome(Outcome::ConnectFailed)));
     let second = sent(&effects).expect("sent again");
     assert_eq!(second, AttemptId { request: first.request, number: 1 });
-    assert!(answers(&harness.step(Event::AttemptEnded(first, AttemptEnd::plain(Outcome::Ok)))).is_empty());
-    assert_eq!(answers(&harness.step(Event::AttemptEnded(second, AttemptEnd::plain(Outcome::Ok)))).len(), 1);
     assert!(
-        answers(&harness.step(Event::AttemptEnded(second, AttemptEnd::plain(Outcome::Ok)))).is_empty(),
+        answers(&harness.step(Event::AttemptEnded(first, AttemptEnd::from_outcome(Outcome::Ok)))).is_empty()
+    );
+    assert_eq!(
+        answers(&harness.step(Event::AttemptEnded(second, AttemptEnd::from_outcome(Outcome::Ok)))).len(),
+        1
+    );
+    assert!(
+        answers(&harness.step(Event::AttemptEnded(second, AttemptEnd::from_outcome(Outcome::Ok)))).is_empty(),
         "a second answer"
     );
 }
@@ -83,7 +88,7 @@
     let mut harness = Harness::new(s);
     harness.list(1, &["a"]);
     let first = sent(&harness.take(1, Some("k"))).expect("sent");
-    harness.step(Event::AttemptEnded(first, AttemptEnd::plain(Outcome::Ok)));
+    harness.step(Event::AttemptEnded(first, AttemptEnd::from_outcome(Outcome::Ok)));
     harness.now += 980.0;
     assert_eq!(sent(&harness.take(2, Some("k"))), None);
     assert!(sent(&harness.take(3, Some("other"))).is_some());
@@ -148,7 +153,9 @@
     harness.list(1, &["a"]);
     let within = |effects: &[Effect]| {
         let sends =
-            effects.iter().filter_map(|e| if let Effect::Send(s) = e { Some(s.leave_within) } else { None });
+            effects
+                .iter()
+                .filter_map(|e| if let Effect::Send(s) = e { Some(s.transmit_within) } else { None });
         sends.collect::<Vec<_>>()
     };
     // 20 ms are kept for the way.
@@ -207,7 +214,7 @@
     first.list(1, &["a", "b"]);
     let send = sent(&first.take(1, None)).expect("sent");
     (0..60).for_each(|_| drop(first.step(Event::TimersDue)));
-    first.step(Event::AttemptEnded(send, AttemptEnd::plain(Outcome::Ok)));
+    first.step(Event::AttemptEnded(send, AttemptEnd::from_outcome(Outcome::Ok)));
     let learned = first.core.learned(first.now);
     let snapshot = Snapshot::new("n0", &learned, &first.core.addresses());
     assert!(snapshot.engines.iter().any(|e| e.confirmed_at.is_some()), "{snapshot:?}");
--- a/tests/core_membership.rs
+++ b/tests/core_membership.rs
@@ -86,7 +86,7 @@
 fn what_comes_before_the_first_list_is_refused_at_once_and_spread() {
     let mut harness = Harness::new(Settings { max_retry_after: 10_000.0, ..settings() });
     harness.list(0, &[]);
-    harness.core.await_list(harness.now);
+    harness.core.await_endpoint_list(harness.now);
     harness.now += 1_000.0;
     let waits: Vec<f64> = (0..20)
         .map(|id| match answers(&harness.take(id, None))[..] {
@@ -98,7 +98,7 @@
     let apart = |w: &[f64]| (w[0] - w[1]).abs() > 1.0;
     assert!(waits.windows(2).filter(|w| apart(w)).count() > 15, "{waits:?}");
     harness.list(0, &["a"]);
-    assert!(!harness.core.awaits_list() && sent(&harness.take(100, None)).is_some());
+    assert!(!harness.core.awaits_endpoint_list() && sent(&harness.take(100, None)).is_some());
 }
 
 /// Of 300 that start together this one's probes leave at its place, 150 ms on; requests wait for none of it.
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -272,7 +272,7 @@
             class: ClassId(0),
             statement: Rc::new(statement),
             budget: 60_000.0,
-            leave_within: None,
+            transmit_within: None,
             memory_mb: 0.0,
             priority: 1,
             is_retry: false,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -263,8 +263,11 @@
                 let gateway = &mut self.gateways[gateway];
                 if gateway.incarnation == incarnation {
                     let report = Some(LoadReport { util, ..LoadReport::default() });
-                    let end =
-                        AttemptEnd { work: Some(finished.work), report, ..AttemptEnd::plain(Outcome::Ok) };
+                    let end = AttemptEnd {
+                        work: Some(finished.work),
+                        report,
+                        ..AttemptEnd::from_outcome(Outcome::Ok)
+                    };
                     gateway.events.push(Event::AttemptEnded(attempt, end));
                     gateway.attempt_ended(attempt);
                 }
--- a/tests/full_queue.rs
+++ b/tests/full_queue.rs
@@ -53,7 +53,7 @@
         class: ClassId(0),
         statement: Rc::new(statement),
         budget: 60_000.0,
-        leave_within: None,
+        transmit_within: None,
         memory_mb: 0.0,
         priority: 1,
         is_retry: false,
--- a/tests/idle.rs
+++ b/tests/idle.rs
@@ -198,7 +198,7 @@
             LoadReport { util, ..LoadReport::default() }
         });
         let id = AttemptId { request: RequestId(request), number: attempt };
-        self.step(Event::AttemptEnded(id, AttemptEnd { report, ..AttemptEnd::plain(Outcome::Ok) }));
+        self.step(Event::AttemptEnded(id, AttemptEnd { report, ..AttemptEnd::from_outcome(Outcome::Ok) }));
     }
 }
 
