--- a/crates/experiments/src/experiments/cost.rs
+++ b/crates/experiments/src/experiments/cost.rs
@@ -13,7 +13,7 @@
 use serde_json::{json, Value};
 use starlingplank_persistence::recovery::{self, EndpointIdentity, RestoredState};
 use starlingplank_persistence::snapshot;
-use starlingplank_persistence::snapshot_records::{Band, Class, Engine, Snapshot};
+use starlingplank_persistence::snapshot_records::{Snapshot, StoredBand, StoredClass, StoredEngine};
 use starlingplank_test_doubles::capacity_model::EngineSpec;
 use starlingplank_test_doubles::thrift::Answer;
 use tokio::time::{sleep, Instant};
@@ -92,21 +92,26 @@
 
 /// A snapshot of so many engines.
 fn large_snapshot(engines: usize) -> Snapshot {
-    let class = |number: u32| Class {
+    let class = |number: u32| StoredClass {
         name: format!("class-{number}"),
         bands: (1..=12)
-            .map(|band| Band { level: f64::from(band) * 0.25, samples: 9.0, mean: 200.0, variance: 900.0 })
+            .map(|band| StoredBand {
+                level: f64::from(band) * 0.25,
+                samples: 9.0,
+                mean: 200.0,
+                variance: 900.0,
+            })
             .collect(),
-        ..Class::default()
+        ..StoredClass::default()
     };
-    let engine = |number: usize| Engine {
+    let engine = |number: usize| StoredEngine {
         id: engine_id(number),
         address: format!("10.0.{}.{}:9000", number / 250, number % 250),
         confirmed_at: Some(TAKEN_AT - 50.0),
         reported_at: Some(TAKEN_AT - 50.0),
         slowdown: 1.1,
         other_threads: 3.0,
-        ..Engine::default()
+        ..StoredEngine::default()
     };
     Snapshot {
         taken_at: TAKEN_AT,
--- a/crates/persistence/src/cached_endpoints.rs
+++ b/crates/persistence/src/cached_endpoints.rs
@@ -87,20 +87,20 @@
         Ok(list)
     }
 
-    /// The list as it holds now: `None` once it is older than `keep_for`, or if it lies in the future. If engines may have
-    /// restarted since it was confirmed (after `restart_within`), all are taken to start now, and are in slow start.
-    pub fn aged(
+    /// The list as it holds now: `None` once it is older than `max_snapshot_age`, or if it lies in the future. If engines may have
+    /// restarted since it was confirmed (after `min_restart_time`), all are taken to start now, and are in slow start.
+    pub fn as_of(
         self,
         now: Milliseconds,
-        restart_within: Milliseconds,
-        keep_for: Milliseconds,
+        min_restart_time: Milliseconds,
+        max_snapshot_age: Milliseconds,
     ) -> Option<Self> {
         let age = now - self.confirmed_at;
-        if !(-CLOCK_TOLERANCE..=keep_for).contains(&age) {
+        if !(-CLOCK_TOLERANCE..=max_snapshot_age).contains(&age) {
             return None;
         }
         let mut list = self;
-        if age > restart_within {
+        if age > min_restart_time {
             for endpoint in &mut list.endpoints {
                 endpoint.started = now;
             }
--- a/crates/persistence/src/cached_endpoints/tests.rs
+++ b/crates/persistence/src/cached_endpoints/tests.rs
@@ -44,7 +44,7 @@
 
 #[test]
 fn engines_of_an_old_list_are_cold_and_a_list_too_old_is_none() {
-    let at = |now: Milliseconds| list().aged(now, 2_000.0, 60_000.0);
+    let at = |now: Milliseconds| list().as_of(now, 2_000.0, 60_000.0);
     assert_eq!(at(2_500.0), Some(list()));
     assert!(at(4_000.0).is_some_and(|l| l.endpoints.iter().all(|e| e.started == 4_000.0)));
     assert!(at(61_001.0).is_none() && at(-5_000.0).is_none());
--- a/crates/persistence/src/deduplication_window.rs
+++ b/crates/persistence/src/deduplication_window.rs
@@ -118,7 +118,7 @@
 
 impl DeduplicationWindow {
     /// Tracks keys in memory only.
-    pub fn off() -> Self {
+    pub fn in_memory() -> Self {
         Self::new(LogState::Off, 0.0, usize::MAX, 0.0)
     }
 
@@ -265,7 +265,7 @@
         let sends = match self.tracked.get(key) {
             Some(tracked) => tracked.sends.and(send),
             None if self.tracked.len() >= self.max_keys => return SendPermission::Denied,
-            None => KeySends::one(send),
+            None => KeySends::single(send),
         };
         self.track(*key, TrackedKey { sends, durable: false });
         match self.log {
--- a/crates/persistence/src/idempotency_key.rs
+++ b/crates/persistence/src/idempotency_key.rs
@@ -39,7 +39,7 @@
 
 impl KeySends {
     /// A single send.
-    pub fn one(send: KeySend) -> Self {
+    pub fn single(send: KeySend) -> Self {
         Self { first: send.at, last: send.at, window: send.window }
     }
 
@@ -52,7 +52,7 @@
     #[must_use]
     pub fn and(self, send: KeySend) -> Self {
         if send.at >= self.end() {
-            return Self::one(send);
+            return Self::single(send);
         }
         let window = self.window.max(send.window);
         Self { first: self.first.min(send.at), last: self.last.max(send.at), window }
--- a/crates/persistence/src/idempotency_log/contents.rs
+++ b/crates/persistence/src/idempotency_log/contents.rs
@@ -10,7 +10,7 @@
     /// Offset in bytes.
     pub offset: usize,
     /// What is wrong there.
-    pub why: String,
+    pub reason: String,
 }
 
 /// The contents of a log.
@@ -34,7 +34,7 @@
     let expected = header();
     if !bytes.starts_with(&expected) {
         let offset = bytes.iter().zip(expected).take_while(|(found, expected)| **found == *expected).count();
-        contents.fault = Some(LogFault { offset, why: "this is no log of keys of version 1".into() });
+        contents.fault = Some(LogFault { offset, reason: "this is no log of keys of version 1".into() });
         return contents;
     }
     let body = &bytes[HEADER_BYTES..];
@@ -52,7 +52,7 @@
         match record {
             Some(Record::KeySend(key, send)) => {
                 self.records += 1;
-                let sends = self.sends.get(key).map_or(KeySends::one(*send), |earlier| earlier.and(*send));
+                let sends = self.sends.get(key).map_or(KeySends::single(*send), |earlier| earlier.and(*send));
                 self.sends.insert(*key, sends);
             }
             Some(Record::Mark(mark)) => {
@@ -60,8 +60,8 @@
                 self.mark = Some(*mark);
             }
             None if self.fault.is_none() => {
-                let why = "a record is damaged, and good ones follow it".into();
-                self.fault = Some(LogFault { offset: HEADER_BYTES + index * RECORD_BYTES, why });
+                let reason = "a record is damaged, and good ones follow it".into();
+                self.fault = Some(LogFault { offset: HEADER_BYTES + index * RECORD_BYTES, reason });
             }
             None => {}
         }
--- a/crates/persistence/src/idempotency_log/files.rs
+++ b/crates/persistence/src/idempotency_log/files.rs
@@ -46,10 +46,10 @@
 /// The folder or the file cannot be read.
 pub fn fault(disk: &dyn Disk) -> io::Result<Option<FileFault>> {
     let Some((file, contents)) = last(disk)? else { return Ok(None) };
-    Ok(contents.fault.map(|LogFault { offset, why }| FileFault {
-        why: format!("at byte {offset}: {why}"),
+    Ok(contents.fault.map(|LogFault { offset, reason }| FileFault {
+        reason: format!("at byte {offset}: {reason}"),
         offset: Some(offset),
         file,
-        newer: false,
+        is_newer_version: false,
     }))
 }
--- a/crates/persistence/src/idempotency_log/record.rs
+++ b/crates/persistence/src/idempotency_log/record.rs
@@ -36,7 +36,7 @@
 
 impl Record {
     /// The records that a file needs for the sends of a key: the first, and the last if that is another.
-    pub fn of_sends(key: Key, sends: &KeySends) -> impl Iterator<Item = Record> {
+    pub fn for_sends(key: Key, sends: &KeySends) -> impl Iterator<Item = Record> {
         let window = sends.window;
         let last = (sends.last > sends.first).then_some(sends.last);
         [Some(sends.first), last]
--- a/crates/persistence/src/idempotency_log/recovery.rs
+++ b/crates/persistence/src/idempotency_log/recovery.rs
@@ -91,7 +91,7 @@
     window: Milliseconds,
 ) -> Result<TrustedLog, DistrustedLog> {
     if let Some(fault) = contents.fault {
-        return Err(DistrustedLog::Damaged { file, offset: fault.offset, why: fault.why });
+        return Err(DistrustedLog::Damaged { file, offset: fault.offset, why: fault.reason });
     }
     let Some(mark) = contents.mark else { return Err(DistrustedLog::NoMark { file }) };
     if now.boot_id != Some(mark.boot_id) {
--- a/crates/persistence/src/idempotency_log/writer.rs
+++ b/crates/persistence/src/idempotency_log/writer.rs
@@ -37,7 +37,7 @@
         self.next_number = self.next_number.saturating_add(1);
         let mut bytes = header().to_vec();
         for (key, sends) in keys {
-            bytes.extend(Record::of_sends(*key, sends).flat_map(|record| record.bytes()));
+            bytes.extend(Record::for_sends(*key, sends).flat_map(|record| record.bytes()));
         }
         if let Some(mark) = mark {
             bytes.extend(Record::Mark(mark).bytes());
--- a/crates/persistence/src/inspection.rs
+++ b/crates/persistence/src/inspection.rs
@@ -6,8 +6,8 @@
 use crate::file_fault::FileFault;
 use crate::folder::Files;
 use crate::idempotency_log;
-use crate::recovery::{self, retained_weight, EndpointIdentity, Rules, Uncertainty};
-use crate::snapshot_records::{Band, Class, Engine, Snapshot};
+use crate::recovery::{self, retained_weight, EndpointIdentity, RecoverySettings, Uncertainty};
+use crate::snapshot_records::{Snapshot, StoredBand, StoredClass, StoredEngine};
 use crate::snapshot_store;
 use serde_json::{json, Value};
 use starlingplank_decision::interface::Milliseconds;
@@ -27,7 +27,7 @@
 
 /// What `verify` found.
 #[derive(Debug, Default)]
-pub struct Verdict {
+pub struct VerificationResult {
     /// Files that are not intact.
     pub faults: Vec<FileFault>,
     /// Whether there is any snapshot, log or cached list.
@@ -36,7 +36,7 @@
     pub torn_bytes: usize,
 }
 
-impl Verdict {
+impl VerificationResult {
     /// The command's exit code: 0 if all is intact, 1 if some file is not, 2 if there is nothing.
     pub fn code(&self) -> u8 {
         match (self.found_any, self.faults.is_empty()) {
@@ -51,9 +51,9 @@
 ///
 /// # Errors
 /// The folder cannot be read.
-pub fn verify(folder: &Path) -> io::Result<Verdict> {
+pub fn verify(folder: &Path) -> io::Result<VerificationResult> {
     let disk = match std::fs::metadata(folder) {
-        Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(Verdict::default()),
+        Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(VerificationResult::default()),
         found => found.map(|_| Files::new(folder))?,
     };
     let loaded = snapshot_store::load(&disk, MAX_SNAPSHOT_BYTES)?;
@@ -67,12 +67,12 @@
     if let Err(error) = list {
         faults.push(cached_list_fault(&error));
     }
-    Ok(Verdict { faults, found_any, torn_bytes })
+    Ok(VerificationResult { faults, found_any, torn_bytes })
 }
 
 fn cached_list_fault(error: &CacheError) -> FileFault {
-    let newer = matches!(error, CacheError::Frame(frame) if frame.is_newer_version());
-    FileFault { newer, ..FileFault::unreadable(cached_endpoints::FILE.into(), error) }
+    let is_newer_version = matches!(error, CacheError::Frame(frame) if frame.is_newer_version());
+    FileFault { is_newer_version, ..FileFault::unreadable(cached_endpoints::FILE.into(), error) }
 }
 
 /// All values of the latest snapshot, with their age and the weight that they would retain now. `None` if there is no
@@ -80,7 +80,7 @@
 ///
 /// # Errors
 /// The folder cannot be read.
-pub fn show(folder: &Path, now: Milliseconds, rules: &Rules) -> io::Result<Option<Value>> {
+pub fn show(folder: &Path, now: Milliseconds, rules: &RecoverySettings) -> io::Result<Option<Value>> {
     let disk = Files::new(folder);
     let loaded = snapshot_store::load(&disk, MAX_SNAPSHOT_BYTES)?;
     let log = idempotency_log::last(&disk)?;
@@ -138,7 +138,7 @@
     })
 }
 
-fn show_class(class: &Class, snapshot: &Snapshot, now: Milliseconds) -> Value {
+fn show_class(class: &StoredClass, snapshot: &Snapshot, now: Milliseconds) -> Value {
     let age = now - class.confirmed_at.unwrap_or(snapshot.taken_at);
     json!({
         "name": class.name,
@@ -155,7 +155,7 @@
     })
 }
 
-fn show_band(band: &Band) -> Value {
+fn show_band(band: &StoredBand) -> Value {
     json!({
         "threads_per_core": band.level,
         "outcomes": band.samples,
@@ -164,7 +164,12 @@
     })
 }
 
-fn show_engine(engine: &Engine, snapshot: &Snapshot, now: Milliseconds, rules: &Rules) -> Value {
+fn show_engine(
+    engine: &StoredEngine,
+    snapshot: &Snapshot,
+    now: Milliseconds,
+    rules: &RecoverySettings,
+) -> Value {
     let identity = EndpointIdentity {
         id: engine.id.clone(),
         address: engine.address.clone(),
@@ -196,7 +201,7 @@
 fn show_uncertainty(uncertainty: Uncertainty) -> &'static str {
     match uncertainty {
         Uncertainty::None => "heard of lately",
-        Uncertainty::NotHeardRecently => "not heard of for longer than a restart takes",
+        Uncertainty::NotSeenRecently => "not heard of for longer than a restart takes",
         Uncertainty::Restarted => "started anew",
         Uncertainty::UnknownId => "unknown",
         Uncertainty::WasInSlowStart => "cold when last seen",
--- a/crates/persistence/src/recovery.rs
+++ b/crates/persistence/src/recovery.rs
@@ -5,7 +5,7 @@
 //! minute. Whether a process is warm cannot be told from its id: an engine that the gateway has not heard from for
 //! longer than a restart takes, that restarted, or that the snapshot does not know, is *perhaps in slow start*.
 
-use crate::snapshot_records::{Engine, Snapshot};
+use crate::snapshot_records::{Snapshot, StoredEngine};
 use starlingplank_decision::interface::Milliseconds;
 use starlingplank_decision::learned::{LearnedEngine, LearnedFleet, LearnedState};
 use std::collections::{BTreeMap, BTreeSet};
@@ -30,22 +30,22 @@
 
 /// What an operator configures.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Rules {
+pub struct RecoverySettings {
     /// An engine cannot stop and be back in less time.
-    pub restart_within: Milliseconds,
+    pub min_restart_time: Milliseconds,
     /// An older snapshot is rejected.
-    pub keep_for: Milliseconds,
+    pub max_snapshot_age: Milliseconds,
     /// How long engines that the list does not name are kept for it to name them.
-    pub list_wait: Milliseconds,
+    pub unlisted_retention: Milliseconds,
     /// The budget of an engine in slow start is counted over this time.
     pub overload_collapse_after: Milliseconds,
 }
 
 /// The rules where an operator configures none.
-pub const DEFAULT: Rules = Rules {
-    restart_within: 3_000.0,
-    keep_for: 3_600_000.0,
-    list_wait: 60_000.0,
+pub const DEFAULT: RecoverySettings = RecoverySettings {
+    min_restart_time: 3_000.0,
+    max_snapshot_age: 3_600_000.0,
+    unlisted_retention: 60_000.0,
     overload_collapse_after: 2_000.0,
 };
 
@@ -66,7 +66,7 @@
     /// It is not: it is the known process, and was heard from recently.
     None,
     /// It was not heard from for longer than a restart takes.
-    NotHeardRecently,
+    NotSeenRecently,
     /// Its start time is another.
     Restarted,
     /// The snapshot does not know its id.
@@ -102,22 +102,26 @@
 ///
 /// # Errors
 /// The snapshot lies in the future, is too old, or has no valid time.
-pub fn age(snapshot: &Snapshot, now: Milliseconds, rules: &Rules) -> Result<Milliseconds, RejectedSnapshot> {
+pub fn age(
+    snapshot: &Snapshot,
+    now: Milliseconds,
+    rules: &RecoverySettings,
+) -> Result<Milliseconds, RejectedSnapshot> {
     let age = now - snapshot.taken_at;
     match age {
         _ if !age.is_finite() => Err(RejectedSnapshot::InvalidTime),
         _ if age < -CLOCK_TOLERANCE => Err(RejectedSnapshot::FromTheFuture(-age)),
-        _ if age > rules.keep_for => Err(RejectedSnapshot::TooOld(age)),
+        _ if age > rules.max_snapshot_age => Err(RejectedSnapshot::TooOld(age)),
         _ => Ok(age.max(0.0)),
     }
 }
 
 /// Whether an engine may be another process than the known one.
 pub fn uncertainty(
-    known: Option<&Engine>,
+    known: Option<&StoredEngine>,
     identity: &EndpointIdentity,
     now: Milliseconds,
-    rules: &Rules,
+    rules: &RecoverySettings,
 ) -> Uncertainty {
     let Some(known) = known else { return Uncertainty::UnknownId };
     if identity.started.is_some() && identity.started != known.started_at {
@@ -127,8 +131,8 @@
         return Uncertainty::WasInSlowStart;
     }
     match known.confirmed_at {
-        Some(at) if now - at <= rules.restart_within && now - at >= -CLOCK_TOLERANCE => Uncertainty::None,
-        _ => Uncertainty::NotHeardRecently,
+        Some(at) if now - at <= rules.min_restart_time && now - at >= -CLOCK_TOLERANCE => Uncertainty::None,
+        _ => Uncertainty::NotSeenRecently,
     }
 }
 
@@ -166,11 +170,11 @@
 
 /// What is restored of an engine. `taken` is the time of the snapshot.
 pub fn engine(
-    known: Option<&Engine>,
+    known: Option<&StoredEngine>,
     identity: &EndpointIdentity,
     taken: Milliseconds,
     now: Milliseconds,
-    rules: &Rules,
+    rules: &RecoverySettings,
 ) -> LearnedEngine {
     let uncertainty = uncertainty(known, identity, now, rules);
     let perhaps_cold = uncertainty != Uncertainty::None;
@@ -186,7 +190,7 @@
     let health = retained_weight(now - seen, HEALTH_HALF_LIFE);
     // How much of a slow start's budget was left at the very end is unknown.
     let spent = known.in_slow_start
-        && now - seen.max(taken) <= rules.overload_collapse_after.max(rules.restart_within);
+        && now - seen.max(taken) <= rules.overload_collapse_after.max(rules.min_restart_time);
     LearnedEngine {
         slowdown: 1.0 + (known.slowdown - 1.0) * health,
         error_rate: known.error_rate * health,
@@ -207,11 +211,11 @@
 /// Knowledge of an earlier process, held until the endpoint list has named its engines or the wait for that has ended.
 #[derive(Debug)]
 pub struct RestoredState {
-    rules: Rules,
+    rules: RecoverySettings,
     taken: Milliseconds,
     /// What is not of single engines, until it is handed out with the first of them.
     fleet: Option<LearnedState>,
-    known: BTreeMap<String, Engine>,
+    known: BTreeMap<String, StoredEngine>,
     /// Ids of engines that were handed out already.
     restored: BTreeSet<String>,
     /// End of the wait for the list: set when it names the first engines.
@@ -223,7 +227,11 @@
     ///
     /// # Errors
     /// The snapshot is rejected.
-    pub fn new(snapshot: &Snapshot, now: Milliseconds, rules: Rules) -> Result<Self, RejectedSnapshot> {
+    pub fn new(
+        snapshot: &Snapshot,
+        now: Milliseconds,
+        rules: RecoverySettings,
+    ) -> Result<Self, RejectedSnapshot> {
         let age = age(snapshot, now, &rules)?;
         let mut learned = snapshot.learned();
         learned.engines.clear();
@@ -245,7 +253,7 @@
         if listed.is_empty() {
             return None;
         }
-        let deadline = *self.deadline.get_or_insert(now + self.rules.list_wait);
+        let deadline = *self.deadline.get_or_insert(now + self.rules.unlisted_retention);
         if now > deadline {
             self.known.clear();
             return None;
--- a/crates/persistence/src/snapshot_records.rs
+++ b/crates/persistence/src/snapshot_records.rs
@@ -19,16 +19,16 @@
     /// The concurrency limit, in threads per core.
     pub concurrency_limit: f64,
     /// What was learned of all engines together.
-    pub fleet: Fleet,
+    pub fleet: StoredFleet,
     /// What was learned of each class.
-    pub classes: Vec<Class>,
+    pub classes: Vec<StoredClass>,
     /// What was learned of each engine.
-    pub engines: Vec<Engine>,
+    pub engines: Vec<StoredEngine>,
 }
 
 /// What was learned of all engines together.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Fleet {
+pub struct StoredFleet {
     /// This gateway's recent threads.
     pub own_threads: f64,
     /// Recent threads of all gateways.
@@ -49,7 +49,7 @@
 
 /// Latencies of a class in one band of load.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
-pub struct Band {
+pub struct StoredBand {
     /// The band, in threads per core.
     pub level: f64,
     /// Number of samples, decayed.
@@ -62,7 +62,7 @@
 
 /// What was learned of a class.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Class {
+pub struct StoredClass {
     /// Its name.
     pub name: String,
     /// Threads of a query.
@@ -70,7 +70,7 @@
     /// When an outcome was last seen.
     pub confirmed_at: Option<Milliseconds>,
     /// Latency by load.
-    pub bands: Vec<Band>,
+    pub bands: Vec<StoredBand>,
     /// Lowest recent mean latency.
     pub best_latency: Milliseconds,
     /// Latency of a query alone.
@@ -91,7 +91,7 @@
 
 /// What was learned of an engine.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Engine {
+pub struct StoredEngine {
     /// Its id.
     pub id: String,
     /// Where it listened; empty in records of version 1.
@@ -125,14 +125,14 @@
     pub fn new(gateway: &str, learned: &LearnedState, addresses: &BTreeMap<String, String>) -> Self {
         let engine = |engine: &LearnedEngine| {
             let address = addresses.get(&engine.id).cloned().unwrap_or_default();
-            Engine { address, ..Engine::from(engine) }
+            StoredEngine { address, ..StoredEngine::from(engine) }
         };
         Self {
             taken_at: learned.recorded_at,
             gateway: gateway.to_owned(),
             concurrency_limit: learned.concurrency_limit,
-            fleet: Fleet::from(&learned.fleet),
-            classes: learned.classes.iter().map(Class::from).collect(),
+            fleet: StoredFleet::from(&learned.fleet),
+            classes: learned.classes.iter().map(StoredClass::from).collect(),
             engines: learned.engines.iter().map(engine).collect(),
         }
     }
@@ -149,7 +149,7 @@
     }
 }
 
-impl From<&LearnedFleet> for Fleet {
+impl From<&LearnedFleet> for StoredFleet {
     fn from(fleet: &LearnedFleet) -> Self {
         Self {
             own_threads: fleet.own_threads,
@@ -164,8 +164,8 @@
     }
 }
 
-impl From<&Fleet> for LearnedFleet {
-    fn from(fleet: &Fleet) -> Self {
+impl From<&StoredFleet> for LearnedFleet {
+    fn from(fleet: &StoredFleet) -> Self {
         Self {
             own_threads: fleet.own_threads,
             all_threads: fleet.all_threads,
@@ -179,27 +179,27 @@
     }
 }
 
-impl From<&LearnedBand> for Band {
+impl From<&LearnedBand> for StoredBand {
     fn from(band: &LearnedBand) -> Self {
         let LearnedBand { level, samples, mean, variance } = *band;
         Self { level, samples, mean, variance }
     }
 }
 
-impl From<&Band> for LearnedBand {
-    fn from(band: &Band) -> Self {
-        let Band { level, samples, mean, variance } = *band;
+impl From<&StoredBand> for LearnedBand {
+    fn from(band: &StoredBand) -> Self {
+        let StoredBand { level, samples, mean, variance } = *band;
         Self { level, samples, mean, variance }
     }
 }
 
-impl From<&LearnedClass> for Class {
+impl From<&LearnedClass> for StoredClass {
     fn from(class: &LearnedClass) -> Self {
         Self {
             name: class.name.clone(),
             threads: class.threads,
             confirmed_at: class.confirmed_at,
-            bands: class.bands.iter().map(Band::from).collect(),
+            bands: class.bands.iter().map(StoredBand::from).collect(),
             best_latency: class.best_latency,
             unloaded_latency: class.unloaded_latency,
             control_steps: class.control_steps,
@@ -212,8 +212,8 @@
     }
 }
 
-impl From<&Class> for LearnedClass {
-    fn from(class: &Class) -> Self {
+impl From<&StoredClass> for LearnedClass {
+    fn from(class: &StoredClass) -> Self {
         Self {
             name: class.name.clone(),
             threads: class.threads,
@@ -232,7 +232,7 @@
 }
 
 /// Without an address: the decision module knows none.
-impl From<&LearnedEngine> for Engine {
+impl From<&LearnedEngine> for StoredEngine {
     fn from(engine: &LearnedEngine) -> Self {
         Self {
             id: engine.id.clone(),
@@ -253,8 +253,8 @@
 }
 
 /// What is decided on recovery is unset: [`recovery::engine`](crate::recovery::engine) decides it.
-impl From<&Engine> for LearnedEngine {
-    fn from(engine: &Engine) -> Self {
+impl From<&StoredEngine> for LearnedEngine {
+    fn from(engine: &StoredEngine) -> Self {
         Self {
             id: engine.id.clone(),
             started_at: engine.started_at,
@@ -276,7 +276,7 @@
 
 /// The records of version 1.
 pub mod v1 {
-    use super::{Class, Milliseconds};
+    use super::{Milliseconds, StoredClass};
     use serde::{Deserialize, Serialize};
 
     /// A snapshot of version 1.
@@ -289,14 +289,14 @@
         /// Recent threads of this gateway and of all, threads of a query, load of others, slowness, speed.
         pub fleet: [f64; 6],
         /// What was learned of each class, as in version 2.
-        pub classes: Vec<Class>,
+        pub classes: Vec<StoredClass>,
         /// What was learned of each engine.
-        pub engines: Vec<Engine>,
+        pub engines: Vec<StoredEngine>,
     }
 
     /// An engine of version 1.
     #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-    pub struct Engine {
+    pub struct StoredEngine {
         /// Its id.
         pub id: String,
         /// When its process started.
@@ -316,7 +316,7 @@
     impl From<Snapshot> for super::Snapshot {
         fn from(old: Snapshot) -> Self {
             let [own_seen, all_seen, width, usual_load, usual_slow, speed] = old.fleet;
-            let engine = |engine: Engine| super::Engine {
+            let engine = |engine: StoredEngine| super::StoredEngine {
                 id: engine.id,
                 started_at: engine.started_at,
                 confirmed_at: engine.confirmed_at,
@@ -324,13 +324,13 @@
                 error_rate: engine.error_rate,
                 ejected_until: engine.ejected_until,
                 in_slow_start: engine.in_slow_start,
-                ..super::Engine::default()
+                ..super::StoredEngine::default()
             };
             Self {
                 taken_at: old.taken_at,
                 gateway: String::new(),
                 concurrency_limit: old.concurrency_limit,
-                fleet: super::Fleet {
+                fleet: super::StoredFleet {
                     own_threads: own_seen,
                     all_threads: all_seen,
                     threads_per_query: width,
--- a/crates/persistence/src/snapshot_store.rs
+++ b/crates/persistence/src/snapshot_store.rs
@@ -55,7 +55,7 @@
         let generations = disk::numbers(&*disk, PREFIX, EXTENSION)?;
         let is_of_newer_release = |generation: &u64| {
             let name = disk::numbered_name(PREFIX, *generation, EXTENSION);
-            loaded.faults.iter().any(|fault| fault.newer && fault.file == name)
+            loaded.faults.iter().any(|fault| fault.is_newer_version && fault.file == name)
         };
         let newer_releases = generations.iter().copied().filter(is_of_newer_release).collect();
         let next_generation = generations.first().map_or(1, |latest| latest.saturating_add(1));
--- a/crates/persistence/tests/common/mod.rs
+++ b/crates/persistence/tests/common/mod.rs
@@ -1,10 +1,12 @@
 //! Snapshots for tests.
 #![allow(dead_code)]
 
-use starlingplank_persistence::snapshot_records::{Band, Class, Engine, Fleet, Snapshot};
+use starlingplank_persistence::snapshot_records::{
+    Snapshot, StoredBand, StoredClass, StoredEngine, StoredFleet,
+};
 
-fn band(level: f64, samples: f64, mean: f64, variance: f64) -> Band {
-    Band { level, samples, mean, variance }
+fn band(level: f64, samples: f64, mean: f64, variance: f64) -> StoredBand {
+    StoredBand { level, samples, mean, variance }
 }
 
 pub(crate) fn snapshot(taken: f64, engines: usize) -> Snapshot {
@@ -12,15 +14,15 @@
         taken_at: taken,
         gateway: "n0".into(),
         concurrency_limit: 1.75,
-        fleet: Fleet {
+        fleet: StoredFleet {
             own_threads: 3.0,
             all_threads: 9.0,
             threads_per_query: 1.25,
             median_slowdown: 1.0,
             speed: 0.9,
-            ..Fleet::default()
+            ..StoredFleet::default()
         },
-        classes: vec![Class {
+        classes: vec![StoredClass {
             name: "lookup".into(),
             threads: 1.0,
             confirmed_at: Some(taken - 40.0),
@@ -35,7 +37,7 @@
             grant_factor: 1.6,
         }],
         engines: (0..engines)
-            .map(|n| Engine {
+            .map(|n| StoredEngine {
                 id: format!("s-{n}"),
                 address: format!("127.0.0.1:{}", 9000 + n),
                 confirmed_at: Some(taken - 100.0),
@@ -43,7 +45,7 @@
                 slowdown: 1.0 + n as f64,
                 error_rate: 0.1,
                 other_threads: 4.0,
-                ..Engine::default()
+                ..StoredEngine::default()
             })
             .collect(),
     }
--- a/crates/persistence/tests/crash.rs
+++ b/crates/persistence/tests/crash.rs
@@ -122,7 +122,7 @@
     later[8] = 9;
     disk.put(name, later.clone());
     let (mut store, loaded) = Store::open(Box::new(disk.clone()), MOST).expect("it can be read");
-    assert!(loaded.faults[0].newer && loaded.faults[0].why.contains("version 9 is newer"));
+    assert!(loaded.faults[0].is_newer_version && loaded.faults[0].reason.contains("version 9 is newer"));
     for n in 10..15 {
         store.save(&snapshot(f64::from(n), 1)).expect("it works");
     }
@@ -144,7 +144,7 @@
     let mut done = Vec::new();
     let Ok(mut log) = IdempotencyLog::open(Box::new(disk.clone())) else { return done };
     for file in 0..2_u32 {
-        let keys: Vec<_> = done.iter().map(|n| (key(&n.to_string()), KeySends::one(first(*n)))).collect();
+        let keys: Vec<_> = done.iter().map(|n| (key(&n.to_string()), KeySends::single(first(*n)))).collect();
         if log.rewrite(&keys, Some(mark(f64::from(file * 10)))).is_err() {
             return done;
         }
--- a/crates/persistence/tests/deduplication_window.rs
+++ b/crates/persistence/tests/deduplication_window.rs
@@ -9,7 +9,7 @@
 #[case::shorter_now(12_000.0, 1_200.0)]
 #[case::longer_now(1_200.0, 12_000.0)]
 fn repeat_under_another_window_leaves_within_the_shorter_one(#[case] first: f64, #[case] now: f64) {
-    let mut deduplication = DeduplicationWindow::off();
+    let mut deduplication = DeduplicationWindow::in_memory();
     deduplication.admit(&key("k"), first, 1_000.0, 20.0);
     deduplication.permit_send(&key("k"), first, 1_000.0);
     assert_eq!(deduplication.admit(&key("k"), now, 1_500.0, 20.0), Admission::Until(2_180.0));
--- a/crates/persistence/tests/recovery.rs
+++ b/crates/persistence/tests/recovery.rs
@@ -5,32 +5,33 @@
 use common::snapshot;
 use rstest::rstest;
 use starlingplank_persistence::recovery::{
-    age, retained_weight, uncertainty, EndpointIdentity, RejectedSnapshot, RestoredState, Rules, Uncertainty,
+    age, retained_weight, uncertainty, EndpointIdentity, RecoverySettings, RejectedSnapshot, RestoredState,
+    Uncertainty,
 };
-use starlingplank_persistence::snapshot_records::Engine;
+use starlingplank_persistence::snapshot_records::StoredEngine;
 
 const TAKEN: f64 = 1_000_000.0;
-const RULES: Rules = starlingplank_persistence::recovery::DEFAULT;
+const RULES: RecoverySettings = starlingplank_persistence::recovery::DEFAULT;
 
 fn identity(id: &str, started: Option<f64>) -> EndpointIdentity {
     EndpointIdentity { id: id.into(), address: "127.0.0.1:9000".into(), started }
 }
 
-fn engine(started: Option<f64>, cold: bool) -> Engine {
-    Engine { started_at: started, in_slow_start: cold, ..snapshot(TAKEN, 1).engines.remove(0) }
+fn engine(started: Option<f64>, cold: bool) -> StoredEngine {
+    StoredEngine { started_at: started, in_slow_start: cold, ..snapshot(TAKEN, 1).engines.remove(0) }
 }
 
 #[rstest]
 #[case::same_process_heard_of_lately(engine(None, false), None, 2_000.0, Uncertainty::None)]
 #[case::same_start_time(engine(Some(5.0), true), Some(5.0), 2_000.0, Uncertainty::None)]
-#[case::longer_than_a_restart(engine(None, false), None, 3_000.0, Uncertainty::NotHeardRecently)]
+#[case::longer_than_a_restart(engine(None, false), None, 3_000.0, Uncertainty::NotSeenRecently)]
 #[case::new_start_time(engine(Some(5.0), false), Some(9.0), 100.0, Uncertainty::Restarted)]
 #[case::start_time_told_for_the_first_time(engine(None, false), Some(9.0), 100.0, Uncertainty::Restarted)]
 #[case::cold_when_last_seen(engine(None, true), None, 100.0, Uncertainty::WasInSlowStart)]
-#[case::never_heard_of(Engine { confirmed_at: None, ..engine(None, false) }, None, 100.0, Uncertainty::NotHeardRecently)]
-#[case::heard_of_in_the_future(engine(None, false), None, -5_000.0, Uncertainty::NotHeardRecently)]
+#[case::never_heard_of(StoredEngine { confirmed_at: None, ..engine(None, false) }, None, 100.0, Uncertainty::NotSeenRecently)]
+#[case::heard_of_in_the_future(engine(None, false), None, -5_000.0, Uncertainty::NotSeenRecently)]
 fn engine_is_perhaps_cold_unless_it_is_surely_the_process_that_was_warm(
-    #[case] known: Engine,
+    #[case] known: StoredEngine,
     #[case] started: Option<f64>,
     #[case] after: f64,
     #[case] expected: Uncertainty,
--- a/crates/persistence/tests/snapshot.rs
+++ b/crates/persistence/tests/snapshot.rs
@@ -52,11 +52,11 @@
         fleet: [3.0, 9.0, 1.25, 0.2, 1.0, 0.8],
         classes: snapshot(1_700_000_000_000.0, 0).classes,
         engines: (0..2)
-            .map(|n| v1::Engine {
+            .map(|n| v1::StoredEngine {
                 id: format!("s-{n}"),
                 confirmed_at: Some(1_699_999_999_900.0),
                 slowdown: 1.5,
-                ..v1::Engine::default()
+                ..v1::StoredEngine::default()
             })
             .collect(),
     };
--- a/crates/persistence/tests/twice/upgrades.rs
+++ b/crates/persistence/tests/twice/upgrades.rs
@@ -36,7 +36,7 @@
 
     fn merge_shared(&mut self, shared: &[(Key, KeySend)], now: f64) {
         for (key, send) in shared.iter().skip(self.merged) {
-            self.incarnation.deduplication.merge_peer_sends(*key, KeySends::one(*send), now);
+            self.incarnation.deduplication.merge_peer_sends(*key, KeySends::single(*send), now);
         }
         self.merged = shared.len();
     }
--- a/crates/persistence/tests/writers.rs
+++ b/crates/persistence/tests/writers.rs
@@ -198,7 +198,8 @@
     assert!(text.contains("engines[s-0].slowness = 1\n") && text.contains("age_ms = 60\n"), "{text}");
 }
 
-const RULES: starlingplank_persistence::recovery::Rules = starlingplank_persistence::recovery::DEFAULT;
+const RULES: starlingplank_persistence::recovery::RecoverySettings =
+    starlingplank_persistence::recovery::DEFAULT;
 
 /// A disk on which nothing can be made while it is said to be full.
 #[derive(Clone)]
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -69,7 +69,7 @@
     /// Largest number of idempotency keys.
     pub max_keys: usize,
     /// The shortest time in which an engine can restart: one that was not seen for longer may be cold.
-    pub restart_within: Milliseconds,
+    pub min_restart_time: Milliseconds,
     /// An older snapshot is ignored.
     pub max_snapshot_age: Milliseconds,
     /// How long state of engines that are not in the endpoint list is kept for them to appear there.
@@ -87,9 +87,11 @@
             max_snapshot_bytes: (max_snapshot_mib? * MIB) as usize,
             logs_keys: fields.opt("knowledge.keys") != Some("false"),
             max_keys: fields.number_or("knowledge.most_keys", DEFAULT_MAX_KEYS)? as usize,
-            restart_within: fields.number_or("knowledge.restart_within", recovery::DEFAULT.restart_within)?,
-            max_snapshot_age: fields.number_or("knowledge.keep_for", recovery::DEFAULT.keep_for)?,
-            unlisted_retention: fields.number_or("knowledge.list_wait", recovery::DEFAULT.list_wait)?,
+            min_restart_time: fields
+                .number_or("knowledge.restart_within", recovery::DEFAULT.min_restart_time)?,
+            max_snapshot_age: fields.number_or("knowledge.keep_for", recovery::DEFAULT.max_snapshot_age)?,
+            unlisted_retention: fields
+                .number_or("knowledge.list_wait", recovery::DEFAULT.unlisted_retention)?,
         }))
     }
 }
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -27,7 +27,7 @@
             Some(error) => Answer::Failed(Some(error)),
             None => Answer::Served(rows),
         }),
-        (_, true) => Ok(Answer::Truncated),
+        (_, true) => Ok(Answer::Aborted),
         (_, false) => Err(error),
     }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -157,7 +157,7 @@
             operator_override: OperatorOverrides::default(),
             engines: BTreeMap::new(),
             requests: BTreeMap::new(),
-            deduplication: DeduplicationWindow::off(),
+            deduplication: DeduplicationWindow::in_memory(),
             pending_records: BTreeMap::new(),
             restored_state: None,
             health_checks: BTreeMap::new(),
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -210,7 +210,7 @@
         request.close();
         self.open_requests -= 1;
         let answer =
-            if has_streamed && !matches!(answer, Answer::Streamed) { Answer::Truncated } else { answer };
+            if has_streamed && !matches!(answer, Answer::Streamed) { Answer::Aborted } else { answer };
         effects.push(Effect::Answer(id, answer));
         self.remove_if_done(id);
     }
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -100,7 +100,7 @@
     /// The streamed result is complete.
     Streamed,
     /// The streamed result cannot be completed.
-    Truncated,
+    Aborted,
     /// Rejected before execution; the client may retry, best after this many milliseconds.
     Rejected(Milliseconds),
     /// Failed, with the engine's error if there is one.
--- a/src/net/front/clickhouse/response.rs
+++ b/src/net/front/clickhouse/response.rs
@@ -190,7 +190,7 @@
             Answer::Served(rows) => session.send_response(200, &self.headers(&rows), rows.parts.clone()),
             Answer::Streamed => session.send(Frame::plain(b"0\r\n\r\n".to_vec()).counted(tally)),
             // Without the last chunk the client sees that the result is cut.
-            Answer::Truncated => {
+            Answer::Aborted => {
                 session.keep_alive.set(false);
                 session.connection.write_queue.shared().metrics.add(tally);
             }
--- a/src/net/front/requests.rs
+++ b/src/net/front/requests.rs
@@ -39,6 +39,6 @@
     match answer {
         Answer::Served(_) | Answer::Streamed => Count::Answered,
         Answer::Rejected(_) => Count::Deferred,
-        Answer::Truncated | Answer::Failed(_) | Answer::Expired => Count::Errored,
+        Answer::Aborted | Answer::Failed(_) | Answer::Expired => Count::Errored,
     }
 }
--- a/src/net/front/thrift/session.rs
+++ b/src/net/front/thrift/session.rs
@@ -49,9 +49,7 @@
         let frame = match answer {
             Answer::Served(rows) => encode::answer("call", self.seqid, rows, true),
             Answer::Rejected(retry_after) => encode::overloaded(self.seqid, retry_after),
-            Answer::Failed(_) | Answer::Truncated | Answer::Streamed => {
-                encode::internal(self.seqid, "failed")
-            }
+            Answer::Failed(_) | Answer::Aborted | Answer::Streamed => encode::internal(self.seqid, "failed"),
             Answer::Expired => encode::internal(self.seqid, "out of time"),
         };
         self.session.send(frame.counted((self.class.0, count)));
--- a/src/net/hot_restart/keys.rs
+++ b/src/net/hot_restart/keys.rs
@@ -50,7 +50,7 @@
     /// The send is not recorded; it must not take place.
     pub(super) fn record(&mut self, key: Key, send: KeySend) -> io::Result<()> {
         let before = self.tracked.get(&key).copied();
-        self.tracked.insert(key, before.map_or(KeySends::one(send), |sends| sends.and(send)));
+        self.tracked.insert(key, before.map_or(KeySends::single(send), |sends| sends.and(send)));
         let written = self.write(key, send);
         if written.is_err() {
             // Nothing is sent, so nothing binds other processes.
@@ -87,7 +87,7 @@
         bytes.extend(Record::Mark(mark).bytes());
         for (key, sends) in &self.tracked {
             let stored = self.offset.stored_sends(*sends);
-            bytes.extend(Record::of_sends(*key, &stored).flat_map(|record| record.bytes()));
+            bytes.extend(Record::for_sends(*key, &stored).flat_map(|record| record.bytes()));
         }
         let name = file_name(KEYS_PREFIX, self.incarnation);
         disk::replace(&mut Files::new(&self.folder), &name, &bytes)?;
@@ -99,7 +99,7 @@
 
     /// Adds a send of another process. Returns all sends of the key; `None` if their window has ended.
     pub(super) fn merge(&mut self, key: Key, stored: KeySend, now: Milliseconds) -> Option<KeySends> {
-        let sends = self.offset.restored_sends(KeySends::one(stored));
+        let sends = self.offset.restored_sends(KeySends::single(stored));
         let send = KeySend { at: sends.first, window: sends.window };
         let merged = self.tracked.get(&key).map_or(sends, |tracked| tracked.and(send));
         if now >= merged.end() {
--- a/src/net/hot_restart/state_transfer.rs
+++ b/src/net/hot_restart/state_transfer.rs
@@ -6,7 +6,7 @@
 use crate::interface::Milliseconds;
 use crate::limits::Limits;
 use starlingplank_admin::inherited_membership::{InheritedMembership, MAX_FILE_BYTES};
-use starlingplank_persistence::recovery::{RejectedSnapshot, RestoredState, Rules};
+use starlingplank_persistence::recovery::{RecoverySettings, RejectedSnapshot, RestoredState};
 use starlingplank_persistence::snapshot;
 use starlingplank_persistence::snapshot_records::Snapshot;
 use starlingplank_storage::disk::{self, Disk};
@@ -80,7 +80,7 @@
     pub async fn inherit_learned(
         &mut self,
         now: Milliseconds,
-        rules: Rules,
+        rules: RecoverySettings,
         limits: &Limits,
     ) -> Option<RestoredState> {
         let (predecessor, _) = self.peers.range(..self.incarnation).next_back()?;
@@ -155,6 +155,6 @@
     Ok(Some(InheritedMembership::decode(&bytes)?))
 }
 
-fn restore(bytes: &[u8], now: Milliseconds, rules: Rules) -> Result<RestoredState, TransferError> {
+fn restore(bytes: &[u8], now: Milliseconds, rules: RecoverySettings) -> Result<RestoredState, TransferError> {
     Ok(RestoredState::new(&snapshot::decode(bytes)?, now, rules)?)
 }
--- a/src/net/persistence/endpoint_cache.rs
+++ b/src/net/persistence/endpoint_cache.rs
@@ -42,7 +42,7 @@
     now: Milliseconds,
 ) -> Option<CachedEndpoints> {
     match cached_endpoints::load(disk) {
-        Ok(cached) => cached?.aged(now, settings.restart_within, settings.max_snapshot_age),
+        Ok(cached) => cached?.as_of(now, settings.min_restart_time, settings.max_snapshot_age),
         Err(reason) => {
             let (folder, file) = (settings.folder.display(), cached_endpoints::FILE);
             warn!(%folder, file, %reason, "stored file is invalid");
--- a/src/net/persistence/mod.rs
+++ b/src/net/persistence/mod.rs
@@ -23,7 +23,7 @@
     DeduplicationWindow, Key, KeySend, LogMark, LogState, Rewrite,
 };
 use starlingplank_persistence::folder::{Folder, FolderError};
-use starlingplank_persistence::recovery::Rules;
+use starlingplank_persistence::recovery::RecoverySettings;
 use starlingplank_persistence::snapshot_records::Snapshot;
 use starlingplank_persistence::snapshot_store::{Loaded, Store};
 use starlingplank_persistence::writers::{EndpointCacheWriter, IdempotencyLogWriter, SnapshotWriter};
@@ -59,11 +59,11 @@
 }
 
 /// The rules for aging stored knowledge.
-pub fn rules(settings: &PersistenceSettings, overload_collapse_after: Milliseconds) -> Rules {
-    Rules {
-        restart_within: settings.restart_within,
-        keep_for: settings.max_snapshot_age,
-        list_wait: settings.unlisted_retention,
+pub fn rules(settings: &PersistenceSettings, overload_collapse_after: Milliseconds) -> RecoverySettings {
+    RecoverySettings {
+        min_restart_time: settings.min_restart_time,
+        max_snapshot_age: settings.max_snapshot_age,
+        unlisted_retention: settings.unlisted_retention,
         overload_collapse_after,
     }
 }
@@ -109,7 +109,7 @@
             info!(%reason, "another process has the folder: it is taken over once that process has ended");
             core.resume(self.deduplication(if self.keyed { LogState::Locked } else { LogState::Off }), None);
             let gateway = self.config.name.clone();
-            return Ok(Persistence { gateway, awaits_folder: true, ..Persistence::off() });
+            return Ok(Persistence { gateway, awaits_folder: true, ..Persistence::disabled() });
         }
         if self.settings.required {
             return Err(PersistenceError::Required(reason));
@@ -133,7 +133,7 @@
             }
         };
         core.resume(self.deduplication(log), None);
-        Ok(Persistence::off())
+        Ok(Persistence::disabled())
     }
 
     /// Recovers the idempotency log, and starts the thread that writes this process's.
@@ -144,7 +144,7 @@
         events: &Sender<Event>,
     ) -> Result<DeduplicationWindow, PersistenceError> {
         if !self.keyed {
-            return Ok(DeduplicationWindow::off());
+            return Ok(DeduplicationWindow::in_memory());
         }
         let mut deduplication = self.deduplication(LogState::Open { required: self.settings.required });
         let recovered = RecoveredLog::read(&folder.disk(), LogCoverage::AllSends, self.window, self.now);
@@ -163,7 +163,7 @@
 
 impl Persistence {
     /// Stores nothing.
-    pub fn off() -> Self {
+    pub fn disabled() -> Self {
         Self {
             gateway: String::new(),
             snapshots: None,
@@ -190,7 +190,7 @@
         now: Milliseconds,
         events: &Sender<Event>,
     ) -> Result<Self, PersistenceError> {
-        let Some(settings) = &config.knowledge else { return Ok(Self::off()) };
+        let Some(settings) = &config.knowledge else { return Ok(Self::disabled()) };
         let window = longest_window(config);
         let keyed = settings.logs_keys && window > 0.0;
         let opening = Opening { config, settings, window, keyed, now };
@@ -200,7 +200,7 @@
         };
         let rules = rules(settings, config.settings.overload_collapse_after);
         let restored = snapshots::restore(&settings.folder, loaded, rules, now);
-        let mut persistence = Self { gateway: config.name.clone(), ..Self::off() };
+        let mut persistence = Self { gateway: config.name.clone(), ..Self::disabled() };
         let deduplication = opening.recover_log(&mut persistence, &folder, events)?;
         core.resume(deduplication, restored);
         persistence.cached = endpoint_cache::load(&folder.disk(), settings, now);
--- a/src/net/persistence/snapshots.rs
+++ b/src/net/persistence/snapshots.rs
@@ -2,7 +2,7 @@
 
 use super::statistics::SharedWriterState;
 use crate::interface::Milliseconds;
-use starlingplank_persistence::recovery::{RestoredState, Rules};
+use starlingplank_persistence::recovery::{RecoverySettings, RestoredState};
 use starlingplank_persistence::snapshot_store::Loaded;
 use starlingplank_persistence::writers::SnapshotEvent;
 use std::path::Path;
@@ -12,11 +12,11 @@
 pub(super) fn restore(
     folder: &Path,
     loaded: Loaded,
-    rules: Rules,
+    rules: RecoverySettings,
     now: Milliseconds,
 ) -> Option<RestoredState> {
     for fault in &loaded.faults {
-        warn!(folder = %folder.display(), file = fault.file, reason = fault.why, "stored file is invalid");
+        warn!(folder = %folder.display(), file = fault.file, reason = fault.reason, "stored file is invalid");
     }
     let restored = restore_snapshot(loaded, rules, now);
     if restored.is_none() {
@@ -25,7 +25,7 @@
     restored
 }
 
-fn restore_snapshot(loaded: Loaded, rules: Rules, now: Milliseconds) -> Option<RestoredState> {
+fn restore_snapshot(loaded: Loaded, rules: RecoverySettings, now: Milliseconds) -> Option<RestoredState> {
     let (generation, snapshot) = loaded.snapshot?;
     match RestoredState::new(&snapshot, now, rules) {
         Ok(restored) => {
--- a/src/net/runtime/effects.rs
+++ b/src/net/runtime/effects.rs
@@ -117,7 +117,7 @@
             let kind = match answer {
                 Answer::Served(_) | Answer::Streamed => "served",
                 Answer::Rejected(_) => "refused",
-                Answer::Truncated | Answer::Failed(_) => "failed",
+                Answer::Aborted | Answer::Failed(_) => "failed",
                 Answer::Expired => "expired",
             };
             tracing::trace!(request = id.0, kind, "request answered");
--- a/src/net/runtime/startup.rs
+++ b/src/net/runtime/startup.rs
@@ -159,7 +159,7 @@
             self.persistence.follow(config, &mut self.core, clock.now());
         }
         inherited.push(Event::OperatorOverrides(hot_restart.overrides().clone()));
-        let rules = recovery::Rules {
+        let rules = recovery::RecoverySettings {
             overload_collapse_after: config.settings.overload_collapse_after,
             ..recovery::DEFAULT
         };
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -222,7 +222,7 @@
     let mut second = Harness::new(settings());
     second.now = first.now + 500.0;
     let recall = RestoredState::new(&snapshot, second.now, recovery::DEFAULT).expect("it counts");
-    second.core.resume(DeduplicationWindow::off(), Some(recall));
+    second.core.resume(DeduplicationWindow::in_memory(), Some(recall));
     second.list(1, &["a", "b"]);
     let back = second.core.learned(second.now);
     assert!(back.classes[0].bands.iter().any(|b| b.samples > 0.5), "{back:?}");
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -58,7 +58,7 @@
     let mut second = open(&path);
     let heard = second.observe(NOW + 10.0).keys;
     assert!(
-        heard.len() == 1 && heard[0].0 == key && near(&heard[0].1, &KeySends::one(sent(NOW))),
+        heard.len() == 1 && heard[0].0 == key && near(&heard[0].1, &KeySends::single(sent(NOW))),
         "{heard:?}"
     );
     // One that is sent while both run is heard as well, and once.
@@ -77,7 +77,7 @@
         ["k1", "k2", "k3"].map(deduplication_window::key)
     );
     // The deduplication window rejects what would run twice.
-    let mut deduplication = DeduplicationWindow::off();
+    let mut deduplication = DeduplicationWindow::in_memory();
     heard.into_iter().for_each(|(k, sends)| deduplication.merge_peer_sends(k, sends, NOW + 60.0));
     let late = NOW + WINDOW - 1.0;
     assert!(matches!(
