--- a/crates/service-discovery/src/discovery.rs
+++ b/crates/service-discovery/src/discovery.rs
@@ -53,7 +53,7 @@
 
 /// How a response counts.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Verdict {
+pub struct ClassifiedResponse {
     /// Its kind.
     pub kind: ResponseKind,
     /// Its list replaces the one in use though its version is lower: the service was relocated, and the list in use is from a
@@ -63,7 +63,7 @@
     pub round_trip: Option<Milliseconds>,
 }
 
-impl Verdict {
+impl ClassifiedResponse {
     fn of(kind: ResponseKind) -> Self {
         Self { kind, supersedes: false, round_trip: None }
     }
@@ -178,11 +178,11 @@
         from: SocketAddr,
         flow: FlowId,
         now: Milliseconds,
-    ) -> Verdict {
+    ) -> ClassifiedResponse {
         let verdict = match response {
             Response::List { id, version } => self.receive_list(id, version, from, flow, now),
-            Response::Malformed => Verdict::of(ResponseKind::Malformed),
-            Response::Truncated => Verdict::of(ResponseKind::Truncated),
+            Response::Malformed => ClassifiedResponse::of(ResponseKind::Malformed),
+            Response::Truncated => ClassifiedResponse::of(ResponseKind::Truncated),
         };
         self.counts.count_response(verdict.kind);
         if verdict.kind.is_invalid() && self.is_polled(from) {
@@ -202,9 +202,9 @@
         from: SocketAddr,
         flow: FlowId,
         now: Milliseconds,
-    ) -> Verdict {
+    ) -> ClassifiedResponse {
         let Some(poll) = self.outstanding.complete(id, from, flow, now) else {
-            return Verdict::of(ResponseKind::Unsolicited);
+            return ClassifiedResponse::of(ResponseKind::Unsolicited);
         };
         let in_use = self.versions.newest();
         let kind = match self.address == Some(from) {
@@ -219,7 +219,7 @@
         if kind != ResponseKind::PreviousAddress {
             self.update_schedule(version, supersedes, now);
         }
-        Verdict { kind, supersedes, round_trip: Some(now - poll.sent_at) }
+        ClassifiedResponse { kind, supersedes, round_trip: Some(now - poll.sent_at) }
     }
 
     fn update_schedule(&mut self, version: u64, supersedes: bool, now: Milliseconds) {
--- a/crates/service-discovery/src/discovery/tests.rs
+++ b/crates/service-discovery/src/discovery/tests.rs
@@ -196,7 +196,8 @@
     let poll = harness.polls[1];
     let list = Response::List { id: poll.id, version: 1 };
     let verdict = harness.discovery.receive(list, poll.to, poll.flow, poll.sent_at + 70.0);
-    let expected = Verdict { kind: ResponseKind::Confirmation, supersedes: false, round_trip: Some(70.0) };
+    let expected =
+        ClassifiedResponse { kind: ResponseKind::Confirmation, supersedes: false, round_trip: Some(70.0) };
     assert_eq!(verdict, expected);
 }
 
@@ -271,7 +272,7 @@
     harness.play(700.0, |_, _| None);
     let new = *harness.polls.last().expect("asked");
     assert_eq!(new.to, address(2));
-    let (last, said) = (Cell::new(Verdict::of(ResponseKind::Older)), Cell::new(0));
+    let (last, said) = (Cell::new(ClassifiedResponse::of(ResponseKind::Older)), Cell::new(0));
     let mut hear = |poll: &Poll, version| {
         let list = Response::List { id: poll.id, version };
         last.set(harness.discovery.receive(list, poll.to, poll.flow, 710.0));
--- a/crates/service-discovery/src/discovery/tests/harness.rs
+++ b/crates/service-discovery/src/discovery/tests/harness.rs
@@ -24,7 +24,7 @@
 /// A response as the gateway has judged it.
 pub(super) struct Received {
     pub(super) at: Milliseconds,
-    pub(super) verdict: Verdict,
+    pub(super) verdict: ClassifiedResponse,
 }
 
 /// A gateway and a name service in virtual time.
--- a/src/net/discovery/poller.rs
+++ b/src/net/discovery/poller.rs
@@ -10,7 +10,7 @@
 use crate::interface::{Milliseconds, Settings};
 use crate::net::clock::Clock;
 use crate::net::log;
-use starlingplank_service_discovery::discovery::{Discovery, Response, Verdict};
+use starlingplank_service_discovery::discovery::{ClassifiedResponse, Discovery, Response};
 use starlingplank_service_discovery::poll::Poll;
 use starlingplank_service_discovery::responses::ResponseKind;
 use std::cell::RefCell;
@@ -132,7 +132,11 @@
     }
 
     /// Passes a list to the reducer.
-    async fn pass_on(&mut self, list: ListResponse, verdict: Verdict) -> Result<(), SendError<Event>> {
+    async fn pass_on(
+        &mut self,
+        list: ListResponse,
+        verdict: ClassifiedResponse,
+    ) -> Result<(), SendError<Event>> {
         let ListResponse { version, endpoints, .. } = list;
         if verdict.kind == ResponseKind::Update {
             self.addresses = addresses_of(&endpoints);
@@ -165,7 +169,7 @@
     kind.confirms() || kind == ResponseKind::Older
 }
 
-fn log_response(response: Response, verdict: Verdict) {
+fn log_response(response: Response, verdict: ClassifiedResponse) {
     match response {
         Response::Truncated => {
             log::warn_rate_limited("a response of the name service is truncated; the list in use stays");
