--- a/crates/experiments/src/fleet/run.rs
+++ b/crates/experiments/src/fleet/run.rs
@@ -4,7 +4,7 @@
 use crate::harness::engines::Engines;
 use crate::scenario::Scenario;
 use serde_json::Value;
-use starlingplank_test_doubles::name_service::{ListedEngine, NameService};
+use starlingplank_test_doubles::name_service::{EndpointEntry, NameService};
 use starlingplank_test_doubles::relay::Relay;
 use std::cell::RefCell;
 use std::path::Path;
@@ -59,7 +59,7 @@
     pub(super) engines: Engines,
     /// The paths to the engines, where the scenario has faults on them.
     pub(super) engine_paths: Vec<Relay>,
-    pub(super) listed: Vec<ListedEngine>,
+    pub(super) listed: Vec<EndpointEntry>,
     pub(super) name_service: NameService,
     pub(super) gateways: Gateways,
     pub(super) listening: UnboundedSender<Listening>,
--- a/crates/experiments/src/fleet/setup.rs
+++ b/crates/experiments/src/fleet/setup.rs
@@ -11,7 +11,7 @@
 use crate::scenario::Scenario;
 use starlingplank_test_doubles::capacity_model::EngineSpec;
 use starlingplank_test_doubles::engine::{Engine, ListenerMode};
-use starlingplank_test_doubles::name_service::{ListVersion, ListedEngine, NameService, ServiceScript};
+use starlingplank_test_doubles::name_service::{EndpointEntry, ListVersion, NameService, ServiceScript};
 use starlingplank_test_doubles::relay::Relay;
 use std::cell::RefCell;
 use std::fmt::Write as _;
@@ -126,9 +126,9 @@
     paths.iter().map(|path| path.address).collect()
 }
 
-fn listed_engines(addresses: &[SocketAddr], scenario: &Scenario) -> Vec<ListedEngine> {
+fn listed_engines(addresses: &[SocketAddr], scenario: &Scenario) -> Vec<EndpointEntry> {
     let cold = EngineCounts::new(addresses.len(), scenario).cold;
-    let listed = addresses.iter().enumerate().map(|(number, address)| ListedEngine {
+    let listed = addresses.iter().enumerate().map(|(number, address)| EndpointEntry {
         id: format!("s-{number}"),
         address: *address,
         drains: false,
--- a/crates/experiments/src/soak/configuration.rs
+++ b/crates/experiments/src/soak/configuration.rs
@@ -2,7 +2,7 @@
 
 use super::run::SoakRun;
 use super::{COLLAPSE_AFTER_MS, COLLAPSE_MULTIPLE, CORES, KEY_WINDOW_MS, SLOW_START_FROM, SLOW_START_MS};
-use starlingplank_test_doubles::name_service::ListedEngine;
+use starlingplank_test_doubles::name_service::EndpointEntry;
 
 impl SoakRun {
     /// Writes the configuration of a gateway. It replaces the file at once, as a reload may read it at any moment.
@@ -15,7 +15,7 @@
     }
 
     fn configuration(&self, gateway: usize) -> String {
-        let member = |engine: &ListedEngine| {
+        let member = |engine: &EndpointEntry| {
             let phase = if engine.drains { "draining" } else { "ready" };
             format!(
                 r#"{{"id":"{}","host_port":"{}","locality":"a","flavor":"std","cell":0,"phase":"{phase}","size":1,"up_since_ms":{:.0}}}"#,
--- a/crates/experiments/src/soak/discovery.rs
+++ b/crates/experiments/src/soak/discovery.rs
@@ -4,7 +4,7 @@
 use super::context::RunContext;
 use super::ledger::Announcement;
 use rand::Rng;
-use starlingplank_test_doubles::name_service::{encode_answer, ListedEngine};
+use starlingplank_test_doubles::name_service::{encode_answer, EndpointEntry};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -82,7 +82,7 @@
 /// A version of the list.
 struct ListVersion {
     version: u32,
-    engines: Vec<ListedEngine>,
+    engines: Vec<EndpointEntry>,
 }
 
 /// A poll of a gateway.
@@ -96,7 +96,7 @@
 /// The name service, whose addresses all hold the same list.
 pub(super) struct Discovery {
     /// The list.
-    pub(super) engines: RefCell<Vec<ListedEngine>>,
+    pub(super) engines: RefCell<Vec<EndpointEntry>>,
     /// Its version.
     pub(super) version: Cell<u32>,
     /// The list before.
@@ -209,7 +209,7 @@
     }
 
     /// Changes the list. Returns its new version.
-    pub(super) fn change_list(&self, change: impl FnOnce(&mut Vec<ListedEngine>)) -> u32 {
+    pub(super) fn change_list(&self, change: impl FnOnce(&mut Vec<EndpointEntry>)) -> u32 {
         let (version, engines) = (self.version.get(), self.engines.borrow().clone());
         *self.previous.borrow_mut() = Some(ListVersion { version, engines });
         change(&mut self.engines.borrow_mut());
--- a/crates/experiments/src/soak/run.rs
+++ b/crates/experiments/src/soak/run.rs
@@ -12,7 +12,7 @@
 use super::{oracle, rule_parameters};
 use crate::harness::Failure;
 use rustix::process::Signal;
-use starlingplank_test_doubles::name_service::ListedEngine;
+use starlingplank_test_doubles::name_service::EndpointEntry;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::iter::repeat_n;
@@ -297,6 +297,6 @@
 }
 
 /// An engine that serves, as the name service lists it.
-pub(super) fn listed_engine(id: &str, address: SocketAddr, started: f64) -> ListedEngine {
-    ListedEngine { id: id.to_owned(), address, drains: false, started }
+pub(super) fn listed_engine(id: &str, address: SocketAddr, started: f64) -> EndpointEntry {
+    EndpointEntry { id: id.to_owned(), address, drains: false, started }
 }
--- a/crates/test-doubles/src/name_service.rs
+++ b/crates/test-doubles/src/name_service.rs
@@ -61,7 +61,7 @@
 
 /// An engine as the service lists it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ListedEngine {
+pub struct EndpointEntry {
     /// Its id.
     pub id: String,
     /// Where it listens.
@@ -80,7 +80,7 @@
     /// The number of the last event, from 1: an outdated list is served as number 0.
     pub serial: u32,
     /// The engines.
-    pub engines: Vec<ListedEngine>,
+    pub engines: Vec<EndpointEntry>,
 }
 
 /// The answer to a query.
@@ -149,7 +149,7 @@
     }
 
     /// Serves that version from now on.
-    pub fn publish(&self, serial: u32, engines: Vec<ListedEngine>) {
+    pub fn publish(&self, serial: u32, engines: Vec<EndpointEntry>) {
         let from = self.started_at.elapsed().as_secs_f64();
         lock(&self.shared.versions).push(ListVersion { from, serial, engines });
     }
@@ -251,7 +251,7 @@
 }
 
 /// The answer to a query: the list of these engines with that number, as SRV, SOA, A and TXT records.
-pub fn encode_answer(query: &[u8], serial: u32, engines: &[ListedEngine]) -> Vec<u8> {
+pub fn encode_answer(query: &[u8], serial: u32, engines: &[EndpointEntry]) -> Vec<u8> {
     let answers = (engines.len() as u16).to_be_bytes();
     let additional = (2 * engines.len() as u16).to_be_bytes();
     let header = [&query[..2], &[0x84, 0, 0, 1], &answers, &[0, 1], &additional, &query[HEADER_BYTES..]];
