--- a/crates/admin/src/metrics.rs
+++ b/crates/admin/src/metrics.rs
@@ -24,11 +24,11 @@
     /// Its unit.
     pub unit: &'static str,
     /// What it counts.
-    pub meaning: &'static str,
+    pub description: &'static str,
 }
 
-const fn describe(name: &'static str, unit: &'static str, meaning: &'static str) -> MetricDescription {
-    MetricDescription { name, unit, meaning }
+const fn describe(name: &'static str, unit: &'static str, description: &'static str) -> MetricDescription {
+    MetricDescription { name, unit, description }
 }
 
 /// All metrics.
--- a/crates/admin/src/operator_overrides.rs
+++ b/crates/admin/src/operator_overrides.rs
@@ -122,7 +122,11 @@
     }
 
     /// Forgets engines that were included longer ago than a slow start takes.
-    pub fn forget_warm(&mut self, now: UnixMilliseconds, slow_start_duration: UnixMilliseconds) {
+    pub fn remove_expired_inclusions(
+        &mut self,
+        now: UnixMilliseconds,
+        slow_start_duration: UnixMilliseconds,
+    ) {
         self.included.retain(|_, ended| now - ended.included_at < slow_start_duration);
     }
 
--- a/crates/admin/src/operator_overrides/tests.rs
+++ b/crates/admin/src/operator_overrides/tests.rs
@@ -28,7 +28,7 @@
     assert_eq!(overrides.start_time("s-1", Some(700.0)), Some(700.0));
     assert_eq!(overrides.start_time("s-1", Some(3_000.0)), Some(3_000.0));
     assert_eq!(overrides.start_time("s-2", None), None);
-    overrides.forget_warm(16_000.0, 15_000.0);
+    overrides.remove_expired_inclusions(16_000.0, 15_000.0);
     assert_eq!(overrides.start_time("s-1", Some(2.0)), Some(2.0));
 }
 
--- a/crates/admin/src/process_lifecycle.rs
+++ b/crates/admin/src/process_lifecycle.rs
@@ -20,7 +20,7 @@
 
 impl Stage {
     /// The stage as it stands in the process's file. All have the same length, so that one overwrites another completely.
-    pub fn word(self) -> &'static str {
+    pub fn file_text(self) -> &'static str {
         match self {
             Stage::Starting => "starting \n",
             Stage::Listening => "listening\n",
--- a/crates/admin/src/process_lifecycle/tests.rs
+++ b/crates/admin/src/process_lifecycle/tests.rs
@@ -10,8 +10,8 @@
 #[test]
 fn stage_is_read_as_it_was_written_over_another() {
     for stage in [Stage::Starting, Stage::Listening, Stage::Draining] {
-        assert_eq!(Stage::read(stage.word()), stage);
-        assert_eq!(stage.word().len(), Stage::Starting.word().len());
+        assert_eq!(Stage::read(stage.file_text()), stage);
+        assert_eq!(stage.file_text().len(), Stage::Starting.file_text().len());
     }
     assert_eq!(Stage::read(""), Stage::Starting);
     assert_eq!(Stage::read("listen"), Stage::Starting);
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -196,7 +196,7 @@
         consistency::check(&fields)?;
         settings.check()?;
         let longest_deadline = settings.classes.iter().map(|class| class.client_timeout).fold(0.0, f64::max);
-        let limits = Limits::read(&fields)?.ending(longest_deadline);
+        let limits = Limits::read(&fields)?.with_shutdown_deadlines(longest_deadline);
         let listen = fields.opt("gateway.listen").ok_or(ConfigError::Key("listen", "is missing"))?;
         let name_service = fields.opt("gateway.names").filter(|address| !address.is_empty());
         let clickhouse = match fields.opt("clickhouse.listen") {
--- a/src/core/membership.rs
+++ b/src/core/membership.rs
@@ -188,7 +188,7 @@
     /// drained or was removed in the earlier process, is treated as draining, so one guard covers all three. An engine
     /// that operators included again counts as just started.
     fn rebuild_engines(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
-        self.operator_override.forget_warm(now, self.settings.slow_start_duration);
+        self.operator_override.remove_expired_inclusions(now, self.settings.slow_start_duration);
         let merged = self.service_members.iter().map(|endpoint| self.merge(endpoint, now));
         let merged: Vec<Endpoint> = merged.collect();
         self.replace_engines(now, &merged, effects);
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -189,7 +189,7 @@
     /// The same limits with the shutdown deadlines of a gateway whose longest deadline is `longest_deadline`. SIGKILL
     /// follows SIGTERM by that time, bounded, and 0.7 s; open requests are answered before.
     #[must_use]
-    pub fn ending(self, longest_deadline: Milliseconds) -> Self {
+    pub fn with_shutdown_deadlines(self, longest_deadline: Milliseconds) -> Self {
         let answer_deadline = |max_wait: Milliseconds| answer_deadline(longest_deadline.min(max_wait));
         Self {
             shutdown_answer_deadline: answer_deadline(MAX_KILL_WAIT),
--- a/src/main.rs
+++ b/src/main.rs
@@ -154,7 +154,9 @@
         Some(_) => {
             let config = ConfigFiles { platform: None, operator }.load()?;
             let overload_collapse_after = config.settings.overload_collapse_after;
-            config.knowledge.map(|knowledge| persistence::rules(&knowledge, overload_collapse_after))
+            config
+                .knowledge
+                .map(|knowledge| persistence::recovery_settings(&knowledge, overload_collapse_after))
         }
         None => None,
     };
--- a/src/net/hot_restart/mod.rs
+++ b/src/net/hot_restart/mod.rs
@@ -46,7 +46,7 @@
     /// Keys that other processes have sent.
     pub keys: Vec<(Key, KeySends)>,
     /// Later processes that wait for this one's state.
-    pub newcomers: Vec<u64>,
+    pub waiting_successors: Vec<u64>,
 }
 
 /// This process's side of the shared folder. Owns the lock on this process's file, which tells others that it runs, and the
@@ -113,7 +113,7 @@
     /// # Errors
     /// The stage cannot be written.
     pub fn publish_stage(&self, stage: Stage) -> io::Result<()> {
-        self.process_file.write_all_at(stage.word().as_bytes(), 0)
+        self.process_file.write_all_at(stage.file_text().as_bytes(), 0)
     }
 
     /// Adds the processes that are not known yet. Past the bound the oldest are left out: they ended long ago, or their files
@@ -145,7 +145,7 @@
         }
         // Keys are read before it is checked which processes have ended, so that the last ones are not missed.
         let mut keys = self.peer_keys(now);
-        let mut newcomers = Vec::new();
+        let mut waiting_successors = Vec::new();
         let mut ended = Vec::new();
         for (incarnation, peer) in &mut self.peers {
             peer.update_stage();
@@ -153,14 +153,14 @@
                 ended.push(*incarnation);
             } else if *incarnation > self.incarnation && peer.stage == Stage::Starting && !peer.state_passed {
                 peer.state_passed = true;
-                newcomers.push(*incarnation);
+                waiting_successors.push(*incarnation);
             }
         }
         if !ended.is_empty() {
             keys.extend(self.take_over_ended(ended, now));
         }
         let overrides = self.overrides.refresh().then(|| self.overrides.current().clone());
-        Observation { overrides, keys, newcomers }
+        Observation { overrides, keys, waiting_successors }
     }
 
     /// Takes over from processes that have ended. A process that has just created its file holds the folder's lock until it
--- a/src/net/persistence/mod.rs
+++ b/src/net/persistence/mod.rs
@@ -59,7 +59,10 @@
 }
 
 /// The rules for aging stored knowledge.
-pub fn rules(settings: &PersistenceSettings, overload_collapse_after: Milliseconds) -> RecoverySettings {
+pub fn recovery_settings(
+    settings: &PersistenceSettings,
+    overload_collapse_after: Milliseconds,
+) -> RecoverySettings {
     RecoverySettings {
         min_restart_time: settings.min_restart_time,
         max_snapshot_age: settings.max_snapshot_age,
@@ -198,7 +201,7 @@
             Ok(opened) => opened,
             Err(reason) => return opening.without_folder(core, reason),
         };
-        let rules = rules(settings, config.settings.overload_collapse_after);
+        let rules = recovery_settings(settings, config.settings.overload_collapse_after);
         let restored = snapshots::restore(&settings.folder, loaded, rules, now);
         let mut persistence = Self { gateway: config.name.clone(), ..Self::disabled() };
         let deduplication = opening.recover_log(&mut persistence, &folder, events)?;
--- a/src/net/runtime/peers.rs
+++ b/src/net/runtime/peers.rs
@@ -40,7 +40,7 @@
         }
         let Some(hot_restart) = &mut self.hot_restart else { return Vec::new() };
         let seen = hot_restart.observe(now);
-        for newcomer in seen.newcomers {
+        for newcomer in seen.waiting_successors {
             hot_restart.pass_state_to(newcomer, &self.config.name, &self.core, now, &self.frontend.limits);
         }
         let (own, others) = (hot_restart.incarnation(), hot_restart.peers());
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -31,8 +31,8 @@
     let mut second = open(&path);
     second.observe(NOW);
     assert_eq!(second.peers(), [PeerProcess { incarnation: 1, stage: Stage::Listening }]);
-    assert_eq!(first.observe(NOW).newcomers, [2], "it waits for what was learned");
-    assert_eq!(first.observe(NOW).newcomers, [0; 0], "it was told once");
+    assert_eq!(first.observe(NOW).waiting_successors, [2], "it waits for what was learned");
+    assert_eq!(first.observe(NOW).waiting_successors, [0; 0], "it was told once");
     second.publish_stage(Stage::Listening).expect("written");
     first.observe(NOW);
     assert_eq!(first.peers(), [PeerProcess { incarnation: 2, stage: Stage::Listening }]);
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -32,7 +32,7 @@
 #[case::shortest(100.0, 140.0)]
 fn process_ends_well_before_it_may_be_killed(#[case] longest_deadline: f64, #[case] margin: f64) {
     let defaults = Limits::read(&Fields::new("settings", BTreeMap::new())).expect("the defaults");
-    let limits = defaults.ending(longest_deadline);
+    let limits = defaults.with_shutdown_deadlines(longest_deadline);
     let close_wait = limits.connection_close_wait.as_secs_f64() * 1000.0;
     let killed_after = longest_deadline.min(3_000.0) + 700.0;
     assert!(limits.shutdown_answer_deadline + close_wait + margin <= killed_after, "{limits:?}");
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -93,8 +93,8 @@
 #[test]
 fn page_for_staff_tells_every_figure_its_unit_and_its_meaning() {
     let page = include_str!("../docs/operate/day-to-day.md");
-    for MetricDescription { name, unit, meaning } in starlingplank_admin::metrics::TABLE {
-        let row = format!("| `{name}` | {unit} | {meaning} |");
+    for MetricDescription { name, unit, description } in starlingplank_admin::metrics::TABLE {
+        let row = format!("| `{name}` | {unit} | {description} |");
         assert!(page.contains(&row), "{row}");
     }
 }
