--- a/crates/experiments/src/fleet/setup.rs
+++ b/crates/experiments/src/fleet/setup.rs
@@ -131,7 +131,7 @@
     let listed = addresses.iter().enumerate().map(|(number, address)| EndpointEntry {
         id: format!("s-{number}"),
         address: *address,
-        drains: false,
+        is_draining: false,
         started: if number < cold { unix_milliseconds().floor() } else { 0.0 },
     });
     listed.collect()
--- a/crates/experiments/src/fleet/steps.rs
+++ b/crates/experiments/src/fleet/steps.rs
@@ -83,7 +83,7 @@
     }
 
     fn drain_first_engine(&mut self) {
-        self.listed[0].drains = true;
+        self.listed[0].is_draining = true;
         self.publish();
         self.drained_in = Some(self.version);
     }
--- a/crates/experiments/src/soak/configuration.rs
+++ b/crates/experiments/src/soak/configuration.rs
@@ -16,7 +16,7 @@
 
     fn configuration(&self, gateway: usize) -> String {
         let member = |engine: &EndpointEntry| {
-            let phase = if engine.drains { "draining" } else { "ready" };
+            let phase = if engine.is_draining { "draining" } else { "ready" };
             format!(
                 r#"{{"id":"{}","host_port":"{}","locality":"a","flavor":"std","cell":0,"phase":"{phase}","size":1,"up_since_ms":{:.0}}}"#,
                 engine.id, engine.address, engine.started
--- a/crates/experiments/src/soak/faults.rs
+++ b/crates/experiments/src/soak/faults.rs
@@ -296,7 +296,7 @@
         let Ok(new) = Engine::start(self.context.clone(), number).await else { return };
         let version = self.discovery.change_list(|engines| {
             for engine in engines.iter_mut().filter(|engine| engine.address == old.address) {
-                engine.drains = true;
+                engine.is_draining = true;
             }
             engines.push(listed_engine(&format!("s-{position}-{number}"), new.address, unix_milliseconds()));
         });
--- a/crates/experiments/src/soak/run.rs
+++ b/crates/experiments/src/soak/run.rs
@@ -298,5 +298,5 @@
 
 /// An engine that serves, as the name service lists it.
 pub(super) fn listed_engine(id: &str, address: SocketAddr, started: f64) -> EndpointEntry {
-    EndpointEntry { id: id.to_owned(), address, drains: false, started }
+    EndpointEntry { id: id.to_owned(), address, is_draining: false, started }
 }
--- a/crates/test-doubles/src/name_service.rs
+++ b/crates/test-doubles/src/name_service.rs
@@ -67,7 +67,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// Whether it drains.
-    pub drains: bool,
+    pub is_draining: bool,
     /// When it started, in Unix milliseconds; 0 if it started long ago.
     pub started: f64,
 }
@@ -258,7 +258,7 @@
     let mut message = header.concat();
     let name_of = |id: &str| [&[id.len() as u8], id.as_bytes(), b"\x01a\x05hosts\0"].concat();
     for engine in engines {
-        let priority_and_weight = [0, u8::from(engine.drains), 0, 40];
+        let priority_and_weight = [0, u8::from(engine.is_draining), 0, 40];
         let port = engine.address.port().to_be_bytes();
         let data = [&priority_and_weight[..], &port, &name_of(&engine.id)].concat();
         put_record(&mut message, &QUERY_NAME, TYPE_SRV, &data);
