--- a/crates/persistence/src/snapshot_store.rs
+++ b/crates/persistence/src/snapshot_store.rs
@@ -26,7 +26,7 @@
 
 /// The snapshots found in a folder.
 #[derive(Debug, Default)]
-pub struct Loaded {
+pub struct LoadedSnapshot {
     /// Generation and records of the latest valid snapshot, if there is any.
     pub snapshot: Option<(u64, Snapshot)>,
     /// Files that are no valid snapshots, the latest first.
@@ -34,7 +34,7 @@
 }
 
 /// Writes snapshots.
-pub struct Store {
+pub struct SnapshotStore {
     disk: Box<dyn Disk>,
     next_generation: u64,
     /// Generations that later releases wrote: never removed.
@@ -42,14 +42,14 @@
     max_bytes: usize,
 }
 
-impl Store {
+impl SnapshotStore {
     /// Opens the snapshots of a folder, and reads the latest valid one. Snapshots are written once and never appended to,
     /// so the disk may close their descriptors
     /// ([`closing_written_files`](crate::folder::Files::closing_written_files)).
     ///
     /// # Errors
     /// The folder cannot be read.
-    pub fn open(mut disk: Box<dyn Disk>, max_bytes: usize) -> io::Result<(Self, Loaded)> {
+    pub fn open(mut disk: Box<dyn Disk>, max_bytes: usize) -> io::Result<(Self, LoadedSnapshot)> {
         let loaded = load(&*disk, max_bytes)?;
         disk::remove_temporary_files(&mut *disk);
         let generations = disk::numbers(&*disk, PREFIX, EXTENSION)?;
@@ -91,8 +91,8 @@
 ///
 /// # Errors
 /// The folder cannot be read.
-pub fn load(disk: &dyn Disk, max_bytes: usize) -> io::Result<Loaded> {
-    let mut loaded = Loaded::default();
+pub fn load(disk: &dyn Disk, max_bytes: usize) -> io::Result<LoadedSnapshot> {
+    let mut loaded = LoadedSnapshot::default();
     for generation in disk::numbers(disk, PREFIX, EXTENSION)? {
         let file = disk::numbered_name(PREFIX, generation, EXTENSION);
         let bytes = match disk.read(&file, max_bytes as u64) {
--- a/crates/persistence/src/writers/snapshots.rs
+++ b/crates/persistence/src/writers/snapshots.rs
@@ -2,7 +2,7 @@
 
 use super::statistics::WriteStatistics;
 use crate::snapshot_records::Snapshot;
-use crate::snapshot_store::Store;
+use crate::snapshot_store::SnapshotStore;
 use std::io;
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
 use std::thread::{self, JoinHandle};
@@ -32,7 +32,7 @@
     ///
     /// # Errors
     /// The thread cannot be started.
-    pub fn start(store: Store, notify: impl Fn(SnapshotEvent) + Send + 'static) -> io::Result<Self> {
+    pub fn start(store: SnapshotStore, notify: impl Fn(SnapshotEvent) + Send + 'static) -> io::Result<Self> {
         let (queue, queued) = sync_channel(MAX_QUEUED_SNAPSHOTS);
         let write = move || write_snapshots(store, &queued, &notify);
         let thread = thread::Builder::new().name("snapshots".into()).spawn(write)?;
@@ -52,7 +52,7 @@
     }
 }
 
-fn write_snapshots(mut store: Store, queued: &Receiver<Snapshot>, notify: &impl Fn(SnapshotEvent)) {
+fn write_snapshots(mut store: SnapshotStore, queued: &Receiver<Snapshot>, notify: &impl Fn(SnapshotEvent)) {
     let mut statistics = WriteStatistics::default();
     while let Ok(snapshot) = queued.recv() {
         notify(match store.save(&snapshot) {
--- a/crates/persistence/tests/crash.rs
+++ b/crates/persistence/tests/crash.rs
@@ -8,7 +8,7 @@
 use starlingplank_persistence::deduplication_window::{key, KeySend, KeySends, TrustedLog};
 use starlingplank_persistence::idempotency_log::{self, DistrustedLog, IdempotencyLog, Mark, Record};
 use starlingplank_persistence::snapshot as bytes_of;
-use starlingplank_persistence::snapshot_store::{load, Store};
+use starlingplank_persistence::snapshot_store::{load, SnapshotStore};
 use starlingplank_test_doubles::disk::{Fault, FaultyDisk};
 
 const MOST: usize = 1 << 20;
@@ -16,7 +16,7 @@
 
 /// Saves until the disk stops or so many are done; the last that was said to be durable.
 fn save(disk: &FaultyDisk, from: u64, count: u64) -> u64 {
-    let Ok((mut store, _)) = Store::open(Box::new(disk.clone()), MOST) else { return from };
+    let Ok((mut store, _)) = SnapshotStore::open(Box::new(disk.clone()), MOST) else { return from };
     let mut done = from;
     for n in from + 1..=from + count {
         if store.save(&snapshot(n as f64, 2)).is_ok() {
@@ -80,7 +80,7 @@
 fn disk_that_fails_keeps_what_was_there_and_serves_again_when_it_works(#[case] fault: Fault) {
     for at in 0..10 {
         let disk = FaultyDisk::new(at as u64);
-        let (mut store, _) = Store::open(Box::new(disk.clone()), MOST).expect("empty");
+        let (mut store, _) = SnapshotStore::open(Box::new(disk.clone()), MOST).expect("empty");
         store.save(&snapshot(1.0, 2)).expect("it works");
         disk.fault(at, fault);
         let second = store.save(&snapshot(2.0, 2));
@@ -121,7 +121,7 @@
     let mut later = bytes_of::encode(&snapshot(9.0, 1), MOST).expect("it fits");
     later[8] = 9;
     disk.put(name, later.clone());
-    let (mut store, loaded) = Store::open(Box::new(disk.clone()), MOST).expect("it can be read");
+    let (mut store, loaded) = SnapshotStore::open(Box::new(disk.clone()), MOST).expect("it can be read");
     assert!(loaded.faults[0].is_newer_version && loaded.faults[0].reason.contains("version 9 is newer"));
     for n in 10..15 {
         store.save(&snapshot(f64::from(n), 1)).expect("it works");
--- a/crates/persistence/tests/writers.rs
+++ b/crates/persistence/tests/writers.rs
@@ -8,7 +8,7 @@
 use starlingplank_persistence::disk::Disk;
 use starlingplank_persistence::folder::{Files, Folder, FolderError};
 use starlingplank_persistence::inspection;
-use starlingplank_persistence::snapshot_store::Store;
+use starlingplank_persistence::snapshot_store::SnapshotStore;
 use starlingplank_persistence::writers::{
     EndpointCacheHealth, IdempotencyLogEvent, IdempotencyLogWriter, SnapshotEvent, SnapshotWriter,
     WriteStatistics,
@@ -82,7 +82,7 @@
 fn snapshot_that_hangs_holds_up_no_caller_and_the_ones_behind_it_are_left_out() {
     let (disk, open) = hanging();
     let (sender, outcomes) = channel();
-    let (store, _) = Store::open(Box::new(disk), MOST).expect("empty");
+    let (store, _) = SnapshotStore::open(Box::new(disk), MOST).expect("empty");
     let mut writer = SnapshotWriter::start(store, move |n| drop(sender.send(n))).expect("it starts");
     let taken = (0..50).filter(|n| writer.save(snapshot(f64::from(*n), 1))).count();
     // One is being written and one waits, or the first was not picked up yet.
@@ -157,7 +157,8 @@
     let mode = |p: &std::path::Path| std::fs::metadata(p).expect("there").permissions().mode() & 0o777;
     assert_eq!((mode(&path), mode(&path.join("lock"))), (0o700, 0o600));
     assert!(matches!(Folder::open(&path), Err(FolderError::Locked { .. })));
-    let (mut store, _) = Store::open(Box::new(folder.disk().closing_written_files()), MOST).expect("empty");
+    let (mut store, _) =
+        SnapshotStore::open(Box::new(folder.disk().closing_written_files()), MOST).expect("empty");
     store.save(&snapshot(1.0, 1)).expect("saved");
     assert_eq!(mode(&path.join("snapshot-0000000000000001.spk")), 0o600);
     drop(folder);
@@ -177,7 +178,8 @@
     assert_eq!(code().code(), 2);
     assert_eq!(inspection::verify(&folder.path().join("none")).expect("read").code(), 2);
     let (mut store, _) =
-        Store::open(Box::new(Files::new(folder.path()).closing_written_files()), MOST).expect("empty");
+        SnapshotStore::open(Box::new(Files::new(folder.path()).closing_written_files()), MOST)
+            .expect("empty");
     store.save(&snapshot(1.0, 1)).expect("saved");
     let (writer, outcomes) = keys(Box::new(Files::new(folder.path())));
     writer.rewrite(begin());
--- a/src/net/persistence/mod.rs
+++ b/src/net/persistence/mod.rs
@@ -25,7 +25,7 @@
 use starlingplank_persistence::folder::{Folder, FolderError};
 use starlingplank_persistence::recovery::RecoverySettings;
 use starlingplank_persistence::snapshot_records::Snapshot;
-use starlingplank_persistence::snapshot_store::{Loaded, Store};
+use starlingplank_persistence::snapshot_store::{LoadedSnapshot, SnapshotStore};
 use starlingplank_persistence::writers::{EndpointCacheWriter, IdempotencyLogWriter, SnapshotWriter};
 use statistics::SharedWriterState;
 use std::cell::Cell;
@@ -91,10 +91,10 @@
 }
 
 impl Opening<'_> {
-    fn open_folder(&self) -> Result<(Folder, Store, Loaded), FolderError> {
+    fn open_folder(&self) -> Result<(Folder, SnapshotStore, LoadedSnapshot), FolderError> {
         let folder = Folder::open(&self.settings.folder)?;
         let disk = folder.disk().closing_written_files();
-        let opened = Store::open(Box::new(disk), self.settings.max_snapshot_bytes);
+        let opened = SnapshotStore::open(Box::new(disk), self.settings.max_snapshot_bytes);
         let (store, loaded) =
             opened.map_err(|source| FolderError::Io { path: self.settings.folder.clone(), source })?;
         Ok((folder, store, loaded))
@@ -213,7 +213,7 @@
     }
 
     /// Starts the threads that write snapshots and the endpoint list.
-    fn start_state_writers(&mut self, folder: &Folder, store: Store) -> Result<(), PersistenceError> {
+    fn start_state_writers(&mut self, folder: &Folder, store: SnapshotStore) -> Result<(), PersistenceError> {
         let endpoints = EndpointCacheWriter::start(Box::new(folder.disk()), endpoint_cache::log_health)?;
         self.endpoints = Some(endpoints);
         let state = self.writer_state.clone();
--- a/src/net/persistence/snapshots.rs
+++ b/src/net/persistence/snapshots.rs
@@ -3,7 +3,7 @@
 use super::statistics::SharedWriterState;
 use crate::interface::Milliseconds;
 use starlingplank_persistence::recovery::{RecoverySettings, RestoredState};
-use starlingplank_persistence::snapshot_store::Loaded;
+use starlingplank_persistence::snapshot_store::LoadedSnapshot;
 use starlingplank_persistence::writers::SnapshotEvent;
 use std::path::Path;
 use tracing::{info, warn};
@@ -11,7 +11,7 @@
 /// Restores the latest snapshot, if the rules accept it, and logs what was found.
 pub(super) fn restore(
     folder: &Path,
-    loaded: Loaded,
+    loaded: LoadedSnapshot,
     rules: RecoverySettings,
     now: Milliseconds,
 ) -> Option<RestoredState> {
@@ -25,7 +25,11 @@
     restored
 }
 
-fn restore_snapshot(loaded: Loaded, rules: RecoverySettings, now: Milliseconds) -> Option<RestoredState> {
+fn restore_snapshot(
+    loaded: LoadedSnapshot,
+    rules: RecoverySettings,
+    now: Milliseconds,
+) -> Option<RestoredState> {
     let (generation, snapshot) = loaded.snapshot?;
     match RestoredState::new(&snapshot, now, rules) {
         Ok(restored) => {
--- a/src/net/persistence/takeover.rs
+++ b/src/net/persistence/takeover.rs
@@ -11,7 +11,7 @@
 use crate::interface::Milliseconds;
 use starlingplank_persistence::deduplication_window::{DeduplicationWindow, LogState};
 use starlingplank_persistence::folder::{Files, Folder, FolderError};
-use starlingplank_persistence::snapshot_store::{self, Store};
+use starlingplank_persistence::snapshot_store::{self, SnapshotStore};
 use tokio::sync::mpsc::Sender;
 use tracing::{error, info};
 
@@ -143,7 +143,7 @@
         events: &Sender<Event>,
     ) -> Result<TakenOver, PersistenceError> {
         let disk = folder.disk().closing_written_files();
-        let (store, _) = Store::open(Box::new(disk), settings.max_snapshot_bytes)?;
+        let (store, _) = SnapshotStore::open(Box::new(disk), settings.max_snapshot_bytes)?;
         let window = longest_window(config);
         // A process that rejected all keyed requests knows of none that were sent without a record.
         let coverage = if self.marker.is_some() { LogCoverage::OwnersSends } else { LogCoverage::AllSends };
