--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of requests: transmission, streamed results, outcomes, aborts.
+//! Attempts of requests: transmission, streaming of results, outcomes and aborts.
 
 use super::messages::{Effect, Send};
 use super::request_state::{Attempt, PendingRecord, RequestKey, ResponsePhase, Terms};
@@ -13,7 +13,7 @@
 };
 use starlingplank_persistence::deduplication_window::SendPermission;
 
-/// The final answer that follows from the end of an attempt; otherwise the error to keep for a later answer.
+/// Returns the final answer that follows from the end of an attempt, or else the error to store for a later answer.
 fn final_answer(
     outcome: Outcome,
     streaming: bool,
@@ -23,7 +23,7 @@
     match (outcome, streaming) {
         (Outcome::Ok, true) => Ok(Answer::Streamed),
         (Outcome::Ok, false) => Ok(match error {
-            // The engine executed the statement, which is itself at fault.
+            // The engine executed the statement, and the error lies in the statement itself.
             Some(error) => Answer::Failed(Some(error)),
             None => Answer::Served(rows),
         }),
@@ -33,7 +33,7 @@
 }
 
 impl Core {
-    /// An attempt by its id.
+    /// Returns the attempt with this id.
     pub(super) fn find_attempt(&self, id: AttemptId) -> Option<&Attempt> {
         self.requests.get(&id.request)?.attempt(id.number)
     }
@@ -42,7 +42,7 @@
         self.find_attempt(id).is_some_and(Attempt::is_in_flight)
     }
 
-    /// Starts an attempt. It ends at once as not executed if it may not be transmitted.
+    /// Starts an attempt. An attempt that may not be transmitted ends at once as not executed.
     pub(super) fn start_attempt(
         &mut self,
         now: Milliseconds,
@@ -56,7 +56,7 @@
         let attempt = AttemptId { request: id, number: request.attempts.len() as u32 };
         request.attempts.push(Attempt::new(engine, placement, now, SendPermit::new(self.list_lease.clone())));
         let deadline = request.attempt_deadline(now, timeout, self.limits.answer_margin);
-        match self.permission_to_leave(now, attempt, deadline, effects) {
+        match self.send_permission(now, attempt, deadline, effects) {
             SendPermission::Denied => {
                 self.end_attempt(now, attempt, AttemptEnd::from_outcome(Outcome::NotExecuted), effects);
             }
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Whether a new attempt may be transmitted: now, once its key is recorded, or not at all.
-    fn permission_to_leave(
+    /// Returns whether a new attempt may be transmitted: now, once its key is recorded, or not at all.
+    fn send_permission(
         &mut self,
         now: Milliseconds,
         id: AttemptId,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Whether an attempt may be sent now. Refusals are counted; attempts that break a rule are logged.
+    /// Returns whether an attempt may be sent now. Refusals are counted, and those that are violations of a rule are logged.
     fn may_send(
         &self,
         now: Milliseconds,
@@ -92,8 +92,8 @@
         deadline: Milliseconds,
         effects: &mut Vec<Effect>,
     ) -> bool {
-        let Some(facts) = self.send_facts(now, id, deadline) else { return false };
-        let Err(refusal) = may_send(&facts) else { return true };
+        let Some(conditions) = self.send_conditions(now, id, deadline) else { return false };
+        let Err(refusal) = may_send(&conditions) else { return true };
         self.rules.count(refusal);
         if refusal.is_violation() {
             effects.push(Effect::LogViolation { attempt: id, refusal });
@@ -101,9 +101,14 @@
         false
     }
 
-    fn send_facts(&self, now: Milliseconds, id: AttemptId, deadline: Milliseconds) -> Option<SendConditions> {
+    fn send_conditions(
+        &self,
+        now: Milliseconds,
+        id: AttemptId,
+        deadline: Milliseconds,
+    ) -> Option<SendConditions> {
         let request = self.requests.get(&id.request)?;
-        let own = request.attempt(id.number)?;
+        let this = request.attempt(id.number)?;
         let others = || {
             let numbered = request.numbered_attempts().filter(|(number, _)| *number != id.number);
             numbered.map(|(_, attempt)| attempt)
@@ -115,25 +120,25 @@
         Some(SendConditions {
             request_open: !request.is_closed(),
             list_reliable: self.list_lease.is_valid(now),
-            engine_live: self.live_address(&own.engine).is_some(),
+            engine_live: self.live_address(&this.engine).is_some(),
             now,
             deadline,
             send_by: request.send_by,
             in_flight: others().filter(|other| other.is_in_flight()).count(),
             may_hedge: self.settings.may_hedge,
-            may_repeat: may_repeat(idempotency, earlier, own.placement, now),
+            may_repeat: may_repeat(idempotency, earlier, this.placement, now),
             attempts: id.number as usize,
             max_attempts: self.settings.max_attempts as usize,
         })
     }
 
-    /// Zone and cell of an engine.
+    /// Returns the zone and cell of an engine.
     fn placement(&self, engine: &EngineId) -> Placement {
         let unknown = Placement { zone: None, cell: 0 };
         self.engines.get(engine).map_or(unknown, |endpoint| endpoint.member.placement())
     }
 
-    /// Transmits an attempt, if it may still be sent.
+    /// Transmits an attempt if it may still be sent; otherwise ends it as not executed.
     pub(super) fn transmit(
         &mut self,
         now: Milliseconds,
@@ -170,7 +175,7 @@
         })
     }
 
-    /// Starts to stream a result to the client.
+    /// Starts to stream a result to the client, unless the response has already begun or the deadline has passed.
     pub(super) fn start_streaming(
         &mut self,
         now: Milliseconds,
@@ -190,14 +195,14 @@
         effects.push(Effect::StartResponse(id.request, rows));
     }
 
-    /// Streams a further part of a result.
+    /// Forwards a further part of a streamed result to the client.
     pub(super) fn forward_chunk(&mut self, id: AttemptId, chunk: Vec<u8>, effects: &mut Vec<Effect>) {
         if self.is_in_flight(id) {
             effects.push(Effect::ResponseChunk(id.request, chunk));
         }
     }
 
-    /// Ends an attempt. The late end of an attempt that was aborted changes nothing.
+    /// Ends an attempt. A late end of an attempt that was aborted before is ignored.
     pub(super) fn end_attempt(
         &mut self,
         now: Milliseconds,
@@ -232,7 +237,8 @@
         self.remove_if_done(id.request);
     }
 
-    /// Passes a progress update on. It is ignored for attempts that ended and for results that are streamed.
+    /// Forwards a progress update to the decision module. Updates for attempts that have ended, and for requests whose result is
+    /// being streamed, are ignored.
     pub(super) fn progress_update(&mut self, id: AttemptId, update: ProgressUpdate) {
         let request = self.requests.get(&id.request);
         let is_pending = request.is_some_and(|request| request.phase == ResponsePhase::Pending);
@@ -272,14 +278,14 @@
         }
     }
 
-    /// Aborts an attempt at its deadline. A streamed result has no deadline.
+    /// Aborts an attempt at its deadline. The deadline does not apply once the result is being streamed.
     pub(super) fn attempt_timed_out(&mut self, now: Milliseconds, id: AttemptId, effects: &mut Vec<Effect>) {
         if self.requests.get(&id.request).is_some_and(|request| !request.has_streamed()) {
             self.abort_attempt(now, id, Outcome::Timeout, effects);
         }
     }
 
-    /// Aborts the attempts on an engine that is still removed after the grace period.
+    /// Aborts the attempts in flight on a removed engine after the grace period, unless the engine is a member again.
     pub(super) fn engine_removed(&mut self, now: Milliseconds, engine: &EngineId, effects: &mut Vec<Effect>) {
         if self.engines.contains_key(engine) {
             return;
@@ -294,7 +300,7 @@
         in_flight.filter(|(_, attempt)| attempt.engine == *engine).map(|(id, _)| id).collect()
     }
 
-    /// Sets what engines grant the request's attempts, those in flight included.
+    /// Sets the execution terms of a request. A changed priority is also sent to the engines of the attempts in flight.
     pub(super) fn set_terms(&mut self, id: RequestId, terms: Terms, effects: &mut Vec<Effect>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let changed = request.terms.priority != terms.priority;
--- a/src/core/decisions.rs
+++ b/src/core/decisions.rs
@@ -1,4 +1,4 @@
-//! Decision cycles: when the decision module runs, and what is done for its actions.
+//! Decision cycles: scheduling of the decision module, and execution of its actions.
 
 use super::request_state::Terms;
 use super::timers::TimerKind;
@@ -6,25 +6,25 @@
 use crate::interface::{Action, BlockReason, Milliseconds, Outcome};
 
 impl Core {
-    /// The number of requests that could not be transmitted at once, by class and reason.
+    /// Returns the number of requests that could not be transmitted at once, by class and reason.
     pub fn waits(&self) -> &[[u64; BlockReason::COUNT]] {
         self.balancer.waits()
     }
 
-    /// Deducts the processing time of decision cycles.
+    /// Deducts the processing time of decision cycles from the credit for urgent ones.
     pub fn deduct_decision_time(&mut self, time: Milliseconds) {
         self.decision_credit -= time;
     }
 
-    /// Runs a decision cycle if one is due. It is due at once where a request waits for it and recent cycles have taken
-    /// little time; otherwise cycles are paced, and each handles all events since the last.
+    /// Runs a decision cycle if one is due. A cycle is due at once if a request waits for it and recent cycles have taken little
+    /// time; otherwise cycles are paced, and each handles all events since the last one.
     pub(super) fn decision_cycle(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
         if self.pending_events.is_empty() {
             return;
         }
         self.accrue_credit(now);
-        let at_once = self.decision_urgent && self.decision_credit > 0.0;
-        if now < self.next_decision_at && !at_once {
+        let runs_now = self.decision_urgent && self.decision_credit > 0.0;
+        if now < self.next_decision_at && !runs_now {
             return self.set_decision_timer();
         }
         self.next_decision_at = now + self.limits.decision_interval;
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Runs the decision module, and again while its own actions cause events for it.
+    /// Runs the decision module, and repeats this while its own actions cause further events, up to a maximum number of rounds.
     fn decide(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
         let mut actions = Vec::new();
         for _ in 0..=self.settings.max_attempts {
@@ -74,7 +74,7 @@
                 self.set_terms(id, Terms { memory_mb, priority }, effects);
             }
             Action::Timer { after, token } => self.set_timer(now + after, TimerKind::DecisionTimer(token)),
-            // The name service is polled continuously; there is nothing to subscribe to.
+            // The name service is polled continuously, so there is nothing to subscribe to.
             Action::SubscribeToEndpoints => {}
             Action::CheckHealth { engine } => self.request_health_check(now, engine, effects),
         }
--- a/src/core/health_checks.rs
+++ b/src/core/health_checks.rs
@@ -4,14 +4,15 @@
 use super::{Core, Effect};
 use crate::interface::{EngineId, Event as DecisionEvent, LoadReport, Milliseconds};
 
-/// A health check without an answer.
+/// A health check in flight.
 pub(super) struct HealthCheck {
     engine: EngineId,
     sent_at: Milliseconds,
 }
 
 impl Core {
-    /// Checks an engine's health. Initial checks are held back, so that a fleet that starts at once spreads them.
+    /// Requests a health check of an engine. Initial checks are deferred, so that a fleet that starts at once spreads them over
+    /// time.
     pub(super) fn request_health_check(
         &mut self,
         now: Milliseconds,
@@ -24,7 +25,7 @@
         }
     }
 
-    /// Sends the health checks that were held back at the start.
+    /// Sends the health checks that were deferred at the start.
     pub(super) fn send_initial_health_checks(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
         for engine in self.initial_health_checks.release(now) {
             self.send_health_check(now, engine, effects);
@@ -40,7 +41,7 @@
         effects.push(Effect::CheckHealth { number, engine, address });
     }
 
-    /// Ends a health check. The late answer to one that timed out changes nothing.
+    /// Ends a health check. A late response to a check that has timed out is ignored.
     pub(super) fn end_health_check(
         &mut self,
         now: Milliseconds,
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -1,4 +1,4 @@
-//! The reducer's input, [`Event`], and its output, [`Effect`].
+//! The input of the reducer, [`Event`], and its output, [`Effect`].
 
 use super::types::{Answer, AttemptEnd, AttemptId, ClientRequest, Endpoint, ResultRows, Statement};
 use crate::interface::{ClassId, EngineId, LoadReport, Milliseconds, Outcome, ProgressUpdate, RequestId};
@@ -9,119 +9,119 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Input of the reducer.
+/// An input of the reducer.
 #[derive(Debug)]
 pub enum Event {
-    /// The name service's complete list.
+    /// The name service sent its complete list of engines.
     EndpointList {
-        /// Rises with each change of the list.
+        /// The list's version, which increases with each change of the list.
         version: u64,
-        /// All members.
+        /// All members of the list.
         endpoints: Vec<Endpoint>,
     },
-    /// The present address of the name service has answered: the list that follows replaces those that a previous address
-    /// has sent since the change of address, though its version may be lower.
+    /// The current address of the name service has responded. The list that follows replaces those that a previous address
+    /// has sent since the change of address, even if its version is lower.
     PreviousAddressSuperseded,
     /// The lease on the list of engines is renewed until this time.
     EndpointListLease(Milliseconds),
-    /// A front received a request.
+    /// A front end received a request.
     RequestReceived(ClientRequest),
-    /// The client disconnected or withdrew the request.
+    /// The client disconnected or cancelled the request.
     ClientDisconnected(RequestId),
-    /// The first part of a streamed answer arrived.
+    /// The first part of a streamed result was received from the engine.
     ResponseStarted(AttemptId, ResultRows),
-    /// A further part of a streamed answer arrived.
+    /// A further part of a streamed result was received from the engine.
     ResponseChunk(AttemptId, Vec<u8>),
     /// An attempt ended.
     AttemptEnded(AttemptId, AttemptEnd),
-    /// An engine sent a progress update of an attempt.
+    /// An engine sent a progress update for an attempt.
     ProgressUpdate(AttemptId, ProgressUpdate),
     /// A health check ended.
     HealthChecked {
-        /// The number that [`Effect::CheckHealth`] gave.
+        /// The number from [`Effect::CheckHealth`].
         number: u64,
-        /// Whether the engine answered in time and well.
+        /// Whether the engine responded in time and reported no failure.
         succeeded: bool,
-        /// The engine's load, where it reports that.
+        /// The engine's load, if the engine reported it.
         report: Option<LoadReport>,
     },
-    /// The time of a timer has come.
+    /// At least one timer is due.
     TimersDue,
-    /// All events of a batch were handled: run a decision cycle if one is due.
+    /// All events of a batch have been handled: run a decision cycle if one is due.
     RunDecisionCycle,
-    /// The shutdown was requested.
+    /// A shutdown was requested.
     Terminate {
-        /// When, at the earliest.
+        /// The earliest time at which the shutdown may have been requested.
         requested_at: Milliseconds,
     },
-    /// These records of keyed sends are durable.
+    /// The records of keyed sends with these numbers are durable.
     RecordsDurable(Vec<u64>),
-    /// These records may not be durable, and the log accepts no more.
+    /// The records with these numbers may not be durable, and the log accepts no further records.
     RecordsFailed(Vec<u64>),
-    /// The log was rewritten with these keys.
+    /// The idempotency log was rewritten, and now holds these keys.
     LogRewritten(Vec<(Key, KeySends)>),
-    /// The maintenance tick of the log, once a second.
+    /// Maintenance of the idempotency log is due, which happens once a second.
     MaintenanceTick,
-    /// Another process takes over, which leaves more time for open requests.
+    /// A successor process accepts new connections, which leaves more time for open requests.
     SuccessorListens,
-    /// The operator override: engines that operators have excluded.
+    /// The operator override was read or has changed: the engines that operators have excluded.
     OperatorOverrides(OperatorOverrides),
-    /// What an earlier process of this gateway knew of the membership.
+    /// The membership known to an earlier process of this gateway was read.
     InheritedMembership(InheritedMembership),
-    /// Another process of this gateway sent requests with these keys.
+    /// Another process of this gateway has sent requests with these keys.
     PeerKeys(Vec<(Key, KeySends)>),
-    /// How many processes of this gateway run now.
+    /// The current number of running processes of this gateway.
     ProcessCount(usize),
 }
 
-/// An attempt to transmit.
+/// An attempt that is to be transmitted.
 #[derive(Debug, Clone)]
 pub struct Send {
-    /// The attempt.
+    /// The attempt's id.
     pub id: AttemptId,
-    /// The engine.
+    /// The engine that the attempt is sent to.
     pub engine: EngineId,
-    /// Where it listens.
+    /// The address on which the engine listens.
     pub address: SocketAddr,
     /// The request's class.
     pub class: ClassId,
-    /// What is transmitted.
+    /// The statement and its data.
     pub statement: Rc<Statement>,
-    /// The time until its deadline.
+    /// The time that is left until the attempt's deadline, in ms.
     pub budget: Milliseconds,
-    /// The time within which it must be transmitted or dropped, as engines forget keys.
+    /// The time within which the attempt must be transmitted or dropped, as engines discard idempotency keys after a while.
     pub transmit_within: Option<Milliseconds>,
-    /// Memory grant in MB; 0 leaves it to the engine.
+    /// Memory grant in MB; 0 for the engine's default.
     pub memory_mb: f64,
-    /// Priority, 0 to 3.
+    /// The attempt's priority, 0 to 3.
     pub priority: u8,
-    /// Another attempt of the request was sent before.
+    /// Whether another attempt of the request was sent before.
     pub is_retry: bool,
-    /// Ends with the attempt.
+    /// The permission to transmit the attempt. Revoked when the attempt ends.
     pub permit: SendPermit,
-    /// When it was handed over.
+    /// The time at which the reducer requested the transmission.
     pub at: Milliseconds,
 }
 
-/// Output of the reducer, performed by the runtime.
+/// An output of the reducer, performed by the runtime.
 #[derive(Debug)]
 pub enum Effect {
     /// Transmit an attempt.
     Send(Send),
     /// Abort an attempt.
     AbortAttempt {
-        /// The attempt.
+        /// The attempt's id.
         attempt: AttemptId,
-        /// Its engine.
+        /// The engine that the attempt was sent to.
         engine: EngineId,
-        /// The reason: a timeout, a cancellation or a reset.
+        /// The reason for the abort: a timeout, a cancellation or a reset.
         outcome: Outcome,
     },
     /// Change the priority of an attempt in flight.
     SetPriority {
-        /// The attempt.
+        /// The attempt's id.
         attempt: AttemptId,
-        /// Its engine.
+        /// The engine that the attempt was sent to.
         engine: EngineId,
         /// The new priority, 0 to 3.
         priority: u8,
@@ -130,52 +130,52 @@
     CheckHealth {
         /// The number that [`Event::HealthChecked`] repeats.
         number: u64,
-        /// The engine.
+        /// The engine to check.
         engine: EngineId,
-        /// Where it listens.
+        /// The address on which the engine listens.
         address: SocketAddr,
     },
-    /// Drop what is queued for an engine that drains or was removed.
+    /// Drop the attempts queued for an engine that is draining or was removed.
     DropQueued(EngineId),
-    /// Stream the first part of an answer to the client.
+    /// Send the first part of a streamed result to the client.
     StartResponse(RequestId, ResultRows),
-    /// Stream a further part.
+    /// Send a further part of a streamed result to the client.
     ResponseChunk(RequestId, Vec<u8>),
-    /// Send the final answer.
+    /// Send the final answer to the client.
     Answer(RequestId, Answer),
     /// Log why a request was rejected.
     LogRejection {
-        /// The request.
+        /// The request's id.
         request: RequestId,
-        /// Its class.
+        /// The request's class.
         class: ClassId,
-        /// Why it was rejected.
+        /// The reason for the rejection.
         reason: &'static str,
-        /// How long it had waited.
+        /// The time from the request's arrival to its rejection.
         waited: Milliseconds,
     },
-    /// Log that the decision module requested an attempt that the rules do not allow. It was not sent.
+    /// Log that the decision module requested an attempt that the sending rules do not allow, and that the attempt was not sent.
     LogViolation {
-        /// The attempt.
+        /// The attempt's id.
         attempt: AttemptId,
-        /// The rule that it breaks.
+        /// The rule that the attempt violates.
         refusal: SendRefusal,
     },
     /// Write a record of a keyed send.
     WriteRecord {
-        /// The number that [`Event::RecordsDurable`] or [`Event::RecordsFailed`] reports.
+        /// The number that [`Event::RecordsDurable`] or [`Event::RecordsFailed`] repeats.
         number: u64,
         /// The idempotency key.
         key: Key,
-        /// The send.
+        /// The send to record.
         sent: KeySend,
     },
-    /// Write a mark that the log is complete.
+    /// Write a mark that the idempotency log is complete so far.
     WriteMark(LogMark),
-    /// Rewrite the log.
+    /// Rewrite the idempotency log.
     RewriteLog(Rewrite),
-    /// Log whether the list of engines may be relied on from now on.
+    /// Log whether the list of engines is reliable from now on.
     LogListReliability(bool),
-    /// Every request is answered: exit.
+    /// Exit, as every request has been answered.
     Exit,
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,17 +1,17 @@
-//! The reducer: `(state, event, now) -> effects`. It owns every request from its arrival to its one final answer, every
-//! attempt, all timers and the shutdown. It opens no socket, reads no clock and knows no wire: fronts hand it requests,
-//! engine wires hand it outcomes, and the runtime performs its effects.
+//! The reducer: `(state, event, now) -> effects`. The reducer owns every request from its arrival to its single final
+//! answer, every attempt, all timers and the shutdown. It opens no socket, reads no clock and knows no wire protocol: front
+//! ends pass requests to it, engine connections pass outcomes to it, and the runtime performs its effects.
 //!
-//! The parts, in the order in which data passes:
+//! The modules, in the order in which data flows through them:
 //!
-//! - `types` and `messages`: what is exchanged with fronts, engine wires and the runtime;
+//! - `types` and `messages`: the types exchanged with front ends, engine connections and the runtime;
 //! - `membership`: the engines in use;
-//! - `requests`: admission, rejection, the one final answer;
-//! - `decisions`: decision cycles, and the actions that come out of them;
-//! - `request_state`: a request and its attempts, as the parts share them;
-//! - `attempts`, `records`, `health_checks`: what is sent to engines, and what they answer;
+//! - `requests`: admission, rejection, the final answer;
+//! - `decisions`: decision cycles, and the actions that they produce;
+//! - `request_state`: the state of a request and its attempts, shared by the other modules;
+//! - `attempts`, `records`, `health_checks`: messages to engines and their responses;
 //! - `timers`: the timer queue;
-//! - `shutdown`: the last answers, and the exit.
+//! - `shutdown`: the final answers to open requests, and the exit.
 
 mod attempts;
 mod decisions;
@@ -53,83 +53,85 @@
     Statement,
 };
 
-/// The state of one gateway.
+/// The reducer and the complete state of one gateway process.
 pub struct Core {
     balancer: Balancer,
     settings: Settings,
     limits: Limits,
-    /// The version of the membership.
+    /// The version of the list in `service_members`.
     membership_version: Option<u64>,
-    /// The membership as the name service last sent it.
+    /// The members in the last list that the name service sent.
     service_members: Vec<Endpoint>,
-    /// When members started, by this gateway's clock.
+    /// The times at which members started, on this gateway's clock.
     start_times: StartTimes,
-    /// Engines that were members before and are not any more.
+    /// Engines that were members and have since been removed from the list.
     removed_engines: RemovedEndpoints,
-    /// When the name service last answered this process.
+    /// The time at which the name service last responded to this process.
     service_confirmed_at: Option<Milliseconds>,
-    /// Set while no membership is known: requests are rejected, each with another time to retry.
+    /// Set while no membership is known: requests are rejected, each with a different retry-after time.
     membership_wait: Option<RetryAfter>,
-    /// Until when the list of engines may be relied on. Shared with the permits of all attempts.
+    /// The lease during which the list of engines is considered reliable. Shared with the send permits of all attempts.
     list_lease: ListLease,
-    /// The lease has expired: no engine gets new work.
+    /// Whether the lease has expired: no engine is sent new work.
     list_expired: bool,
-    /// Whether a timer is set for the end of the lease.
+    /// Whether a timer is set for the expiry of `list_lease`.
     list_timer_set: bool,
-    /// Drains and removals learned from previous addresses of the name service. They hold until the present address sends a
-    /// list as new.
+    /// Drains and removals learned from previous addresses of the name service. They apply until the current address sends
+    /// a list with at least the same version.
     previous_address: Option<PreviousAddress>,
-    /// What an earlier process knew of the membership; it holds until the name service answers this one.
+    /// The membership known to an earlier process. It applies until the name service responds to this process.
     inherited_membership: Option<InheritedMembership>,
     /// Engines that operators have excluded.
     operator_override: OperatorOverrides,
-    /// The engines in use: the name service's list with the above applied.
+    /// The engines in use: the name service's list, with the operator override, the inherited membership and the drains and
+    /// removals of previous addresses applied.
     engines: BTreeMap<EngineId, Endpoint>,
     requests: BTreeMap<RequestId, Request>,
-    /// The deduplication window: sends by idempotency key.
+    /// The deduplication window: recent sends by idempotency key.
     deduplication: DeduplicationWindow,
-    /// Records of keyed sends that are being written, by number.
+    /// Attempts that wait for the record of a keyed send to become durable, by the record's number.
     pending_records: BTreeMap<u64, AttemptId>,
-    /// What an earlier incarnation learned, until the membership has listed its engines.
+    /// State learned by an earlier incarnation, held until the membership lists the engines that it is about.
     restored_state: Option<RestoredState>,
-    /// Health checks without an answer, by number.
+    /// Health checks in flight, by number.
     health_checks: BTreeMap<u64, HealthCheck>,
-    /// Spreads the initial health checks of a fleet that starts all at once.
+    /// Spreads the initial health checks over time when a whole fleet starts at once.
     initial_health_checks: InitialHealthChecks<EngineId>,
     timers: BinaryHeap<Timer>,
-    /// The last number given to a timer, a health check or a record.
+    /// The last sequence number assigned to a timer, a health check or a record.
     last_number: u64,
-    /// Bytes of the statements of all requests.
+    /// Size of the statements of all requests, in bytes.
     buffered_bytes: usize,
-    /// Requests without a final answer.
+    /// Number of requests without a final answer.
     open_requests: usize,
-    /// What the rules refused.
+    /// Counts of the sends refused, by rule.
     rules: Rc<RuleCounters>,
-    /// Counts by class.
+    /// Counts by class, in the order of the settings.
     counts: Vec<Counts>,
     /// Events for the next decision cycle.
     pending_events: Vec<DecisionEvent>,
-    /// When the next decision cycle is due if events are pending. Cycles are paced, as one costs much the same for one
-    /// event as for many.
+    /// The time at which the next decision cycle is due if events are pending. Cycles are paced, as a cycle costs about the
+    /// same for one event as for many.
     next_decision_at: Milliseconds,
-    /// Whether a timer is set for that.
+    /// Whether a timer is set for `next_decision_at`.
     decision_timer_set: bool,
     /// Whether a request waits for the next decision cycle.
     decision_urgent: bool,
-    /// Processing time for urgent cycles before the next one is due, in ms: it accrues with time, and cycles spend it.
+    /// Processing time in ms that urgent cycles may use before the next regular one is due. It accrues over time, and each
+    /// cycle is charged against it.
     decision_credit: Milliseconds,
     credit_updated_at: Milliseconds,
-    /// The shutdown, once it was requested.
+    /// The shutdown, once it has been requested.
     termination: Option<Termination>,
-    /// When every open request is answered for the shutdown.
+    /// The time at which every request that is still open is answered because of the shutdown.
     answer_by: Milliseconds,
 }
 
 impl Core {
-    /// A gateway without requests.
+    /// Creates a gateway without requests or members.
     ///
     /// # Errors
-    /// The settings are inconsistent.
+    /// Fails if the settings are inconsistent.
     pub fn new(settings: Settings, limits: Limits, now: Milliseconds) -> Result<Self, SettingsError> {
         Ok(Self {
             balancer: Balancer::new(settings.clone(), now)?,
@@ -176,32 +178,32 @@
         })
     }
 
-    /// Sets the deduplication window and what an earlier incarnation learned. To be called before the first event.
+    /// Sets the deduplication window and the state learned by an earlier incarnation. Must be called before the first event.
     pub fn resume(&mut self, deduplication: DeduplicationWindow, restored_state: Option<RestoredState>) {
         (self.deduplication, self.restored_state) = (deduplication, restored_state);
     }
 
-    /// Counts refusals of the rules in these counters. To be called before the first event.
+    /// Sets the counters in which sends refused by a rule are counted. Must be called before the first event.
     pub fn count_refusals_in(&mut self, rules: Rc<RuleCounters>) {
         self.rules = rules;
     }
 
-    /// What the decision module has learned so far.
+    /// Returns the state that the decision module has learned so far.
     pub fn learned(&self, now: Milliseconds) -> LearnedState {
         LearnedState { recorded_at: now, ..self.balancer.learned() }
     }
 
-    /// Sets what an earlier incarnation learned, unless that is set already.
+    /// Sets the state learned by an earlier incarnation, unless it is already set.
     pub fn set_restored_state(&mut self, restored_state: RestoredState) {
         self.restored_state.get_or_insert(restored_state);
     }
 
-    /// Attempts and outcomes by class, in the order of the settings.
+    /// Returns the counts of requests, outcomes and rejections by class, in the order of the settings.
     pub fn counts(&self) -> &[Counts] {
         &self.counts
     }
 
-    /// Handles one event.
+    /// Handles one event and appends the resulting effects.
     pub fn handle(&mut self, now: Milliseconds, event: Event, effects: &mut Vec<Effect>) {
         match event {
             Event::EndpointList { version, endpoints } => {
--- a/src/core/records.rs
+++ b/src/core/records.rs
@@ -1,4 +1,4 @@
-//! Records of keyed sends, and maintenance of the log that holds them.
+//! Records of keyed sends, and maintenance of the idempotency log that holds them.
 
 use super::request_state::{Attempt, PendingRecord, RequestKey};
 use super::timers::TimerKind;
@@ -6,26 +6,26 @@
 use crate::interface::{Milliseconds, Outcome};
 use starlingplank_persistence::deduplication_window::{DeduplicationWindow, Key, KeySends, TrustedLog};
 
-/// How the writing of a record ended.
+/// The result of writing a record.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum RecordOutcome {
     Durable,
-    /// It may not be durable.
+    /// The record may not be durable.
     Failed,
 }
 
 impl Core {
-    /// The deduplication window.
+    /// Returns the deduplication window.
     pub fn deduplication(&self) -> &DeduplicationWindow {
         &self.deduplication
     }
 
-    /// Takes over the log of a process that has ended.
+    /// Takes over the idempotency log of a process that has exited.
     pub fn adopt_log(&mut self, required: bool, trusted: Option<TrustedLog>, now: Milliseconds) {
         self.deduplication.take_log(required, trusted, now);
     }
 
-    /// Requests a record of a send. The attempt is transmitted once the record is durable.
+    /// Requests that a send be recorded. The attempt is transmitted once the record is durable.
     pub(super) fn request_record(
         &mut self,
         now: Milliseconds,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Ends the attempts whose records may not be durable. The log is not relied on until it is rewritten.
+    /// Ends the attempts whose records may not be durable as not executed. The log is considered unreliable until it is rewritten.
     pub(super) fn records_failed(&mut self, now: Milliseconds, numbers: Vec<u64>, effects: &mut Vec<Effect>) {
         self.deduplication.failed();
         for number in numbers {
@@ -66,14 +66,15 @@
         }
     }
 
-    /// Treats a record that is not durable in time as failed, as with a disk that hangs.
+    /// Treats a record that does not become durable in time as failed, such as on a disk that hangs.
     pub(super) fn record_timed_out(&mut self, now: Milliseconds, number: u64, effects: &mut Vec<Effect>) {
         if self.pending_records.contains_key(&number) {
             self.records_failed(now, vec![number], effects);
         }
     }
 
-    /// Ends the wait for a record. It changes nothing for an attempt that was aborted meanwhile.
+    /// Ends the wait for a record: transmits the attempt, or ends it as not executed. An attempt that was aborted meanwhile is
+    /// left unchanged.
     fn end_record(
         &mut self,
         now: Milliseconds,
@@ -97,7 +98,7 @@
         }
     }
 
-    /// The log was rewritten with these keys.
+    /// Handles the completion of a log rewrite: `keys` are the keys that the log now holds.
     pub(super) fn log_rewritten(
         &mut self,
         now: Milliseconds,
@@ -109,14 +110,14 @@
         }
     }
 
-    /// Another process of this gateway sent requests with these keys.
+    /// Adds keys with which another process of this gateway has sent requests to the deduplication window.
     pub(super) fn add_peer_keys(&mut self, now: Milliseconds, keys: Vec<(Key, KeySends)>) {
         for (key, sends) in keys {
             self.deduplication.merge_peer_sends(key, sends, now);
         }
     }
 
-    /// The maintenance tick: marks the log, or rewrites it where it failed or has grown long.
+    /// Performs the periodic maintenance: marks the log as complete, or rewrites it if it has failed or grown too long.
     pub(super) fn maintain_log(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
         match self.deduplication.rewrite(now) {
             Some(rewrite) => effects.push(Effect::RewriteLog(rewrite)),
--- a/src/core/request_state.rs
+++ b/src/core/request_state.rs
@@ -1,4 +1,4 @@
-//! The state of one request and of its attempts, shared by the parts of the reducer.
+//! The state of a request and of its attempts, shared by the modules of the reducer.
 
 use super::types::{AttemptId, EngineError, Statement};
 use crate::interface::{ClassId, EngineId, Milliseconds, Outcome, Placement, RequestId};
@@ -6,22 +6,22 @@
 use starlingplank_persistence::deduplication_window::{Key, KeySend};
 use std::rc::Rc;
 
-/// The priority of a request until the decision module sets another.
+/// The priority of a request until the decision module sets a different one.
 const DEFAULT_PRIORITY: u8 = 1;
 
-/// An idempotency key, and how long engines remember it.
+/// An idempotency key, and the time for which engines remember it.
 #[derive(Clone, Copy)]
 pub(super) struct RequestKey {
     pub(super) key: Key,
     pub(super) window: Milliseconds,
 }
 
-/// What an engine grants the attempts of a request.
+/// The execution terms of a request: the resources that engines grant to its attempts.
 #[derive(Clone, Copy)]
 pub(super) struct Terms {
-    /// Memory grant in MB; 0 leaves it to the engine.
+    /// Memory grant in MB; 0 for the engine's default.
     pub(super) memory_mb: f64,
-    /// Priority, 0 to 3.
+    /// Priority on the engine, 0 to 3.
     pub(super) priority: u8,
 }
 
@@ -34,7 +34,7 @@
 /// A record of a keyed send that is being written.
 pub(super) struct PendingRecord {
     pub(super) sent: KeySend,
-    /// The deadline of the attempt that waits for it.
+    /// The deadline of the attempt that waits for the record.
     pub(super) deadline: Milliseconds,
 }
 
@@ -44,83 +44,84 @@
     pub(super) sent_at: Milliseconds,
     /// The record that must be durable before the attempt is transmitted.
     pub(super) pending_record: Option<PendingRecord>,
-    /// Zone and cell of its engine.
+    /// Zone and cell of the engine.
     pub(super) placement: Placement,
-    /// Revoked when the attempt ends: its message is not written afterwards.
+    /// The permission to transmit the attempt. Revoked when the attempt ends, so that its message is not written afterwards.
     pub(super) permit: SendPermit,
-    /// How it ended; none while it is in flight.
+    /// The outcome; `None` while the attempt is in flight.
     outcome: Option<Outcome>,
 }
 
 impl Attempt {
-    /// An attempt that is in flight from now on.
+    /// Creates an attempt that is in flight from `now` on.
     pub(super) fn new(engine: EngineId, placement: Placement, now: Milliseconds, permit: SendPermit) -> Self {
         Self { engine, sent_at: now, pending_record: None, placement, permit, outcome: None }
     }
 
-    /// Whether it has not ended.
+    /// Returns whether the attempt has not ended yet.
     pub(super) fn is_in_flight(&self) -> bool {
         self.outcome.is_none()
     }
 
-    /// Ends it, and revokes the permission to write its message.
+    /// Ends the attempt, and revokes the permission to transmit it.
     pub(super) fn end(&mut self, outcome: Outcome) {
         self.outcome = Some(outcome);
         self.permit.revoke();
     }
 
-    /// Whether an engine may have executed it, or may still do so.
+    /// Returns whether an engine may have executed the attempt, or may still do so.
     pub(super) fn may_have_run(&self) -> bool {
         !self.outcome.is_some_and(never_ran)
     }
 
-    /// Whether it was transmitted, as far as is known.
+    /// Returns whether the attempt was transmitted, as far as the gateway knows.
     pub(super) fn was_transmitted(&self) -> bool {
         self.outcome != Some(Outcome::NotExecuted)
     }
 }
 
-/// How far the response to a request has come.
+/// The progress of the response to a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum ResponsePhase {
-    /// Nothing was sent to the client.
+    /// Nothing has been sent to the client yet.
     Pending,
-    /// The first part of the result was sent to the client.
+    /// The first part of the result has been sent to the client, and more may follow.
     Streaming,
-    /// The final answer was sent, or the client disconnected, before a result was streamed.
+    /// The final answer was sent, or the client disconnected, without any part of the result being streamed.
     Closed,
-    /// The streamed result has ended, or the client disconnected during it.
+    /// The streamed result has ended, or the client disconnected while it was streamed.
     ClosedAfterStreaming,
 }
 
-/// A request that is open, or that is closed and has attempts in flight.
+/// A request that is open, or that is closed and still has attempts in flight.
 pub(super) struct Request {
     pub(super) statement: Rc<Statement>,
     pub(super) class: ClassId,
     pub(super) received_at: Milliseconds,
     pub(super) key: Option<RequestKey>,
     pub(super) deadline: Milliseconds,
-    /// A keyed statement is not transmitted later than this, as an engine that received its key before forgets it then.
+    /// The time after which a keyed statement is not transmitted any more, as an engine that has received its key before may
+    /// have forgotten it.
     pub(super) send_by: Milliseconds,
     pub(super) attempts: Vec<Attempt>,
     pub(super) terms: Terms,
-    /// The engine's error of the last attempt.
+    /// The engine's error from the last attempt that ended.
     pub(super) last_error: Option<EngineError>,
     pub(super) phase: ResponsePhase,
 }
 
 impl Request {
-    /// Whether it has its final answer, or its client disconnected.
+    /// Returns whether the request has its final answer, or its client has disconnected.
     pub(super) fn is_closed(&self) -> bool {
         matches!(self.phase, ResponsePhase::Closed | ResponsePhase::ClosedAfterStreaming)
     }
 
-    /// Whether the first part of its result was sent to the client.
+    /// Returns whether the first part of the result has been sent to the client.
     pub(super) fn has_streamed(&self) -> bool {
         matches!(self.phase, ResponsePhase::Streaming | ResponsePhase::ClosedAfterStreaming)
     }
 
-    /// Closes it.
+    /// Marks the request as closed.
     pub(super) fn close(&mut self) {
         self.phase = match self.has_streamed() {
             true => ResponsePhase::ClosedAfterStreaming,
@@ -128,22 +129,22 @@
         };
     }
 
-    /// An attempt by its number.
+    /// Returns the attempt with this number.
     pub(super) fn attempt(&self, number: u32) -> Option<&Attempt> {
         self.attempts.get(number as usize)
     }
 
-    /// An attempt by its number.
+    /// Returns the attempt with this number, mutably.
     pub(super) fn attempt_mut(&mut self, number: u32) -> Option<&mut Attempt> {
         self.attempts.get_mut(number as usize)
     }
 
-    /// The attempts with their numbers.
+    /// Returns the attempts with their numbers.
     pub(super) fn numbered_attempts(&self) -> impl Iterator<Item = (u32, &Attempt)> {
         (0..).zip(&self.attempts)
     }
 
-    /// The attempts in flight with their ids, where the request has this id.
+    /// Returns the attempts in flight with their ids. `request` is the id of this request.
     pub(super) fn attempts_in_flight(
         &self,
         request: RequestId,
@@ -153,7 +154,8 @@
             .map(move |(number, attempt)| (AttemptId { request, number }, attempt))
     }
 
-    /// The deadline of an attempt that starts now. A timeout of 0 stands for no timeout of its own.
+    /// Returns the deadline of an attempt that starts now, no later than `margin` before the request's deadline. A `timeout` of 0
+    /// means that the attempt has no timeout of its own.
     pub(super) fn attempt_deadline(
         &self,
         now: Milliseconds,
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -8,21 +8,21 @@
 };
 use starlingplank_persistence::deduplication_window::{self, Admission};
 
-/// The result of admission.
+/// The idempotency key of an admitted request, and the time limit on its transmission.
 struct Admitted {
     key: Option<RequestKey>,
-    /// No attempt may be transmitted later.
+    /// The time after which no attempt of the request may be transmitted.
     send_by: Milliseconds,
 }
 
-/// Why a request is rejected, and when its client should retry.
+/// The reason for which a request is rejected, and the time after which its client should retry.
 struct Rejection {
     reason: &'static str,
     retry_after: Milliseconds,
 }
 
 impl Core {
-    /// Whether a request still waits for its final answer.
+    /// Returns whether a request still waits for its final answer.
     pub(super) fn is_open(&self, id: RequestId) -> bool {
         self.requests.get(&id).is_some_and(|request| !request.is_closed())
     }
@@ -48,7 +48,7 @@
         self.check_deduplication(now, request)
     }
 
-    /// Bounds memory: past these limits a request is rejected without a decision.
+    /// Rejects a request that would exceed the limits on open requests or buffered bytes, without a decision. This bounds memory.
     fn check_capacity(&self, request: &ClientRequest) -> Result<(), Rejection> {
         let is_full = self.open_requests >= self.limits.max_open_requests;
         if is_full || self.buffered_bytes + request.statement.bytes() > self.limits.max_buffered_bytes {
@@ -57,15 +57,15 @@
         Ok(())
     }
 
-    /// Requests queued until a membership is known would all be released at once. Each is rejected with another time to
-    /// retry.
+    /// Rejects requests while no membership is known: if they were queued, they would all be sent at once when the first list
+    /// arrives. Each is rejected with a different retry-after time.
     fn check_membership(&mut self, now: Milliseconds) -> Result<(), Rejection> {
-        let Some(outage) = &mut self.membership_wait else { return Ok(()) };
-        let retry_after = outage.draw(now, self.settings.max_retry_after);
+        let Some(generator) = &mut self.membership_wait else { return Ok(()) };
+        let retry_after = generator.draw(now, self.settings.max_retry_after);
         Err(Rejection { reason: "no list", retry_after })
     }
 
-    /// No request is accepted once the open ones were answered for the shutdown.
+    /// Rejects requests once the open ones have been answered because of the shutdown.
     fn check_shutdown(&self, now: Milliseconds) -> Result<(), Rejection> {
         if now >= self.answer_by {
             return Err(self.rejection("ending"));
@@ -73,8 +73,8 @@
         Ok(())
     }
 
-    /// A repeat that arrives while engines remember its key must not be transmitted after they forget it: it would be
-    /// executed twice.
+    /// Determines until when a keyed request may be transmitted. A repeat that arrives while engines remember its key must not
+    /// be transmitted after they have forgotten the key, as it would be executed twice.
     fn check_deduplication(
         &mut self,
         now: Milliseconds,
@@ -116,14 +116,14 @@
         };
         self.requests.insert(id, request);
         self.set_timer(deadline - self.limits.answer_margin / 2.0, TimerKind::RequestDeadline(id));
-        // Attempts end before the client's deadline, so that the answer can be sent in time. The decision module plans
-        // with that earlier deadline: with the client's it would spend its retry budget on retries in between.
+        // Attempts end before the client's deadline, so that the answer can be sent in time. The decision module is given
+        // that earlier deadline: with the client's it would spend its retry budget on retries between the two.
         let deadline = deadline - self.limits.answer_margin;
         self.decision_urgent = true;
         self.pending_events.push(DecisionEvent::Request(RequestDetails { deadline, ..details }));
     }
 
-    /// Rejects a request that was not accepted.
+    /// Rejects a request that was not admitted.
     fn reject(&mut self, id: RequestId, class: ClassId, rejection: Rejection, effects: &mut Vec<Effect>) {
         let Rejection { reason, retry_after } = rejection;
         *self.counts[class.0].rejections.entry(reason).or_default() += 1;
@@ -131,7 +131,7 @@
         effects.push(Effect::Answer(id, Answer::Rejected(retry_after)));
     }
 
-    /// Rejects a request that was accepted.
+    /// Rejects a request that was already admitted, and aborts its attempts.
     pub(super) fn shed(
         &mut self,
         now: Milliseconds,
@@ -151,14 +151,14 @@
         self.answer(id, Answer::Rejected(retry_after), effects);
     }
 
-    /// Fails a request with the engine's last error.
+    /// Fails a request with the engine's error from the last attempt, and aborts its attempts in flight.
     pub(super) fn fail(&mut self, now: Milliseconds, id: RequestId, effects: &mut Vec<Effect>) {
         let error = self.requests.get_mut(&id).and_then(|request| request.last_error.take());
         self.abort_attempts(now, id, Outcome::Cancelled, effects);
         self.answer(id, Answer::Failed(error), effects);
     }
 
-    /// How long engines remember the keys of a class; none for classes without keys.
+    /// Returns the time for which engines remember the keys of a class; `None` for classes without keys.
     fn deduplication_time(&self, class: ClassId) -> Option<Milliseconds> {
         match self.settings.classes[class.0].idempotency {
             Idempotency::Keyed { window, .. } => Some(window),
@@ -166,7 +166,8 @@
         }
     }
 
-    /// Answers a request whose deadline is close. The decision module answers earlier; this holds whatever it does.
+    /// Answers a request whose deadline is close. The decision module normally answers earlier; this guarantees an answer in
+    /// time regardless of what it does.
     pub(super) fn deadline_passed(&mut self, now: Milliseconds, id: RequestId, effects: &mut Vec<Effect>) {
         let request = self.requests.get(&id);
         if request.is_some_and(|request| request.phase == ResponsePhase::Pending) {
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Closes a request whose client disconnected. Its attempts end at once, so that none is transmitted afterwards.
+    /// Closes a request whose client disconnected. Its attempts are aborted at once, so that none is transmitted afterwards.
     pub(super) fn client_disconnected(
         &mut self,
         now: Milliseconds,
@@ -203,7 +204,8 @@
         self.requests.remove(&id);
     }
 
-    /// Sends the final answer. Every final answer to an accepted request is sent from here.
+    /// Sends the final answer to a request. Every final answer to an admitted request is sent from here. After a part of the
+    /// result was streamed, the answer is either `Streamed` or `Aborted`.
     pub(super) fn answer(&mut self, id: RequestId, answer: Answer, effects: &mut Vec<Effect>) {
         let Some(request) = self.open_request(id) else { return };
         let has_streamed = request.has_streamed();
--- a/src/core/timers.rs
+++ b/src/core/timers.rs
@@ -1,44 +1,45 @@
-//! The timer queue, and the handler of each timer.
+//! The timer queue, and the dispatch of timers to their handlers.
 
 use super::{AttemptId, Core, Effect};
 use crate::interface::{EngineId, Event as DecisionEvent, Milliseconds, RequestId};
 
-/// What a timer is set for.
+/// The purpose of a timer.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum TimerKind {
-    /// A timer of the decision module, by its token.
+    /// A timer of the decision module, identified by its token.
     DecisionTimer(u64),
     /// The deadline of an attempt.
     AttemptTimeout(AttemptId),
-    /// Just before the deadline of a request.
+    /// The last moment to answer a request, shortly before its deadline.
     RequestDeadline(RequestId),
-    /// The deadline of a health check, by its number.
+    /// The deadline of a health check, identified by its number.
     HealthCheckTimeout(u64),
-    /// The grace period of an engine that was removed from the membership.
+    /// The end of the grace period of an engine that was removed from the membership.
     EngineRemoved(EngineId),
-    /// The earliest exit after a shutdown was requested.
+    /// The earliest time at which the process may exit after a shutdown was requested.
     TerminationWindow,
-    /// A decision cycle that was put off.
+    /// A decision cycle that was postponed.
     DecisionCycle,
-    /// The time by which every open request is answered for the shutdown.
+    /// The time at which every request that is still open is answered because of the shutdown.
     AnswerDeadline,
-    /// The deadline of a record of a keyed send, by its number.
+    /// The deadline for a record of a keyed send to become durable, identified by the record's number.
     RecordTimeout(u64),
     /// The expiry of the membership inherited from an earlier process.
     InheritedMembership,
-    /// The end of the lease on the list of engines.
+    /// The expiry of the lease on the list of engines.
     ListLease,
     /// The expiry of the drains and removals learned from previous addresses of the name service.
     PreviousAddress,
-    /// The time of the initial health checks.
+    /// The time at which the deferred initial health checks are sent.
     InitialHealthChecks,
 }
 
-/// A timer. The earliest is the greatest, as the queue is a max-heap; among equals the one that was set first.
+/// A timer. As the queue is a max-heap, the earliest timer compares as the greatest; among timers for the same time, the one
+/// that was set first does.
 pub(super) struct Timer {
     at: Milliseconds,
     number: u64,
-    due: TimerKind,
+    kind: TimerKind,
 }
 
 impl PartialEq for Timer {
@@ -62,39 +63,39 @@
 }
 
 impl Core {
-    /// When [`Event::TimersDue`](super::Event::TimersDue) is due next.
+    /// Returns the time at which [`Event::TimersDue`](super::Event::TimersDue) is due next; `None` without a timer.
     pub fn next_due(&self) -> Option<Milliseconds> {
         self.timers.peek().map(|timer| timer.at)
     }
 
-    /// Sets a timer. Timers are never cancelled: their handlers check whether they still apply.
-    pub(super) fn set_timer(&mut self, at: Milliseconds, due: TimerKind) {
+    /// Sets a timer. Timers are never cancelled: handlers check whether their timer still applies.
+    pub(super) fn set_timer(&mut self, at: Milliseconds, kind: TimerKind) {
         self.last_number += 1;
-        self.timers.push(Timer { at, number: self.last_number, due });
+        self.timers.push(Timer { at, number: self.last_number, kind });
     }
 
-    /// Handles every timer that is due by now.
+    /// Handles every timer that is due at `now`.
     pub(super) fn fire_due_timers(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
-        while let Some(due) = self.pop_due(now) {
-            self.fire(now, due, effects);
+        while let Some(kind) = self.pop_due(now) {
+            self.fire(now, kind, effects);
         }
     }
 
     fn pop_due(&mut self, now: Milliseconds) -> Option<TimerKind> {
         self.timers.peek().filter(|timer| timer.at <= now)?;
-        self.timers.pop().map(|timer| timer.due)
+        self.timers.pop().map(|timer| timer.kind)
     }
 
-    fn fire(&mut self, now: Milliseconds, due: TimerKind, effects: &mut Vec<Effect>) {
-        match due {
+    fn fire(&mut self, now: Milliseconds, kind: TimerKind, effects: &mut Vec<Effect>) {
+        match kind {
             TimerKind::DecisionTimer(token) => self.pending_events.push(DecisionEvent::Timer(token)),
             TimerKind::AttemptTimeout(id) => self.attempt_timed_out(now, id, effects),
             TimerKind::RequestDeadline(id) => self.deadline_passed(now, id, effects),
             TimerKind::HealthCheckTimeout(number) => self.end_health_check(now, number, false, None),
             TimerKind::EngineRemoved(engine) => self.engine_removed(now, &engine, effects),
-            // `exit_when_done` runs after every event.
+            // Nothing to do: `exit_when_done` runs after every event.
             TimerKind::TerminationWindow => {}
-            // The cycle follows with the next `Event::RunDecisionCycle`.
+            // The decision cycle runs with the next `Event::RunDecisionCycle`.
             TimerKind::DecisionCycle => self.decision_timer_set = false,
             TimerKind::AnswerDeadline => self.answer_deadline_passed(now, effects),
             TimerKind::RecordTimeout(number) => self.record_timed_out(now, number, effects),
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -1,4 +1,4 @@
-//! The plain types that the reducer shares with fronts, engine wires and the runtime.
+//! The plain data types that the reducer shares with front ends, engine connections and the runtime.
 
 use crate::interface::*;
 use std::cell::Cell;
@@ -9,51 +9,51 @@
 use std::pin::Pin;
 use std::rc::Rc;
 
-/// A member: an engine as the name service lists it.
+/// A member: an engine in the name service's list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Endpoint {
-    /// The decision module's view of it.
+    /// The attributes that the decision module uses.
     pub member: Member,
-    /// Where it listens. Engines are identified by their id alone, as addresses are reused.
+    /// The address on which the engine listens. Engines are identified by their id alone, as addresses are reused.
     pub address: SocketAddr,
 }
 
-/// Flow control of a streamed answer. A front implements it; an engine wire waits for it before it reads on, so that a
-/// slow client slows down its own engine and memory stays bounded.
+/// Flow control of a streamed result. Front ends implement this trait, and engine connections wait for capacity before they
+/// read more of the result, so that a slow client slows down its own engine and memory stays bounded.
 pub trait FlowControl: Debug {
-    /// Waits until at most this many bytes are queued for the client, or the client has disconnected.
+    /// Waits until no more than `bytes` bytes are queued for the client, or the client has disconnected.
     fn wait_for_capacity(&self, bytes: usize) -> Pin<Box<dyn Future<Output = ()> + '_>>;
 }
 
-/// What a request carries to its engine; decisions do not depend on it.
+/// The part of a request that is transmitted to its engine. Decisions do not depend on it.
 #[derive(Debug, Default)]
 pub struct Statement {
-    /// The client's name for the request.
+    /// The name that the client gave the request.
     pub name: String,
-    /// The class's name.
+    /// The name of the request's class.
     pub class: String,
-    /// The statement, unchanged.
+    /// The statement's text, unchanged.
     pub text: Vec<u8>,
     /// The idempotency key, if any.
     pub key: Option<String>,
-    /// The data after the statement.
+    /// The data that follows the statement.
     pub data: Vec<u8>,
-    /// Further parameters and credentials, where the engines' interface has them.
+    /// Further parameters and credentials, where the engine's protocol has them.
     pub params: Vec<(String, String)>,
-    /// Flow control where the answer can be streamed; without it the answer is sent once it is complete.
+    /// Flow control, if the result can be streamed. Without it the result is sent once it is complete.
     pub flow: Option<Rc<dyn FlowControl>>,
     /// Whether the client has disconnected or cancelled the request.
     pub abandoned: Cell<bool>,
 }
 
 impl Statement {
-    /// Records that the client has disconnected or cancelled the request: no attempt of it may begin, also before the reducer is
-    /// notified.
+    /// Records that the client has disconnected or cancelled the request. From then on no attempt of the request may begin, even
+    /// if the reducer has not been notified yet.
     pub fn abandon(&self) {
         self.abandoned.set(true);
     }
 
-    /// Whether the client has disconnected or cancelled the request.
+    /// Returns whether the client has disconnected or cancelled the request.
     pub fn is_abandoned(&self) -> bool {
         self.abandoned.get()
     }
@@ -63,92 +63,92 @@
     }
 }
 
-/// A result: its bytes in the parts in which they arrived, and the headers that describe them.
+/// A result: its bytes in the parts in which they were received, and the headers that describe them.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ResultRows {
-    /// Text of rows, in order.
+    /// The encoded rows, in order.
     pub parts: Vec<Vec<u8>>,
-    /// Headers of the engine's answer that go to the client.
+    /// Headers of the engine's response that are forwarded to the client.
     pub headers: Vec<(String, String)>,
 }
 
-/// A request as a front received it.
+/// A request as received by a front end.
 #[derive(Debug)]
 pub struct ClientRequest {
-    /// The decision module's view of it.
+    /// The attributes that the decision module uses.
     pub details: RequestDetails,
-    /// What is sent to the engine.
+    /// The part that is sent to the engine.
     pub statement: Rc<Statement>,
 }
 
-/// An engine's error, for fronts that pass it on to the client.
+/// An engine's error, for front ends that forward it to the client.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineError {
-    /// Status code.
+    /// Status code of the response.
     pub status: u16,
-    /// The engine's own code.
+    /// The engine's own error code.
     pub code: u32,
-    /// The engine's message.
+    /// The engine's error message.
     pub text: Vec<u8>,
 }
 
-/// The one final answer to a request.
+/// The final answer to a request; each request gets exactly one.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
     /// The complete result.
     Served(ResultRows),
     /// The streamed result is complete.
     Streamed,
-    /// The streamed result cannot be completed.
+    /// The streamed result was cut off and cannot be completed.
     Aborted,
-    /// Rejected before execution; the client may retry, best after this many milliseconds.
+    /// Rejected before execution. The client may retry, preferably after this many milliseconds.
     Rejected(Milliseconds),
-    /// Failed, with the engine's error if there is one.
+    /// Execution failed, with the engine's error if there is one.
     Failed(Option<EngineError>),
-    /// Failed as its deadline passed.
+    /// The request's deadline passed before a result was available.
     Expired,
 }
 
 /// Identifies an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// Its request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// Its number within the request, from 0.
+    /// The attempt's number within the request, counted from 0.
     pub number: u32,
 }
 
-/// How an attempt ended, as an engine wire saw it.
+/// The end of an attempt, as reported by the engine connection.
 #[derive(Debug)]
 pub struct AttemptEnd {
-    /// Its outcome.
+    /// The attempt's outcome.
     pub outcome: Outcome,
-    /// The work it took, where the engine reports that.
+    /// The work that the attempt took, if the engine reported it.
     pub work: Option<Milliseconds>,
-    /// The engine's load, where the engine reports that.
+    /// The engine's load, if the engine reported it.
     pub report: Option<LoadReport>,
     /// The result, if it was not streamed.
     pub rows: ResultRows,
-    /// The engine's error, if it failed.
+    /// The engine's error, if execution failed.
     pub error: Option<EngineError>,
 }
 
 impl AttemptEnd {
-    /// An end that has nothing but its outcome.
+    /// Creates an end with an outcome and neither a result, an error nor a load report.
     pub fn from_outcome(outcome: Outcome) -> Self {
         Self { outcome, work: None, report: None, rows: ResultRows::default(), error: None }
     }
 }
 
-/// Counts of one class since the start.
+/// Counts of one class since the start of the process.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Counts {
-    /// Requests received.
+    /// Number of requests received.
     pub received: u64,
-    /// Ended attempts, in the order of [`Outcome`].
+    /// Number of attempts that ended, by outcome, in the order of [`Outcome`].
     pub outcomes: [u64; 8],
-    /// Requests whose clients disconnected or withdrew them.
+    /// Number of requests whose client disconnected or cancelled the request.
     pub disconnected: u64,
-    /// Rejected requests by reason.
+    /// Number of rejected requests, by reason.
     pub rejections: BTreeMap<&'static str, u64>,
 }
