--- a/crates/pacing/src/lib.rs
+++ b/crates/pacing/src/lib.rs
@@ -1,10 +1,10 @@
-//! When a gateway polls, connects and sends health checks, so that the sum over a fleet stays within bounds.
+//! Pacing of a gateway's polls, initial health checks and client retries, so that the total load of a fleet stays bounded.
 //!
-//! The input: how many gateways there are, this one's index, and what became of its polls. The output: when the next poll is
-//! due ([`poll_schedule`]), when the initial health checks are sent ([`startup`]), and when rejected clients should retry
-//! ([`retry_after`]). The invariants: gateways that start together poll one after another; gateways that get no responses poll
-//! ever less, and not in step; and a drain is known in time whatever the size of the fleet. All times are virtual: callers
-//! pass them in.
+//! The input: the number of gateways, the index of this one, and the results of its polls. The output: the time of the next
+//! poll ([`poll_schedule`]), the time of the initial health checks ([`startup`]), and the time after which rejected clients
+//! should retry ([`retry_after`]). The invariants: gateways that start together poll one after another; gateways that receive
+//! no responses poll less and less often, and not in step; and every gateway receives the notification of a drain in time,
+//! whatever the size of the fleet. The crate reads no clock: callers pass in the current time.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -13,5 +13,5 @@
 pub mod retry_after;
 pub mod startup;
 
-/// Milliseconds.
+/// A time or duration in milliseconds.
 pub type Milliseconds = f64;
--- a/crates/pacing/src/poll_schedule/tests.rs
+++ b/crates/pacing/src/poll_schedule/tests.rs
@@ -4,20 +4,21 @@
     PollConfig { gateways, gateway_index, max_interval }
 }
 
-/// Plays a fleet that starts within `spread` ms, before a service that answers up to `capacity` a second while
-/// `up` says so; returns the polls in each span of 10 ms, and when each gateway got its first response.
-fn play(
-    (gateways, ranked, max_interval): (usize, bool, Milliseconds),
+/// Simulates a fleet that starts within `spread` ms, with a service that responds to up to `capacity` polls per second while
+/// `is_up` returns true. Returns the number of polls in each period of 10 ms, and the time at which each gateway received its
+/// first response.
+fn simulate(
+    (gateways, indexed, max_interval): (usize, bool, Milliseconds),
     spread: Milliseconds,
     capacity: f64,
-    up: impl Fn(Milliseconds) -> bool,
+    is_up: impl Fn(Milliseconds) -> bool,
     until: Milliseconds,
 ) -> (Vec<u32>, Vec<Option<Milliseconds>>) {
-    let mut dice = fastrand::Rng::with_seed(gateways as u64 ^ 77);
+    let mut rng = fastrand::Rng::with_seed(gateways as u64 ^ 77);
     let mut fleet: Vec<PollSchedule> = (0..gateways)
         .map(|i| {
-            let config = config(gateways, ranked.then_some(i as u64), max_interval);
-            PollSchedule::new(config, dice.u64(..), dice.f64() * spread)
+            let config = config(gateways, indexed.then_some(i as u64), max_interval);
+            PollSchedule::new(config, rng.u64(..), rng.f64() * spread)
         })
         .collect();
     let (mut buckets, mut first_response_at) = (vec![0; (until / 10.0) as usize], vec![None; gateways]);
@@ -26,11 +27,11 @@
         let now = step as f64 * 10.0;
         tokens = f64::min(tokens + capacity / 100.0, capacity / 10.0);
         let mut order: Vec<usize> = (0..gateways).filter(|i| fleet[*i].next_poll_at() <= now).collect();
-        dice.shuffle(&mut order);
+        rng.shuffle(&mut order);
         for i in order {
             *bucket += 1;
             fleet[i].poll_sent(now);
-            if up(now) && tokens >= 1.0 {
+            if is_up(now) && tokens >= 1.0 {
                 tokens -= 1.0;
                 fleet[i].response_received(now);
                 first_response_at[i].get_or_insert(now);
@@ -45,23 +46,26 @@
 }
 
 #[test]
-fn fleet_that_starts_at_once_asks_one_after_another() {
+fn gateways_that_start_together_poll_one_after_another() {
     for gateways in [30, 100, 300, 1_000] {
-        for ranked in [true, false] {
+        for indexed in [true, false] {
             let (buckets, first_response_at) =
-                play((gateways, ranked, STEADY_INTERVAL), 0.0, 1e9, |_| true, 5_000.0);
-            let worst = buckets.iter().max().copied().unwrap_or(0);
-            // At the steady pace 300 gateways ask 15 in 10 ms on average; by chance some more.
+                simulate((gateways, indexed, STEADY_INTERVAL), 0.0, 1e9, |_| true, 5_000.0);
+            let max_in_bucket = buckets.iter().max().copied().unwrap_or(0);
+            // At the steady interval 300 gateways send 15 polls in 10 ms on average. Random positions allow for some more.
             let even = (gateways as u32).div_ceil(20).max(10);
-            let most = if ranked { even + 2 } else { 2 * even + 10 };
-            assert!(worst <= most, "{gateways} ranked {ranked}: {worst} in 10 ms");
+            let limit = if indexed { even + 2 } else { 2 * even + 10 };
+            assert!(
+                max_in_bucket <= limit,
+                "{gateways} gateways, indexed {indexed}: {max_in_bucket} polls in 10 ms"
+            );
             assert!(first_response_at.iter().all(|at| at.is_some_and(|at| at <= gateways as f64 + 210.0)));
         }
     }
 }
 
 #[test]
-fn gateway_alone_and_a_fleet_of_three_ask_as_soon_and_as_often_as_ever() {
+fn fleets_of_one_and_three_poll_within_3_ms_and_then_at_the_steady_interval() {
     for gateways in [1, 3] {
         for gateway_index in 0..gateways as u64 {
             let mut schedule =
@@ -78,26 +82,27 @@
 }
 
 #[test]
-fn silent_service_is_asked_ever_less_and_not_in_step() {
-    let (buckets, _) = play((300, true, STEADY_INTERVAL), 250.0, 1e9, |_| false, 30_000.0);
-    let late: Vec<u32> = (10..30).map(|s| second(&buckets, s)).collect();
-    assert!(late.iter().all(|n| (70..=140).contains(n)), "{late:?}");
-    let worst = buckets[1_000..].iter().max().copied().unwrap_or(0);
-    assert!(worst <= 8, "{worst} in 10 ms");
+fn silent_service_is_polled_less_and_less_often_and_not_in_step() {
+    let (buckets, _) = simulate((300, true, STEADY_INTERVAL), 250.0, 1e9, |_| false, 30_000.0);
+    let per_second: Vec<u32> = (10..30).map(|s| second(&buckets, s)).collect();
+    assert!(per_second.iter().all(|n| (70..=140).contains(n)), "{per_second:?}");
+    let max_in_bucket = buckets[1_000..].iter().max().copied().unwrap_or(0);
+    assert!(max_in_bucket <= 8, "{max_in_bucket} in 10 ms");
 }
 
 #[test]
-fn service_that_comes_up_late_is_heard_by_all_soon_and_without_a_herd() {
+fn all_gateways_receive_a_response_soon_after_a_late_service_start_without_a_burst() {
     let (buckets, first_response_at) =
-        play((300, true, STEADY_INTERVAL), 250.0, 1e9, |now| now >= 10_000.0, 20_000.0);
+        simulate((300, true, STEADY_INTERVAL), 250.0, 1e9, |now| now >= 10_000.0, 20_000.0);
     assert!(first_response_at.iter().all(|at| at.is_some_and(|at| at < 10_000.0 + 1.25 * 3_000.0)));
-    let worst = buckets.iter().max().copied().unwrap_or(0);
-    assert!(worst <= 40, "{worst} in 10 ms");
+    let max_in_bucket = buckets.iter().max().copied().unwrap_or(0);
+    assert!(max_in_bucket <= 40, "{max_in_bucket} in 10 ms");
 }
 
-/// What an unanswered poll would have reported counts as propagated 1.5 s after it; 2 s later nothing may be sent.
+/// A change that an unanswered poll would have reported counts as propagated 1.5 s after that poll, and 2 s later nothing may be
+/// sent to a draining engine. A response must therefore be received within 3.5 s of the first unanswered poll.
 #[test]
-fn service_silent_for_three_seconds_is_heard_before_the_rule_on_drains_binds() {
+fn response_after_three_seconds_of_silence_is_received_before_the_drain_deadline() {
     for gateways in [1, 3, 30, 100, 300, 1_000, 10_000] {
         for seed in 0..50 {
             let mut schedule = PollSchedule::new(config(gateways, None, STEADY_INTERVAL), seed, 0.0);
@@ -110,7 +115,10 @@
                     unanswered.get_or_insert(now);
                 } else {
                     let waited = now - unanswered.take().unwrap_or(now);
-                    assert!(waited <= 3_500.0, "{gateways}: {waited} ms to an answer at {now}");
+                    assert!(
+                        waited <= 3_500.0,
+                        "{gateways} gateways: {waited} ms until the response at {now}"
+                    );
                     schedule.response_received(now);
                 }
                 if now > 40_000.0 {
@@ -121,10 +129,10 @@
     }
 }
 
-/// Half of a fleet stands still for 5 s and goes on, with clocks that went on: each asks once at once, and then all
-/// lie as evenly as before.
+/// Half of the processes of a fleet are paused for 5 s while their clocks continue. Each polls once when it resumes, and from
+/// then on the polls are spread as evenly as before.
 #[test]
-fn gateways_that_stood_still_together_ask_at_their_places_again() {
+fn gateways_paused_together_poll_at_their_slots_again_after_the_pause() {
     let mut fleet: Vec<PollSchedule> = (0..300)
         .map(|i| PollSchedule::new(config(300, Some(i as u64), STEADY_INTERVAL), i as u64, 0.0))
         .collect();
@@ -132,67 +140,70 @@
     for (step, bucket) in buckets.iter_mut().enumerate() {
         let now = step as f64 * 10.0;
         for (i, schedule) in fleet.iter_mut().enumerate() {
-            let stopped = i % 2 == 0 && (5_000.0..10_000.0).contains(&now);
-            if !stopped && schedule.next_poll_at() <= now {
+            let is_paused = i % 2 == 0 && (5_000.0..10_000.0).contains(&now);
+            if !is_paused && schedule.next_poll_at() <= now {
                 schedule.poll_sent(now);
                 schedule.response_received(now);
                 *bucket += 1;
             }
         }
     }
-    assert!(buckets[1_000] >= 150, "all that wake ask at once");
+    assert!(buckets[1_000] >= 150, "all gateways that resume poll at once");
     let later = buckets[1_002..].iter().max().copied().unwrap_or(0);
     let before = buckets[100..500].iter().max().copied().unwrap_or(0);
-    assert!(later <= before, "{later} in 10 ms where {before} were before");
+    assert!(later <= before, "{later} polls in 10 ms after the pause, {before} before it");
 }
 
 #[test]
-fn service_that_answers_nonsense_is_asked_no_harder_than_a_silent_one() {
+fn service_that_sends_invalid_responses_is_polled_no_more_often_than_a_silent_one() {
     let mut schedule = PollSchedule::new(config(300, Some(7), DEFAULT_MAX_INTERVAL), 3, 0.0);
     let mut polls = 0;
     while schedule.next_poll_at() < 30_000.0 {
         let due = schedule.next_poll_at();
-        schedule.poll_sent(due); // and no response is valid
+        schedule.poll_sent(due); // No response is valid, so none is recorded.
         polls += 1;
     }
     assert!(polls <= 20, "{polls} polls in 30 s");
 }
 
-/// A service with a fifth, a third or half of what the steady pace takes is asked little more than it can
-/// answer from the second second on, and all hold the list; at the steady pace it is asked all the same for ever.
+/// A service with a fifth, a third or half of the capacity that the steady interval needs receives little more polls than it can
+/// respond to, and all gateways receive the list. With the steady interval alone the overload would persist.
 #[test]
-fn service_with_a_part_of_the_capacity_is_asked_for_little_more_than_it_can_answer() {
+fn overloaded_service_is_polled_little_more_often_than_it_can_respond() {
     for gateways in [30, 100, 300, 1_000] {
-        for part in [0.2, 0.33, 0.5] {
-            let capacity: f64 = gateways as f64 * 5.0 * part;
-            // Chance moves what comes in one second.
-            let most = 1.4 + 3.0 / capacity.sqrt();
+        for fraction in [0.2, 0.33, 0.5] {
+            let capacity: f64 = gateways as f64 * 5.0 * fraction;
+            // The number of polls in one second varies randomly.
+            let limit = 1.4 + 3.0 / capacity.sqrt();
             let (buckets, first_response_at) =
-                play((gateways, true, DEFAULT_MAX_INTERVAL), 0.0, capacity, |_| true, 40_000.0);
-            let over: Vec<f64> = (0..40).map(|s| f64::from(second(&buckets, s)) / capacity).collect();
-            let mean = over[10..].iter().sum::<f64>() / 30.0;
-            assert!(mean < 1.3, "{gateways}, {part}: {mean}");
-            assert!(over[10..].iter().all(|o| *o < most), "{gateways}, {part}: {over:?}");
+                simulate((gateways, true, DEFAULT_MAX_INTERVAL), 0.0, capacity, |_| true, 40_000.0);
+            let load: Vec<f64> = (0..40).map(|s| f64::from(second(&buckets, s)) / capacity).collect();
+            let mean = load[10..].iter().sum::<f64>() / 30.0;
+            assert!(mean < 1.3, "{gateways}, {fraction}: {mean}");
+            assert!(load[10..].iter().all(|o| *o < limit), "{gateways}, {fraction}: {load:?}");
             assert!(
                 first_response_at.iter().all(|at| at.is_some_and(|at| at < 15_000.0)),
-                "{gateways}, {part}"
+                "{gateways}, {fraction}"
             );
-            let (steady, _) = play((gateways, true, STEADY_INTERVAL), 0.0, capacity, |_| true, 40_000.0);
+            let (steady, _) = simulate((gateways, true, STEADY_INTERVAL), 0.0, capacity, |_| true, 40_000.0);
             let steady = f64::from(second(&steady, 39)) / capacity;
-            assert!(steady > 1.4 * mean, "the check can fail: {steady} and {mean}");
+            assert!(
+                steady > 1.4 * mean,
+                "the test must detect an overload: {steady} at the steady interval, {mean} otherwise"
+            );
         }
     }
 }
 
 #[test]
-fn overload_that_has_passed_leaves_the_steady_pace() {
+fn interval_returns_to_the_steady_one_after_an_overload() {
     let mut schedule = PollSchedule::new(config(300, Some(0), DEFAULT_MAX_INTERVAL), 5, 0.0);
-    let mut dice = fastrand::Rng::with_seed(9);
+    let mut rng = fastrand::Rng::with_seed(9);
     let mut intervals = Vec::new();
     while schedule.next_poll_at() < 120_000.0 {
         let now = schedule.next_poll_at();
         schedule.poll_sent(now);
-        if now > 40_000.0 || dice.f64() < 0.2 {
+        if now > 40_000.0 || rng.f64() < 0.2 {
             schedule.response_received(now);
         }
         intervals.push((now, schedule.interval));
@@ -206,11 +217,15 @@
 }
 
 #[test]
-fn news_quickens_the_next_question_unless_questions_were_lost() {
+fn list_change_brings_the_next_poll_forward_unless_polls_were_lost() {
     let mut schedule = PollSchedule::new(config(300, Some(0), DEFAULT_MAX_INTERVAL), 1, 0.0);
     schedule.poll_sent(0.0);
     schedule.response_received(5.0);
-    assert!(schedule.next_poll_at() > 700.0, "a fleet of 300 begins slowly: {}", schedule.next_poll_at());
+    assert!(
+        schedule.next_poll_at() > 700.0,
+        "a fleet of 300 starts at a long interval: {}",
+        schedule.next_poll_at()
+    );
     schedule.list_changed(5.0);
     assert_eq!(schedule.next_poll_at(), 205.0);
     let mut schedule = PollSchedule::new(config(300, Some(0), DEFAULT_MAX_INTERVAL), 1, 0.0);
@@ -226,30 +241,30 @@
     assert!(schedule.next_poll_at() > due - 250.0, "{} after {due}", schedule.next_poll_at());
 }
 
-/// A link that loses one answer in fifty: the pace stays near the steady one.
+/// The network loses one response in fifty: the interval stays close to the steady one.
 #[test]
-fn answers_that_get_lost_now_and_then_slow_little() {
-    let (mut sum, mut all) = (0.0, 0.0);
+fn occasional_lost_responses_lengthen_the_interval_only_slightly() {
+    let (mut sum, mut count) = (0.0, 0.0);
     for seed in 0..20 {
         let mut schedule = PollSchedule::new(config(3, None, DEFAULT_MAX_INTERVAL), seed, 0.0);
-        let mut dice = fastrand::Rng::with_seed(seed);
+        let mut rng = fastrand::Rng::with_seed(seed);
         while schedule.next_poll_at() < 120_000.0 {
             let now = schedule.next_poll_at();
             schedule.poll_sent(now);
-            if dice.f64() >= 0.02 {
+            if rng.f64() >= 0.02 {
                 schedule.response_received(now);
             }
-            all += 1.0;
+            count += 1.0;
             sum += schedule.interval;
         }
     }
-    assert!(sum / all < 1.75 * STEADY_INTERVAL, "{} ms", sum / all);
+    assert!(sum / count < 1.75 * STEADY_INTERVAL, "{} ms", sum / count);
 }
 
-/// Until a gateway has heard anything it cannot know whether answers get lost or the service is silent. It asks on as one that
-/// has heard a moment ago does, for as long, and no more than a fleet may ask at a start.
+/// Before its first response a gateway cannot know whether responses are lost or the service is silent. It continues to poll for
+/// as long as a gateway that has just received a response, and at no more than the rate allowed for a fleet at its start.
 #[test]
-fn gateway_that_starts_asks_on_through_lost_answers() {
+fn starting_gateway_continues_to_poll_while_responses_are_lost() {
     for gateways in [1, 5, 40, 100, 300, 1_000] {
         let steady = f64::max(STEADY_INTERVAL, gateways as f64 / START_ACTIONS_PER_SECOND * 1_000.0);
         for seed in 0..20 {
@@ -259,7 +274,7 @@
             while before < first + SILENCE_TOLERANCE - steady {
                 schedule.poll_sent(before);
                 let gap = schedule.next_poll_at() - before;
-                assert!(gap <= steady + 1e-6, "{gateways}: {gap} ms after a poll at {before}");
+                assert!(gap <= steady + 1e-6, "{gateways} gateways: {gap} ms after a poll at {before}");
                 before = schedule.next_poll_at();
             }
         }
--- a/crates/pacing/src/retry_after.rs
+++ b/crates/pacing/src/retry_after.rs
@@ -1,15 +1,16 @@
-//! When clients that are rejected at a start should retry, so that they do not all retry at once.
+//! Retry-after times for clients that are rejected during a start, so that they do not all retry at once.
 //!
-//! How long the start takes is not known in advance. An outage that has lasted for some time is expected to last as long
-//! again, so clients are asked to wait for once to twice that time, each for another. Each client then retries only a few
-//! times however long it takes, and clients that arrived over a span retry over a span as long.
+//! The duration of the start is not known in advance. An outage that has lasted for some time is expected to last as long
+//! again, so each client is asked to wait for a random time between one and two times the elapsed one. Each client then
+//! retries only a few times however long the outage lasts, and clients that arrived over some period also retry over a period
+//! of at least that length.
 
 use crate::Milliseconds;
 
-/// The shortest wait: within it a name service that responds at all has sent the list.
+/// The shortest base of a wait in ms: a name service that responds at all has sent the list within this time.
 pub const MIN_RETRY_AFTER: Milliseconds = 100.0;
 
-/// Draws the waits of rejected clients.
+/// Draws retry-after times for rejected clients.
 #[derive(Debug, Clone)]
 pub struct RetryAfter {
     outage_began_at: Milliseconds,
@@ -17,13 +18,13 @@
 }
 
 impl RetryAfter {
-    /// An outage that begins now.
+    /// Creates the generator for an outage that begins now.
     pub fn new(seed: u64, now: Milliseconds) -> Self {
         Self { outage_began_at: now, rng: fastrand::Rng::with_seed(seed) }
     }
 
-    /// How long a client that is rejected now should wait: at most `max_wait`, as clients heed no more. Past half of that the
-    /// waits are only spread.
+    /// Returns the time for which a client that is rejected now should wait. The maximum is `max_wait`, as clients ignore longer
+    /// times. Once the outage has lasted for half of `max_wait`, waits no longer grow and are only spread.
     pub fn draw(&mut self, now: Milliseconds, max_wait: Milliseconds) -> Milliseconds {
         let base = (now - self.outage_began_at).max(MIN_RETRY_AFTER).min(max_wait / 2.0);
         base * (1.0 + self.rng.f64())
--- a/crates/pacing/src/startup/tests.rs
+++ b/crates/pacing/src/startup/tests.rs
@@ -1,37 +1,39 @@
 use super::*;
 
-/// Each of a fleet that starts at once meets ten of its engines; the most that one is asked in a tenth of a second.
-fn worst(gateways: usize, ranked: bool) -> usize {
+/// Simulates a fleet that starts at once and in which each gateway checks the health of ten engines. Returns the greatest number
+/// of checks of one engine within 100 ms.
+fn max_checks_in_100_ms(gateways: usize, indexed: bool) -> usize {
     let engines = gateways / 12;
-    let mut dice = fastrand::Rng::with_seed(5);
-    let mut asked = vec![std::collections::BTreeMap::<u64, usize>::new(); engines];
+    let mut rng = fastrand::Rng::with_seed(5);
+    let mut checks = vec![std::collections::BTreeMap::<u64, usize>::new(); engines];
     for g in 0..gateways {
-        let mut first = InitialHealthChecks::new(gateways, ranked.then_some(g as u64), g as u64, 0.0);
+        let mut initial = InitialHealthChecks::new(gateways, indexed.then_some(g as u64), g as u64, 0.0);
         let engine = |n: usize| (g * 7 + n) % engines;
-        let mut at_once = (0..10).filter_map(|n| first.request(engine(n), 0.0)).collect::<Vec<_>>();
-        assert!(first.release(first.release_at - 0.1).is_empty() || first.release_at == 0.0);
-        at_once.extend(first.release(first.release_at));
-        assert_eq!(at_once.len(), 10, "none is lost");
-        for e in at_once {
-            *asked[e].entry((first.release_at + dice.f64()) as u64 / 100).or_default() += 1;
+        let mut engines_to_check =
+            (0..10).filter_map(|n| initial.request(engine(n), 0.0)).collect::<Vec<_>>();
+        assert!(initial.release(initial.release_at - 0.1).is_empty() || initial.release_at == 0.0);
+        engines_to_check.extend(initial.release(initial.release_at));
+        assert_eq!(engines_to_check.len(), 10, "no check is lost");
+        for e in engines_to_check {
+            *checks[e].entry((initial.release_at + rng.f64()) as u64 / 100).or_default() += 1;
         }
     }
-    asked.iter().flat_map(|a| a.values().copied()).max().unwrap_or(0)
+    checks.iter().flat_map(|a| a.values().copied()).max().unwrap_or(0)
 }
 
 #[test]
-fn engine_is_met_by_hundreds_one_after_another() {
-    for ranked in [true, false] {
-        // 300 gateways of which 120 meet an engine, over 300 ms.
-        assert!(worst(300, ranked) < 60, "{}", worst(300, ranked));
-        assert!(worst(1_000, ranked) < 30, "{}", worst(1_000, ranked));
+fn health_checks_of_hundreds_of_gateways_are_spread_over_time() {
+    for indexed in [true, false] {
+        // With 300 gateways, 120 of them check the same engine within 300 ms.
+        assert!(max_checks_in_100_ms(300, indexed) < 60, "{}", max_checks_in_100_ms(300, indexed));
+        assert!(max_checks_in_100_ms(1_000, indexed) < 30, "{}", max_checks_in_100_ms(1_000, indexed));
     }
 }
 
 #[test]
-fn gateway_alone_waits_for_nothing_and_a_fleet_of_three_hardly() {
-    let mut alone = InitialHealthChecks::new(1, Some(0), 1, 5.0);
-    assert_eq!(alone.request("a", 5.0), Some("a"));
+fn single_gateway_defers_no_check_and_delay_is_bounded_by_the_fleet_size() {
+    let mut single = InitialHealthChecks::new(1, Some(0), 1, 5.0);
+    assert_eq!(single.request("a", 5.0), Some("a"));
     for gateway_index in 0..3 {
         assert!(InitialHealthChecks::<u8>::new(3, Some(gateway_index), 1, 0.0).release_at <= 3.0);
     }
@@ -39,13 +41,13 @@
 }
 
 #[test]
-fn engine_that_is_wanted_twice_is_probed_once() {
-    let mut first = InitialHealthChecks::new(300, Some(299), 1, 0.0);
+fn engine_requested_twice_is_checked_once() {
+    let mut initial = InitialHealthChecks::new(300, Some(299), 1, 0.0);
     assert!(
-        first.request("a", 0.0).is_none()
-            && first.request("a", 1.0).is_none()
-            && first.request("b", 1.0).is_none()
+        initial.request("a", 0.0).is_none()
+            && initial.request("a", 1.0).is_none()
+            && initial.request("b", 1.0).is_none()
     );
-    assert_eq!(first.release(300.0), ["a", "b"]);
-    assert_eq!(first.request("c", 300.0), Some("c"));
+    assert_eq!(initial.release(300.0), ["a", "b"]);
+    assert_eq!(initial.request("c", 300.0), Some("c"));
 }
