--- a/crates/service-discovery/src/age/tests.rs
+++ b/crates/service-discovery/src/age/tests.rs
@@ -2,16 +2,16 @@
 use starlingplank_pacing::poll_schedule::{DEFAULT_MAX_INTERVAL, STEADY_INTERVAL};
 
 #[test]
-fn list_is_as_old_as_the_question_whose_answer_confirms_it() {
+fn age_counts_from_the_poll_whose_response_confirms_the_list() {
     let mut age = ListAge::new(0.0, STEADY_INTERVAL);
     age.confirm(500.0, 0);
     assert_eq!(age.age(2_000.0), 1_500.0);
     age.confirm(400.0, 0);
-    assert_eq!(age.age(2_000.0), 1_500.0, "an earlier poll proves nothing more");
+    assert_eq!(age.age(2_000.0), 1_500.0, "a response to an earlier poll does not change the age");
 }
 
 #[test]
-fn list_that_is_not_confirmed_is_late_and_then_silent_and_each_change_is_told_once() {
+fn unconfirmed_list_becomes_late_then_silent_and_each_change_is_reported_once() {
     let mut age = ListAge::new(0.0, STEADY_INTERVAL);
     assert_eq!(age.freshness_change(LATE_AFTER), None);
     assert_eq!(age.freshness_change(LATE_AFTER + 1.0), Some(Freshness::Late));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn moved_service_counts_as_moved_until_it_answers_a_question_sent_since() {
+fn service_is_relocated_until_it_responds_to_a_poll_sent_since_the_relocation() {
     let mut age = ListAge::new(0.0, STEADY_INTERVAL);
     age.relocate(300.0);
     age.relocate(600.0);
@@ -35,23 +35,23 @@
 
 const GRACE: Milliseconds = 2_000.0;
 
-/// A list confirmed as of 0, and so many polls since, 200 ms apart.
-fn unanswered(polls: u32) -> ListAge {
+/// Creates the state of a list that was confirmed as of time 0, with `polls` unanswered polls since, 200 ms apart.
+fn list_with_unanswered_polls(polls: u32) -> ListAge {
     let mut age = ListAge::new(0.0, STEADY_INTERVAL);
     (1..=polls).for_each(|n| age.poll_sent(f64::from(n) * 200.0));
     age
 }
 
 #[test]
-fn list_is_reliable_for_the_grace_after_a_change_may_count_as_told() {
-    assert_eq!(unanswered(2).lease_end(GRACE), PROPAGATION_DELAY + GRACE);
-    assert_eq!(unanswered(10).lease_end(GRACE), 2_000.0 + PROPAGATION_DELAY + GRACE);
-    assert_eq!(unanswered(100).lease_end(GRACE), MAX_PROPAGATION_DELAY + GRACE);
+fn lease_ends_one_drain_grace_after_a_change_may_count_as_propagated() {
+    assert_eq!(list_with_unanswered_polls(2).lease_end(GRACE), PROPAGATION_DELAY + GRACE);
+    assert_eq!(list_with_unanswered_polls(10).lease_end(GRACE), 2_000.0 + PROPAGATION_DELAY + GRACE);
+    assert_eq!(list_with_unanswered_polls(100).lease_end(GRACE), MAX_PROPAGATION_DELAY + GRACE);
 }
 
 #[test]
-fn move_of_the_service_brings_the_end_forward() {
-    let mut age = unanswered(100);
+fn relocation_of_the_service_shortens_the_lease() {
+    let mut age = list_with_unanswered_polls(100);
     age.relocate(500.0);
     age.relocate(900.0);
     assert_eq!(
@@ -63,74 +63,90 @@
     assert_eq!(
         age.lease_end(GRACE),
         500.0 + RELOCATION_PROPAGATION_DELAY + GRACE,
-        "also once it has responded"
+        "also after the service has responded"
     );
     age.confirm(500.0 + RELOCATION_PROPAGATION_DELAY, 50);
-    assert_eq!(age.lease_end(GRACE), 4_500.0 + PROPAGATION_DELAY + GRACE, "the second relocation binds");
+    assert_eq!(
+        age.lease_end(GRACE),
+        4_500.0 + PROPAGATION_DELAY + GRACE,
+        "the second relocation determines the end"
+    );
     age.confirm(900.0 + RELOCATION_PROPAGATION_DELAY, 50);
-    assert_eq!(age.lease_end(GRACE), 4_900.0 + MAX_PROPAGATION_DELAY + GRACE, "no relocation binds any more");
-    let mut late = unanswered(100);
+    assert_eq!(
+        age.lease_end(GRACE),
+        4_900.0 + MAX_PROPAGATION_DELAY + GRACE,
+        "no relocation affects the lease any more"
+    );
+    let mut late = list_with_unanswered_polls(100);
     late.relocate(5_000.0);
     assert_eq!(late.lease_end(GRACE), MAX_PROPAGATION_DELAY + GRACE);
 }
 
 #[test]
-fn unusable_answer_brings_the_end_forward_until_the_list_is_confirmed() {
-    let mut age = unanswered(100);
+fn invalid_response_shortens_the_lease_until_the_list_is_confirmed() {
+    let mut age = list_with_unanswered_polls(100);
     age.receive_invalid(700.0);
     age.receive_invalid(800.0);
     assert_eq!(age.lease_end(GRACE), 700.0 + PROPAGATION_DELAY + GRACE);
     age.confirm(600.0, 50);
-    assert_eq!(age.lease_end(GRACE), 700.0 + PROPAGATION_DELAY + GRACE, "its poll was sent before");
+    assert_eq!(
+        age.lease_end(GRACE),
+        700.0 + PROPAGATION_DELAY + GRACE,
+        "the poll was sent before the invalid response"
+    );
     age.confirm(700.0, 50);
     assert_eq!(age.lease_end(GRACE), 700.0 + MAX_PROPAGATION_DELAY + GRACE);
 }
 
-/// Changes in a span without polls count as propagated soon after, also where the service is silent since.
+/// Changes in a period without polls count as propagated soon afterwards, even if the service is silent since.
 #[test]
-fn span_in_which_nothing_was_asked_ends_with_a_confirmation_and_not_with_a_silence() {
-    let mut age = unanswered(2);
+fn poll_gap_affects_the_lease_until_a_later_poll_is_confirmed() {
+    let mut age = list_with_unanswered_polls(2);
     (0..20).for_each(|n| age.poll_sent(5_000.0 + f64::from(n) * 200.0));
     assert_eq!(age.lease_end(GRACE), PROPAGATION_DELAY + GRACE);
     age.confirm(400.0, 20);
-    assert_eq!(age.lease_end(GRACE), 400.0 + PROPAGATION_DELAY + GRACE, "its poll was sent before");
+    assert_eq!(age.lease_end(GRACE), 400.0 + PROPAGATION_DELAY + GRACE, "the poll was sent before the gap");
     age.confirm(5_000.0, 19);
     assert_eq!(age.lease_end(GRACE), 8_800.0 + PROPAGATION_DELAY + GRACE);
 }
 
 #[test]
-fn span_without_questions_in_the_middle_of_a_silence_is_a_part_of_it() {
-    let mut age = unanswered(3);
+fn rare_polls_during_a_silence_count_as_part_of_the_silence() {
+    let mut age = list_with_unanswered_polls(3);
     age.poll_sent(4_000.0);
     assert_eq!(age.lease_end(GRACE), 4_000.0 + PROPAGATION_DELAY + GRACE);
 }
 
 #[test]
-fn pause_within_a_silence_binds_from_the_last_poll_before_it() {
-    let mut age = unanswered(10);
+fn pause_during_a_silence_limits_the_lease_from_the_last_poll_before_the_pause() {
+    let mut age = list_with_unanswered_polls(10);
     age.late_poll_sent(5_000.0);
     (1..=20).for_each(|n| age.poll_sent(5_000.0 + f64::from(n) * 200.0));
     assert_eq!(age.lease_end(GRACE), 2_000.0 + PROPAGATION_DELAY + GRACE);
     age.confirm(1_800.0, 22);
-    assert_eq!(age.lease_end(GRACE), 1_800.0 + PROPAGATION_DELAY + GRACE, "its poll was sent before");
+    assert_eq!(
+        age.lease_end(GRACE),
+        1_800.0 + PROPAGATION_DELAY + GRACE,
+        "the poll was sent before the pause"
+    );
     age.confirm(5_000.0, 20);
     assert_eq!(
         age.lease_end(GRACE),
         9_000.0 + PROPAGATION_DELAY + GRACE,
-        "the poll after the pause confirms"
+        "the poll after the pause confirms the list"
     );
 }
 
 #[test]
-fn poll_that_is_late_by_a_moment_ends_no_silence() {
-    let mut age = unanswered(10);
+fn slightly_late_poll_does_not_count_as_a_pause_during_a_silence() {
+    let mut age = list_with_unanswered_polls(10);
     age.late_poll_sent(2_000.0 + PROPAGATION_DELAY);
     assert_eq!(age.lease_end(GRACE), 2_000.0 + 2.0 * PROPAGATION_DELAY + GRACE);
 }
 
 #[test]
-fn second_pause_is_not_forgotten_with_the_first() {
-    let mut age = unanswered(10);
+fn second_pause_still_limits_the_lease_after_the_first_is_confirmed() {
+    let mut age = list_with_unanswered_polls(10);
     age.late_poll_sent(5_000.0);
     age.late_poll_sent(8_000.0);
     age.confirm(5_000.0, 1);
@@ -139,8 +155,8 @@
 }
 
 #[test]
-fn late_answer_to_an_early_question_proves_nothing() {
-    let mut age = unanswered(10);
+fn delayed_response_to_an_earlier_poll_does_not_extend_the_lease() {
+    let mut age = list_with_unanswered_polls(10);
     age.confirm(1_000.0, 5);
     let before = age.lease_end(GRACE);
     age.confirm(400.0, 8);
@@ -148,13 +164,13 @@
 }
 
 #[test]
-fn list_whose_questions_are_far_apart_is_reliable_for_four_of_them() {
+fn lease_covers_four_intervals_if_polls_are_far_apart() {
     let age = ListAge::new(0.0, DEFAULT_MAX_INTERVAL);
     assert_eq!(age.lease_end(GRACE), 4.0 * DEFAULT_MAX_INTERVAL + GRACE);
 }
 
 #[test]
-fn freshness_is_named_in_the_log() {
+fn freshness_is_displayed_by_its_log_name() {
     let names = [Freshness::Fresh, Freshness::Late, Freshness::Silent, Freshness::Relocated]
         .map(|freshness| freshness.to_string());
     assert_eq!(names, ["fresh", "late", "silent", "moved"]);
--- a/crates/service-discovery/src/discovery.rs
+++ b/crates/service-discovery/src/discovery.rs
@@ -1,8 +1,8 @@
-//! Service discovery of one process, as a state machine: when the next poll is sent, from which flow and to which address, how
-//! each response counts, and until when the list may be relied on.
+//! The state machine of service discovery in one process. It determines the time, flow and address of the next poll, classifies
+//! each response, and computes the end of the lease on the list.
 //!
-//! A change of the service's address is an input among others: the next poll goes to the present address, while responses to
-//! outstanding polls are still awaited. A flow that fails does not affect the polls of another one.
+//! After a change of the service's address the next poll is sent to the new address, while responses to outstanding polls are
+//! still accepted. The failure of a flow does not affect polls that were sent from others.
 
 use crate::age::{Freshness, ListAge};
 use crate::flows::Flows;
@@ -14,31 +14,31 @@
 use starlingplank_pacing::poll_schedule::{self, PollSchedule};
 use std::net::SocketAddr;
 
-/// A poll that is sent later than this after it was due shows a pause of the process: at the steady interval another one would have
-/// been sent meanwhile.
+/// The delay of a poll in ms above which the process must have been paused: at the steady interval another poll would have been
+/// due meanwhile.
 const MAX_POLL_DELAY: Milliseconds = poll_schedule::STEADY_INTERVAL;
 
-/// The configuration of service discovery, and what a process knows at its start.
+/// The configuration of service discovery, and the state that a process starts with.
 #[derive(Debug, Clone, Copy)]
 pub struct DiscoveryConfig {
-    /// When polls are sent.
+    /// The configuration of the poll schedule.
     pub schedule: poll_schedule::PollConfig,
-    /// The seed of random draws.
+    /// The seed of the random number generators.
     pub seed: u64,
-    /// The version of the list that the process begins with.
+    /// The version of the list that the process starts with.
     pub known_version: u64,
-    /// How long new work may be sent to an engine after the notification that it drains; 0 where no rule limits that.
+    /// The time for which new work may be sent to an engine after the notification that the engine is draining; 0 for no limit.
     pub drain_grace: Milliseconds,
-    /// The number of flows that may be open.
+    /// Maximum number of open flows.
     pub max_flows: usize,
-    /// The address of the service; none where there is no service.
+    /// The address of the service; `None` without a service.
     pub address: Option<SocketAddr>,
 }
 
-/// The content of a datagram that was received.
+/// The content of a received datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Response {
-    /// A list.
+    /// A list of engines.
     List {
         /// The message id of the poll.
         id: u16,
@@ -51,15 +51,15 @@
     Truncated,
 }
 
-/// How a response counts.
+/// The classification of a response.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ClassifiedResponse {
-    /// Its kind.
+    /// The kind of the response.
     pub kind: ResponseKind,
-    /// Its list replaces the one in use though its version is lower: the service was relocated, and the list in use is from a
-    /// previous address.
+    /// Whether the list replaces the one in use although its version is lower: the service was relocated, and the list in use is
+    /// from a previous address.
     pub supersedes: bool,
-    /// The time since its poll was sent; none for a response that belongs to no poll.
+    /// The time since the poll was sent; `None` for a response that belongs to no poll.
     pub round_trip: Option<Milliseconds>,
 }
 
@@ -69,7 +69,7 @@
     }
 }
 
-/// Service discovery of one process.
+/// The state of service discovery in one process.
 #[derive(Debug)]
 pub struct Discovery {
     address: Option<SocketAddr>,
@@ -80,18 +80,18 @@
     age: ListAge,
     counts: PollCounts,
     drain_grace: Milliseconds,
-    /// Lists with a lower version are no responses to the schedule.
+    /// Lists with a lower version are not recorded as responses in the poll schedule.
     min_version: u64,
-    /// Whether a list was received that counts for the schedule.
+    /// Whether a list has been recorded as a response in the poll schedule.
     has_received: bool,
     rng: fastrand::Rng,
 }
 
 impl Discovery {
-    /// A process that starts now.
+    /// Creates the state of a process that starts now.
     pub fn new(config: &DiscoveryConfig, now: Milliseconds) -> Self {
-        // At the steady interval outdated lists are usual, and a process that has just started must not back off because of
-        // the first of them.
+        // At the steady interval outdated lists are common, and a process that has just started must not back off because the
+        // first responses contain them.
         let ignores_outdated = config.schedule.max_interval > poll_schedule::STEADY_INTERVAL;
         Self {
             address: config.address,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// When the next poll is due; none without a service.
+    /// Returns the time at which the next poll is due; `None` without a service.
     pub fn next_poll_at(&self) -> Option<Milliseconds> {
         self.address.map(|_| self.schedule.next_poll_at())
     }
@@ -118,7 +118,8 @@
         self.relocate_since(address, now, now);
     }
 
-    /// Changes the service's address, which the process was told at `changed_at` at the earliest: it may have been paused since.
+    /// Changes the service's address. `changed_at` is the earliest time at which the process may have been notified of the change:
+    /// it may have been paused since.
     pub fn relocate_since(
         &mut self,
         address: Option<SocketAddr>,
@@ -134,27 +135,27 @@
         self.schedule.service_relocated(now);
     }
 
-    /// Whether the next poll should be sent from a new flow.
+    /// Returns whether the next poll should be sent from a new flow.
     pub fn needs_new_flow(&self, now: Milliseconds) -> bool {
         self.flows.needs_renewal(now)
     }
 
-    /// Adds a flow that was opened: the next polls are sent from it.
+    /// Adds a newly opened flow, from which the next polls are sent, and returns its id.
     pub fn open_flow(&mut self, now: Milliseconds) -> FlowId {
         self.flows.open(now)
     }
 
-    /// Notes that a flow has failed: the next poll is sent from a new one.
+    /// Records that a flow has failed. The next poll is sent from a new one.
     pub fn fail_flow(&mut self, id: FlowId) {
         self.flows.fail(id);
     }
 
-    /// Removes and returns the flows that are to be closed now.
+    /// Removes and returns the flows that must be closed now.
     pub fn close_flows(&mut self, now: Milliseconds) -> Vec<FlowId> {
         self.flows.close(now)
     }
 
-    /// The poll that is sent now; none without a service or a flow.
+    /// Records that a poll is sent now, and returns it; `None` without a service or a flow.
     pub fn start_poll(&mut self, now: Milliseconds) -> Option<Poll> {
         let (to, flow) = (self.address?, self.flows.current()?);
         let rng = &mut self.rng;
@@ -171,7 +172,7 @@
         Some(poll)
     }
 
-    /// Handles a response that was received on a flow.
+    /// Handles a response that was received on a flow, and classifies it.
     pub fn receive(
         &mut self,
         response: Response,
@@ -179,16 +180,16 @@
         flow: FlowId,
         now: Milliseconds,
     ) -> ClassifiedResponse {
-        let verdict = match response {
+        let classified = match response {
             Response::List { id, version } => self.receive_list(id, version, from, flow, now),
             Response::Malformed => ClassifiedResponse::of(ResponseKind::Malformed),
             Response::Truncated => ClassifiedResponse::of(ResponseKind::Truncated),
         };
-        self.counts.count_response(verdict.kind);
-        if verdict.kind.is_invalid() && self.is_polled(from) {
+        self.counts.count_response(classified.kind);
+        if classified.kind.is_invalid() && self.is_polled(from) {
             self.age.receive_invalid(now);
         }
-        verdict
+        classified
     }
 
     fn is_polled(&self, address: SocketAddr) -> bool {
@@ -208,7 +209,7 @@
         };
         let in_use = self.versions.newest();
         let kind = match self.address == Some(from) {
-            true => self.versions.receive_from_present(version),
+            true => self.versions.receive_from_current(version),
             false => self.versions.receive_from_previous(version),
         };
         let supersedes = kind.confirms() && version < in_use;
@@ -227,14 +228,15 @@
             return;
         }
         self.schedule.response_received(now);
-        // The list that a process begins with is usually older than the service's: the first response is no change.
+        // The list that a process starts with is usually older than the service's, so the first response does not count as a
+        // change.
         if self.has_received && version > self.min_version {
             self.schedule.list_changed(now);
         }
         (self.min_version, self.has_received) = (version, true);
     }
 
-    /// The end of the lease on the list; infinite without a service or a rule on drains.
+    /// Returns the end of the lease on the list; infinite without a service or without a limit on new work to draining engines.
     pub fn lease_end(&self) -> Milliseconds {
         if self.address.is_none() || self.drain_grace <= 0.0 {
             return f64::INFINITY;
@@ -242,17 +244,17 @@
         self.age.lease_end(self.drain_grace)
     }
 
-    /// The time since the list was last known to be valid.
+    /// Returns the time since the list was last known to be valid.
     pub fn age(&self, now: Milliseconds) -> Milliseconds {
         self.age.age(now)
     }
 
-    /// The freshness of the list, if it has changed since the last call; none without a service.
+    /// Returns the freshness of the list if it has changed since the last call; `None` without a service.
     pub fn freshness_change(&mut self, now: Milliseconds) -> Option<Freshness> {
         self.address.and_then(|_| self.age.freshness_change(now))
     }
 
-    /// Counts since the start of the process.
+    /// Returns the counts of polls and responses since the start of the process.
     pub fn counts(&self) -> &PollCounts {
         &self.counts
     }
--- a/crates/service-discovery/src/flows.rs
+++ b/crates/service-discovery/src/flows.rs
@@ -1,29 +1,30 @@
-//! The flows that polls are sent from, one socket each.
+//! The flows that polls are sent from. Each flow is a UDP socket of its own.
 //!
-//! A flow may stop to work for good while the service is healthy. A poll without a response for some time therefore causes
-//! the next one to be sent from a new flow. A flow stays open until its last poll can get no response any more.
+//! A flow may stop working permanently while the service is healthy. If a poll receives no response for some time, the next one
+//! is therefore sent from a new flow. A flow stays open until its last poll has expired.
 
 use crate::outstanding_polls::OutstandingPolls;
 use crate::poll::{FlowId, Poll, RESPONSE_TIMEOUT};
 use crate::Milliseconds;
 
-/// A flow on which no response has confirmed the list for so long is replaced by a new one: three polls at the steady
-/// interval. Where the interval is longer, each unanswered poll is followed by one from a new flow.
+/// The time in ms without a response that confirms the list after which a flow is replaced by a new one: three polls at the
+/// steady interval. If the interval is longer than this, each unanswered poll is followed by one from a new flow.
 pub const RENEW_AFTER: Milliseconds = 600.0;
-/// The number of flows where there are descriptors for them. With a new one every [`RENEW_AFTER`] the oldest is closed as its
-/// last poll expires.
+/// Maximum number of open flows, if enough file descriptors are available. With a new flow every [`RENEW_AFTER`], the oldest one
+/// is closed at about the time at which its last poll expires.
 pub const MAX_FLOWS: usize = 8;
 
 #[derive(Debug)]
 struct Flow {
     id: FlowId,
-    /// When the last poll was sent from it.
+    /// The time at which the last poll was sent from the flow.
     last_poll_at: Milliseconds,
-    /// When the first poll was sent that no response has confirmed since; negative infinity where the flow has failed.
+    /// The time at which the first poll was sent since which no response has confirmed the list; negative infinity if the flow has
+    /// failed.
     unconfirmed_since: Option<Milliseconds>,
 }
 
-/// The open flows of a process; polls are sent from the last one.
+/// The open flows of a process. Polls are sent from the one that was opened last.
 #[derive(Debug)]
 pub struct Flows {
     flows: Vec<Flow>,
@@ -32,23 +33,23 @@
 }
 
 impl Flows {
-    /// Without an open flow; of `max_flows`, at least one is allowed.
+    /// Creates the state without an open flow. Up to `max_flows` flows are allowed, and always at least one.
     pub fn new(max_flows: usize) -> Self {
         Self { flows: Vec::new(), opened: 0, max_flows: max_flows.max(1) }
     }
 
-    /// The flow that the next poll is sent from.
+    /// Returns the flow that the next poll is sent from.
     pub fn current(&self) -> Option<FlowId> {
         self.flows.last().map(|flow| flow.id)
     }
 
-    /// Whether the next poll should be sent from a new flow.
+    /// Returns whether the next poll should be sent from a new flow.
     pub fn needs_renewal(&self, now: Milliseconds) -> bool {
         let is_silent = |since: Milliseconds| now - since >= RENEW_AFTER;
         self.flows.last().is_none_or(|flow| flow.unconfirmed_since.is_some_and(is_silent))
     }
 
-    /// Adds a flow that was opened.
+    /// Adds a newly opened flow, and returns its id.
     pub fn open(&mut self, now: Milliseconds) -> FlowId {
         self.opened += 1;
         let id = FlowId(self.opened);
@@ -56,7 +57,7 @@
         id
     }
 
-    /// Notes a poll that was sent from its flow.
+    /// Records a sent poll for the flow that it was sent from.
     pub fn poll_sent(&mut self, poll: &Poll) {
         if let Some(flow) = self.find(poll.flow) {
             flow.last_poll_at = poll.sent_at;
@@ -64,22 +65,22 @@
         }
     }
 
-    /// Notes a response to a poll that confirms the list, or holds a newer one.
+    /// Records a response to a poll that confirms the list or contains a newer one.
     pub fn confirm(&mut self, poll: &Poll, outstanding: &OutstandingPolls) {
         if let Some(flow) = self.find(poll.flow) {
             flow.unconfirmed_since = outstanding.first_after(poll.number, poll.flow);
         }
     }
 
-    /// Notes that a flow has failed: it is replaced with the next poll.
+    /// Records that a flow has failed. The flow is replaced when the next poll is sent.
     pub fn fail(&mut self, id: FlowId) {
         if let Some(flow) = self.find(id) {
             flow.unconfirmed_since = Some(f64::NEG_INFINITY);
         }
     }
 
-    /// Removes and returns the flows that are to be closed: those whose polls have all expired, and the oldest ones above the
-    /// maximum. The current flow stays.
+    /// Removes and returns the flows that must be closed: those whose polls have all expired, and the oldest ones in excess of the
+    /// maximum. The current flow stays open.
     pub fn close(&mut self, now: Milliseconds) -> Vec<FlowId> {
         let current = self.current();
         let above_maximum = self.flows.len().saturating_sub(self.max_flows);
--- a/crates/service-discovery/src/flows/tests.rs
+++ b/crates/service-discovery/src/flows/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn first_flow_is_wanted_and_a_confirmed_one_is_kept() {
+fn flow_is_needed_at_first_and_is_not_renewed_while_responses_confirm_the_list() {
     let mut harness = Harness::new();
     assert!(harness.flows.needs_renewal(0.0));
     let flow = harness.flows.open(0.0);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn confirmation_leaves_later_questions_unconfirmed() {
+fn response_does_not_confirm_later_polls() {
     let mut harness = Harness::new();
     harness.flows.open(0.0);
     let first = harness.poll(0.0);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn flow_that_fails_is_left_at_once() {
+fn failed_flow_needs_renewal_at_once() {
     let mut harness = Harness::new();
     let flow = harness.flows.open(0.0);
     harness.flows.fail(flow);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn former_flow_lives_as_long_as_its_last_question() {
+fn previous_flow_is_closed_when_its_last_poll_expires() {
     let mut harness = Harness::new();
     let previous = harness.flows.open(0.0);
     harness.poll(100.0);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn flows_are_bounded_and_the_oldest_gives_way() {
+fn oldest_flow_is_closed_above_the_maximum_number_of_flows() {
     let mut harness = Harness::new();
     let first = harness.flows.open(0.0);
     for _ in 1..MAX_FLOWS {
--- a/crates/service-discovery/src/lib.rs
+++ b/crates/service-discovery/src/lib.rs
@@ -1,13 +1,13 @@
-//! What a gateway knows of the list of engines, which it polls from a name service.
+//! Service discovery: the state of the list of engines that a gateway polls from a name service.
 //!
-//! The input: polls that are sent, responses that are received, and changes of the service's address. The output: when and
-//! from which flow the next poll is sent, how each response counts, how old the list is, and until when it may be relied on.
-//! The invariant: **a response is taken for as long as it may come**, whatever happens to the service's address or to other
-//! flows meanwhile.
+//! The input: polls that are sent, responses that are received, and changes of the service's address. The output: the time and
+//! the flow of the next poll, the classification of each response, the age of the list, and the end of the lease on it.
+//! The invariant: **a response is accepted until its poll expires**, regardless of changes of the service's address or of
+//! failures of other flows meanwhile.
 //!
-//! The parts: a [`poll`] is one of the [`outstanding_polls`] and is sent from one of the [`flows`]; [`responses`] are
-//! classified by kind and [`versions`], and confirm the list as of an [`age`]; [`discovery`] connects the parts. There is no
-//! I/O and no clock: each time is passed in.
+//! The modules: a [`poll`] is one of the [`outstanding_polls`] and is sent from one of the [`flows`]; [`responses`] are
+//! classified by kind and by [`versions`], and determine the [`age`] of the list; [`discovery`] connects the other modules.
+//! The crate performs no I/O and reads no clock: callers pass in the current time.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/service-discovery/src/outstanding_polls.rs
+++ b/crates/service-discovery/src/outstanding_polls.rs
@@ -1,14 +1,14 @@
-//! The outstanding polls: those that may still get a response.
+//! The outstanding polls: those that may still receive a response.
 
 use crate::poll::{FlowId, Poll, RESPONSE_TIMEOUT};
 use crate::Milliseconds;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// The number of outstanding polls; the oldest is dropped for a further one. At the steady interval there are 25.
+/// Maximum number of outstanding polls; a further one replaces the oldest. At the steady interval there are 25.
 const MAX_OUTSTANDING: usize = 64;
 
-/// The polls that may still get a response, in the order in which they were sent.
+/// The polls that may still receive a response, in the order in which they were sent.
 #[derive(Debug, Default)]
 pub struct OutstandingPolls {
     polls: VecDeque<Poll>,
@@ -16,7 +16,7 @@
 }
 
 impl OutstandingPolls {
-    /// Adds a poll that is sent now. Its id is drawn until no other outstanding poll has the same.
+    /// Adds a poll that is sent now. Message ids are drawn until one is found that no other outstanding poll has.
     pub fn add(
         &mut self,
         flow: FlowId,
@@ -40,7 +40,7 @@
         poll
     }
 
-    /// Removes and returns the poll that a response belongs to.
+    /// Removes and returns the outstanding poll that a response belongs to, if there is one.
     pub fn complete(&mut self, id: u16, from: SocketAddr, flow: FlowId, now: Milliseconds) -> Option<Poll> {
         self.expire(now);
         let is_polled = |poll: &Poll| (poll.id, poll.to, poll.flow) == (id, from, flow);
@@ -48,18 +48,18 @@
         self.polls.remove(position)
     }
 
-    /// Whether a poll of that address is outstanding.
+    /// Returns whether a poll to this address is outstanding.
     pub fn any_to(&self, address: SocketAddr) -> bool {
         self.polls.iter().any(|poll| poll.to == address)
     }
 
-    /// When the first outstanding poll with a greater number was sent from a flow.
+    /// Returns the time at which the first outstanding poll with a number greater than `number` was sent from a flow.
     pub fn first_after(&self, number: u64, flow: FlowId) -> Option<Milliseconds> {
         let is_later = |poll: &&Poll| poll.flow == flow && poll.number > number;
         self.polls.iter().find(is_later).map(|poll| poll.sent_at)
     }
 
-    /// The number of the last poll that was sent.
+    /// Returns the number of the last poll that was sent.
     pub fn last_number(&self) -> u64 {
         self.last_number
     }
--- a/crates/service-discovery/src/outstanding_polls/tests.rs
+++ b/crates/service-discovery/src/outstanding_polls/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn question_is_answered_once_and_within_its_time() {
+fn poll_is_completed_only_once_and_before_it_expires() {
     let mut outstanding = OutstandingPolls::default();
     let first = add(&mut outstanding, 7, 1, 0.0);
     add(&mut outstanding, 8, 1, 10.0);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn open_questions_have_different_ids_and_are_bounded() {
+fn outstanding_polls_have_distinct_ids_and_are_bounded() {
     let mut outstanding = OutstandingPolls::default();
     let mut ids = [3, 3, 4].into_iter();
     outstanding.add(FlowId(1), TO, 0.0, || ids.next().expect("an id"));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn first_question_after_another_is_found_by_its_flow() {
+fn first_later_poll_is_found_by_flow() {
     let mut outstanding = OutstandingPolls::default();
     let first = add(&mut outstanding, 1, 1, 0.0);
     add(&mut outstanding, 2, 2, 5.0);
--- a/crates/service-discovery/src/responses.rs
+++ b/crates/service-discovery/src/responses.rs
@@ -2,27 +2,27 @@
 
 use std::fmt;
 
-/// How a response counts.
+/// The kind of a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResponseKind {
-    /// It holds a newer list than the known one.
+    /// The response contains a newer list than the known one.
     Update,
-    /// It holds the known list.
+    /// The response contains the known list.
     Confirmation,
-    /// It holds an older list than the known one.
+    /// The response contains an older list than the known one.
     Older,
-    /// It comes from a previous address of the service, and the present one has responded.
+    /// The response is from a previous address of the service, and the current address has already responded.
     PreviousAddress,
-    /// It belongs to no outstanding poll.
+    /// The response belongs to no outstanding poll.
     Unsolicited,
-    /// It cannot be parsed, or reports a failure.
+    /// The response cannot be parsed, or reports a failure.
     Malformed,
-    /// Its truncation flag is set.
+    /// The response's truncation flag is set.
     Truncated,
 }
 
 impl ResponseKind {
-    /// All kinds, in the order of their numbers.
+    /// All kinds, in the order of declaration.
     pub const ALL: [Self; 7] = [
         Self::Update,
         Self::Confirmation,
@@ -33,30 +33,30 @@
         Self::Truncated,
     ];
 
-    /// The name in logs.
+    /// Returns the label of the kind in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Update => "news",
             Self::Confirmation => "confirmations",
             Self::Older => "older",
-            Self::PreviousAddress => "from a former address",
-            Self::Unsolicited => "to no open question",
+            Self::PreviousAddress => "from a previous address",
+            Self::Unsolicited => "to no outstanding poll",
             Self::Malformed => "unreadable",
             Self::Truncated => "truncated",
         }
     }
 
-    /// Whether the list is as new as any that is known.
+    /// Returns whether the response contains a list that is at least as new as the known one.
     pub fn confirms(self) -> bool {
         matches!(self, Self::Update | Self::Confirmation)
     }
 
-    /// Whether the response cannot be used, though it may stand for a valid one.
+    /// Returns whether the response is unusable, though a valid one may have been received in its place.
     pub fn is_invalid(self) -> bool {
         matches!(self, Self::Unsolicited | Self::Malformed | Self::Truncated)
     }
 
-    /// The kind of a list with this version, where `known` is the newest version.
+    /// Returns the kind of a response with a list of this version, given the newest known version.
     pub fn of_version(version: u64, known: u64) -> Self {
         match version.cmp(&known) {
             std::cmp::Ordering::Less => Self::Older,
@@ -74,22 +74,22 @@
 }
 
 impl PollCounts {
-    /// Counts a poll that was sent.
+    /// Counts a sent poll.
     pub fn count_poll(&mut self) {
         self.polls += 1;
     }
 
-    /// Counts a response that was received.
+    /// Counts a received response.
     pub fn count_response(&mut self, kind: ResponseKind) {
         self.responses[kind as usize] += 1;
     }
 
-    /// The number of polls that were sent.
+    /// Returns the number of polls sent.
     pub fn polls(&self) -> u64 {
         self.polls
     }
 
-    /// The number of responses of that kind.
+    /// Returns the number of responses of this kind.
     pub fn responses(&self, kind: ResponseKind) -> u64 {
         self.responses[kind as usize]
     }
@@ -97,7 +97,7 @@
 
 impl fmt::Display for PollCounts {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{} questions; answers:", self.polls)?;
+        write!(formatter, "{} polls; responses:", self.polls)?;
         for (number, kind) in ResponseKind::ALL.into_iter().enumerate() {
             let comma = if number == 0 { "" } else { "," };
             write!(formatter, "{comma} {} {}", self.responses(kind), kind.name())?;
