--- a/crates/persistence/src/cached_endpoints.rs
+++ b/crates/persistence/src/cached_endpoints.rs
@@ -1,11 +1,12 @@
-//! The last endpoint list that the list service confirmed, cached for a process that starts while the service does not
+//! The last endpoint list that the name service confirmed, cached for a process that starts while the service does not
 //! answer.
 //!
-//! It has two uses. Where the configuration names no engine, it is the list to start with: engines of an old list may have
-//! been removed, and those that may have restarted unseen may be in slow start. Where the configuration names some,
-//! drains and removals that the previous process knew of still bind. The file: a
-//! [header](starlingplank_storage::framed) of 20 bytes, `SPKLIST\n` and version 1, then the records in postcard's
-//! encoding, whose order of fields must not change.
+//! The cached list has two uses. If the configuration names no engines, the process starts with the cached list: engines of
+//! an old list may have been removed, and engines that may have restarted unnoticed are treated as in slow start. If the
+//! configuration names engines, the drains and removals that the previous process knew of still apply.
+//!
+//! The file consists of a [header](starlingplank_storage::framed) of 20 bytes with the magic bytes `SPKLIST\n` and version
+//! 1, followed by the records in postcard's encoding, which depends on the order of the fields.
 
 use serde::{Deserialize, Serialize};
 use starlingplank_decision::interface::Milliseconds;
@@ -14,39 +15,39 @@
 use std::io;
 use thiserror::Error;
 
-/// The file format.
+/// File format of the cached endpoint list.
 pub const FORMAT: FileFormat = FileFormat { magic: *b"SPKLIST\n", version: 1 };
-/// Name of the file.
+/// Name of the file that contains the cached endpoint list.
 pub const FILE: &str = "list.spk";
-/// Bound on the file's size in bytes: some 10,000 endpoints.
+/// Maximum size of the file in bytes, which is enough for about 10,000 endpoints.
 pub const MAX_BYTES: usize = 2 << 20;
-/// How far in the future a list may lie: clocks differ by little over a restart, and one that was set back makes all ages
-/// unknown.
+/// Maximum time by which the confirmation of a list may lie in the future, in milliseconds. A restart changes the clock only
+/// slightly; if the clock was set back by more, the age of the list is unknown.
 const CLOCK_TOLERANCE: Milliseconds = 1_000.0;
 
-/// An endpoint as the list named it.
+/// An endpoint as it was in the list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CachedEndpoint {
-    /// The engine's id.
+    /// Id of the engine.
     pub id: String,
-    /// Address and port.
+    /// Address and port of the engine.
     pub address: String,
-    /// Zone; may be empty.
+    /// Zone of the engine; may be empty.
     pub zone: String,
-    /// Machine type; may be empty.
+    /// Machine type of the engine; may be empty.
     pub machine_type: String,
-    /// Cell.
+    /// Cell of the engine.
     pub cell: u64,
-    /// Whether it accepted work.
+    /// Whether the engine accepted new work.
     pub live: bool,
-    /// When it started, in Unix milliseconds, if the list told; else 0.
+    /// Time at which the engine started, in Unix milliseconds; 0 if the list did not contain it.
     pub started: Milliseconds,
 }
 
-/// An endpoint list and when the list service last confirmed it.
+/// An endpoint list and the time at which the name service last confirmed it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CachedEndpoints {
-    /// Time of the confirmation in Unix milliseconds.
+    /// Time of the last confirmation in Unix milliseconds.
     pub confirmed_at: Milliseconds,
     /// All endpoints of the list.
     pub endpoints: Vec<CachedEndpoint>,
@@ -54,41 +55,42 @@
     pub removed: Vec<String>,
 }
 
-/// Why the cached list cannot be read or written.
+/// Error of reading or writing the cached endpoint list.
 #[derive(Debug, Error)]
 pub enum CacheError {
-    /// The disk failed, or the file is too large.
+    /// A file operation failed, or the file is too large.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The bytes are no cached list, or the list is too large.
+    /// The bytes are not a valid cached list, or the list is too large.
     #[error(transparent)]
     Frame(#[from] FrameError),
 }
 
 impl CachedEndpoints {
-    /// The file's bytes.
+    /// Encodes the list as the contents of the file.
     ///
     /// # Errors
-    /// The file would exceed [`MAX_BYTES`].
+    /// Returns an error if the file would exceed [`MAX_BYTES`].
     pub fn encode(&self) -> Result<Vec<u8>, FrameError> {
         encode(&FORMAT, self, MAX_BYTES)
     }
 
-    /// Decodes the file. Never panics, whatever the bytes are.
+    /// Decodes the contents of the file. Does not panic on arbitrary bytes.
     ///
     /// # Errors
-    /// Tells where and why the bytes are no cached list.
+    /// Returns the offset and the reason if the bytes are not a valid cached list.
     pub fn decode(bytes: &[u8]) -> Result<Self, FrameError> {
         let list: Self = decode(&FORMAT, bytes)?;
         let times_are_finite = list.endpoints.iter().all(|endpoint| endpoint.started.is_finite());
         if !list.confirmed_at.is_finite() || !times_are_finite {
-            return Err(FrameError::Records("a time is none".into()));
+            return Err(FrameError::Records("a time is not a finite number".into()));
         }
         Ok(list)
     }
 
-    /// The list as it holds now: `None` once it is older than `max_snapshot_age`, or if it lies in the future. If engines may have
-    /// restarted since it was confirmed (after `min_restart_time`), all are taken to start now, and are in slow start.
+    /// Returns the list as it applies at `now`, or `None` if it is older than `max_snapshot_age` or lies in the future. If it
+    /// is older than `min_restart_time`, engines may have restarted since; the start time of all engines is then set to `now`,
+    /// so that they are treated as in slow start.
     pub fn as_of(
         self,
         now: Milliseconds,
@@ -112,16 +114,16 @@
 /// Writes the file atomically.
 ///
 /// # Errors
-/// The file was not written; the old one, if any, still exists.
+/// Returns an error if the file could not be written durably. It then holds either its old contents or all of the new.
 pub fn save(disk: &mut dyn Disk, list: &CachedEndpoints) -> Result<(), CacheError> {
     let bytes = list.encode()?;
     Ok(disk::replace(disk, FILE, &bytes)?)
 }
 
-/// Reads the file; `None` if there is none.
+/// Reads the file. Returns `None` if there is no file.
 ///
 /// # Errors
-/// The file cannot be read, or is no cached list.
+/// Returns an error if the file cannot be read or is not a valid cached list.
 pub fn load(disk: &dyn Disk) -> Result<Option<CachedEndpoints>, CacheError> {
     let bytes = disk.read(FILE, MAX_BYTES as u64)?;
     Ok(bytes.map(|bytes| CachedEndpoints::decode(&bytes)).transpose()?)
--- a/crates/persistence/src/clock_offset.rs
+++ b/crates/persistence/src/clock_offset.rs
@@ -1,41 +1,41 @@
-//! Converts times between this process's clock and the boot clock, which stored files use.
+//! Conversion of times between this process's clock and the boot clock, which stored files use.
 
 use crate::idempotency_key::{KeySend, KeySends, LogMark, TrustedLog};
 use crate::idempotency_log::Mark;
 use starlingplank_decision::interface::Milliseconds;
 
-/// The difference between the boot clock and this process's clock.
+/// Difference between the boot clock and this process's clock.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ClockOffset {
-    /// Boot time minus process time.
+    /// Time of the boot clock minus time of this process's clock.
     pub by: Milliseconds,
-    /// The current boot.
+    /// Identifier of the current boot.
     pub boot_id: [u8; 16],
 }
 
 impl ClockOffset {
-    /// A send as it is stored.
+    /// Converts a send to the boot clock for storage.
     pub fn stored_send(&self, send: KeySend) -> KeySend {
         KeySend { at: self.stored_time(send.at), ..send }
     }
 
-    /// Sends as they are stored.
+    /// Converts the sends of a key to the boot clock for storage.
     pub fn stored_sends(&self, sends: KeySends) -> KeySends {
         KeySends { first: self.stored_time(sends.first), last: self.stored_time(sends.last), ..sends }
     }
 
-    /// A mark as it is stored.
+    /// Converts a mark to the boot clock for storage.
     pub fn stored_mark(&self, mark: LogMark) -> Mark {
         let blocked_until = mark.blocked_until.map(|until| until + self.by);
         Mark { at: self.stored_time(mark.at), blocked_until, boot_id: self.boot_id }
     }
 
-    /// Stored sends by this process's clock.
+    /// Converts the stored sends of a key to this process's clock.
     pub fn restored_sends(&self, sends: KeySends) -> KeySends {
         KeySends { first: sends.first - self.by, last: sends.last - self.by, ..sends }
     }
 
-    /// A stored log by this process's clock.
+    /// Converts the contents of a stored log to this process's clock.
     pub fn restored_log(&self, log: TrustedLog) -> TrustedLog {
         let sends = log.sends.into_iter().map(|(key, sends)| (key, self.restored_sends(sends))).collect();
         TrustedLog { sends, blocked_until: log.blocked_until.map(|until| until - self.by) }
--- a/crates/persistence/src/deduplication_window.rs
+++ b/crates/persistence/src/deduplication_window.rs
@@ -1,128 +1,131 @@
-//! Decides whether a keyed request may be sent now.
+//! Decides whether a request with an idempotency key may be sent now.
 //!
 //! Engines drop repeats of a key for a window that begins when the first send arrives. A repeat that the gateway receives
-//! inside the window must not be sent after it, or the request runs twice. So the sends of each key are tracked: in
-//! memory and, where there is an idempotency log, on disk **before the request is sent**.
+//! within the window must not be sent after the window, or the request runs twice. Therefore the sends of each key are
+//! tracked in memory and, if there is an idempotency log, on disk **before the request is sent**.
 //!
-//! It is unknown which send arrived first: one that was recorded may never have been transmitted. A repeat must be sent
-//! before the window of the *first* send that may have arrived ends, and the key is tracked until the window of the
-//! *last* send that may have been the first to arrive ends.
+//! The gateway does not know which send arrived first, as a send that was recorded may never have been transmitted. A
+//! repeat must be sent before the end of the window of the *first* send that may have arrived. The key is tracked until the
+//! end of the window of the *last* send that may have been the first to arrive.
 //!
 //! # Why no keyed request runs twice
 //!
-//! Let `W` be the longest window. A *mark* is a record in the log that says "at this time this log was complete".
+//! Let `W` be the longest window. A *mark* is a record in the log which states that the log was complete at a given time.
 //!
-//! 1. While the log is healthy, a keyed request is sent only once its record is durable. What was sent is in the log.
-//! 2. While the log is not healthy, no keyed request is sent until `W` after the last attempted mark, whether or not the
-//!    disk confirmed it (and none at all if the log is required), and no mark is attempted. A process that has no log
-//!    at all waits until `W` after its own start.
-//! 3. A starting process trusts a log only if it is intact and its last mark is younger than `W`. By 1 and 2 no
-//!    unrecorded request can have been sent before it then: a process that sent without a record first waited `W`
-//!    since that mark.
-//! 4. A starting process that trusts no log sends no keyed request until `W` after its start. Whatever an earlier process
-//!    sent lies before the start, so every repeat inside its window has arrived, and been rejected, by then. Its marks
-//!    carry that time, so that a later process which trusts them waits as well.
+//! 1. While the log is healthy, a keyed request is sent only once its record is durable. All sends are in the log.
+//! 2. While the log is not healthy, no keyed request is sent until `W` after the last attempted mark, even if the disk did
+//!    not confirm that mark, and no mark is attempted. If the log is required, no keyed request is sent at all. A process
+//!    that has no log waits until `W` after its own start.
+//! 3. A starting process trusts a log only if it is intact and its last mark is younger than `W`. By 1 and 2, no
+//!    unrecorded request can have been sent by that time, as a process that sends without a record first waits until `W`
+//!    after that mark.
+//! 4. A starting process that trusts no log sends no keyed request until `W` after its start. All sends of earlier
+//!    processes precede the start, so every repeat within their windows has arrived and been rejected by the end of that
+//!    time. The marks of the process contain the end of that time, so that a later process which trusts them also waits.
 //!
-//! After a failure a new log file is written with all tracked keys, first without a mark: a file that is cut off there is
-//! not trusted.
+//! After a failure a new log file is written with all tracked keys, at first without a mark, so that the log is not trusted
+//! if writing stops at this point.
 //!
-//! All windows are extended by [`MAX_ARRIVAL_DELAY`], as engines count theirs from a send's arrival. The argument rests
-//! on a send arriving within that time or never.
+//! All windows are extended by [`MAX_ARRIVAL_DELAY`], as engines start a window when a send arrives. The argument assumes
+//! that a send arrives within this time or never.
 //!
-//! Times are from the boot clock (see [`BootTime`](crate::boot_time::BootTime)); after a reboot no log is trusted.
+//! Stored times are from the boot clock (see [`BootTime`](crate::boot_time::BootTime)), so no log is trusted after a reboot.
 
 use starlingplank_decision::interface::Milliseconds;
 use std::collections::{BTreeSet, HashMap};
 
 pub use crate::idempotency_key::{key, Key, KeySend, KeySends, LogMark, TrustedLog, MAX_ARRIVAL_DELAY};
 
-/// Records after which the log is rewritten: about 1 MiB.
+/// Number of records after which the log is rewritten; the log is then about 1 MiB long.
 const REWRITE_AFTER_RECORDS: usize = 26_000;
-/// Retry-After for clients while the log is not healthy and it is unknown when it will be.
+/// Retry-After for clients, in milliseconds, if it is unknown when keyed requests will be accepted again: while a required
+/// log is not healthy, or while the maximum number of keys is tracked.
 const UNHEALTHY_RETRY_AFTER: Milliseconds = 1_000.0;
 
-/// The idempotency log that this process has.
+/// State of this process's idempotency log.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LogState {
-    /// None is configured: keys are tracked in memory only, and a restart forgets them.
+    /// No log is configured: keys are tracked in memory only and are lost on a restart.
     Off,
-    /// The log could not be opened: no keyed request is sent for the longest window from the start.
+    /// The log could not be opened: no keyed request is sent until the longest window after the start has ended.
     Missing,
-    /// The log is open, and this process has sent no unrecorded request before its last mark plus the longest window.
+    /// The log is open. This process sends no unrecorded request until the longest window after the last mark has ended.
     Open {
-        /// Whether no keyed request may be sent without the log.
+        /// Whether keyed requests may be sent only while the log is healthy.
         required: bool,
     },
-    /// Another process has locked the folder. No keyed request is sent, as that log covers only the other's sends.
+    /// Another process has locked the folder. No keyed request is sent, as the log contains only the other process's sends.
     Locked,
 }
 
-/// Whether a keyed request may be accepted.
+/// Result of the check whether a keyed request may be accepted.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Admission {
-    /// It may, if it is sent before this time.
+    /// The request is accepted; it must be sent before this time.
     Until(Milliseconds),
-    /// Not now; the client should retry after so many milliseconds.
+    /// The request is rejected; the client should retry after this number of milliseconds.
     Later(Milliseconds),
 }
 
-/// Whether a keyed attempt may be sent.
+/// Result of the check whether a keyed attempt may be sent.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum SendPermission {
-    /// At once.
+    /// The attempt may be sent at once.
     Now,
-    /// Once the record of this send is durable.
+    /// The attempt may be sent once the record of this send is durable.
     AfterRecord(KeySend),
-    /// No: the attempt is not executed.
+    /// The attempt must not be sent.
     Denied,
 }
 
-/// The contents of a log file that is to be written.
+/// Contents of a new log file that is to be written.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rewrite {
     /// All tracked keys.
     pub keys: Vec<(Key, KeySends)>,
-    /// A mark, where the log is known to be complete.
+    /// A mark; `None` unless the new file is known to contain all sends.
     pub mark: Option<LogMark>,
 }
 
 #[derive(Debug)]
 struct TrackedKey {
     sends: KeySends,
-    /// Whether all of the sends are durable.
+    /// Whether all sends of the key are durable.
     durable: bool,
 }
 
-/// The tracked keys of one gateway process. Performs no I/O; times are passed in.
+/// The tracked keys of one gateway process. Performs no I/O; the caller passes in the time.
 #[derive(Debug)]
 pub struct DeduplicationWindow {
     log: LogState,
-    /// The longest window of all classes.
+    /// Longest window of all classes.
     longest_window: Milliseconds,
     max_keys: usize,
     tracked: HashMap<Key, TrackedKey>,
-    /// Keys by the end of their window, so that expiry looks at expired keys only.
+    /// Keys ordered by the end of their window, so that expiry visits only expired keys.
     expiry: BTreeSet<(u64, Key)>,
-    /// No keyed request is sent before this time: negative infinity for never blocked, infinity for always.
+    /// Time before which no keyed request is sent. Negative infinity if keyed requests are not blocked, infinity if they are
+    /// always blocked.
     blocked_until: Milliseconds,
     healthy: bool,
     /// Time of the last attempted mark.
     last_mark: Milliseconds,
-    /// Whether the first log file of this process was attempted.
+    /// Whether this process has attempted to write its first log file.
     first_file_attempted: bool,
-    /// Records in the log since it was last rewritten.
+    /// Number of records appended to the log since it was last rewritten.
     records_in_log: usize,
-    /// Keyed requests rejected here.
+    /// Number of keyed requests that were rejected by [`admit`](Self::admit).
     rejected: u64,
 }
 
 impl DeduplicationWindow {
-    /// Tracks keys in memory only.
+    /// Creates a state that tracks keys in memory only.
     pub fn in_memory() -> Self {
         Self::new(LogState::Off, 0.0, usize::MAX, 0.0)
     }
 
-    /// For a process that starts now. `longest_window` is the longest of all classes, `max_keys` bounds the tracked keys.
+    /// Creates the state of a process that starts at `now`. `longest_window` is the longest window of all classes, `max_keys`
+    /// the maximum number of tracked keys.
     pub fn new(log: LogState, longest_window: Milliseconds, max_keys: usize, now: Milliseconds) -> Self {
         let blocked_until = match log {
             LogState::Off => f64::NEG_INFINITY,
@@ -144,7 +147,7 @@
         }
     }
 
-    /// Takes over the log of the previous process, which is known to be complete.
+    /// Restores the log of the previous process, which is known to be complete.
     pub fn restore(&mut self, log: TrustedLog, now: Milliseconds) {
         self.blocked_until = log.blocked_until.unwrap_or(0.0);
         for (key, sends) in log.sends {
@@ -154,9 +157,9 @@
         }
     }
 
-    /// Takes over the folder from a process that has ended. What was sent meanwhile without a record is among the tracked
-    /// keys, and so in the first file of this process, which may carry a mark; no keyed request is sent before that file
-    /// is durable. `trusted` is the other's log if it is complete.
+    /// Takes over the log of a process that has ended. Sends that this process has made without a record are among the
+    /// tracked keys and will therefore be in its first log file, so this file may contain a mark. No keyed request is sent
+    /// before that file is durable. `trusted` is the log of the ended process if it is complete.
     pub fn take_log(&mut self, required: bool, trusted: Option<TrustedLog>, now: Milliseconds) {
         self.log = LogState::Open { required };
         self.healthy = false;
@@ -166,7 +169,7 @@
             self.blocked_until = now + self.longest_window + MAX_ARRIVAL_DELAY;
             return;
         };
-        // Where only the lock blocked this process, what blocked the other one applies.
+        // If this process was blocked only because the folder was locked, only the other process's block applies.
         let theirs = trusted.blocked_until.unwrap_or(0.0);
         let own = if self.blocked_until.is_finite() { self.blocked_until } else { theirs };
         self.blocked_until = own.max(theirs);
@@ -175,7 +178,8 @@
         }
     }
 
-    /// Another process of this gateway has sent a key and recorded it: repeats here must keep to the windows of both.
+    /// Merges the sends of a key that another process of this gateway has made and recorded. Repeats in this process must
+    /// respect the windows of both processes' sends.
     pub fn merge_peer_sends(&mut self, key: Key, sends: KeySends, now: Milliseconds) {
         if now >= sends.end() {
             return;
@@ -209,7 +213,7 @@
         }
     }
 
-    /// Until when no keyed request may be sent, whatever its key. `None` if nothing blocks them.
+    /// Returns the time before which no keyed request may be sent, or `None` if keyed requests are not blocked.
     fn blocked(&self, now: Milliseconds) -> Option<Milliseconds> {
         let by_log = match self.log {
             LogState::Open { .. } if self.healthy => f64::NEG_INFINITY,
@@ -220,9 +224,9 @@
         Some(self.blocked_until.max(by_log)).filter(|until| now < *until)
     }
 
-    /// Whether a request with this key may be accepted. A repeat must be sent inside the window of the earlier send. A new
-    /// key must be sent inside a window from now: another request under the same key may be sent meanwhile, and after its
-    /// window both would run.
+    /// Decides whether a request with this key is accepted. A repeat must be sent within the window of the first send. A
+    /// request with a new key must be sent within one window from now: another request with the same key may be sent in the
+    /// meantime, and if this one were sent after the window of the other, both would run.
     pub fn admit(
         &mut self,
         key: &Key,
@@ -240,10 +244,10 @@
             }
             return Admission::Until(now + window - margin);
         };
-        // The shorter of the two windows, where another class or an earlier configuration sent that key.
+        // The earlier send may have had another window, from another class or an earlier configuration: the shorter applies.
         let send_before = sends.first + sends.window.min(window) - margin;
         if now >= send_before {
-            // Too late for a repeat, too early to run as a request of its own.
+            // Too late to be dropped as a repeat by all engines, too early to run as a separate request.
             let retry_after = sends.end() - now;
             return self.reject(retry_after);
         }
@@ -255,7 +259,7 @@
         Admission::Later(retry_after)
     }
 
-    /// Whether an attempt with this key may be sent. From here on it counts as sent.
+    /// Decides whether an attempt with this key may be sent. Unless the result is `Denied`, the attempt counts as sent.
     pub fn permit_send(&mut self, key: &Key, window: Milliseconds, now: Milliseconds) -> SendPermission {
         self.expire(now);
         if self.blocked(now).is_some() {
@@ -274,8 +278,8 @@
         }
     }
 
-    /// The record of a send is durable. Returns whether the attempt may still be sent: not if recording took so long that
-    /// it could arrive too late.
+    /// Notes that the record of a send is durable. Returns whether the attempt may still be sent, which is not the case if
+    /// recording took so long that the attempt could arrive after [`MAX_ARRIVAL_DELAY`].
     pub fn recorded(&mut self, key: &Key, send: KeySend, now: Milliseconds) -> bool {
         self.records_in_log += 1;
         if let Some(tracked) = self.tracked.get_mut(key) {
@@ -284,7 +288,7 @@
         now <= send.at + MAX_ARRIVAL_DELAY / 2.0
     }
 
-    /// A mark to write now. `None` while the log is not known to be complete.
+    /// Returns a mark to write now, or `None` while the log is not known to be complete.
     pub fn mark(&mut self, now: Milliseconds) -> Option<LogMark> {
         self.healthy.then(|| self.attempt_mark(now))
     }
@@ -295,19 +299,20 @@
         LogMark { at: now, blocked_until: Some(self.blocked_until).filter(|until| now < *until) }
     }
 
-    /// A write to the log failed, or did not return in time. Returns whether the log had been healthy.
+    /// Notes that a write to the log failed or timed out. Returns whether the log was healthy before.
     pub fn failed(&mut self) -> bool {
         std::mem::replace(&mut self.healthy, false)
     }
 
-    /// The contents of a new log file, if one is due: after a failure, or once the log has grown long.
+    /// Returns the contents of a new log file if the log must be rewritten: while it is not healthy, or once it has grown
+    /// long.
     pub fn rewrite(&mut self, now: Milliseconds) -> Option<Rewrite> {
         self.expire(now);
         let is_open = matches!(self.log, LogState::Open { .. });
         if !is_open || self.healthy && self.records_in_log <= REWRITE_AFTER_RECORDS {
             return None;
         }
-        // The first file may carry a mark, as this process has sent nothing unrecorded; one after a failure may not.
+        // The first file may contain a mark, as all sends of this process are in it; a file after a failure may not.
         let mark = (self.healthy || !self.first_file_attempted).then(|| self.attempt_mark(now));
         self.first_file_attempted = true;
         self.records_in_log = 0;
@@ -315,42 +320,42 @@
         Some(Rewrite { keys, mark })
     }
 
-    /// The log was rewritten with these keys. Returns whether it has become healthy by that.
+    /// Notes that the log was rewritten with these keys. Returns whether the log has become healthy by the rewrite.
     pub fn rewritten(&mut self, keys: &[(Key, KeySends)]) -> bool {
         for (key, written) in keys {
             if let Some(tracked) = self.tracked.get_mut(key) {
                 tracked.durable |= tracked.sends == *written;
             }
         }
-        // Sends that were made unrecorded meanwhile are not in the file: the next one will hold them.
+        // Sends that were made without a record during the rewrite are not in the file; the next rewrite contains them.
         if !self.healthy && self.tracked.values().any(|tracked| !tracked.durable) {
             return false;
         }
         !std::mem::replace(&mut self.healthy, true)
     }
 
-    /// Whether sends are being recorded.
+    /// Returns whether the log is healthy, so that sends are recorded.
     pub fn healthy(&self) -> bool {
         self.healthy
     }
 
-    /// Whether this process writes a log.
+    /// Returns whether this process writes a log.
     pub fn has_log(&self) -> bool {
         matches!(self.log, LogState::Open { .. })
     }
 
-    /// Number of tracked keys.
+    /// Returns the number of tracked keys.
     pub fn tracked_keys(&self) -> usize {
         self.tracked.len()
     }
 
-    /// Number of keyed requests that were rejected here.
+    /// Returns the number of keyed requests that were rejected by [`admit`](Self::admit).
     pub fn rejected(&self) -> u64 {
         self.rejected
     }
 }
 
-/// Maps a time to an integer of the same order. Negative times count as zero.
+/// Maps a time to an integer that has the same order. Negative times are treated as zero.
 fn expiry_order(at: Milliseconds) -> u64 {
     at.max(0.0).to_bits()
 }
--- a/crates/persistence/src/file_fault.rs
+++ b/crates/persistence/src/file_fault.rs
@@ -1,28 +1,28 @@
-//! What is wrong with a stored file.
+//! Description of a fault in a stored file.
 
 use starlingplank_storage::framed::FrameError;
 use std::fmt;
 
-/// A file that cannot be read as what its name says.
+/// A stored file that cannot be read, or whose contents are not valid for its file type.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FileFault {
-    /// Name of the file.
+    /// Name of the faulty file.
     pub file: String,
     /// Offset of the fault in bytes; `None` if the file itself cannot be read.
     pub offset: Option<usize>,
-    /// What is wrong.
+    /// Description of the fault.
     pub reason: String,
-    /// Whether a later release wrote the file: it is intact, but this release cannot read it.
+    /// Whether a newer release wrote the file, which may be intact but cannot be read by this release.
     pub is_newer_version: bool,
 }
 
 impl FileFault {
-    /// The file itself cannot be read.
+    /// Creates the fault of a file that cannot be read.
     pub fn unreadable(file: String, error: impl fmt::Display) -> Self {
         Self { file, offset: None, reason: error.to_string(), is_newer_version: false }
     }
 
-    /// The file's contents are not valid.
+    /// Creates the fault of a file whose contents are not valid.
     pub fn invalid(file: String, error: &FrameError) -> Self {
         let (offset, is_newer_version) = (Some(error.offset()), error.is_newer_version());
         Self { file, offset, reason: error.to_string(), is_newer_version }
--- a/crates/persistence/src/idempotency_log/contents.rs
+++ b/crates/persistence/src/idempotency_log/contents.rs
@@ -1,40 +1,40 @@
-//! Reads the bytes of a log, whatever state a stopped process or a failing disk left them in.
+//! Decodes the bytes of a log, including those that a killed process or a failing disk left incomplete or damaged.
 
 use super::record::{header, Mark, Record, HEADER_BYTES, RECORD_BYTES};
 use crate::idempotency_key::{Key, KeySends};
 use std::collections::HashMap;
 
-/// Where and why a log is not intact.
+/// Offset and description of damage in a log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogFault {
-    /// Offset in bytes.
+    /// Offset of the damage in bytes.
     pub offset: usize,
-    /// What is wrong there.
+    /// Description of the damage.
     pub reason: String,
 }
 
-/// The contents of a log.
+/// The decoded contents of a log.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LogContents {
-    /// Sends by key; of a key that was sent again after all its windows, the later sends.
+    /// Sends by key. If a key was sent again after its windows had ended, only the later sends.
     pub sends: HashMap<Key, KeySends>,
-    /// The last mark.
+    /// The last mark in the log.
     pub mark: Option<Mark>,
     /// Number of valid records.
     pub records: usize,
-    /// Bytes after the last valid record: the end of a write that was not completed.
+    /// Number of bytes after the last valid record, which a write left that was not completed.
     pub torn_bytes: usize,
-    /// Why the log is not intact.
+    /// The first damage that was found; `None` if the log is intact.
     pub fault: Option<LogFault>,
 }
 
-/// Reads the bytes of a log. Never panics, whatever they are.
+/// Decodes the bytes of a log. Does not panic on arbitrary bytes.
 pub fn read(bytes: &[u8]) -> LogContents {
     let mut contents = LogContents::default();
     let expected = header();
     if !bytes.starts_with(&expected) {
         let offset = bytes.iter().zip(expected).take_while(|(found, expected)| **found == *expected).count();
-        contents.fault = Some(LogFault { offset, reason: "this is no log of keys of version 1".into() });
+        contents.fault = Some(LogFault { offset, reason: "not an idempotency log of version 1".into() });
         return contents;
     }
     let body = &bytes[HEADER_BYTES..];
@@ -60,7 +60,7 @@
                 self.mark = Some(*mark);
             }
             None if self.fault.is_none() => {
-                let reason = "a record is damaged, and good ones follow it".into();
+                let reason = "damaged record, followed by valid records".into();
                 self.fault = Some(LogFault { offset: HEADER_BYTES + index * RECORD_BYTES, reason });
             }
             None => {}
--- a/crates/persistence/src/idempotency_log/error.rs
+++ b/crates/persistence/src/idempotency_log/error.rs
@@ -1,16 +1,16 @@
-//! Errors of the log.
+//! Errors of the idempotency log.
 
 use std::io;
 use thiserror::Error;
 
-/// Why the log cannot be read or written, where the disk itself did not fail.
+/// Errors of reading or writing the log that are not I/O errors.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum LogError {
-    /// The log was replaced each time between listing and reading.
-    #[error("the log is begun anew as often as it is looked for")]
+    /// On each try, the log was replaced after the folder had been listed and before the file was read.
+    #[error("the idempotency log was replaced during each attempt to read it")]
     ReplacedWhileRead,
-    /// An earlier write failed, and the log was not rewritten since.
-    #[error("the log has failed before and was not begun anew")]
+    /// An earlier write failed, and the log has not been rewritten since, or no log file was written yet.
+    #[error("an earlier write to the idempotency log failed, and the log has not been rewritten since")]
     NotRewritten,
 }
 
--- a/crates/persistence/src/idempotency_log/mod.rs
+++ b/crates/persistence/src/idempotency_log/mod.rs
@@ -1,24 +1,24 @@
-//! The idempotency log: a header of 16 bytes, then records of 40 bytes each, all little-endian.
+//! The idempotency log: a file with a header of 16 bytes, followed by records of 40 bytes each, all little-endian.
 //!
-//! | bytes of the header | what |
+//! | bytes of the header | contents |
 //! | --- | --- |
 //! | 0..8 | `SPKEYLG\n` |
 //! | 8..12 | version, 1 |
 //! | 12..16 | CRC-32 of bytes 0..12 |
 //!
-//! | bytes of a record | what |
+//! | bytes of a record | contents |
 //! | --- | --- |
-//! | 0 | kind: 1 a send, 2 a mark |
+//! | 0 | kind: 1 for a send, 2 for a mark |
 //! | 1..4 | zero |
 //! | 4..8 | CRC-32 of the other 36 bytes |
 //! | 8..16 | time, in milliseconds since the machine booted (a 64-bit float) |
-//! | 16..24 | of a send: how long engines drop repeats, in milliseconds; of a mark: until when no keyed request may be sent, as a time like 8..16, or zero |
-//! | 24..40 | of a send: the key's hash; of a mark: the boot's identifier |
+//! | 16..24 | send: ms for which engines drop repeats; mark: time before which no keyed request may be sent (as in 8..16), or 0 |
+//! | 24..40 | send: hash of the key; mark: identifier of the boot |
 //!
-//! Each process, and each rewrite of a log that has grown long, begins a new file with all keys whose window has not
-//! ended, written atomically before the old file is removed. Bytes after the last valid record are the end of a write
-//! that was not completed, and whose request was not sent; an invalid record followed by valid ones is damage, and
-//! the log is not trusted.
+//! Each process starts a new file with all keys whose window has not ended, and rewrites the log into another new file
+//! when the log has grown long. A new file is written atomically before the old one is removed. Bytes after the last valid
+//! record belong to a write that was not completed and whose request was not sent. An invalid record followed by valid
+//! ones is damage; such a log is not trusted.
 
 mod contents;
 mod error;
--- a/crates/persistence/src/idempotency_log/record.rs
+++ b/crates/persistence/src/idempotency_log/record.rs
@@ -1,4 +1,4 @@
-//! The bytes of the log: its header and its records.
+//! Encoding of the log's header and records.
 
 use crate::idempotency_key::{Key, KeySend, KeySends};
 use starlingplank_decision::interface::Milliseconds;
@@ -9,19 +9,21 @@
 pub const HEADER_BYTES: usize = 16;
 /// Length of a record in bytes.
 pub const RECORD_BYTES: usize = 40;
-/// First byte of the record of a send.
+/// First byte of a record that contains a send.
 const KIND_SEND: u8 = 1;
-/// First byte of a mark.
+/// First byte of a record that contains a mark.
 const KIND_MARK: u8 = 2;
 
-/// States that the log was complete at a time: see [`deduplication_window`](crate::deduplication_window).
+/// A mark, which states that the log contained all sends at a given time. The module
+/// [`deduplication_window`](crate::deduplication_window) explains its use.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Mark {
-    /// When the log was complete, in milliseconds since the machine booted.
+    /// Time at which the log was complete, in milliseconds since the machine booted.
     pub at: Milliseconds,
-    /// Until then no keyed request may be sent, by this process or the next. `None` (stored as 0) if nothing blocks them.
+    /// Time before which neither this process nor the next may send a keyed request. `None` (stored as 0) if keyed requests
+    /// are not blocked.
     pub blocked_until: Option<Milliseconds>,
-    /// The boot that the times count from.
+    /// Identifier of the boot from which the times are counted.
     pub boot_id: [u8; 16],
 }
 
@@ -30,12 +32,12 @@
 pub enum Record {
     /// A send of a key.
     KeySend(Key, KeySend),
-    /// A mark.
+    /// A statement that the log was complete.
     Mark(Mark),
 }
 
 impl Record {
-    /// The records that a file needs for the sends of a key: the first, and the last if that is another.
+    /// Returns the records that represent the sends of a key in a new file: the first send, and the last one if it differs.
     pub fn for_sends(key: Key, sends: &KeySends) -> impl Iterator<Item = Record> {
         let window = sends.window;
         let last = (sends.last > sends.first).then_some(sends.last);
@@ -45,7 +47,7 @@
             .map(move |at| Record::KeySend(key, KeySend { at, window }))
     }
 
-    /// The record's bytes.
+    /// Encodes the record.
     pub fn bytes(&self) -> [u8; RECORD_BYTES] {
         let (kind, at, duration, tail) = match self {
             Record::KeySend(key, send) => (KIND_SEND, send.at, send.window, key),
@@ -61,11 +63,11 @@
         bytes
     }
 
-    /// Decodes a record; `None` if the bytes are no valid record.
+    /// Decodes a record. Returns `None` if the bytes are not a valid record.
     pub fn read(bytes: &[u8]) -> Option<Self> {
         let bytes: &[u8; RECORD_BYTES] = bytes.try_into().ok()?;
-        let stored_sum: [u8; 4] = bytes[4..8].try_into().ok()?;
-        if u32::from_le_bytes(stored_sum) != checksum(bytes) || bytes[1..4] != [0; 3] {
+        let stored_checksum: [u8; 4] = bytes[4..8].try_into().ok()?;
+        if u32::from_le_bytes(stored_checksum) != checksum(bytes) || bytes[1..4] != [0; 3] {
             return None;
         }
         let (at, duration) = (time_at(bytes, 8)?, time_at(bytes, 16)?);
@@ -81,7 +83,7 @@
     }
 }
 
-/// The number at that offset, if it is finite and not negative.
+/// Returns the 64-bit float at the offset, or `None` if it is negative or not finite.
 fn time_at(bytes: &[u8; RECORD_BYTES], offset: usize) -> Option<Milliseconds> {
     let eight: [u8; 8] = bytes[offset..offset + 8].try_into().ok()?;
     Some(f64::from_le_bytes(eight)).filter(|time| time.is_finite() && *time >= 0.0)
@@ -94,7 +96,7 @@
     hasher.finalize()
 }
 
-/// The header of every log.
+/// Returns the header, which is the same for every log.
 pub fn header() -> [u8; HEADER_BYTES] {
     let mut bytes = [0; HEADER_BYTES];
     bytes[..8].copy_from_slice(&MAGIC);
--- a/crates/persistence/src/idempotency_log/recovery.rs
+++ b/crates/persistence/src/idempotency_log/recovery.rs
@@ -1,4 +1,4 @@
-//! Reads the log of the previous process and decides whether it can be trusted.
+//! Recovery of the previous process's log, with the checks of whether it can be trusted.
 
 use super::contents::LogContents;
 use super::files::{last, unrecorded_sends_possible};
@@ -9,59 +9,59 @@
 use std::io;
 use thiserror::Error;
 
-/// Why a log cannot be trusted.
+/// Reason for which a log cannot be trusted.
 #[derive(Debug, Error)]
 pub enum DistrustedLog {
-    /// A process that was following another one ended before its sends were in a log.
-    #[error("a version that was taking over ended before it had written down what it sent")]
+    /// A process that was taking over from another one ended before its sends were recorded in a log.
+    #[error("a process that was taking over ended before the idempotency log contained its sends")]
     UnrecordedSends,
     /// The folder cannot be read.
     #[error("the folder cannot be read: {0}")]
     UnreadableFolder(#[source] io::Error),
     /// The log cannot be read.
-    #[error("the log of keys cannot be read: {0}")]
+    #[error("the idempotency log cannot be read: {0}")]
     Unreadable(#[source] io::Error),
-    /// There is no log.
-    #[error("there is no log of keys yet")]
+    /// The folder contains no log.
+    #[error("there is no idempotency log yet")]
     Missing,
     /// The log is damaged.
     #[error("{file}: at byte {offset}: {why}")]
     Damaged {
-        /// Name of the file.
+        /// Name of the log file.
         file: String,
-        /// Offset of the fault.
+        /// Offset of the damage in bytes.
         offset: usize,
-        /// What is wrong there.
+        /// Description of the damage.
         why: String,
     },
-    /// The log never was complete.
-    #[error("{file}: no mark is in it")]
+    /// The log contains no mark, so that it was never known to be complete.
+    #[error("{file}: the log contains no mark, so it may be incomplete")]
     NoMark {
-        /// Name of the file.
+        /// Name of the log file.
         file: String,
     },
-    /// Its times cannot be compared with those of this boot.
-    #[error("{file}: the machine has started anew since")]
+    /// The log is from another boot, or the current boot is unknown, so its times cannot be compared with the boot clock.
+    #[error("{file}: the log is not known to be from the current boot of the machine")]
     OtherBoot {
-        /// Name of the file.
+        /// Name of the log file.
         file: String,
     },
-    /// Unrecorded requests may have been sent since its last mark.
-    #[error("{file}: its last mark is {:.1} s old", .age / 1000.0)]
+    /// The last mark is too old or lies in the future, so unrecorded requests may have been sent since.
+    #[error("{file}: the last mark is {:.1} s old", .age / 1000.0)]
     OldMark {
-        /// Name of the file.
+        /// Name of the log file.
         file: String,
-        /// Age of the mark in milliseconds; negative if it lies in the future.
+        /// Age of the mark in milliseconds; negative if the mark lies in the future.
         age: Milliseconds,
     },
 }
 
-/// Recovers the log for a process that knows nothing of earlier ones. The log is trusted if it is intact, of this boot,
-/// marked less than `window` ago, and holds all sends. [`deduplication_window`](crate::deduplication_window) shows why
-/// that suffices.
+/// Recovers the log for a process that starts without a running predecessor. The log is trusted if it is intact, of the
+/// current boot, marked less than `window` ago, and no process has sent keyed requests without recording them in it.
+/// [`deduplication_window`](crate::deduplication_window) explains why these conditions suffice.
 ///
 /// # Errors
-/// Tells why the log is not trusted.
+/// Returns the reason if the log is not trusted.
 pub fn recover(disk: &dyn Disk, now: &BootTime, window: Milliseconds) -> Result<TrustedLog, DistrustedLog> {
     match unrecorded_sends_possible(disk) {
         Ok(false) => recover_from_peer(disk, now, window),
@@ -70,10 +70,11 @@
     }
 }
 
-/// Recovers the log for a process that takes over from a running one, and is told of each send that the log does not hold.
+/// Recovers the log for a process that takes over from a running one and is notified of each send that the log does not
+/// contain.
 ///
 /// # Errors
-/// Tells why the log is not trusted.
+/// Returns the reason if the log is not trusted.
 pub fn recover_from_peer(
     disk: &dyn Disk,
     now: &BootTime,
--- a/crates/persistence/src/inspection.rs
+++ b/crates/persistence/src/inspection.rs
@@ -1,5 +1,6 @@
-//! `knowledge show` and `knowledge verify`: what a folder holds, and whether it is intact. Both take no lock and change
-//! nothing, so they may be run beside a gateway. The names in the output are part of the command's interface.
+//! The commands `knowledge show` and `knowledge verify`, which print the contents of a folder and check its files. Both
+//! take no lock and write nothing, so they can run while a gateway uses the folder. The names in the output are part of
+//! the commands' interface.
 
 use crate::boot_time::BootTime;
 use crate::cached_endpoints::{self, CacheError, CachedEndpoints};
@@ -16,28 +17,29 @@
 use std::io;
 use std::path::Path;
 
-/// Bound on a snapshot that is read, in bytes.
+/// Maximum size of a snapshot file that is read, in bytes.
 const MAX_SNAPSHOT_BYTES: usize = 1 << 30;
-/// Exit code of `verify`: all files are intact.
+/// Exit code of `verify` if all files are intact.
 const EXIT_INTACT: u8 = 0;
-/// Exit code of `verify`: some file is not intact.
+/// Exit code of `verify` if at least one file is not intact.
 const EXIT_FAULTS: u8 = 1;
-/// Exit code of `verify`: the folder holds nothing.
+/// Exit code of `verify` if the folder contains no stored state.
 const EXIT_EMPTY: u8 = 2;
 
-/// What `verify` found.
+/// Result of [`verify`].
 #[derive(Debug, Default)]
 pub struct VerificationResult {
-    /// Files that are not intact.
+    /// One fault for each file that is not intact.
     pub faults: Vec<FileFault>,
-    /// Whether there is any snapshot, log or cached list.
+    /// Whether the folder contains a snapshot, an idempotency log or a cached endpoint list.
     pub found_any: bool,
-    /// Bytes at the end of the log that were not completely written: no fault, as their requests were not sent.
+    /// Number of bytes of an incomplete write at the end of the log. They are not a fault, as the requests of that write were
+    /// not sent.
     pub torn_bytes: usize,
 }
 
 impl VerificationResult {
-    /// The command's exit code: 0 if all is intact, 1 if some file is not, 2 if there is nothing.
+    /// Returns the exit code of `verify`: 0 if all files are intact, 1 if any is not, 2 if the folder contains no stored state.
     pub fn code(&self) -> u8 {
         match (self.found_any, self.faults.is_empty()) {
             (false, _) => EXIT_EMPTY,
@@ -47,10 +49,10 @@
     }
 }
 
-/// Checks a folder. One that does not exist is empty.
+/// Checks all stored files of a folder. A folder that does not exist is treated as empty.
 ///
 /// # Errors
-/// The folder cannot be read.
+/// Returns an error if the folder cannot be read.
 pub fn verify(folder: &Path) -> io::Result<VerificationResult> {
     let disk = match std::fs::metadata(folder) {
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(VerificationResult::default()),
@@ -75,11 +77,11 @@
     FileFault { is_newer_version, ..FileFault::unreadable(cached_endpoints::FILE.into(), error) }
 }
 
-/// All values of the latest snapshot, with their age and the weight that they would retain now. `None` if there is no
-/// valid snapshot.
+/// Returns all values of the latest snapshot with their age and the weight that they would retain if they were restored
+/// now, or `None` if there is no valid snapshot.
 ///
 /// # Errors
-/// The folder cannot be read.
+/// Returns an error if the folder cannot be read.
 pub fn show(folder: &Path, now: Milliseconds, rules: &RecoverySettings) -> io::Result<Option<Value>> {
     let disk = Files::new(folder);
     let loaded = snapshot_store::load(&disk, MAX_SNAPSHOT_BYTES)?;
@@ -200,35 +202,36 @@
 
 fn show_uncertainty(uncertainty: Uncertainty) -> &'static str {
     match uncertainty {
-        Uncertainty::None => "heard of lately",
-        Uncertainty::NotSeenRecently => "not heard of for longer than a restart takes",
-        Uncertainty::Restarted => "started anew",
+        Uncertainty::None => "answered recently",
+        Uncertainty::NotSeenRecently => "no answer for longer than a restart takes",
+        Uncertainty::Restarted => "restarted since the snapshot",
         Uncertainty::UnknownId => "unknown",
-        Uncertainty::WasInSlowStart => "cold when last seen",
+        Uncertainty::WasInSlowStart => "in slow start when last seen",
     }
 }
 
-/// The output of [`show`] as text: a line for each value, nested names joined by dots, numbers with up to three places.
+/// Formats the output of [`show`] as text: one line per value, nested names joined by dots, numbers with up to three
+/// decimal places.
 pub fn text(shown: &Value) -> String {
     let mut out = String::new();
-    lines(&mut out, "", shown);
+    write_lines(&mut out, "", shown);
     out
 }
 
-fn lines(out: &mut String, path: &str, value: &Value) {
+fn write_lines(out: &mut String, path: &str, value: &Value) {
     match value {
         Value::Object(map) => {
             for (name, inner) in map {
-                let under = if path.is_empty() { name.clone() } else { format!("{path}.{name}") };
-                lines(out, &under, inner);
+                let nested_path = if path.is_empty() { name.clone() } else { format!("{path}.{name}") };
+                write_lines(out, &nested_path, inner);
             }
         }
-        // Elements of arrays are named by their name or id, if they have one.
+        // An array element is labelled with its name or id if it has one, otherwise with its index.
         Value::Array(list) => {
             for (index, inner) in list.iter().enumerate() {
                 let name = inner.get("name").or_else(|| inner.get("id")).and_then(Value::as_str);
                 let name = name.map_or_else(|| index.to_string(), str::to_owned);
-                lines(out, &format!("{path}[{name}]"), inner);
+                write_lines(out, &format!("{path}[{name}]"), inner);
             }
         }
         Value::Number(number) => {
--- a/crates/persistence/src/lib.rs
+++ b/crates/persistence/src/lib.rs
@@ -1,13 +1,14 @@
-//! State that outlives a gateway process: what it has learned, the idempotency keys it has sent, and the endpoint list.
+//! State that outlives a gateway process: learned statistics, the idempotency keys of sent requests, and the endpoint list.
 //!
-//! The decision module's records ([`LearnedState`](starlingplank_decision::learned::LearnedState)) and keyed sends go in. Out come
-//! records, aged by the time that has passed ([`recovery`]), and whether a keyed request may be sent now
-//! ([`deduplication_window`]). Invariants: **what may have been sent under a key is never forgotten while an engine
-//! would run it again**, whatever stops the program; and an engine that may have restarted unseen is in slow start.
+//! The crate stores the decision module's records ([`LearnedState`](starlingplank_decision::learned::LearnedState)) and
+//! the sends of keyed requests. After a restart it returns the records, weighted down by their age ([`recovery`]), and
+//! decides whether a keyed request may be sent now ([`deduplication_window`]). Invariants: **a send that may have reached
+//! an engine stays recorded for as long as an engine would execute a repeat of it**, however the program is stopped; and
+//! an engine that may have restarted unnoticed is in slow start.
 //!
-//! [`recovery`] and [`deduplication_window`] are pure. [`snapshot`], [`snapshot_records`], [`idempotency_log`] and
-//! [`cached_endpoints`] define the stored bytes, [`snapshot_store`] the files of snapshots, [`writers`] the threads that
-//! write them, and [`inspection`] what operators can see of a folder.
+//! [`recovery`] and [`deduplication_window`] perform no I/O and read no clock. [`snapshot`], [`snapshot_records`],
+//! [`idempotency_log`] and [`cached_endpoints`] define the stored bytes, [`snapshot_store`] manages the snapshot files,
+//! [`writers`] contains the threads that write, and [`inspection`] implements the commands that examine a folder.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/persistence/src/recovery.rs
+++ b/crates/persistence/src/recovery.rs
@@ -1,9 +1,10 @@
-//! What old knowledge is still good for. Pure: a snapshot, the endpoint list and the time go in, the decision module's
-//! records come out.
+//! Restores the decision module's records from a snapshot, the current endpoint list and the time. Performs no I/O and
+//! reads no clock.
 //!
-//! Each kind of knowledge loses half its weight in its own time: latencies change with engines and data, loads by the
-//! minute. Whether a process is warm cannot be told from its id: an engine that the gateway has not heard from for
-//! longer than a restart takes, that restarted, or that the snapshot does not know, is *perhaps in slow start*.
+//! Restored values lose weight with their age. Each kind of value has its own half-life, as latencies change only with
+//! engines and data, but loads within minutes. An engine's id does not show whether its process is still the same one, so
+//! an engine is *possibly in slow start* if it has not answered for longer than a restart takes, if it restarted, or if the
+//! snapshot does not contain it.
 
 use crate::snapshot_records::{Snapshot, StoredEngine};
 use starlingplank_decision::interface::Milliseconds;
@@ -11,37 +12,38 @@
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// Half-life of a class's latencies: ten minutes.
+/// Half-life of the latencies of a class: ten minutes.
 pub const LATENCY_HALF_LIFE: Milliseconds = 600_000.0;
-/// Half-life of arrivals, traffic and the fleet's threads: ten seconds, as in the decision module's own sums.
+/// Half-life of arrivals, traffic and the fleet's threads: ten seconds, as in the decaying sums of the decision module.
 pub const TRAFFIC_HALF_LIFE: Milliseconds = 10_000.0;
-/// Half-life of an engine's slowness and errors: a minute.
+/// Half-life of the slowdown and the error rate of an engine: one minute.
 pub const HEALTH_HALF_LIFE: Milliseconds = 60_000.0;
-/// Half-life of what other gateways run on an engine: three seconds.
+/// Half-life of the load that other gateways put on an engine: three seconds.
 pub const LOAD_HALF_LIFE: Milliseconds = 3_000.0;
-/// Half-life of the shortest health check to a zone: an hour, as network paths change seldom.
+/// Half-life of the shortest health check of a zone: one hour, as network paths rarely change.
 pub const NETWORK_HALF_LIFE: Milliseconds = 3_600_000.0;
-/// How far a snapshot may lie in the future before the clock counts as set back.
+/// Maximum time by which a snapshot may lie in the future, in milliseconds. Beyond it the clock is assumed to have been set
+/// back.
 pub const CLOCK_TOLERANCE: Milliseconds = 500.0;
-/// Ejections are forgotten once an engine's health has kept no more than this of its weight.
+/// Ejections are discarded if the retained weight of the engine's health is not above this value.
 const EJECTION_MIN_WEIGHT: f64 = 0.1;
-/// Network paths are forgotten once they have kept less than this of their weight.
+/// Shortest health checks are discarded if their retained weight is below this value.
 const NETWORK_MIN_WEIGHT: f64 = 0.5;
 
-/// What an operator configures.
+/// Settings of the recovery, which an operator can configure.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RecoverySettings {
-    /// An engine cannot stop and be back in less time.
+    /// Minimum time that an engine takes to stop and to serve again.
     pub min_restart_time: Milliseconds,
-    /// An older snapshot is rejected.
+    /// Maximum age of a snapshot; an older one is rejected.
     pub max_snapshot_age: Milliseconds,
-    /// How long engines that the list does not name are kept for it to name them.
+    /// Time for which engines of the snapshot that the endpoint list does not contain are retained, in case they are added to it.
     pub unlisted_retention: Milliseconds,
-    /// The budget of an engine in slow start is counted over this time.
+    /// Time over which the budget of an engine in slow start is counted.
     pub overload_collapse_after: Milliseconds,
 }
 
-/// The rules where an operator configures none.
+/// Default settings.
 pub const DEFAULT: RecoverySettings = RecoverySettings {
     min_restart_time: 3_000.0,
     max_snapshot_age: 3_600_000.0,
@@ -49,47 +51,47 @@
     overload_collapse_after: 2_000.0,
 };
 
-/// An engine as the endpoint list names it now.
+/// Identity of an engine according to the current endpoint list.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct EndpointIdentity {
-    /// Its id.
+    /// Id of the engine.
     pub id: String,
-    /// Where it listens.
+    /// Address at which the engine listens.
     pub address: String,
-    /// When its process started, if the list tells.
+    /// Time at which the engine's process started, if the list contains it.
     pub started: Option<Milliseconds>,
 }
 
-/// Why an engine is perhaps in slow start.
+/// Reason for which an engine is possibly in slow start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Uncertainty {
-    /// It is not: it is the known process, and was heard from recently.
+    /// No reason: the engine is the known process and answered recently.
     None,
-    /// It was not heard from for longer than a restart takes.
+    /// The engine has not answered for longer than a restart takes.
     NotSeenRecently,
-    /// Its start time is another.
+    /// The engine's start time differs from the one in the snapshot.
     Restarted,
-    /// The snapshot does not know its id.
+    /// The snapshot does not contain the engine's id.
     UnknownId,
-    /// It was in slow start when last seen, and the list tells no start time.
+    /// The engine was in slow start when last observed, and the endpoint list contains no start time for it.
     WasInSlowStart,
 }
 
-/// Why a snapshot is rejected.
+/// Reason for which a snapshot is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Error)]
 pub enum RejectedSnapshot {
-    /// It was taken this far in the future, in milliseconds: the clock was set back.
-    #[error("it was taken {:.1} s in the future: the clock was set back", .0 / 1000.0)]
+    /// The snapshot was taken in the future by this many milliseconds, so the clock was set back.
+    #[error("the snapshot was taken {:.1} s in the future: the clock was set back", .0 / 1000.0)]
     FromTheFuture(Milliseconds),
-    /// It is older than the rules allow; its age in milliseconds.
-    #[error("it is {:.0} s old", .0 / 1000.0)]
+    /// The snapshot is older than the settings allow; contains its age in milliseconds.
+    #[error("the snapshot is too old: {:.0} s", .0 / 1000.0)]
     TooOld(Milliseconds),
-    /// Its time is not a finite number.
-    #[error("its time is none")]
+    /// The time of the snapshot is not a finite number.
+    #[error("the time of the snapshot is not a finite number")]
     InvalidTime,
 }
 
-/// The fraction of its weight that knowledge of this age retains.
+/// Returns the fraction of its weight that a value of this age retains: 0 if the age is not a finite number.
 pub fn retained_weight(age: Milliseconds, half_life: Milliseconds) -> f64 {
     if age.is_finite() {
         0.5_f64.powf(age.max(0.0) / half_life)
@@ -98,10 +100,10 @@
     }
 }
 
-/// The age of a snapshot.
+/// Returns the age of a snapshot.
 ///
 /// # Errors
-/// The snapshot lies in the future, is too old, or has no valid time.
+/// Returns the reason if the snapshot is rejected: it lies in the future, is too old, or has no valid time.
 pub fn age(
     snapshot: &Snapshot,
     now: Milliseconds,
@@ -116,7 +118,7 @@
     }
 }
 
-/// Whether an engine may be another process than the known one.
+/// Returns the reason for which an engine is possibly in slow start. `known` is its record in the snapshot, if there is one.
 pub fn uncertainty(
     known: Option<&StoredEngine>,
     identity: &EndpointIdentity,
@@ -144,7 +146,7 @@
         for band in &mut class.bands {
             band.samples *= latency;
         }
-        // The fewer steps the best latency rests on, the faster the decision module learns another.
+        // The decision module replaces the lowest latency faster if it is derived from fewer control steps.
         class.control_steps =
             (class.control_steps * latency).floor().max(f64::from(u8::from(class.control_steps >= 1.0)));
         class.arrivals *= traffic;
@@ -168,7 +170,7 @@
     }
 }
 
-/// What is restored of an engine. `taken` is the time of the snapshot.
+/// Returns the restored record of an engine. `taken` is the time at which the snapshot was taken.
 pub fn engine(
     known: Option<&StoredEngine>,
     identity: &EndpointIdentity,
@@ -177,56 +179,57 @@
     rules: &RecoverySettings,
 ) -> LearnedEngine {
     let uncertainty = uncertainty(known, identity, now, rules);
-    let perhaps_cold = uncertainty != Uncertainty::None;
+    let possibly_in_slow_start = uncertainty != Uncertainty::None;
     let fresh = LearnedEngine {
         id: identity.id.clone(),
         slowdown: 1.0,
-        maybe_in_slow_start: perhaps_cold,
+        maybe_in_slow_start: possibly_in_slow_start,
         ..LearnedEngine::default()
     };
     let same_process = !matches!(uncertainty, Uncertainty::Restarted | Uncertainty::UnknownId);
     let Some(known) = known.filter(|_| same_process) else { return fresh };
-    let seen = known.confirmed_at.unwrap_or(taken);
-    let health = retained_weight(now - seen, HEALTH_HALF_LIFE);
-    // How much of a slow start's budget was left at the very end is unknown.
-    let spent = known.in_slow_start
-        && now - seen.max(taken) <= rules.overload_collapse_after.max(rules.min_restart_time);
+    let last_answer_at = known.confirmed_at.unwrap_or(taken);
+    let health = retained_weight(now - last_answer_at, HEALTH_HALF_LIFE);
+    // The remaining budget of a slow start when the previous process ended is unknown, so it is treated as exhausted.
+    let budget_exhausted = known.in_slow_start
+        && now - last_answer_at.max(taken) <= rules.overload_collapse_after.max(rules.min_restart_time);
     LearnedEngine {
         slowdown: 1.0 + (known.slowdown - 1.0) * health,
         error_rate: known.error_rate * health,
         other_threads: known.other_threads
             * retained_weight(now - known.reported_at.unwrap_or(taken), LOAD_HALF_LIFE),
         reported_at: known.reported_at,
-        // An engine whose ejection has ended meanwhile is tried first.
+        // An engine whose ejection has ended in the meantime is tried first.
         ejected_until: known.ejected_until.filter(|_| health > EJECTION_MIN_WEIGHT),
         ejections: if health > EJECTION_MIN_WEIGHT { known.ejections } else { 0 },
         ejection_ended_at: known.ejection_ended_at,
-        connections_refused_at: known.connections_refused_at.filter(|_| !perhaps_cold),
+        connections_refused_at: known.connections_refused_at.filter(|_| !possibly_in_slow_start),
         in_slow_start: known.in_slow_start,
-        slow_start_budget_exhausted: spent,
+        slow_start_budget_exhausted: budget_exhausted,
         ..fresh
     }
 }
 
-/// Knowledge of an earlier process, held until the endpoint list has named its engines or the wait for that has ended.
+/// State of an earlier process that waits to be restored: until the endpoint list has contained all of its engines, or
+/// until the wait for them has ended.
 #[derive(Debug)]
 pub struct RestoredState {
     rules: RecoverySettings,
     taken: Milliseconds,
-    /// What is not of single engines, until it is handed out with the first of them.
+    /// Records of classes and of the fleet, until they are restored together with the first engines.
     fleet: Option<LearnedState>,
     known: BTreeMap<String, StoredEngine>,
-    /// Ids of engines that were handed out already.
+    /// Ids of engines that were already restored.
     restored: BTreeSet<String>,
-    /// End of the wait for the list: set when it names the first engines.
+    /// End of the wait for the engines; set when the endpoint list contains its first engines.
     deadline: Option<Milliseconds>,
 }
 
 impl RestoredState {
-    /// Ages a snapshot.
+    /// Prepares a snapshot for restoring, with its values weighted by their age.
     ///
     /// # Errors
-    /// The snapshot is rejected.
+    /// Returns the reason if the snapshot is rejected.
     pub fn new(
         snapshot: &Snapshot,
         now: Milliseconds,
@@ -247,8 +250,8 @@
         })
     }
 
-    /// What there is to restore now that the list names these engines, if anything. An engine is restored once; one that
-    /// the list names for the first time after the wait is left to the decision module.
+    /// Returns the records to restore now that the endpoint list contains these engines, or `None` if there are none. Each
+    /// engine is restored once. An engine that the list contains for the first time after the wait is not restored.
     pub fn restore(&mut self, listed: &[EndpointIdentity], now: Milliseconds) -> Option<LearnedState> {
         if listed.is_empty() {
             return None;
@@ -273,12 +276,12 @@
         Some(LearnedState { engines, ..self.fleet.take().unwrap_or_default() })
     }
 
-    /// Number of engines that the list has not named yet.
+    /// Returns the number of engines that the endpoint list has not contained yet.
     pub fn unrestored(&self) -> usize {
         self.known.len()
     }
 
-    /// Whether nothing more can be restored.
+    /// Returns whether the wait has ended, after which nothing more is restored.
     pub fn is_finished(&self, now: Milliseconds) -> bool {
         self.deadline.is_some_and(|deadline| now > deadline)
     }
--- a/crates/persistence/src/snapshot_records.rs
+++ b/crates/persistence/src/snapshot_records.rs
@@ -1,127 +1,128 @@
-//! The records inside a snapshot.
+//! Types of the records in a snapshot.
 //!
-//! They repeat the types of [`starlingplank_decision::learned`] on purpose: those may change with each release, while the
-//! order and types of the fields here are the stored format, which postcard encodes by position. The decision module
-//! also does not depend on serde. Version 1 has no addresses and no shortest health checks; it can still be read.
+//! These types deliberately duplicate those of [`starlingplank_decision::learned`], which may change with each release. The
+//! order and types of the fields here are the stored format, as postcard encodes fields by position. The separation also
+//! keeps serde out of the decision module. Version 1 has no addresses and no shortest health checks; it can still be read.
 
 use serde::{Deserialize, Serialize};
 use starlingplank_decision::interface::Milliseconds;
 use starlingplank_decision::learned::{LearnedBand, LearnedClass, LearnedEngine, LearnedFleet, LearnedState};
 use std::collections::BTreeMap;
 
-/// A snapshot, as version 2 stores it. Times are Unix milliseconds.
+/// A snapshot in the format of version 2. Times are in Unix milliseconds.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// When the snapshot was taken.
+    /// Time at which the snapshot was taken.
     pub taken_at: Milliseconds,
-    /// The gateway's name.
+    /// Name of the gateway.
     pub gateway: String,
     /// The concurrency limit, in threads per core.
     pub concurrency_limit: f64,
-    /// What was learned of all engines together.
+    /// Statistics of all engines together.
     pub fleet: StoredFleet,
-    /// What was learned of each class.
+    /// Statistics of each class.
     pub classes: Vec<StoredClass>,
-    /// What was learned of each engine.
+    /// Statistics and state of each engine.
     pub engines: Vec<StoredEngine>,
 }
 
-/// What was learned of all engines together.
+/// Statistics of all engines together.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct StoredFleet {
-    /// This gateway's recent threads.
+    /// Number of engine threads that this gateway recently used.
     pub own_threads: f64,
-    /// Recent threads of all gateways.
+    /// Number of engine threads that all gateways recently used.
     pub all_threads: f64,
-    /// Mean threads of a query.
+    /// Mean number of threads of a query.
     pub threads_per_query: f64,
-    /// Threads per core that other gateways run.
+    /// Number of threads per core that other gateways use.
     pub other_load: f64,
-    /// Fraction of engines far over any concurrency limit.
+    /// Fraction of engines whose load is far above any concurrency limit.
     pub overloaded_share: f64,
-    /// Median slowness of the engines.
+    /// Median slowdown of the engines.
     pub median_slowdown: f64,
-    /// Latency of queries that run alone divided by their actual latency.
+    /// Unloaded latency of queries divided by their actual latency.
     pub speed: f64,
-    /// The shortest health check by zone, in milliseconds.
+    /// Shortest health check by zone, in milliseconds.
     pub shortest_health_checks: Vec<(String, Milliseconds)>,
 }
 
-/// Latencies of a class in one band of load.
+/// Latencies of a class within one band of engine load.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct StoredBand {
-    /// The band, in threads per core.
+    /// Load of the band, in threads per core.
     pub level: f64,
-    /// Number of samples, decayed.
+    /// Number of latency samples, decayed with their age.
     pub samples: f64,
-    /// Mean, in milliseconds.
+    /// Mean latency in milliseconds.
     pub mean: Milliseconds,
-    /// Variance, in square milliseconds.
+    /// Variance of the latency in square milliseconds.
     pub variance: f64,
 }
 
-/// What was learned of a class.
+/// Statistics of a class.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct StoredClass {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Threads of a query.
+    /// Number of threads of a query.
     pub threads: f64,
-    /// When an outcome was last seen.
+    /// Time at which the outcome of an attempt was last observed.
     pub confirmed_at: Option<Milliseconds>,
-    /// Latency by load.
+    /// Latencies by engine load.
     pub bands: Vec<StoredBand>,
-    /// Lowest recent mean latency.
+    /// Lowest recent mean latency in milliseconds.
     pub best_latency: Milliseconds,
-    /// Latency of a query alone.
+    /// Latency of a query on an otherwise idle engine, in milliseconds.
     pub unloaded_latency: Milliseconds,
-    /// Steps over which the lowest latency was learned.
+    /// Number of control steps from which the lowest latency was derived.
     pub control_steps: f64,
-    /// Clients' usual time from the request to their timeout.
+    /// Usual time from a request to the client's timeout, in milliseconds.
     pub time_left: Milliseconds,
-    /// Mean estimate of work that came with requests.
+    /// Mean of the work estimates that requests contained.
     pub mean_work_estimate: f64,
-    /// Recent first attempts.
+    /// Number of recent first attempts.
     pub arrivals: f64,
-    /// Recent run time of attempts.
+    /// Total run time of recent attempts.
     pub runtime: f64,
-    /// Requested memory divided by the estimate.
+    /// Requested memory divided by the estimated memory.
     pub grant_factor: f64,
 }
 
-/// What was learned of an engine.
+/// Statistics and state of an engine.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct StoredEngine {
-    /// Its id.
+    /// Id of the engine.
     pub id: String,
-    /// Where it listened; empty in records of version 1.
+    /// Address at which the engine listened; empty in records of version 1.
     pub address: String,
-    /// When its process started, if the list told.
+    /// Time at which the engine's process started, if the endpoint list contained it.
     pub started_at: Option<Milliseconds>,
-    /// When it last answered anything.
+    /// Time of the engine's last answer of any kind.
     pub confirmed_at: Option<Milliseconds>,
-    /// When it last reported its load.
+    /// Time of the engine's last load report.
     pub reported_at: Option<Milliseconds>,
-    /// Its latency divided by the lowest.
+    /// Latency of the engine divided by the lowest latency.
     pub slowdown: f64,
-    /// Recent fraction of failures.
+    /// Recent fraction of failed attempts.
     pub error_rate: f64,
-    /// Threads of other gateways.
+    /// Number of threads that other gateways use on the engine.
     pub other_threads: f64,
-    /// When its ejection ends.
+    /// Time at which the engine's ejection ends.
     pub ejected_until: Option<Milliseconds>,
-    /// Consecutive ejections.
+    /// Number of consecutive ejections.
     pub ejections: u32,
-    /// When the last ejection ended.
+    /// Time at which the last ejection ended.
     pub ejection_ended_at: Option<Milliseconds>,
-    /// When it last refused connections.
+    /// Time at which the engine last refused a connection.
     pub connections_refused_at: Option<Milliseconds>,
-    /// Whether it was in slow start when last seen.
+    /// Whether the engine was in slow start when last observed.
     pub in_slow_start: bool,
 }
 
 impl Snapshot {
-    /// Records what the decision module has learned, with the addresses that the endpoint list gave.
+    /// Creates a snapshot of the decision module's records. `addresses` contains the address of each engine by id, as in the
+    /// endpoint list.
     pub fn new(gateway: &str, learned: &LearnedState, addresses: &BTreeMap<String, String>) -> Self {
         let engine = |engine: &LearnedEngine| {
             let address = addresses.get(&engine.id).cloned().unwrap_or_default();
@@ -137,7 +138,7 @@
         }
     }
 
-    /// The decision module's records, as they were taken.
+    /// Returns the decision module's records as they were when the snapshot was taken.
     pub fn learned(&self) -> LearnedState {
         LearnedState {
             recorded_at: self.taken_at,
@@ -231,7 +232,7 @@
     }
 }
 
-/// Without an address: the decision module knows none.
+/// The address is left empty, as the decision module has no addresses.
 impl From<&LearnedEngine> for StoredEngine {
     fn from(engine: &LearnedEngine) -> Self {
         Self {
@@ -252,7 +253,8 @@
     }
 }
 
-/// What is decided on recovery is unset: [`recovery::engine`](crate::recovery::engine) decides it.
+/// Leaves `maybe_in_slow_start` and `slow_start_budget_exhausted` unset: [`recovery::engine`](crate::recovery::engine)
+/// determines them.
 impl From<&StoredEngine> for LearnedEngine {
     fn from(engine: &StoredEngine) -> Self {
         Self {
@@ -274,48 +276,49 @@
     }
 }
 
-/// The records of version 1.
+/// Types of the records in a snapshot of version 1.
 pub mod v1 {
     use super::{Milliseconds, StoredClass};
     use serde::{Deserialize, Serialize};
 
-    /// A snapshot of version 1.
+    /// A snapshot in the format of version 1.
     #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
     pub struct Snapshot {
-        /// When the snapshot was taken.
+        /// Time at which the snapshot was taken.
         pub taken_at: Milliseconds,
-        /// The concurrency limit.
+        /// The concurrency limit, in threads per core.
         pub concurrency_limit: f64,
-        /// Recent threads of this gateway and of all, threads of a query, load of others, slowness, speed.
+        /// Recent threads of this gateway and of all gateways, threads per query, load of other gateways, median slowdown,
+        /// speed.
         pub fleet: [f64; 6],
-        /// What was learned of each class, as in version 2.
+        /// Statistics of each class, as in version 2.
         pub classes: Vec<StoredClass>,
-        /// What was learned of each engine.
+        /// Statistics and state of each engine.
         pub engines: Vec<StoredEngine>,
     }
 
-    /// An engine of version 1.
+    /// Statistics and state of an engine in the format of version 1.
     #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
     pub struct StoredEngine {
-        /// Its id.
+        /// Id of the engine.
         pub id: String,
-        /// When its process started.
+        /// Time at which the engine's process started.
         pub started_at: Option<Milliseconds>,
-        /// When it last answered.
+        /// Time of the engine's last answer.
         pub confirmed_at: Option<Milliseconds>,
-        /// Its latency divided by the lowest.
+        /// Latency of the engine divided by the lowest latency.
         pub slowdown: f64,
-        /// Recent fraction of failures.
+        /// Recent fraction of failed attempts.
         pub error_rate: f64,
-        /// When its ejection ends.
+        /// Time at which the engine's ejection ends.
         pub ejected_until: Option<Milliseconds>,
-        /// Whether it was in slow start.
+        /// Whether the engine was in slow start.
         pub in_slow_start: bool,
     }
 
     impl From<Snapshot> for super::Snapshot {
         fn from(old: Snapshot) -> Self {
-            let [own_seen, all_seen, width, usual_load, usual_slow, speed] = old.fleet;
+            let [recent_own, recent_all, query_threads, gateways_load, engines_slowdown, speed] = old.fleet;
             let engine = |engine: StoredEngine| super::StoredEngine {
                 id: engine.id,
                 started_at: engine.started_at,
@@ -331,12 +334,12 @@
                 gateway: String::new(),
                 concurrency_limit: old.concurrency_limit,
                 fleet: super::StoredFleet {
-                    own_threads: own_seen,
-                    all_threads: all_seen,
-                    threads_per_query: width,
-                    other_load: usual_load,
+                    own_threads: recent_own,
+                    all_threads: recent_all,
+                    threads_per_query: query_threads,
+                    other_load: gateways_load,
                     overloaded_share: 0.0,
-                    median_slowdown: usual_slow,
+                    median_slowdown: engines_slowdown,
                     speed,
                     shortest_health_checks: Vec::new(),
                 },
--- a/crates/persistence/src/snapshot_store.rs
+++ b/crates/persistence/src/snapshot_store.rs
@@ -1,5 +1,5 @@
-//! Snapshots in a folder, numbered by generation. Each is written atomically under its own name; the previous one is kept
-//! until the next, so that one can still be read if the latest is damaged.
+//! Snapshot files in a folder, numbered by generation. Each snapshot is written atomically under its own name. The latest
+//! two are retained, so that the older one can be read if the latest is damaged.
 
 use crate::disk::{self, Disk};
 use crate::file_fault::FileFault;
@@ -10,13 +10,13 @@
 
 const PREFIX: &str = "snapshot";
 const EXTENSION: &str = "spk";
-/// Generations that are kept: the latest and the one before.
+/// Number of generations that are retained: the latest and the previous one.
 const KEPT_GENERATIONS: usize = 2;
 
-/// Why a snapshot was not written.
+/// Reason for which a snapshot was not written.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// The disk failed.
+    /// A file operation failed.
     #[error("the snapshot was not written: {0}")]
     Disk(#[from] io::Error),
     /// The snapshot cannot be encoded.
@@ -24,31 +24,31 @@
     Snapshot(#[from] SnapshotError),
 }
 
-/// The snapshots found in a folder.
+/// Result of loading the snapshots of a folder.
 #[derive(Debug, Default)]
 pub struct LoadedSnapshot {
     /// Generation and records of the latest valid snapshot, if there is any.
     pub snapshot: Option<(u64, Snapshot)>,
-    /// Files that are no valid snapshots, the latest first.
+    /// Faults of the files that are not valid snapshots, the latest generation first.
     pub faults: Vec<FileFault>,
 }
 
-/// Writes snapshots.
+/// Writer of the snapshots in a folder.
 pub struct SnapshotStore {
     disk: Box<dyn Disk>,
     next_generation: u64,
-    /// Generations that later releases wrote: never removed.
+    /// Generations that newer releases wrote, which are never removed.
     newer_releases: Vec<u64>,
     max_bytes: usize,
 }
 
 impl SnapshotStore {
-    /// Opens the snapshots of a folder, and reads the latest valid one. Snapshots are written once and never appended to,
-    /// so the disk may close their descriptors
+    /// Opens a folder and loads its latest valid snapshot. Snapshots are written once and never appended to, so `disk` may
+    /// close their descriptors
     /// ([`closing_written_files`](crate::folder::Files::closing_written_files)).
     ///
     /// # Errors
-    /// The folder cannot be read.
+    /// Returns an error if the folder cannot be read.
     pub fn open(mut disk: Box<dyn Disk>, max_bytes: usize) -> io::Result<(Self, LoadedSnapshot)> {
         let loaded = load(&*disk, max_bytes)?;
         disk::remove_temporary_files(&mut *disk);
@@ -62,14 +62,15 @@
         Ok((Self { disk, next_generation, newer_releases, max_bytes }, loaded))
     }
 
-    /// Writes a snapshot atomically, then removes all but the previous one. Returns its size in bytes.
+    /// Writes a snapshot atomically, then removes all older ones but the previous one. Returns the size of the snapshot in
+    /// bytes.
     ///
     /// # Errors
-    /// The snapshot was not written; earlier ones still exist.
+    /// Returns an error if the snapshot may not be durable or the folder cannot be listed; earlier snapshots still exist.
     pub fn save(&mut self, snapshot: &Snapshot) -> Result<usize, StoreError> {
         let bytes = snapshot::encode(snapshot, self.max_bytes)?;
         let generation = self.next_generation;
-        // Each generation is tried once: a rename that failed may still have happened.
+        // Each generation is used once, as a rename that returned an error may still have taken effect.
         self.next_generation = self.next_generation.saturating_add(1);
         disk::replace(&mut *self.disk, &disk::numbered_name(PREFIX, generation, EXTENSION), &bytes)?;
         self.remove_old_generations()?;
@@ -80,17 +81,17 @@
         let generations = disk::numbers(&*self.disk, PREFIX, EXTENSION)?;
         let own = generations.into_iter().filter(|generation| !self.newer_releases.contains(generation));
         for old in own.skip(KEPT_GENERATIONS) {
-            // A file that cannot be removed only takes space; the next save tries again.
+            // A file that cannot be removed only occupies space; the next save tries to remove it again.
             let _ = self.disk.remove(&disk::numbered_name(PREFIX, old, EXTENSION));
         }
         Ok(())
     }
 }
 
-/// Reads the latest valid snapshot, and lists the files that are none.
+/// Loads the latest valid snapshot of a folder, and lists the files that are not valid snapshots.
 ///
 /// # Errors
-/// The folder cannot be read.
+/// Returns an error if the folder cannot be read.
 pub fn load(disk: &dyn Disk, max_bytes: usize) -> io::Result<LoadedSnapshot> {
     let mut loaded = LoadedSnapshot::default();
     for generation in disk::numbers(disk, PREFIX, EXTENSION)? {
--- a/crates/persistence/src/writers/endpoint_cache.rs
+++ b/crates/persistence/src/writers/endpoint_cache.rs
@@ -6,29 +6,30 @@
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
 use std::thread;
 
-/// Lists that wait while one is written.
+/// Maximum number of endpoint lists that wait while one is being written.
 const MAX_QUEUED_LISTS: usize = 1;
 
-/// Whether the cached list can be written.
+/// A change in whether the cached endpoint list can be written.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EndpointCacheHealth {
-    /// Writing has begun to fail; tells why.
+    /// Writes have begun to fail; contains the error of the first failed write.
     Failing(String),
-    /// Writing works again.
+    /// Writes succeed again after failed ones.
     Recovered,
 }
 
-/// Writes the cached endpoint list. Owns the queue of its thread, which ends when this is dropped.
+/// Handle of the thread that writes the cached endpoint list. Owns the sender of the queue, so the thread ends when the
+/// handle is dropped.
 pub struct EndpointCacheWriter {
     queue: SyncSender<CachedEndpoints>,
 }
 
 impl EndpointCacheWriter {
-    /// Starts the thread. It calls `notify` when writing begins to fail and when it works again, not for each list, as lists
-    /// arrive every second.
+    /// Starts the thread. The thread calls `notify` when writes begin to fail and when they succeed again, but not for each
+    /// list, as lists arrive every second.
     ///
     /// # Errors
-    /// The thread cannot be started.
+    /// Returns an error if the thread cannot be started.
     pub fn start(
         disk: Box<dyn Disk>,
         notify: impl Fn(EndpointCacheHealth) + Send + 'static,
@@ -39,7 +40,7 @@
         Ok(Self { queue })
     }
 
-    /// Queues a list. Returns `false` if one waits already: the caller passes the list again later.
+    /// Queues a list. Returns `false` if another list is already waiting; the caller then has to queue the list again later.
     pub fn save(&self, list: CachedEndpoints) -> bool {
         self.queue.try_send(list).is_ok()
     }
--- a/crates/persistence/src/writers/idempotency_log.rs
+++ b/crates/persistence/src/writers/idempotency_log.rs
@@ -10,13 +10,13 @@
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
 use std::thread;
 
-/// Jobs that may wait for the log.
+/// Maximum number of jobs that wait to be written to the log.
 const MAX_QUEUED_JOBS: usize = 4096;
 
-/// Identifies a record until its outcome is known.
+/// Identifies a record until the outcome of its write is reported.
 type Ticket = u64;
 
-/// What the thread is to write.
+/// A job for the thread that writes the log.
 #[derive(Debug)]
 enum Job {
     Record(Ticket, Key, KeySend),
@@ -24,28 +24,28 @@
     Rewrite(Rewrite),
 }
 
-/// The outcome of a write.
+/// Outcome of a write to the idempotency log.
 #[derive(Debug)]
 pub enum IdempotencyLogEvent {
     /// The records with these tickets are durable.
     Recorded(Vec<u64>),
-    /// The records with these tickets may not be durable; tells why.
+    /// The records with these tickets may not be durable; contains the error.
     Failed(Vec<u64>, String),
-    /// The log was rewritten with these keys.
+    /// The log was rewritten and contains these keys.
     Rewritten(Vec<(Key, KeySends)>),
 }
 
-/// Writes the idempotency log; records that wait together are made durable by one sync. Owns the queue of its thread,
-/// which ends when this is dropped.
+/// Handle of the thread that writes the idempotency log. Records that wait at the same time are made durable by one sync.
+/// Owns the sender of the queue, so the thread ends when the handle is dropped.
 pub struct IdempotencyLogWriter {
     queue: SyncSender<Job>,
 }
 
 impl IdempotencyLogWriter {
-    /// Starts the thread. It calls `notify` with the outcome of each write.
+    /// Starts the thread. The thread calls `notify` with the outcome of each write.
     ///
     /// # Errors
-    /// The folder cannot be read, or the thread cannot be started.
+    /// Returns an error if the folder cannot be read or the thread cannot be started.
     pub fn start(
         disk: Box<dyn Disk>,
         offset: ClockOffset,
@@ -58,31 +58,31 @@
         Ok(Self { queue })
     }
 
-    /// Queues a record. Returns `false` if the queue is full: the record will not be written.
+    /// Queues the record of a send. Returns `false` if the queue is full; the record is then not written.
     pub fn record(&self, ticket: u64, key: Key, send: KeySend) -> bool {
         self.queue.try_send(Job::Record(ticket, key, send)).is_ok()
     }
 
-    /// Queues a mark. Returns `false` if the queue is full: the mark is left out.
+    /// Queues a mark. Returns `false` if the queue is full; the mark is then not written.
     pub fn mark(&self, mark: LogMark) -> bool {
         self.queue.try_send(Job::Mark(mark)).is_ok()
     }
 
-    /// Queues a rewrite of the log. Returns `false` if the queue is full.
+    /// Queues a rewrite of the log. Returns `false` if the queue is full; the log is then not rewritten.
     pub fn rewrite(&self, rewrite: Rewrite) -> bool {
         self.queue.try_send(Job::Rewrite(rewrite)).is_ok()
     }
 }
 
-/// Records that are appended by one write.
+/// Records that are appended to the log in one write.
 #[derive(Default)]
 struct Batch {
     records: Vec<Record>,
-    /// Tickets of the sends among the records.
+    /// Tickets of those records that are sends.
     tickets: Vec<Ticket>,
 }
 
-/// What runs on the thread. Owns the log.
+/// State of the thread that writes the log.
 struct Writer {
     log: IdempotencyLog,
     offset: ClockOffset,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Adds all jobs that wait now, so that one sync serves them all. Returns the rewrite that ends the batch, if any.
+    /// Adds all waiting jobs to the batch, so that one sync makes all of them durable. Stops at a rewrite and returns it.
     fn collect(&self, batch: &mut Batch, queued: &Receiver<Job>) -> Option<Rewrite> {
         while let Ok(job) = queued.try_recv() {
             let rewrite = self.add_to(batch, job);
@@ -115,7 +115,7 @@
         None
     }
 
-    /// Adds a record or mark to the batch; a rewrite is returned, as it cannot be part of one.
+    /// Adds a record or mark to the batch. A rewrite is returned instead, as it writes a new file.
     fn add_to(&self, batch: &mut Batch, job: Job) -> Option<Rewrite> {
         match job {
             Job::Record(ticket, key, send) => {
--- a/crates/persistence/src/writers/mod.rs
+++ b/crates/persistence/src/writers/mod.rs
@@ -1,5 +1,6 @@
-//! The threads that write, so that the thread that decides never waits for a disk. Each kind of file has its own, so that
-//! a snapshot that hangs delays no idempotency key. Queues are bounded; what does not fit is reported as failed at once.
+//! Threads that write files, so that the thread that makes decisions never waits for a disk. Each kind of file has its own
+//! thread, so that a snapshot write that hangs does not delay the records of idempotency keys. The queues are bounded, and
+//! a job that does not fit into its queue is reported as failed at once.
 
 mod endpoint_cache;
 mod idempotency_log;
--- a/crates/persistence/src/writers/statistics.rs
+++ b/crates/persistence/src/writers/statistics.rs
@@ -1,11 +1,11 @@
-//! What the threads have written.
+//! Amounts that the writer threads have written.
 
-/// What a thread has written since it was started.
+/// Amounts that a thread has written since it was started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WriteStatistics {
-    /// Bytes passed to the disk.
+    /// Number of bytes written.
     pub bytes: u64,
-    /// Writes that were made durable.
+    /// Number of writes that were made durable.
     pub writes: u64,
 }
 
--- a/crates/persistence/tests/common/mod.rs
+++ b/crates/persistence/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Snapshots for tests.
+//! Creates snapshots for tests.
 #![allow(dead_code)]
 
 use starlingplank_persistence::snapshot_records::{
@@ -9,6 +9,7 @@
     StoredBand { level, samples, mean, variance }
 }
 
+/// Creates a snapshot that was taken at `taken`, with this number of engines.
 pub(crate) fn snapshot(taken: f64, engines: usize) -> Snapshot {
     Snapshot {
         taken_at: taken,
--- a/crates/persistence/tests/snapshot.rs
+++ b/crates/persistence/tests/snapshot.rs
@@ -1,4 +1,4 @@
-//! The bytes of a snapshot: whole or nothing, whatever happens to them.
+//! Tests of the snapshot encoding: damaged or truncated bytes are rejected, and earlier versions can be read.
 
 mod common;
 
@@ -7,46 +7,49 @@
 use starlingplank_persistence::snapshot::{decode, encode, encode_v1, SnapshotError, FORMAT, HEADER_BYTES};
 use starlingplank_persistence::snapshot_records::v1;
 
-const MOST: usize = 1 << 20;
-/// As version 1 wrote it; made once and never again.
-const OLD: &[u8] = include_bytes!("fixtures/snapshot-v1.spk");
+const MAX_BYTES: usize = 1 << 20;
+/// A snapshot that the release with version 1 wrote. The file must never be regenerated.
+const VERSION_1: &[u8] = include_bytes!("fixtures/snapshot-v1.spk");
 
 #[test]
-fn what_is_written_is_read_again() {
-    let whole = snapshot(1_000_000.0, 7);
-    assert_eq!(decode(&encode(&whole, MOST).expect("it fits")), Ok(whole));
+fn encoded_snapshot_is_decoded_unchanged() {
+    let original = snapshot(1_000_000.0, 7);
+    assert_eq!(decode(&encode(&original, MAX_BYTES).expect("the snapshot fits")), Ok(original));
 }
 
 #[test]
-fn head_is_as_the_page_has_it() {
-    let bytes = encode(&snapshot(5.0, 1), MOST).expect("it fits");
+fn header_has_the_documented_format() {
+    let bytes = encode(&snapshot(5.0, 1), MAX_BYTES).expect("the snapshot fits");
     assert_eq!((&bytes[..8], &bytes[8..12]), (&FORMAT.magic[..], &[2, 0, 0, 0][..]));
-    assert_eq!(u32::from_le_bytes(bytes[12..16].try_into().expect("4")) as usize, bytes.len() - HEADER_BYTES);
+    assert_eq!(
+        u32::from_le_bytes(bytes[12..16].try_into().expect("four bytes")) as usize,
+        bytes.len() - HEADER_BYTES
+    );
 }
 
-/// Every byte, every bit of it; and every length.
+/// Flips every bit of the file, truncates the file at every length, and appends a byte.
 #[test]
-fn any_byte_changed_and_any_cut_is_never_taken_for_whole() {
-    let bytes = encode(&snapshot(1_000_000.0, 3), MOST).expect("it fits");
+fn changed_truncated_or_extended_snapshot_is_rejected() {
+    let bytes = encode(&snapshot(1_000_000.0, 3), MAX_BYTES).expect("the snapshot fits");
     for at in 0..bytes.len() {
         for bit in 0..8 {
             let mut changed = bytes.clone();
             changed[at] ^= 1 << bit;
             assert!(decode(&changed).is_err(), "byte {at}, bit {bit}");
         }
-        assert!(decode(&bytes[..at]).is_err(), "cut at {at}");
+        assert!(decode(&bytes[..at]).is_err(), "truncated at {at}");
     }
     let longer = [&bytes[..], &[0]].concat();
     assert!(matches!(decode(&longer), Err(SnapshotError::Length { .. })));
 }
 
 #[test]
-fn version_before_is_read_from_the_bytes_that_it_left() {
-    let read = decode(OLD).expect("version 1 is read");
+fn stored_snapshot_of_version_1_is_decoded() {
+    let read = decode(VERSION_1).expect("version 1 can be decoded");
     assert_eq!((read.taken_at, read.concurrency_limit, read.fleet.speed), (1_700_000_000_000.0, 1.5, 0.8));
     assert_eq!((read.engines.len(), read.engines[0].id.as_str(), read.engines[0].slowdown), (2, "s-0", 1.5));
     assert_eq!(read.classes, snapshot(1_700_000_000_000.0, 0).classes);
-    let again = v1::Snapshot {
+    let same = v1::Snapshot {
         taken_at: 1_700_000_000_000.0,
         concurrency_limit: 1.5,
         fleet: [3.0, 9.0, 1.25, 0.2, 1.0, 0.8],
@@ -60,12 +63,12 @@
             })
             .collect(),
     };
-    assert_eq!(encode_v1(&again).expect("written"), OLD);
+    assert_eq!(encode_v1(&same).expect("the records can be encoded"), VERSION_1);
 }
 
 #[test]
-fn later_version_is_refused_by_its_number_alone() {
-    let mut bytes = encode(&snapshot(5.0, 1), MOST).expect("it fits");
+fn newer_version_is_rejected_before_its_checksum_is_verified() {
+    let mut bytes = encode(&snapshot(5.0, 1), MAX_BYTES).expect("the snapshot fits");
     bytes[8] = 3;
     assert_eq!(decode(&bytes), Err(SnapshotError::NewerVersion { found: 3, supported: 2 }));
     bytes[8] = 0;
@@ -73,11 +76,11 @@
 }
 
 #[test]
-fn where_not_all_fits_the_engines_heard_last_are_kept() {
+fn engines_that_answered_most_recently_are_kept_if_not_all_fit() {
     let mut large = snapshot(1_000_000.0, 400);
     large.engines[390].confirmed_at = Some(1_000_000.0);
-    let bytes = encode(&large, 8_000).expect("some fit");
-    let kept = decode(&bytes).expect("whole").engines;
+    let bytes = encode(&large, 8_000).expect("some engines fit");
+    let kept = decode(&bytes).expect("a valid snapshot").engines;
     assert!(bytes.len() <= 8_000 && !kept.is_empty() && kept.len() < 400);
     assert_eq!(kept[0].id, "s-390");
     assert!(matches!(encode(&large, 100), Err(SnapshotError::TooLarge { .. })));
@@ -85,13 +88,13 @@
 
 proptest! {
     #[test]
-    fn reader_never_panics_on_any_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_are_rejected_without_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         prop_assert!(decode(&bytes).is_err());
     }
 
-    /// With a head that fits, the records are read: lengths inside them are hostile.
+    /// With a valid header the records are decoded, and the lengths in them are arbitrary.
     #[test]
-    fn reader_never_panics_on_records_under_a_good_checksum(
+    fn decoding_arbitrary_records_with_a_valid_checksum_does_not_panic(
         records in proptest::collection::vec(any::<u8>(), 0..400),
         version in 1u32..3,
     ) {
@@ -101,15 +104,15 @@
         let sum = crc32fast::hash(&[&bytes[..], &records].concat());
         bytes.extend(sum.to_le_bytes());
         bytes.extend(&records);
-        // Whatever it makes of them, it returns; a checksum that fits is the writer's word.
+        // The bytes may happen to be valid records, so only the absence of a panic is tested.
         let _ = decode(&bytes);
     }
 
     #[test]
-    fn several_bytes_changed_are_never_taken_for_whole(
+    fn snapshot_with_several_changed_bytes_is_rejected(
         changes in proptest::collection::vec((any::<prop::sample::Index>(), 1u8..), 1..4)
     ) {
-        let bytes = encode(&snapshot(1_000_000.0, 2), MOST).expect("it fits");
+        let bytes = encode(&snapshot(1_000_000.0, 2), MAX_BYTES).expect("the snapshot fits");
         let mut changed = bytes.clone();
         for (at, by) in &changes {
             let at = at.index(bytes.len());
--- a/crates/persistence/tests/twice/engines.rs
+++ b/crates/persistence/tests/twice/engines.rs
@@ -1,19 +1,19 @@
-//! The engines that run what the gateway sends.
+//! Simulated engines that execute the requests which the gateway sends.
 
 use starlingplank_persistence::deduplication_window::Key;
 use std::collections::HashMap;
 
-/// How long an engine drops repeats of a key, in ms.
+/// Time for which an engine drops repeats of a key, in ms.
 pub(crate) const WINDOW: f64 = 12_000.0;
 
-/// A run of a request, in ms.
+/// One execution of a request. Times in ms.
 struct Run {
     began: f64,
-    /// When the gateway received the request.
+    /// Time at which the gateway received the request.
     received: f64,
 }
 
-/// All engines as one: any of them drops the repeats of a key that another ran.
+/// All engines, simulated as one: each of them drops repeats of a key that another one has executed.
 #[derive(Default)]
 pub(crate) struct Engines {
     first_run: HashMap<Key, f64>,
@@ -21,7 +21,7 @@
 }
 
 impl Engines {
-    /// Runs a request unless it repeats a key within its window.
+    /// Executes a request unless it repeats a key within the key's window.
     pub(crate) fn execute(&mut self, key: Key, received: f64, now: f64) {
         if self.first_run.get(&key).is_some_and(|at| now < at + WINDOW) {
             return;
@@ -30,13 +30,14 @@
         self.runs.entry(key).or_default().push(Run { began: now, received });
     }
 
-    /// Counts runs of a request that was received within the window of an earlier run, or before it.
+    /// Returns the number of wrong executions: those whose request the gateway received before or within the window of an
+    /// earlier execution under the same key.
     pub(crate) fn repeated_runs(&self) -> usize {
         let is_repeat = |pair: &&[Run]| pair[1].received < pair[0].began + WINDOW;
         self.runs.values().map(|runs| runs.windows(2).filter(is_repeat).count()).sum()
     }
 
-    /// Counts all runs.
+    /// Returns the number of all executions.
     pub(crate) fn run_count(&self) -> usize {
         self.runs.values().map(Vec::len).sum()
     }
--- a/crates/persistence/tests/twice/incarnation.rs
+++ b/crates/persistence/tests/twice/incarnation.rs
@@ -1,4 +1,4 @@
-//! One process of the gateway: its deduplication window and its idempotency log.
+//! A simulated process of the gateway, with its deduplication window and its idempotency log.
 
 use crate::engines::WINDOW;
 use rand::Rng;
@@ -11,11 +11,11 @@
 use starlingplank_persistence::idempotency_log::{self, IdempotencyLog, Record};
 use starlingplank_test_doubles::disk::FaultyDisk;
 
-/// How long before the end of a window the last send of its key may be, in ms.
+/// Minimum time between the last send of a key and the end of its window, in ms.
 pub(crate) const MARGIN: f64 = 20.0;
-/// How many keys clients use.
+/// Number of keys that clients use.
 const KEYS: u64 = 12;
-/// How many keys a process remembers at most.
+/// Maximum number of keys that a process tracks.
 pub(crate) const MAX_KEYS: usize = 1_000;
 
 /// A request that was admitted and waits to be sent. Times in ms.
@@ -23,15 +23,15 @@
     pub key: Key,
     pub received: f64,
     pub send_at: f64,
-    /// It may be sent before this time only.
+    /// The request may be sent only before this time.
     pub admitted_until: f64,
 }
 
-/// A process of the gateway.
+/// A simulated process of the gateway.
 pub(crate) struct Incarnation {
     pub deduplication: DeduplicationWindow,
     pub log: Option<IdempotencyLog>,
-    /// Between the boot clock and this process's.
+    /// Offset between the boot clock and the process's clock.
     pub offset: ClockOffset,
 }
 
@@ -50,7 +50,7 @@
         incarnation
     }
 
-    /// Rewrites the log, or appends a mark, where one is due. Called once a second.
+    /// Rewrites the log if necessary, and appends a mark while the log is healthy. Called once a second.
     pub(crate) fn maintain(&mut self, now: f64) {
         if let Some(rewrite) = self.deduplication.rewrite(now) {
             let stored = |(key, sends): &(Key, KeySends)| (*key, self.offset.stored_sends(*sends));
@@ -70,19 +70,19 @@
         }
     }
 
-    /// Receives a request under one of the keys. Returns it where it is admitted.
+    /// Receives a request with a random key. Returns the request if it is admitted.
     pub(crate) fn receive_request(&mut self, rng: &mut Pcg64Mcg, now: f64) -> Option<WaitingRequest> {
         let key = key(&rng.random_range(0..KEYS).to_string());
         let Admission::Until(admitted_until) = self.deduplication.admit(&key, WINDOW, now, MARGIN) else {
             return None;
         };
-        // Some wait long: it is what makes repeats dangerous.
+        // Some requests wait long, as a repeat sent after the window of its key would be executed again.
         let max_wait = if rng.random_bool(0.2) { 25_000.0 } else { 700.0 };
         let send_at = now + rng.random_range(0.0..max_wait);
         Some(WaitingRequest { key, received: now, send_at, admitted_until })
     }
 
-    /// Returns whether the request may be sent now. Its send is in the log then, where one is required.
+    /// Returns whether the request may be sent now. If the log is healthy, the send was recorded in it.
     pub(crate) fn may_send(&mut self, request: &WaitingRequest, now: f64) -> bool {
         now < request.admitted_until && self.record_send(request.key, now)
     }
--- a/crates/persistence/tests/twice/machine.rs
+++ b/crates/persistence/tests/twice/machine.rs
@@ -1,13 +1,13 @@
-//! The machine of the processes: its boot clock, and the time between two processes.
+//! The simulated machine on which the processes run: its boot clock, and the downtime between two processes.
 
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use starlingplank_persistence::clock_offset::ClockOffset;
 
-/// The longest time without a process where a restart took long, in ms.
+/// Maximum downtime between two processes if a restart takes long, in ms.
 const MAX_LONG_DOWNTIME: f64 = 40_000.0;
 
-/// The boot clock when the running process started, in ms, and the id of the boot.
+/// State of the boot clock at the start of the running process, in ms, and the identifier of the boot.
 pub(crate) struct Machine {
     clock: f64,
     boot_id: [u8; 16],
@@ -23,12 +23,12 @@
         ClockOffset { by: self.clock - now, boot_id: self.boot_id }
     }
 
-    /// Lets the boot clock run on by so many ms.
+    /// Advances the boot clock by `elapsed` ms.
     pub(crate) fn advance(&mut self, elapsed: f64) {
         self.clock += elapsed;
     }
 
-    /// Restarts the machine now and then. Returns whether it did.
+    /// Reboots the machine in a random fraction of the calls. Returns whether the machine was rebooted.
     pub(crate) fn may_restart(&mut self, rng: &mut Pcg64Mcg) -> bool {
         let restarts = rng.random_bool(0.1);
         if restarts {
@@ -38,7 +38,7 @@
     }
 }
 
-/// Draws the time between two processes, in ms: mostly below `max_short`.
+/// Draws the downtime between two processes, in ms, which is usually below `max_short`.
 pub(crate) fn downtime(rng: &mut Pcg64Mcg, max_short: f64) -> f64 {
     if rng.random_bool(0.7) {
         rng.random_range(5.0..max_short)
--- a/crates/persistence/tests/twice/main.rs
+++ b/crates/persistence/tests/twice/main.rs
@@ -1,5 +1,5 @@
-//! Nothing keyed runs twice. Successive processes of a gateway in virtual time, on a disk that fails, each stopped at any
-//! moment; clients that repeat their loads; engines that drop repeats of a key for a window and no longer.
+//! Tests that no keyed request is executed twice. Processes of a gateway are simulated in virtual time, stopped at random times
+//! and on a disk that fails. Clients repeat their requests, and engines drop repeats of a key only for a limited window.
 
 mod engines;
 mod incarnation;
@@ -11,7 +11,7 @@
 use upgrades::Upgrades;
 
 #[test]
-fn nothing_keyed_runs_twice_through_stops_at_any_point() {
+fn no_keyed_request_runs_twice_if_processes_are_stopped_at_any_time() {
     let (mut runs, mut incarnations) = (0, 0);
     for seed in 0..300 {
         let outcome = Restarts::simulate(seed, seed % 2 == 0, Disk::Good, true);
@@ -19,30 +19,30 @@
         runs += outcome.engines.run_count();
         incarnations += outcome.incarnations;
     }
-    assert!(runs > 10_000 && incarnations > 5_000, "loads do run: {runs} in {incarnations} lives");
+    assert!(runs > 10_000 && incarnations > 5_000, "only {runs} requests ran in {incarnations} processes");
 }
 
 #[test]
-fn nothing_keyed_runs_twice_on_a_disk_that_fails_or_is_gone() {
+fn no_keyed_request_runs_twice_if_the_disk_fails_or_the_log_is_missing() {
     let mut runs = 0;
     for seed in 1_000..1_300 {
         let engines = Restarts::simulate(seed, seed % 2 == 0, Disk::Bad, true).engines;
         assert_eq!(engines.repeated_runs(), 0, "seed {seed}");
         runs += engines.run_count();
     }
-    assert!(runs > 5_000, "loads do run: {runs}");
+    assert!(runs > 5_000, "only {runs} requests ran");
 }
 
-/// The same processes without a log: shows that the test can fail.
+/// Runs the same processes without a log to show that the tests above can detect a repeated execution.
 #[test]
-fn without_a_log_loads_do_run_twice() {
+fn keyed_requests_run_twice_without_a_log() {
     let simulate = |seed| Restarts::simulate(seed, false, Disk::Good, false).engines;
     let twice: usize = (0..40).map(|seed| simulate(seed).repeated_runs()).sum();
     assert!(twice > 20, "{twice}");
 }
 
 #[test]
-fn nothing_keyed_runs_twice_while_versions_take_over_from_each_other() {
+fn no_keyed_request_runs_twice_during_upgrades() {
     let (mut runs, mut takeovers) = (0, 0);
     for seed in 0..300 {
         let outcome = Upgrades::simulate(seed, true);
@@ -50,12 +50,16 @@
         runs += outcome.engines.run_count();
         takeovers += outcome.takeovers;
     }
-    assert!(runs > 10_000 && takeovers > 5_000, "{runs} runs, {takeovers} versions took over");
+    assert!(
+        runs > 10_000 && takeovers > 5_000,
+        "only {runs} requests ran, and {takeovers} processes took over"
+    );
 }
 
-/// The same without the marker of unrecorded sends: shows that the test can fail.
+/// Runs the same upgrades without the file that marks unrecorded sends, to show that the test above can detect a repeated
+/// execution.
 #[test]
-fn upgrade_cut_short_that_nobody_knows_of_runs_loads_twice() {
+fn keyed_requests_run_twice_after_an_interrupted_upgrade_without_a_marker() {
     let simulate = |seed| Upgrades::simulate(seed, false).engines;
     let twice: usize = (0..100).map(|seed| simulate(seed).repeated_runs()).sum();
     assert!(twice > 0, "{twice}");
--- a/crates/persistence/tests/twice/restarts.rs
+++ b/crates/persistence/tests/twice/restarts.rs
@@ -1,4 +1,4 @@
-//! Processes that follow one another, each stopped at any moment.
+//! Simulation of successive processes of a gateway, each stopped at a random time.
 
 use crate::engines::Engines;
 use crate::incarnation::{Incarnation, WaitingRequest, MARGIN};
@@ -12,27 +12,28 @@
 const END: f64 = 1_600_000.0;
 const MAINTENANCE_INTERVAL: f64 = 1_000.0;
 
-/// What the disk may do.
+/// Faults that the simulated disk may have.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Disk {
-    /// It only stops with the program.
+    /// The disk works, and stops only together with the program.
     Good,
-    /// It fails, runs full, and is missing for whole processes.
+    /// Writes fail, the disk runs full, and the log cannot be opened by some processes.
     Bad,
 }
 
-/// Ten minutes of successive processes.
+/// Simulation of ten minutes of successive processes.
 pub(crate) struct Restarts {
     rng: Pcg64Mcg,
     disk: FaultyDisk,
     disk_is: Disk,
-    /// Whether keyed requests need the log, and whether there is one.
+    /// Whether keyed requests may be sent only while the log is healthy.
     log_required: bool,
+    /// Whether the processes write a log.
     has_log: bool,
     machine: Machine,
     now: f64,
     pub engines: Engines,
-    /// The number of processes.
+    /// Number of processes that were started.
     pub incarnations: u32,
 }
 
@@ -56,7 +57,7 @@
         simulation
     }
 
-    /// Runs one process until it is stopped, and waits for the start of the next.
+    /// Runs one process until it is stopped, then advances the time to the start of the next.
     fn run_incarnation(&mut self) {
         let started = self.now;
         let mode = self.log_state();
--- a/crates/persistence/tests/twice/upgrades.rs
+++ b/crates/persistence/tests/twice/upgrades.rs
@@ -1,4 +1,4 @@
-//! Versions that take over from each other.
+//! Simulation of hot restarts, in which processes of a gateway take over from each other.
 
 use crate::engines::{Engines, WINDOW};
 use crate::incarnation::{Incarnation, WaitingRequest, MARGIN, MAX_KEYS};
@@ -17,14 +17,14 @@
 const BEGIN: f64 = 1_000_000.0;
 const END: f64 = 1_600_000.0;
 const MAINTENANCE_INTERVAL: f64 = 1_000.0;
-/// The marker of unrecorded sends.
+/// Name of the file that marks unrecorded sends.
 const MARKER: &str = "beside-1";
 
-/// One of two processes of a gateway, in an upgrade: what it sends is in a folder that both read, and that a start of the
-/// machine, or who tidies up, empties.
+/// One of the two processes of a gateway during an upgrade. Both publish their sends in a shared folder, which is emptied by a
+/// reboot of the machine or by a clean-up of temporary files.
 struct Process {
     incarnation: Incarnation,
-    /// How many of the shared sends it has merged.
+    /// Number of shared sends that the process has merged.
     merged: usize,
     waiting: Vec<WaitingRequest>,
 }
@@ -42,19 +42,19 @@
     }
 }
 
-/// Ten minutes of upgrades: versions follow each other, either of two processes or both are killed at any moment, the
-/// shared folder is sometimes emptied before the next start, the machine sometimes started anew.
+/// Simulation of ten minutes of upgrades. Processes take over from each other; one or both are killed at random times; the
+/// shared folder is sometimes emptied before the next start, and the machine is sometimes rebooted.
 pub(crate) struct Upgrades {
     rng: Pcg64Mcg,
     disk: FaultyDisk,
     machine: Machine,
     now: f64,
-    /// Whether a process that follows another creates the marker of unrecorded sends.
+    /// Whether a process that takes over from another creates the file that marks unrecorded sends.
     creates_marker: bool,
-    /// The folder that two processes share.
+    /// Sends in the folder that the two processes share.
     shared: Vec<(Key, KeySend)>,
     pub engines: Engines,
-    /// How many processes took over from another.
+    /// Number of processes that took over from another.
     pub takeovers: u32,
 }
 
@@ -76,7 +76,7 @@
         simulation
     }
 
-    /// Starts a process and upgrades it until no process is left, and waits for the next start.
+    /// Starts a process and upgrades it until no process is left, then advances the time to the next start.
     fn run_until_all_end(&mut self) {
         let started = self.now;
         let offset = self.machine.clock_offset(started);
@@ -123,9 +123,9 @@
                     old = successor;
                     next_change = self.draw_next_upgrade();
                 }
-                // The new one is killed; the old one has what it sent.
+                // The new process is killed. The old one reads the sends of the new one in the shared folder.
                 Some(_) if self.rng.random_bool(0.5) => next_change = self.draw_next_upgrade(),
-                // Both are killed.
+                // Both processes are killed.
                 Some(_) => break,
             }
         }
@@ -145,7 +145,7 @@
         process
     }
 
-    /// Starts a process that follows the running one.
+    /// Starts a process that takes over from the running one.
     fn start_successor(&mut self, offset: ClockOffset) -> Process {
         let recovered = self.recover_from_peer(offset);
         let mode = if recovered.is_some() { LogState::Off } else { LogState::Missing };
@@ -155,13 +155,13 @@
         }
         if self.creates_marker {
             let mut disk = self.disk.clone();
-            disk.create(MARKER).and_then(|()| disk.sync_names()).expect("a good disk");
+            disk.create(MARKER).and_then(|()| disk.sync_names()).expect("the disk works");
         }
         Process::new(Incarnation { deduplication, log: None, offset })
     }
 
-    /// Ends the old process; the successor sees it a little later and goes on until then. Returns whether the successor
-    /// runs on: it may be killed before its first file is there.
+    /// Ends the old process. The successor notices the end after a short delay, continues to run until then, and then takes over
+    /// the log. Returns whether the successor survives, as it may be killed before its first log file is written.
     fn take_over(&mut self, successor: &mut Process, offset: ClockOffset) -> bool {
         let noticed_at = self.now + self.rng.random_range(0.0..150.0);
         while self.now < noticed_at {
@@ -177,17 +177,17 @@
             return false;
         }
         incarnation.maintain(self.now);
-        assert!(incarnation.deduplication.healthy(), "a good disk");
+        assert!(incarnation.deduplication.healthy(), "the disk works");
         self.remove_marker();
         self.takeovers += 1;
         true
     }
 
-    /// Receives a request now and then, and sends those that are due.
+    /// Receives a request in a random fraction of the calls, and sends the requests that are due.
     fn step(&mut self, process: &mut Process) {
         let now = self.now;
         if self.rng.random_bool(0.5) {
-            // What the other has just sent counts before a keyed request is taken.
+            // A process merges the other's latest sends before it accepts a keyed request.
             process.merge_shared(&self.shared, now);
             process.waiting.extend(process.incarnation.receive_request(&mut self.rng, now));
         }
--- a/crates/persistence/tests/writers.rs
+++ b/crates/persistence/tests/writers.rs
@@ -1,4 +1,5 @@
-//! The threads that write: a disk that hangs delays nobody, failures are reported, records that wait are written together.
+//! Tests of the threads that write: a disk that hangs does not delay the caller, failures are reported, and records that wait
+//! are written together. Also tests of a folder's permissions and lock, and of the commands that examine a folder.
 
 mod common;
 
@@ -19,18 +20,18 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::sync::{Arc, Condvar, Mutex};
 
-const MOST: usize = 1 << 20;
+const MAX_BYTES: usize = 1 << 20;
 const OFFSET: ClockOffset = ClockOffset { by: 0.0, boot_id: [1; 16] };
 
-/// A disk whose syncs hang until it is let go.
-struct Hanging(FaultyDisk, Arc<(Mutex<bool>, Condvar)>);
+/// A disk whose syncs hang until the gate is opened.
+struct HangingDisk(FaultyDisk, Arc<(Mutex<bool>, Condvar)>);
 
-impl Disk for Hanging {
+impl Disk for HangingDisk {
     fn names(&self) -> io::Result<Vec<String>> {
         self.0.names()
     }
-    fn read(&self, name: &str, most: u64) -> io::Result<Option<Vec<u8>>> {
-        self.0.read(name, most)
+    fn read(&self, name: &str, max_bytes: u64) -> io::Result<Option<Vec<u8>>> {
+        self.0.read(name, max_bytes)
     }
     fn create(&mut self, name: &str) -> io::Result<()> {
         self.0.create(name)
@@ -40,9 +41,9 @@
     }
     fn sync(&mut self, name: &str) -> io::Result<()> {
         let (open, changed) = &*self.1;
-        let mut open = open.lock().expect("lock");
+        let mut open = open.lock().expect("the lock is not poisoned");
         while !*open {
-            open = changed.wait(open).expect("wait");
+            open = changed.wait(open).expect("the lock is not poisoned");
         }
         self.0.sync(name)
     }
@@ -57,36 +58,39 @@
     }
 }
 
-fn hanging() -> (Hanging, impl Fn()) {
+/// Returns a disk whose syncs hang, and a function that ends this.
+fn hanging_disk() -> (HangingDisk, impl Fn()) {
     let gate = Arc::new((Mutex::new(false), Condvar::new()));
     let opener = gate.clone();
     let open = move || {
-        *opener.0.lock().expect("lock") = true;
+        *opener.0.lock().expect("the lock is not poisoned") = true;
         opener.1.notify_all();
     };
-    (Hanging(FaultyDisk::new(1), gate), open)
+    (HangingDisk(FaultyDisk::new(1), gate), open)
 }
 
-fn keys(disk: Box<dyn Disk>) -> (IdempotencyLogWriter, Receiver<(IdempotencyLogEvent, WriteStatistics)>) {
+fn start_log_writer(
+    disk: Box<dyn Disk>,
+) -> (IdempotencyLogWriter, Receiver<(IdempotencyLogEvent, WriteStatistics)>) {
     let (sender, outcomes) = channel();
-    let writer =
-        IdempotencyLogWriter::start(disk, OFFSET, move |n, w| drop(sender.send((n, w)))).expect("it starts");
+    let writer = IdempotencyLogWriter::start(disk, OFFSET, move |n, w| drop(sender.send((n, w))))
+        .expect("the thread starts");
     (writer, outcomes)
 }
 
-fn begin() -> Rewrite {
+fn first_file() -> Rewrite {
     Rewrite { keys: Vec::new(), mark: Some(LogMark { at: 1.0, blocked_until: None }) }
 }
 
 #[test]
-fn snapshot_that_hangs_holds_up_no_caller_and_the_ones_behind_it_are_left_out() {
-    let (disk, open) = hanging();
+fn hanging_snapshot_write_does_not_block_the_caller_and_excess_snapshots_are_rejected() {
+    let (disk, open) = hanging_disk();
     let (sender, outcomes) = channel();
-    let (store, _) = SnapshotStore::open(Box::new(disk), MOST).expect("empty");
-    let mut writer = SnapshotWriter::start(store, move |n| drop(sender.send(n))).expect("it starts");
-    let taken = (0..50).filter(|n| writer.save(snapshot(f64::from(*n), 1))).count();
-    // One is being written and one waits, or the first was not picked up yet.
-    assert!((1..=2).contains(&taken), "{taken}");
+    let (store, _) = SnapshotStore::open(Box::new(disk), MAX_BYTES).expect("the folder can be read");
+    let mut writer = SnapshotWriter::start(store, move |n| drop(sender.send(n))).expect("the thread starts");
+    let queued = (0..50).filter(|n| writer.save(snapshot(f64::from(*n), 1))).count();
+    // One snapshot is being written and one waits, or the thread has not yet taken the first one from the queue.
+    assert!((1..=2).contains(&queued), "{queued}");
     assert!(!writer.finished() && outcomes.try_recv().is_err());
     open();
     assert!(matches!(outcomes.recv(), Ok(SnapshotEvent::Saved(_))));
@@ -96,17 +100,17 @@
 }
 
 #[test]
-fn records_that_wait_together_are_durable_by_one_sync_and_each_is_told_of() {
-    let (disk, open) = hanging();
-    let (writer, outcomes) = keys(Box::new(disk));
-    assert!(writer.rewrite(begin()));
-    let sent = KeySend { at: 5.0, window: 12_000.0 };
-    assert!((0..100).all(|n| writer.record(n, key(&n.to_string()), sent)));
-    assert!(outcomes.try_recv().is_err(), "none is durable yet");
+fn records_that_wait_together_are_written_together_and_each_is_reported() {
+    let (disk, open) = hanging_disk();
+    let (writer, outcomes) = start_log_writer(Box::new(disk));
+    assert!(writer.rewrite(first_file()));
+    let send = KeySend { at: 5.0, window: 12_000.0 };
+    assert!((0..100).all(|n| writer.record(n, key(&n.to_string()), send)));
+    assert!(outcomes.try_recv().is_err(), "no record is durable yet");
     open();
     let mut reported = Vec::new();
     while reported.len() < 100 {
-        match outcomes.recv().expect("an outcome") {
+        match outcomes.recv().expect("an outcome is reported") {
             (IdempotencyLogEvent::Recorded(tickets), _) => reported.extend(tickets),
             (IdempotencyLogEvent::Rewritten(_), _) => {}
             (outcome, _) => panic!("{outcome:?}"),
@@ -116,103 +120,106 @@
 }
 
 #[test]
-fn log_that_failed_takes_nothing_until_it_is_begun_anew() {
+fn failed_log_accepts_no_records_until_it_is_rewritten() {
     let disk = FaultyDisk::new(1);
-    let (writer, outcomes) = keys(Box::new(disk.clone()));
-    assert!(writer.rewrite(begin()));
+    let (writer, outcomes) = start_log_writer(Box::new(disk.clone()));
+    assert!(writer.rewrite(first_file()));
     assert!(matches!(outcomes.recv(), Ok((IdempotencyLogEvent::Rewritten(_), _))));
-    let sent = KeySend { at: 5.0, window: 12_000.0 };
+    let send = KeySend { at: 5.0, window: 12_000.0 };
     disk.fault(0, Fault::Full);
     for ticket in 0..2 {
-        assert!(writer.record(ticket, key("a"), sent));
+        assert!(writer.record(ticket, key("a"), send));
         assert!(matches!(outcomes.recv(), Ok((IdempotencyLogEvent::Failed(t, _), _)) if t == [ticket]));
     }
     disk.restart();
-    assert!(writer.record(2, key("a"), sent));
+    assert!(writer.record(2, key("a"), send));
     assert!(
         matches!(outcomes.recv(), Ok((IdempotencyLogEvent::Failed(..), _))),
-        "there is space, but how the file ends is unknown"
+        "there is space again, but the end of the file is unknown"
     );
-    assert!(writer.rewrite(begin()) && writer.record(3, key("a"), sent));
+    assert!(writer.rewrite(first_file()) && writer.record(3, key("a"), send));
     assert!(matches!(outcomes.recv(), Ok((IdempotencyLogEvent::Rewritten(_), _))));
     assert!(matches!(outcomes.recv(), Ok((IdempotencyLogEvent::Recorded(t), _)) if t == [3]));
 }
 
 #[test]
-fn more_than_may_wait_are_turned_away_at_once() {
-    let (disk, open) = hanging();
-    let (writer, _outcomes) = keys(Box::new(disk));
-    writer.rewrite(begin());
-    let sent = KeySend { at: 5.0, window: 12_000.0 };
-    let taken = (0..10_000).filter(|n| writer.record(*n, key("a"), sent)).count();
-    assert!(taken < 5_000, "{taken}");
+fn records_beyond_the_queue_s_capacity_are_rejected_at_once() {
+    let (disk, open) = hanging_disk();
+    let (writer, _outcomes) = start_log_writer(Box::new(disk));
+    writer.rewrite(first_file());
+    let send = KeySend { at: 5.0, window: 12_000.0 };
+    let queued = (0..10_000).filter(|n| writer.record(*n, key("a"), send)).count();
+    assert!(queued < 5_000, "{queued}");
     open();
 }
 
 #[test]
-fn folder_is_the_owner_s_alone_and_one_process_s() {
-    let parent = tempfile::tempdir().expect("a folder");
+fn folder_is_accessible_only_to_its_owner_and_locked_by_one_process() {
+    let parent = tempfile::tempdir().expect("a temporary folder is created");
     let path = parent.path().join("a/b");
-    let folder = Folder::open(&path).expect("it is made");
-    let mode = |p: &std::path::Path| std::fs::metadata(p).expect("there").permissions().mode() & 0o777;
+    let folder = Folder::open(&path).expect("the folder is created");
+    let mode =
+        |p: &std::path::Path| std::fs::metadata(p).expect("the file exists").permissions().mode() & 0o777;
     assert_eq!((mode(&path), mode(&path.join("lock"))), (0o700, 0o600));
     assert!(matches!(Folder::open(&path), Err(FolderError::Locked { .. })));
-    let (mut store, _) =
-        SnapshotStore::open(Box::new(folder.disk().closing_written_files()), MOST).expect("empty");
-    store.save(&snapshot(1.0, 1)).expect("saved");
+    let (mut store, _) = SnapshotStore::open(Box::new(folder.disk().closing_written_files()), MAX_BYTES)
+        .expect("the folder can be read");
+    store.save(&snapshot(1.0, 1)).expect("the snapshot is saved");
     assert_eq!(mode(&path.join("snapshot-0000000000000001.spk")), 0o600);
     drop(folder);
-    std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o755)).expect("set");
-    let refused = Folder::open(&path).expect_err("others may read it").to_string();
-    assert!(refused.contains("chmod 700"), "{refused}");
+    std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o755)).expect("the permissions are set");
+    let error = Folder::open(&path).expect_err("other users have access").to_string();
+    assert!(error.contains("chmod 700"), "{error}");
     let file = parent.path().join("file");
-    std::fs::write(&file, "x").expect("a file");
+    std::fs::write(&file, "x").expect("the file is written");
     assert!(matches!(Folder::open(&file), Err(FolderError::Io { .. })));
     assert!(matches!(Folder::open(&file.join("under")), Err(FolderError::Io { .. })));
 }
 
 #[test]
-fn verify_tells_whole_from_faulty_from_nothing() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let code = || inspection::verify(folder.path()).expect("read");
-    assert_eq!(code().code(), 2);
-    assert_eq!(inspection::verify(&folder.path().join("none")).expect("read").code(), 2);
+fn verify_distinguishes_intact_damaged_and_empty_folders() {
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
+    let verify = || inspection::verify(folder.path()).expect("the folder can be read");
+    assert_eq!(verify().code(), 2);
+    assert_eq!(inspection::verify(&folder.path().join("none")).expect("a missing folder is empty").code(), 2);
     let (mut store, _) =
-        SnapshotStore::open(Box::new(Files::new(folder.path()).closing_written_files()), MOST)
-            .expect("empty");
-    store.save(&snapshot(1.0, 1)).expect("saved");
-    let (writer, outcomes) = keys(Box::new(Files::new(folder.path())));
-    writer.rewrite(begin());
+        SnapshotStore::open(Box::new(Files::new(folder.path()).closing_written_files()), MAX_BYTES)
+            .expect("the folder can be read");
+    store.save(&snapshot(1.0, 1)).expect("the snapshot is saved");
+    let (writer, outcomes) = start_log_writer(Box::new(Files::new(folder.path())));
+    writer.rewrite(first_file());
     assert!(matches!(outcomes.recv(), Ok((IdempotencyLogEvent::Rewritten(_), _))));
-    assert_eq!(code().code(), 0);
+    assert_eq!(verify().code(), 0);
     let log = folder.path().join("keys-0000000000000001.spl");
-    let mut bytes = std::fs::read(&log).expect("there");
+    let mut bytes = std::fs::read(&log).expect("the file exists");
     bytes.extend([1, 2, 3]);
-    std::fs::write(&log, &bytes).expect("written");
-    assert_eq!((code().code(), code().torn_bytes), (0, 3), "a torn end is no fault");
+    std::fs::write(&log, &bytes).expect("the file is written");
+    assert_eq!((verify().code(), verify().torn_bytes), (0, 3), "an incomplete write is not a fault");
     bytes[3] ^= 1;
-    std::fs::write(&log, &bytes).expect("written");
-    let verdict = code();
-    assert_eq!((verdict.code(), verdict.faults[0].offset), (1, Some(3)));
-    assert!(verdict.faults[0].to_string().starts_with("keys-0000000000000001.spl: at byte 3"), "{verdict:?}");
-    let shown = inspection::show(folder.path(), 61.0, &RULES).expect("read").expect("a snapshot");
+    std::fs::write(&log, &bytes).expect("the file is written");
+    let result = verify();
+    assert_eq!((result.code(), result.faults[0].offset), (1, Some(3)));
+    assert!(result.faults[0].to_string().starts_with("keys-0000000000000001.spl: at byte 3"), "{result:?}");
+    let shown = inspection::show(folder.path(), 61.0, &SETTINGS)
+        .expect("the folder can be read")
+        .expect("there is a snapshot");
     let text = inspection::text(&shown);
     assert!(text.contains("engines[s-0].slowness = 1\n") && text.contains("age_ms = 60\n"), "{text}");
 }
 
-const RULES: starlingplank_persistence::recovery::RecoverySettings =
+const SETTINGS: starlingplank_persistence::recovery::RecoverySettings =
     starlingplank_persistence::recovery::DEFAULT;
 
-/// A disk on which nothing can be made while it is said to be full.
+/// A disk on which no file can be created while the flag is set.
 #[derive(Clone)]
-struct Full(FaultyDisk, Arc<std::sync::atomic::AtomicBool>);
+struct FullDisk(FaultyDisk, Arc<std::sync::atomic::AtomicBool>);
 
-impl Disk for Full {
+impl Disk for FullDisk {
     fn names(&self) -> io::Result<Vec<String>> {
         self.0.names()
     }
-    fn read(&self, name: &str, most: u64) -> io::Result<Option<Vec<u8>>> {
-        self.0.read(name, most)
+    fn read(&self, name: &str, max_bytes: u64) -> io::Result<Option<Vec<u8>>> {
+        self.0.read(name, max_bytes)
     }
     fn create(&mut self, name: &str) -> io::Result<()> {
         match self.1.load(std::sync::atomic::Ordering::SeqCst) {
@@ -237,29 +244,30 @@
     }
 }
 
-/// Lists come every second: a full disk is told of once, and once when it takes lists again.
+/// Lists arrive every second. If each failed write were reported, a full disk would flood the log: only the first failure and
+/// the first success after it are reported.
 #[test]
-fn list_that_cannot_be_written_is_told_of_when_that_begins_and_ends() {
+fn failing_list_writes_are_reported_once_when_they_begin_and_once_when_they_end() {
     use starlingplank_persistence::cached_endpoints::{self, CachedEndpoints};
     use starlingplank_persistence::writers::EndpointCacheWriter;
-    let disk = Full(FaultyDisk::new(3), Arc::default());
+    let disk = FullDisk(FaultyDisk::new(3), Arc::default());
     let (sender, reported) = channel();
     let notify = move |health: EndpointCacheHealth| {
         let _ = sender.send(matches!(health, EndpointCacheHealth::Failing(_)));
     };
-    let writer = EndpointCacheWriter::start(Box::new(disk.clone()), notify).expect("a thread");
+    let writer = EndpointCacheWriter::start(Box::new(disk.clone()), notify).expect("the thread starts");
     let list =
         |confirmed_at: f64| CachedEndpoints { confirmed_at, endpoints: Vec::new(), removed: Vec::new() };
-    // Tries until so many were taken by the thread that writes.
+    // Retries until this number of lists was queued. As one list may wait, the thread has written all but the last two.
     let save = |times: usize| {
-        let taken = (0..300_000_000_u64).filter(|_| {
-            let taken = writer.save(list(1.0));
-            if !taken {
+        let queued = (0..300_000_000_u64).filter(|_| {
+            let queued = writer.save(list(1.0));
+            if !queued {
                 std::thread::yield_now();
             }
-            taken
+            queued
         });
-        assert_eq!(taken.take(times).count(), times);
+        assert_eq!(queued.take(times).count(), times);
     };
     for _ in 0..3 {
         disk.1.store(true, std::sync::atomic::Ordering::SeqCst);
@@ -267,7 +275,7 @@
         assert_eq!(reported.recv(), Ok(true));
         disk.1.store(false, std::sync::atomic::Ordering::SeqCst);
         save(5);
-        assert_eq!(reported.recv(), Ok(false), "said once");
+        assert_eq!(reported.recv(), Ok(false), "one report for the failures and one for the recovery");
     }
     assert!(matches!(cached_endpoints::load(&disk), Ok(Some(l)) if l.confirmed_at == 1.0));
 }
