--- a/crates/storage/src/boot_time.rs
+++ b/crates/storage/src/boot_time.rs
@@ -1,11 +1,11 @@
-//! The machine's boot clock: monotonic, never stepped, and comparable between processes of one boot.
+//! The machine's boot clock, which is monotonic, is never stepped, and is comparable between processes of one boot.
 
 use rustix::time::{clock_gettime, ClockId};
 
 /// Milliseconds as a floating-point number.
 type Milliseconds = f64;
 
-/// Where the system tells the identifier of the current boot.
+/// File from which the identifier of the current boot is read.
 const BOOT_ID_FILE: &str = "/proc/sys/kernel/random/boot_id";
 
 /// A time on the boot clock.
@@ -13,12 +13,12 @@
 pub struct BootTime {
     /// Milliseconds since the machine booted, suspended time included.
     pub now: Milliseconds,
-    /// Identifies the boot. `None` if the system does not tell it: then times of different processes cannot be compared.
+    /// Identifier of the boot. `None` if it cannot be read; times of different processes then cannot be compared.
     pub boot_id: Option<[u8; 16]>,
 }
 
 impl BootTime {
-    /// Reads the clock and the identifier of the boot.
+    /// Reads the boot clock and the identifier of the boot.
     pub fn read() -> Self {
         let time = clock_gettime(ClockId::Boottime);
         let now = time.tv_sec as f64 * 1000.0 + time.tv_nsec as f64 / 1e6;
--- a/crates/storage/src/disk.rs
+++ b/crates/storage/src/disk.rs
@@ -1,71 +1,71 @@
-//! The file operations that storage needs. A trait, so that tests can stop the program before and after every call,
-//! run out of space, and lose what was not yet synced.
+//! The file operations that storage needs. They form a trait, so that tests can stop the program before and after every
+//! call, simulate a full disk, and discard data that was not yet synced.
 
 use std::io;
 use thiserror::Error;
 
-/// Ending of the names of files that are being written.
+/// Suffix of the names of temporary files, which are files that are still being written.
 pub const TEMPORARY_SUFFIX: &str = ".writing";
-/// Hexadecimal digits of the number in the name of a numbered file.
+/// Number of hexadecimal digits in the name of a numbered file.
 const NUMBER_DIGITS: usize = 16;
 
-/// The files of one folder, by name. File contents are durable only after [`sync`](Disk::sync) has returned, file names
-/// only after [`sync_names`](Disk::sync_names) has.
+/// Access to the files of one folder by name. File contents are durable only after [`sync`](Disk::sync) has returned, file
+/// names only after [`sync_names`](Disk::sync_names) has returned.
 pub trait Disk: Send {
-    /// The names of all files in the folder.
+    /// Returns the names of all files in the folder.
     ///
     /// # Errors
-    /// The folder cannot be read.
+    /// Returns an error if the folder cannot be read.
     fn names(&self) -> io::Result<Vec<String>>;
 
-    /// The contents of a file, or `None` if there is no such file.
+    /// Returns the contents of a file, or `None` if the file does not exist.
     ///
     /// # Errors
-    /// The file cannot be read, or holds more than `max_bytes` ([`FileTooLarge`]).
+    /// Returns an error if the file cannot be read or has more than `max_bytes` ([`FileTooLarge`]).
     fn read(&self, name: &str, max_bytes: u64) -> io::Result<Option<Vec<u8>>>;
 
     /// Creates an empty file, or truncates an existing one.
     ///
     /// # Errors
-    /// The file cannot be created.
+    /// Returns an error if the file cannot be created.
     fn create(&mut self, name: &str) -> io::Result<()>;
 
-    /// Appends to a file. Returns how many bytes were written, which may be fewer than were given.
+    /// Appends to a file. Returns the number of bytes written, which may be smaller than the length of `bytes`.
     ///
     /// # Errors
-    /// Nothing was written, or it is unknown how much was.
+    /// Returns an error if nothing was written, or if it is unknown how many bytes were written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<usize>;
 
     /// Makes the contents of a file durable.
     ///
     /// # Errors
-    /// The contents may not be durable.
+    /// Returns an error if the contents may not be durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
     /// Renames a file, replacing any file that has the new name.
     ///
     /// # Errors
-    /// The file still has its old name.
+    /// Returns an error if the file may not have been renamed.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
 
     /// Removes a file.
     ///
     /// # Errors
-    /// The file still exists.
+    /// Returns an error if the file may not have been removed.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 
     /// Makes creations, renames and removals durable.
     ///
     /// # Errors
-    /// They may not be durable.
+    /// Returns an error if the changes may not be durable.
     fn sync_names(&mut self) -> io::Result<()>;
 }
 
-/// A file holds more bytes than its reader accepts.
+/// Error of reading a file that has more bytes than the reader accepts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("it has more than {max_bytes} bytes")]
+#[error("the file has more than {max_bytes} bytes")]
 pub struct FileTooLarge {
-    /// The bound.
+    /// Maximum size that the reader accepts, in bytes.
     pub max_bytes: u64,
 }
 
@@ -75,10 +75,10 @@
     }
 }
 
-/// Appends all bytes, however few a single call writes.
+/// Appends all bytes, with further calls if one call writes only some of them.
 ///
 /// # Errors
-/// A write failed, or wrote nothing.
+/// Returns an error if a call fails or writes nothing.
 pub fn append_all(disk: &mut dyn Disk, name: &str, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         match disk.append(name, bytes)? {
@@ -92,7 +92,7 @@
 /// Replaces a file atomically: writes a temporary file, makes it durable, and renames it.
 ///
 /// # Errors
-/// A call failed. The file under `name` then holds either its old contents or all of the new.
+/// Returns an error if a call fails. The file `name` then has either its old contents or the complete new contents.
 pub fn replace(disk: &mut dyn Disk, name: &str, bytes: &[u8]) -> io::Result<()> {
     let temporary = format!("{name}{TEMPORARY_SUFFIX}");
     disk.create(&temporary)?;
@@ -102,8 +102,8 @@
     disk.sync_names()
 }
 
-/// Removes the temporary files of an earlier process. A file that cannot be removed is harmless: the next write
-/// truncates it.
+/// Removes the temporary files of an earlier process. A file that cannot be removed is harmless, as it is never read, and the
+/// next write of a file of the same name truncates it.
 pub fn remove_temporary_files(disk: &mut dyn Disk) {
     let names = disk.names().unwrap_or_default();
     for name in names.iter().filter(|name| name.ends_with(TEMPORARY_SUFFIX)) {
@@ -111,21 +111,21 @@
     }
 }
 
-/// The name of a numbered file, such as `PREFIX-000000000000000c.EXTENSION`.
+/// Returns the name of a numbered file, such as `PREFIX-000000000000000c.EXTENSION`.
 pub fn numbered_name(prefix: &str, number: u64, extension: &str) -> String {
     format!("{prefix}-{number:016x}.{extension}")
 }
 
-/// The number in the name of a numbered file; `None` for any other name.
+/// Returns the number in the name of a numbered file, or `None` for any other name.
 pub fn number_of(name: &str, prefix: &str, extension: &str) -> Option<u64> {
     let digits = name.strip_prefix(prefix)?.strip_prefix('-')?.strip_suffix(extension)?.strip_suffix('.')?;
     (digits.len() == NUMBER_DIGITS).then(|| u64::from_str_radix(digits, 16).ok()).flatten()
 }
 
-/// The numbers of all files with this prefix and extension, in descending order.
+/// Returns the numbers of all files with this prefix and extension, in descending order.
 ///
 /// # Errors
-/// The folder cannot be read.
+/// Returns an error if the folder cannot be read.
 pub fn numbers(disk: &dyn Disk, prefix: &str, extension: &str) -> io::Result<Vec<u64>> {
     let names = disk.names()?;
     let mut numbers: Vec<u64> = names.iter().filter_map(|name| number_of(name, prefix, extension)).collect();
--- a/crates/storage/src/folder.rs
+++ b/crates/storage/src/folder.rs
@@ -1,4 +1,4 @@
-//! A folder on a real disk: its lock, its permissions and its files.
+//! Folders in the file system, with their lock, permissions and files.
 
 use crate::disk::{Disk, FileTooLarge};
 use std::collections::HashMap;
@@ -8,43 +8,43 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Name of the file whose lock the owning process holds.
+/// Name of the file that the process using the folder locks.
 const LOCK_FILE: &str = "lock";
-/// Permissions of a folder: the owner alone.
+/// Permission bits of a folder, which give access only to the owner.
 const FOLDER_MODE: u32 = 0o700;
-/// Permissions of a file: the owner alone.
+/// Permission bits of a file, which give access only to the owner.
 const FILE_MODE: u32 = 0o600;
-/// Permission bits that no other user may have.
+/// Permission bits of the group and of other users, of which none may be set on a folder.
 const OTHERS_MODE: u32 = 0o077;
 
-/// Why a folder cannot be used.
+/// Reason for which a folder cannot be used.
 #[derive(Debug, Error)]
 pub enum FolderError {
-    /// Another process has locked it.
-    #[error("{path}: another process uses this folder")]
+    /// Another process has locked the folder.
+    #[error("{path}: another process has locked this folder")]
     Locked {
-        /// The folder.
+        /// Path of the folder.
         path: PathBuf,
     },
-    /// Other users may read or write it.
-    #[error("{path}: others may use this folder (mode {mode:o}): chmod 700 it")]
+    /// Other users have access to the folder.
+    #[error("{path}: other users have access to this folder (mode {mode:o}): run chmod 700 on it")]
     Permissions {
-        /// The folder.
+        /// Path of the folder.
         path: PathBuf,
-        /// Its permission bits.
+        /// Permission bits of the folder.
         mode: u32,
     },
     /// A system call failed.
     #[error("{path}: {source}")]
     Io {
-        /// The folder.
+        /// Path of the folder.
         path: PathBuf,
-        /// What the system answered.
+        /// Error that the system call returned.
         source: io::Error,
     },
 }
 
-/// A folder that is locked for this process. Owns the lock's descriptor: dropping the folder releases the lock.
+/// A folder that this process has locked. Owns the descriptor of the lock file, so that dropping the folder releases the lock.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
@@ -55,7 +55,7 @@
     /// Creates the folder if it does not exist, and locks it.
     ///
     /// # Errors
-    /// The folder cannot be created, written or locked, or other users have access to it.
+    /// Returns an error if the folder cannot be created, written or locked, or if other users have access to it.
     pub fn open(path: &Path) -> Result<Self, FolderError> {
         let failed = |source| FolderError::Io { path: path.to_owned(), source };
         match DirBuilder::new().mode(FOLDER_MODE).recursive(true).create(path) {
@@ -80,19 +80,19 @@
         }
     }
 
-    /// The folder's files.
+    /// Returns access to the folder's files.
     pub fn disk(&self) -> Files {
         Files::new(&self.path)
     }
 
-    /// The folder's path.
+    /// Returns the folder's path.
     pub fn path(&self) -> &Path {
         &self.path
     }
 }
 
-/// The files of a folder on a real disk, created for the owner alone. Owns the descriptors of the files that it has
-/// created, so that they can be appended to.
+/// The files of a folder in the file system. New files are accessible only to their owner. Owns the descriptors of the files
+/// that it has created, so that it can append to them.
 #[derive(Debug)]
 pub struct Files {
     path: PathBuf,
@@ -101,13 +101,13 @@
 }
 
 impl Files {
-    /// The files of a folder that is not locked: enough for reading.
+    /// Creates access to the files of a folder without locking it, which suffices for reading.
     pub fn new(path: &Path) -> Self {
         Self { path: path.to_owned(), open: HashMap::new(), close_on_sync_names: false }
     }
 
-    /// For files that are never appended to once they have been written and renamed: their descriptors are closed when
-    /// the names are made durable.
+    /// Closes all descriptors when [`sync_names`](Disk::sync_names) is called. This is meant for files to which nothing is
+    /// appended once they have been written and renamed.
     #[must_use]
     pub fn closing_written_files(mut self) -> Self {
         self.close_on_sync_names = true;
@@ -130,7 +130,7 @@
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
             file => file?,
         };
-        // The bound holds for what is read: the length in the file's metadata may be stale.
+        // The bytes that are read are counted, as the length in the file's metadata may be outdated.
         let mut bytes = Vec::new();
         file.take(max_bytes + 1).read_to_end(&mut bytes)?;
         if bytes.len() as u64 > max_bytes {
--- a/crates/storage/src/framed.rs
+++ b/crates/storage/src/framed.rs
@@ -1,71 +1,71 @@
-//! The framing of a stored file: a header of 20 bytes, all little-endian, then records in postcard's encoding.
+//! The framing of stored files: a header of 20 bytes, all little-endian, followed by records in postcard's encoding.
 //!
-//! | bytes | what |
+//! | bytes | contents |
 //! | --- | --- |
 //! | 0..8 | magic bytes of the format |
 //! | 8..12 | version |
-//! | 12..16 | length of what follows the header |
-//! | 16..20 | CRC-32 (IEEE 802.3) of bytes 0..16 and of all that follows the header |
+//! | 12..16 | length of the records in bytes |
+//! | 16..20 | CRC-32 (IEEE 802.3) of bytes 0..16 and of the records |
 
 use serde::{de::DeserializeOwned, Serialize};
 use thiserror::Error;
 
 /// Length of the header in bytes.
 pub const HEADER_BYTES: usize = 20;
-/// Where the magic bytes end and the version begins.
+/// Offset of the version in the header, directly after the magic bytes.
 const VERSION_AT: usize = 8;
-/// Where the length of the records stands.
+/// Offset of the length of the records in the header.
 const LENGTH_AT: usize = 12;
-/// Where the checksum stands.
+/// Offset of the checksum in the header.
 const CHECKSUM_AT: usize = 16;
 
-/// Why a file cannot be read or written.
+/// Reason for which a file cannot be decoded or encoded.
 #[derive(Debug, Error, Clone, PartialEq, Eq)]
 pub enum FrameError {
-    /// The file is cut short, or bytes were added.
+    /// The file is truncated or has additional bytes.
     #[error("at byte {at}: the file has {found} bytes and should have {expected}")]
     Length {
-        /// Offset at which the fault shows.
+        /// Offset at which the fault was detected.
         at: usize,
-        /// Length of the file.
+        /// Length of the file in bytes.
         found: usize,
-        /// Length that the file should have.
+        /// Length in bytes that the file should have.
         expected: usize,
     },
     /// The file has another format.
-    #[error("at byte 0: this is no such file")]
+    #[error("at byte 0: the magic bytes are not those of the expected file format")]
     Magic,
-    /// A later release wrote the file. It must be left as it is.
+    /// A newer release wrote the file. The file must not be changed.
     #[error(
-        "at byte 8: version {found} is newer than this program, which reads up to {supported}; it is left untouched"
+        "at byte 8: version {found} is newer than this program, which reads up to {supported}; the file is left unchanged"
     )]
     NewerVersion {
         /// Version of the file.
         found: u32,
-        /// Latest version that this release reads.
+        /// Latest version that this release can read.
         supported: u32,
     },
-    /// No release wrote this version.
-    #[error("at byte 8: there is no version {0}")]
+    /// No release has written this version.
+    #[error("at byte 8: version {0} does not exist")]
     UnknownVersion(u32),
-    /// Some byte was changed.
+    /// The contents were changed after they had been written.
     #[error("at byte 16: the checksum does not fit")]
     Checksum,
-    /// The checksum fits, but the records cannot be decoded or encoded.
-    #[error("at byte {HEADER_BYTES}: the records cannot be read: {0}")]
+    /// The records cannot be encoded, or they cannot be decoded although the checksum is correct.
+    #[error("at byte {HEADER_BYTES}: the records cannot be decoded or encoded: {0}")]
     Records(String),
-    /// The records exceed the allowed size.
-    #[error("the records take {bytes} bytes, more than the {max_bytes} that are allowed")]
+    /// The records exceed the maximum size.
+    #[error("the records take {bytes} bytes, more than the maximum of {max_bytes}")]
     TooLarge {
-        /// Size of the records.
+        /// Size of the records in bytes.
         bytes: usize,
-        /// The bound.
+        /// Maximum size in bytes.
         max_bytes: usize,
     },
 }
 
 impl FrameError {
-    /// Offset in the file at which the fault shows.
+    /// Returns the offset in the file at which the fault was detected.
     pub fn offset(&self) -> usize {
         match self {
             FrameError::Length { at, .. } => *at,
@@ -76,25 +76,25 @@
         }
     }
 
-    /// Whether a later release wrote the file.
+    /// Returns whether a newer release wrote the file.
     pub fn is_newer_version(&self) -> bool {
         matches!(self, FrameError::NewerVersion { .. })
     }
 }
 
-/// A file format, and the latest of its versions that this release knows.
+/// A file format and the latest version of it that this release supports.
 #[derive(Debug, Clone, Copy)]
 pub struct FileFormat {
-    /// The first bytes of every file of the format.
+    /// First bytes of every file of the format.
     pub magic: [u8; 8],
-    /// The version that this release writes.
+    /// Version that this release writes, and the latest that it can read.
     pub version: u32,
 }
 
-/// Encodes records as a file of at most `max_bytes`.
+/// Encodes records as the contents of a file of at most `max_bytes`.
 ///
 /// # Errors
-/// The records cannot be encoded, or the file would be larger.
+/// Returns an error if the records cannot be encoded or the file would be larger.
 pub fn encode(
     format: &FileFormat,
     records: &impl Serialize,
@@ -107,10 +107,10 @@
     Ok(file)
 }
 
-/// Decodes the records of a file. Never panics, whatever the bytes are.
+/// Decodes the records of a file. Does not panic on arbitrary bytes.
 ///
 /// # Errors
-/// Tells where and why the bytes are no valid file of the format.
+/// Returns the offset and the reason if the bytes are not a valid file of the format.
 pub fn decode<T: DeserializeOwned>(format: &FileFormat, bytes: &[u8]) -> Result<T, FrameError> {
     unpack(format.open(bytes)?.records)
 }
@@ -118,35 +118,35 @@
 /// Encodes records with postcard.
 ///
 /// # Errors
-/// The records cannot be encoded.
+/// Returns an error if the records cannot be encoded.
 pub fn pack(records: &impl Serialize) -> Result<Vec<u8>, FrameError> {
     postcard::to_stdvec(records).map_err(|error| FrameError::Records(error.to_string()))
 }
 
-/// Decodes records with postcard; all bytes must be used.
+/// Decodes records with postcard.
 ///
 /// # Errors
-/// The bytes are no such records.
+/// Returns an error if the bytes are not records of type `T`, or if bytes remain after them.
 pub fn unpack<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, FrameError> {
     let decoded = postcard::take_from_bytes(bytes);
     let (records, rest) = decoded.map_err(|error| FrameError::Records(error.to_string()))?;
     if !rest.is_empty() {
-        return Err(FrameError::Records(format!("{} bytes are left over", rest.len())));
+        return Err(FrameError::Records(format!("{} bytes follow the records", rest.len())));
     }
     Ok(records)
 }
 
-/// A file whose header and checksum fit.
+/// A file whose header and checksum are valid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OpenedFrame<'a> {
-    /// Version of the file: at most the one of its format.
+    /// Version of the file, which is not newer than the version of its format.
     pub version: u32,
     /// The encoded records.
     pub records: &'a [u8],
 }
 
 impl FileFormat {
-    /// Puts the header before encoded records.
+    /// Returns the contents of a file with a header and the encoded records.
     pub fn frame(&self, records: &[u8]) -> Vec<u8> {
         let mut file = Vec::with_capacity(HEADER_BYTES + records.len());
         file.extend(self.magic);
@@ -157,10 +157,10 @@
         file
     }
 
-    /// Checks a file and returns its version and encoded records. Never panics, whatever the bytes are.
+    /// Verifies a file and returns its version and encoded records. Does not panic on arbitrary bytes.
     ///
     /// # Errors
-    /// Tells where and why the bytes are no valid file of the format.
+    /// Returns the offset and the reason if the bytes are not a valid file of the format.
     pub fn open<'a>(&self, bytes: &'a [u8]) -> Result<OpenedFrame<'a>, FrameError> {
         if bytes.len() >= self.magic.len() && !bytes.starts_with(&self.magic) {
             return Err(FrameError::Magic);
@@ -168,7 +168,7 @@
         let version = header_field(bytes, VERSION_AT)?;
         let length = header_field(bytes, LENGTH_AT)? as usize;
         let expected_checksum = header_field(bytes, CHECKSUM_AT)?;
-        // A later version may have another header: only its number can be read.
+        // A newer version may have another header, of which only the version number can be relied on.
         if version > self.version {
             return Err(FrameError::NewerVersion { found: version, supported: self.version });
         }
@@ -184,11 +184,11 @@
     }
 }
 
-/// The little-endian number of four bytes at that offset of the header.
+/// Returns the little-endian 32-bit number at the offset `at` of the header.
 fn header_field(bytes: &[u8], at: usize) -> Result<u32, FrameError> {
     let field = bytes.get(at..at + 4).and_then(|field| field.try_into().ok());
-    let cut_short = FrameError::Length { at, found: at.min(HEADER_BYTES), expected: HEADER_BYTES };
-    field.map(u32::from_le_bytes).ok_or(cut_short)
+    let truncated = FrameError::Length { at, found: at.min(HEADER_BYTES), expected: HEADER_BYTES };
+    field.map(u32::from_le_bytes).ok_or(truncated)
 }
 
 fn checksum(header: &[u8], records: &[u8]) -> u32 {
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,8 +1,8 @@
-//! Checksummed files, folders that a single process locks, and the clock that survives a restart of the process.
+//! Checksummed files, folders that a single process locks, and a clock that continues across restarts of the process.
 //!
-//! Records that serde can write go in; bytes with a header, a version and a checksum come out ([`framed`]). They are
-//! written atomically ([`disk`]) into folders with a lock ([`folder`]). Invariant: **a reader gets exactly what was
-//! written, or an error**. This crate does not know what the records mean.
+//! Records that implement serde's traits are encoded as files with a header, a version and a checksum ([`framed`]). These
+//! files are written atomically ([`disk`]) into folders with a lock ([`folder`]). Invariant: **a reader gets exactly the
+//! records that were written, or an error**. This crate is independent of the contents of the records.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
