--- a/crates/admin/src/calls.rs
+++ b/crates/admin/src/calls.rs
@@ -1,13 +1,13 @@
-//! The calls of the second address. Method, path and body go in; out comes what the operator requests, or the status and
-//! the line that tells what is wrong.
+//! Parsing of the administration calls that the gateway accepts on its second address. Method, path and body of a call are
+//! parsed to the operator's request, or to an error reply with a status and one line of text.
 
 use crate::operator_overrides::MAX_ID_BYTES;
 use std::fmt;
 
-/// Bound on the length of a body in bytes.
+/// Maximum length of a call's body in bytes.
 pub const MAX_BODY_BYTES: usize = 1024;
 
-/// A path and the method that it accepts.
+/// The path of a call and the method that it accepts.
 struct Endpoint {
     path: &'static str,
     method: &'static str,
@@ -19,16 +19,16 @@
 const INCLUDE: Endpoint = Endpoint { path: "/api/include", method: "PUT" };
 const ENDPOINTS: [Endpoint; 4] = [READY, TELEMETRY, EXCLUDE, INCLUDE];
 
-/// What an operator requests.
+/// An operator's request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Call {
-    /// Whether this process is ready to serve.
+    /// Report whether this process is ready to serve.
     Ready,
-    /// The metrics.
+    /// Return the metrics.
     Telemetry,
-    /// Send no new work to the engine of that id.
+    /// Send no new work to the engine with this id.
     Exclude(String),
-    /// Use the engine of that id again.
+    /// Send new work to the engine with this id again.
     Include(String),
 }
 
@@ -37,17 +37,17 @@
 pub struct Reply {
     /// HTTP status code: 2xx for success, 4xx and 5xx for failure.
     pub status: u16,
-    /// The body: one line or more.
+    /// Body of the reply, which has one or more lines.
     pub text: String,
 }
 
 impl Reply {
-    /// A reply of one line.
+    /// Creates a reply whose body is one line.
     pub fn line(status: u16, text: impl fmt::Display) -> Self {
         Self { status, text: format!("{text}\n") }
     }
 
-    /// The reason phrase of the status.
+    /// Returns the reason phrase of the status.
     pub fn reason(&self) -> &'static str {
         match self.status {
             200 => "OK",
@@ -67,7 +67,7 @@
 /// Parses a call.
 ///
 /// # Errors
-/// The reply that tells what is wrong with it.
+/// Returns an error reply if the path is unknown, the method is not accepted or the body is invalid.
 pub fn read(method: &str, path: &str, body: &[u8]) -> Result<Call, Reply> {
     let endpoint = ENDPOINTS.iter().find(|endpoint| endpoint.path == path).ok_or_else(unknown_path)?;
     if method != endpoint.method {
@@ -88,8 +88,9 @@
 
 fn engine_id(body: &[u8]) -> Result<String, Reply> {
     let id = std::str::from_utf8(body).map(str::trim).unwrap_or_default();
-    let is_plain = id.chars().all(|character| !character.is_whitespace() && !character.is_control());
-    if id.is_empty() || id.len() > MAX_ID_BYTES || !is_plain {
+    let has_valid_characters =
+        id.chars().all(|character| !character.is_whitespace() && !character.is_control());
+    if id.is_empty() || id.len() > MAX_ID_BYTES || !has_valid_characters {
         return Err(Reply::line(400, "the body must be the id of one engine"));
     }
     Ok(id.to_owned())
--- a/crates/admin/src/calls/tests.rs
+++ b/crates/admin/src/calls/tests.rs
@@ -13,19 +13,19 @@
 #[case("PUT", "/api/ready", "", Err(405))]
 #[case("GET", "/api/readiness", "", Err(404))]
 #[case("GET", "/", "", Err(404))]
-fn calls_and_what_is_wrong_with_them(
+fn valid_calls_are_parsed_and_invalid_calls_get_an_error_status(
     #[case] method: &str,
     #[case] path: &str,
     #[case] body: &str,
     #[case] expected: Result<Call, u16>,
 ) {
-    let got = read(method, path, body.as_bytes());
-    assert!(got.as_ref().err().is_none_or(|r| r.text.ends_with('\n') && r.text.len() > 10));
-    assert_eq!(got.map_err(|r| r.status), expected);
+    let result = read(method, path, body.as_bytes());
+    assert!(result.as_ref().err().is_none_or(|r| r.text.ends_with('\n') && r.text.len() > 10));
+    assert_eq!(result.map_err(|r| r.status), expected);
 }
 
 #[test]
-fn body_that_is_no_text_or_too_long_is_told_so() {
+fn body_that_is_not_utf8_or_too_long_is_rejected() {
     assert_eq!(read("PUT", "/api/exclude", &[0xff]).map_err(|r| r.status), Err(400));
     assert_eq!(read("PUT", "/api/exclude", &[b'a'; 300]).map_err(|r| r.status), Err(400));
 }
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,11 +1,11 @@
-//! What operators tell a gateway, and what they see of it.
+//! Administration of a gateway: operators' calls and overrides, metrics, and the lifecycle of the gateway's processes.
 //!
-//! Operators' calls ([`calls`]), their exclusions of engines ([`operator_overrides`]), what an earlier process learned from
-//! the list service ([`inherited_membership`]), counts of what happened ([`metrics`]) and the stages of the gateway's other
-//! processes ([`process_lifecycle`]) go in. Out come answers, the engines that get no new work, and which of two
-//! processes accepts new connections. Invariants: **an engine that an operator has excluded stays excluded until an operator
-//! includes it**, whatever lists, reloads and restarts come between; and **a process stops listening only once another
-//! listens**. No I/O and no clock.
+//! The crate parses operators' calls ([`calls`]), stores which engines operators have excluded ([`operator_overrides`]) and
+//! which engines an earlier process knew to be draining or removed ([`inherited_membership`]), counts events ([`metrics`]),
+//! and decides which of the gateway's processes accepts new connections ([`process_lifecycle`]). Invariants: **an engine
+//! that an operator has excluded stays excluded until an operator includes it**, regardless of changes of the endpoint list,
+//! reloads and restarts; and **a process stops listening only once another one listens**. The crate performs no I/O and reads
+//! no clock.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/admin/src/metrics.rs
+++ b/crates/admin/src/metrics.rs
@@ -1,29 +1,30 @@
-//! The gateway's metrics: counted where the event happens, read by the second address and the last log lines.
+//! The gateway's metrics. Events are counted where they happen; the counts are read by the administration calls on the second
+//! address and written to the log when the process ends.
 
 use std::cell::Cell;
 use std::fmt::Write;
 
-/// What is counted for each class.
+/// Events that are counted for each class.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Count {
-    /// Requests served, counted once the last byte of the answer was passed to the system.
+    /// Requests that were served, counted once the last byte of the answer was passed to the operating system.
     Answered,
-    /// Requests rejected, by the gateway or an engine; counted likewise.
+    /// Requests that the gateway or an engine rejected, counted at the same point.
     Deferred,
-    /// Requests failed; counted likewise.
+    /// Requests that failed, counted at the same point.
     Errored,
-    /// Attempts, counted once the last byte was passed to the system.
+    /// Attempts, counted once the last byte was passed to the operating system.
     Sends,
 }
 
-/// A metric as it is documented.
+/// Documentation of a metric.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MetricDescription {
-    /// Its name; `C` stands for a class.
+    /// Name of the metric, in which `C` stands for the name of a class.
     pub name: &'static str,
-    /// Its unit.
+    /// Unit of the metric.
     pub unit: &'static str,
-    /// What it counts.
+    /// Description of the values.
     pub description: &'static str,
 }
 
@@ -31,7 +32,7 @@
     MetricDescription { name, unit, description }
 }
 
-/// All metrics.
+/// Descriptions of all metrics.
 pub const TABLE: [MetricDescription; 7] = [
     describe(
         "gateway.answered.C",
@@ -58,45 +59,45 @@
     ),
 ];
 
-/// Index of a class, and what is counted for it.
+/// Index of a class and the event to count for it.
 pub type Tally = (usize, Count);
 
-/// Counts by class since the process started.
+/// Counts of events by class since the process started.
 #[derive(Debug, Default)]
 pub struct Metrics {
     classes: Vec<[Cell<u64>; 4]>,
 }
 
-/// Values of the moment, which are not counted.
+/// Current values, which are measured rather than counted.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Gauges {
-    /// Requests accepted and not yet answered.
+    /// Number of requests that were accepted and are not yet answered.
     pub current: usize,
-    /// Engines in the list.
+    /// Number of engines in the endpoint list.
     pub cluster_size: usize,
-    /// Engines in the list that get no new work.
+    /// Number of engines in the endpoint list that get no new work.
     pub cluster_unhealthy: usize,
 }
 
 impl Metrics {
-    /// All counts are zero.
+    /// Creates the counts of this number of classes, all zero.
     pub fn new(classes: usize) -> Self {
         Self { classes: (0..classes).map(|_| Default::default()).collect() }
     }
 
-    /// Counts an event. An unknown class is ignored.
+    /// Counts an event. An event of an unknown class is ignored.
     pub fn add(&self, (class, count): Tally) {
         let Some(counts) = self.classes.get(class) else { return };
         let cell = &counts[count as usize];
         cell.set(cell.get() + 1);
     }
 
-    /// How often an event was counted; 0 for an unknown class.
+    /// Returns the number of times that an event was counted, 0 for an unknown class.
     pub fn get(&self, class: usize, count: Count) -> u64 {
         self.classes.get(class).map_or(0, |counts| counts[count as usize].get())
     }
 
-    /// All metrics, one a line, by the names of [`TABLE`]. `names` are those of the classes.
+    /// Formats all metrics, one per line, under the names of [`TABLE`]. `names` are the names of the classes.
     pub fn text(&self, names: &[&str], gauges: Gauges) -> String {
         let mut out = String::new();
         let counts =
--- a/crates/admin/src/metrics/tests.rs
+++ b/crates/admin/src/metrics/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn every_figure_of_the_table_is_told_and_nothing_else() {
+fn exactly_the_metrics_of_the_table_are_formatted() {
     let metrics = Metrics::new(2);
     [(0, Count::Answered), (0, Count::Answered), (1, Count::Sends), (0, Count::Sends), (9, Count::Errored)]
         .into_iter()
@@ -12,13 +12,13 @@
     for line in
         ["gateway.answered.lookup=2", "gateway.answered.load=0", "gateway.sends=2", "gateway.current=3"]
     {
-        assert!(lines.contains(&line), "{line} is not in {text}");
+        assert!(lines.contains(&line), "{line} is missing in {text}");
     }
     let names: Vec<&str> = lines.iter().filter_map(|l| l.split_once('=')).map(|(n, _)| n).collect();
-    let told = |name: &str| match name.strip_suffix(".C") {
+    let is_formatted = |name: &str| match name.strip_suffix(".C") {
         Some(stem) => ["lookup", "load"].iter().all(|c| names.contains(&&*format!("{stem}.{c}"))),
         None => names.contains(&name),
     };
-    assert!(TABLE.iter().all(|metric| told(metric.name)), "{text}");
+    assert!(TABLE.iter().all(|metric| is_formatted(metric.name)), "{text}");
     assert_eq!(names.len(), 3 * 2 + 4);
 }
--- a/crates/admin/src/operator_overrides.rs
+++ b/crates/admin/src/operator_overrides.rs
@@ -1,54 +1,57 @@
-//! Engines that operators have excluded. Calls and lists go in; for an engine that a list names, whether it is excluded
-//! (it then counts as draining) and when it started (an engine that was included again counts as just started) come out.
+//! Engines that operators have excluded from new work. An excluded engine is treated as draining. An engine that was included
+//! again is treated as just started, unless the endpoint list shows a later start.
 
 use serde::{Deserialize, Serialize};
 use starlingplank_storage::framed::{decode, encode, FileFormat, FrameError};
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Unix milliseconds.
+/// A time in Unix milliseconds.
 pub type UnixMilliseconds = f64;
 
-/// The file format.
+/// Format of the file that stores the overrides.
 pub const FORMAT: FileFormat = FileFormat { magic: *b"SPKHAND\n", version: 1 };
-/// How many engines can be excluded at a time; a list is far shorter.
+/// Maximum number of engines that are excluded at the same time. An endpoint list is far shorter.
 pub const MAX_EXCLUDED: usize = 10_000;
-/// Bound on the length of an engine's id in bytes.
+/// Maximum length of an engine's id in bytes.
 pub const MAX_ID_BYTES: usize = 256;
-/// Bound on the file's size in bytes.
+/// Maximum size of the file in bytes.
 pub const MAX_FILE_BYTES: u64 = 4 << 20;
 
-/// Why a call is rejected.
+/// Reason for which a call is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum OverrideError {
-    /// Neither the list nor an earlier call names the engine.
+    /// The engine is neither in the endpoint list nor excluded, or its id is too long.
     #[error("no engine of that id is in the list or out by hand")]
     Unknown,
-    /// No more engines can be excluded.
+    /// The maximum number of engines is excluded already.
     #[error("{MAX_EXCLUDED} engines are out by hand already")]
     TooMany,
 }
 
-/// An exclusion that has ended.
+/// An exclusion that has ended, with the times of its start and end.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 struct EndedExclusion {
     excluded_at: UnixMilliseconds,
     included_at: UnixMilliseconds,
 }
 
-/// Which engines are excluded, and which were included again recently. The order of the fields is the stored format.
+/// The engines that are excluded, and those that were recently included again. The order of the fields is part of the stored
+/// format.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct OperatorOverrides {
-    /// When each excluded engine was excluded.
+    /// Excluded engines by id, with the time of their exclusion.
     excluded: BTreeMap<String, UnixMilliseconds>,
+    /// Engines that were recently included again, by id.
     included: BTreeMap<String, EndedExclusion>,
 }
 
 impl OperatorOverrides {
-    /// Excludes an engine. Returns whether that changed something.
+    /// Excludes an engine. `is_member` states whether the endpoint list contains the engine. Returns `false` if the engine was
+    /// already excluded.
     ///
     /// # Errors
-    /// The engine is unknown, or too many are excluded.
+    /// Returns an error if the engine is unknown or too many engines are excluded.
     pub fn exclude(
         &mut self,
         id: &str,
@@ -68,10 +71,11 @@
         Ok(self.excluded.insert(id.to_owned(), now).is_none())
     }
 
-    /// Includes an engine again, however often it was excluded. Returns whether that changed something.
+    /// Includes an engine again; one call suffices even if the engine was excluded several times. Returns `false` if the engine
+    /// was not excluded.
     ///
     /// # Errors
-    /// The engine is unknown.
+    /// Returns an error if the engine is unknown.
     pub fn include(
         &mut self,
         id: &str,
@@ -88,8 +92,8 @@
         Ok(false)
     }
 
-    /// The same, with no time later than this. Another process of the gateway may have recorded the times, by a clock that
-    /// differs by a step of the wall clock.
+    /// Returns the overrides with all times limited to `now`. The times may have been recorded by another process of the gateway
+    /// before the wall clock was set back.
     #[must_use]
     pub fn not_after(mut self, now: UnixMilliseconds) -> Self {
         for excluded_at in self.excluded.values_mut() {
@@ -102,18 +106,19 @@
         self
     }
 
-    /// Whether an engine is excluded.
+    /// Returns whether an engine is excluded.
     pub fn is_excluded(&self, id: &str) -> bool {
         self.excluded.contains_key(id)
     }
 
-    /// Ids of the excluded engines.
+    /// Returns the ids of the excluded engines.
     pub fn excluded(&self) -> impl Iterator<Item = &str> {
         self.excluded.keys().map(String::as_str)
     }
 
-    /// When an engine counts as started, given the start that the list tells. If that lies after the exclusion it holds. For
-    /// any other engine that was excluded it is unknown what was done to it meanwhile: it starts when it is included.
+    /// Returns the time at which an engine is assumed to have started; `reported` is the start time in the endpoint list. A start
+    /// after the exclusion is used as it is. Otherwise an engine that was excluded is assumed to have started when it was included
+    /// again, as it may have been changed in the meantime.
     pub fn start_time(&self, id: &str, reported: Option<UnixMilliseconds>) -> Option<UnixMilliseconds> {
         match self.included.get(id) {
             Some(ended) => reported.filter(|at| *at > ended.excluded_at).or(Some(ended.included_at)),
@@ -121,7 +126,7 @@
         }
     }
 
-    /// Forgets engines that were included longer ago than a slow start takes.
+    /// Discards the records of engines that were included again at least `slow_start_duration` ago, as their slow start has ended.
     pub fn remove_expired_inclusions(
         &mut self,
         now: UnixMilliseconds,
@@ -130,18 +135,18 @@
         self.included.retain(|_, ended| now - ended.included_at < slow_start_duration);
     }
 
-    /// The file's bytes.
+    /// Encodes the overrides as the contents of the file.
     ///
     /// # Errors
-    /// The file would exceed [`MAX_FILE_BYTES`].
+    /// Returns an error if the file would exceed [`MAX_FILE_BYTES`].
     pub fn encode(&self) -> Result<Vec<u8>, FrameError> {
         encode(&FORMAT, self, MAX_FILE_BYTES as usize)
     }
 
-    /// Decodes the file. Never panics, whatever the bytes are.
+    /// Decodes the contents of the file. Does not panic on arbitrary bytes.
     ///
     /// # Errors
-    /// Tells where and why the bytes are no such file.
+    /// Returns the offset and the reason if the bytes are not a valid file, or an error if a limit on engines or ids is exceeded.
     pub fn decode(bytes: &[u8]) -> Result<Self, FrameError> {
         let overrides: Self = decode(&FORMAT, bytes)?;
         let mut ids = overrides.excluded.keys().chain(overrides.included.keys());
--- a/crates/admin/src/operator_overrides/tests.rs
+++ b/crates/admin/src/operator_overrides/tests.rs
@@ -2,12 +2,12 @@
 use proptest::prelude::*;
 
 #[test]
-fn out_twice_and_in_once_whatever_the_list_says_meanwhile() {
+fn one_inclusion_ends_repeated_exclusions_even_if_the_engine_left_the_list() {
     let mut overrides = OperatorOverrides::default();
     assert_eq!(overrides.exclude("s-1", false, 1.0), Err(OverrideError::Unknown));
     assert_eq!(overrides.exclude("s-1", true, 1.0), Ok(true));
     assert_eq!(overrides.exclude("s-1", true, 1.0), Ok(false));
-    // It left the list while out: the second call out and the call back still mean it.
+    // The engine is removed from the list while excluded: it can still be excluded a second time, and included again.
     assert_eq!(overrides.exclude("s-1", false, 1.0), Ok(false));
     assert!(overrides.is_excluded("s-1"));
     assert_eq!(overrides.include("s-1", false, 5.0), Ok(true));
@@ -17,14 +17,14 @@
 }
 
 #[test]
-fn engine_called_back_is_cold_from_then_on() {
+fn engine_that_is_included_again_is_treated_as_just_started() {
     let mut overrides = OperatorOverrides::default();
-    overrides.exclude("s-1", true, 500.0).expect("listed");
+    overrides.exclude("s-1", true, 500.0).expect("the engine is listed");
     assert_eq!(overrides.start_time("s-1", Some(2.0)), Some(2.0));
-    overrides.include("s-1", true, 1_000.0).expect("out");
+    overrides.include("s-1", true, 1_000.0).expect("the engine is excluded");
     assert_eq!(overrides.start_time("s-1", Some(2.0)), Some(1_000.0));
     assert_eq!(overrides.start_time("s-1", None), Some(1_000.0));
-    // The list saw it start while it was out, or later.
+    // If the list shows a start after the exclusion, this start is used.
     assert_eq!(overrides.start_time("s-1", Some(700.0)), Some(700.0));
     assert_eq!(overrides.start_time("s-1", Some(3_000.0)), Some(3_000.0));
     assert_eq!(overrides.start_time("s-2", None), None);
@@ -33,14 +33,14 @@
 }
 
 #[test]
-fn file_is_read_as_it_was_written_and_every_cut_or_changed_byte_is_noticed() {
+fn encoded_overrides_are_decoded_unchanged_and_truncated_or_changed_bytes_are_rejected() {
     let mut overrides = OperatorOverrides::default();
     ["s-1", "s-2", "s-3"].iter().for_each(|id| assert_eq!(overrides.exclude(id, true, 1.0), Ok(true)));
-    overrides.include("s-2", true, 7.0).expect("out");
-    let bytes = overrides.encode().expect("small");
+    overrides.include("s-2", true, 7.0).expect("the engine is excluded");
+    let bytes = overrides.encode().expect("the size limit is not exceeded");
     assert_eq!(OperatorOverrides::decode(&bytes), Ok(overrides));
     for at in 0..bytes.len() {
-        assert!(OperatorOverrides::decode(&bytes[..at]).is_err(), "cut at {at}");
+        assert!(OperatorOverrides::decode(&bytes[..at]).is_err(), "truncated at {at}");
         for bit in 0..8 {
             let mut changed = bytes.clone();
             changed[at] ^= 1 << bit;
@@ -52,20 +52,20 @@
 }
 
 #[test]
-fn call_back_by_a_clock_that_was_ahead_is_one_of_now() {
+fn inclusion_recorded_in_the_future_is_moved_to_the_present() {
     let mut overrides = OperatorOverrides::default();
-    overrides.exclude("s-1", true, 3_600_000.0).expect("listed");
-    overrides.include("s-1", true, 3_600_001.0).expect("out");
+    overrides.exclude("s-1", true, 3_600_000.0).expect("the engine is listed");
+    overrides.include("s-1", true, 3_600_001.0).expect("the engine is excluded");
     let overrides = overrides.not_after(1_000.0);
     assert_eq!(overrides.start_time("s-1", None), Some(1_000.0));
 }
 
-/// These bytes were written down by overrides: the file's form is a promise.
+/// Guards the stored format: the expected bytes are written by hand, as files of earlier releases must stay readable.
 #[test]
-fn file_form_stays() {
+fn stored_format_is_unchanged() {
     let mut overrides = OperatorOverrides::default();
-    overrides.exclude("s-1", true, 1.0).expect("listed");
-    let bytes = overrides.encode().expect("small");
+    overrides.exclude("s-1", true, 1.0).expect("the engine is listed");
+    let bytes = overrides.encode().expect("the size limit is not exceeded");
     let records = [1, 3, b's', b'-', b'1', 0, 0, 0, 0, 0, 0, 0xf0, 0x3f, 0];
     assert_eq!(&bytes[..8], b"SPKHAND\n");
     assert_eq!(&bytes[8..16], [1, 0, 0, 0, 14, 0, 0, 0]);
@@ -74,7 +74,7 @@
 
 proptest! {
     #[test]
-    fn reader_never_panics(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn decoding_arbitrary_bytes_does_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = OperatorOverrides::decode(&bytes);
         let _ = OperatorOverrides::decode(&FORMAT.frame(&bytes));
     }
--- a/crates/admin/src/process_lifecycle.rs
+++ b/crates/admin/src/process_lifecycle.rs
@@ -1,25 +1,26 @@
-//! The processes of one gateway, which replace each other. What a process sees of the others in their folder goes in; what
-//! it may do comes out. Rules: a successor listens only once it could serve as well as its predecessor; a process stops
-//! listening only once a later one listens; while several run, each uses its share of what one may use.
+//! Decisions of the processes of one gateway that replace each other in a hot restart, based on the state of the other
+//! processes in their shared folder. Rules: a successor listens only once it can serve as well as its predecessor; a process
+//! stops listening only once a later one listens; while several processes run, each uses its share of the gateway's limits.
 
 use std::time::Duration;
 
-/// Longest time that a successor waits for the endpoint list before it listens without it.
+/// Maximum time for which a successor waits for the endpoint list before it listens without the list.
 pub const LIST_WAIT: Duration = Duration::from_millis(1_000);
 
-/// How far another process is.
+/// Stage in the lifecycle of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// It has started and does not listen yet.
+    /// The process has started and does not listen yet.
     Starting,
-    /// It listens.
+    /// The process listens.
     Listening,
-    /// It has stopped listening and finishes what is open.
+    /// The process has stopped listening and finishes its open requests and connections.
     Draining,
 }
 
 impl Stage {
-    /// The stage as it stands in the process's file. All have the same length, so that one overwrites another completely.
+    /// Returns the text of the stage in the process's file. All texts have the same length, so that each overwrites another one
+    /// completely.
     pub fn file_text(self) -> &'static str {
         match self {
             Stage::Starting => "starting \n",
@@ -28,7 +29,7 @@
         }
     }
 
-    /// Reads the file's text. A process whose text cannot be read has not got as far as writing it.
+    /// Parses the text of a process's file. Any other text means that the process has not written the file yet, so it is starting.
     pub fn read(text: &str) -> Self {
         match text.trim_end() {
             "listening" => Stage::Listening,
@@ -41,26 +42,26 @@
 /// Another running process of the gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerProcess {
-    /// Its number: the later of two processes has the higher one.
+    /// Number of the process; the later of two processes has the higher number.
     pub incarnation: u64,
-    /// How far it is.
+    /// Stage of the process.
     pub stage: Stage,
 }
 
-/// What a starting process has to serve with.
+/// State of a starting process that determines whether it can serve.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Readiness {
-    /// Whether the list service has sent the endpoint list.
+    /// Whether the name service has sent the endpoint list.
     pub list_received: bool,
-    /// Whether some engine is known, from the list or without it.
+    /// Whether any engine is known, from the endpoint list or another source.
     pub knows_engines: bool,
-    /// Time since the start.
+    /// Time since the start of the process.
     pub waited: Duration,
 }
 
-/// Whether a process may listen. One without a predecessor may at once, as nobody else serves. A successor may once it has
-/// received the endpoint list, or has waited for it long enough and knows some engine without it; one that knows none
-/// would reject what its predecessor serves.
+/// Returns whether a process may listen. A process without a predecessor may listen at once, as no other process serves. A
+/// successor may listen once it has received the endpoint list, or once it has waited for [`LIST_WAIT`] and knows an engine
+/// from another source: a successor that knows no engine would reject requests that its predecessor can serve.
 pub fn may_listen(own: u64, others: &[PeerProcess], readiness: Readiness) -> bool {
     let has_predecessor =
         others.iter().any(|other| other.incarnation < own && other.stage != Stage::Draining);
@@ -68,20 +69,20 @@
     !has_predecessor || readiness.list_received || may_go_without_list
 }
 
-/// Whether a later process listens, so that a process that was told to end may stop listening.
+/// Returns whether a later process listens, so that a process that is shutting down may stop listening.
 pub fn successor_listens(own: u64, others: &[PeerProcess]) -> bool {
     others.iter().any(|other| other.incarnation > own && other.stage == Stage::Listening)
 }
 
-/// Whether a process that was told to end should wait for a successor that has started and does not listen yet. It waits no
-/// longer than `max_wait`: after that the time is needed to close what is open.
+/// Returns whether a process that is shutting down should wait for a successor that has started and does not listen yet. The
+/// wait is limited to `max_wait`, as the remaining time is needed to finish open requests and close connections.
 pub fn awaits_successor(own: u64, others: &[PeerProcess], waited: Duration, max_wait: Duration) -> bool {
     let successor_starts =
         others.iter().any(|other| other.incarnation > own && other.stage == Stage::Starting);
     successor_starts && !successor_listens(own, others) && waited < max_wait
 }
 
-/// The number of processes that share what one gateway may use.
+/// Returns the number of processes that share the gateway's limits.
 pub fn process_count(others: &[PeerProcess]) -> usize {
     1 + others.len()
 }
