--- a/crates/decision/src/admission.rs
+++ b/crates/decision/src/admission.rs
@@ -1,5 +1,5 @@
-//! Admission and load shedding: whether an engine and the fleet have capacity for a request, when a running request is
-//! given up, and the one place that gives final answers.
+//! Admission and load shedding: decides whether an engine and the fleet have capacity for a request, and when a
+//! running request is given up. All final answers of the decision module are given here.
 
 use crate::balancer::Balancer;
 use crate::interface::{Action, BlockReason};
@@ -8,29 +8,31 @@
 use crate::state::{Attempt, Engine, Request, MIN_CORES};
 use crate::types::{Milliseconds, RequestId};
 
-/// Threads a core past which an engine is under pressure.
-pub(crate) const CROWDED: f64 = 1.25;
-/// The slowdown past which an engine is under pressure.
-const SLOW: f64 = 2.5;
-/// How fast this gateway's limit falls as the fleet passes the concurrency limit: the power of the ratio.
+/// Load in threads a core above which an engine is under pressure.
+pub(crate) const PRESSURE_LOAD: f64 = 1.25;
+/// Slowdown above which an engine is under pressure.
+const PRESSURE_SLOWDOWN: f64 = 2.5;
+/// Exponent of the ratio of concurrency limit to fleet load, by which this gateway's own limit is scaled.
 const FLEET_LIMIT_EXPONENT: i32 = 2;
-/// The most that a query counts as, relative to the usual one of its class: estimates may be absurd.
+/// Maximum size that a query is counted with, relative to the mean of its class: estimates from clients may be far
+/// off.
 const MAX_COUNTED_SIZE: f64 = 3.0;
-/// The part of a usual query by which an engine's limit may be passed, as queries are not divisible.
+/// Part of an average query by which an engine's limit may be exceeded, because queries are not divisible.
 const QUERY_ROUNDING: f64 = 0.5;
-/// The shortest Retry-After: clients that come back sooner find the same load.
+/// Minimum Retry-After: clients that retry sooner find the same load.
 pub(crate) const MIN_RETRY_AFTER: Milliseconds = 100.0;
-/// How many times longer than alone a late attempt takes when its engine makes no progress with it.
+/// Slowdown above which a late attempt is considered stalled: its engine makes no progress with it.
 const STALLED_SLOWDOWN: f64 = 4.0;
-/// Attempts that take less alone are taken to take this long.
+/// Minimum latency on an idle engine that an attempt is assumed to have when it is checked for a stall.
 const MIN_UNLOADED_LATENCY: Milliseconds = 100.0;
 
 impl Balancer {
-    /// Whether an engine has capacity for a request. The limit binds only under pressure: this gateway's share of it,
-    /// where one query always fits, and the threads of all gateways.
+    /// Checks whether an engine has capacity for a request. The limit applies only while the engine is under
+    /// pressure. It bounds this gateway's threads by its share, where one query always fits, and the threads of all
+    /// gateways by the whole limit.
     ///
     /// # Errors
-    /// The pressure because of which the request does not fit.
+    /// Returns the kind of pressure if the request does not fit.
     pub(crate) fn engine_has_capacity(&self, engine: &Engine, request: &Request) -> Result<(), BlockReason> {
         let Some(pressure) = self.pressure_on(engine) else { return Ok(()) };
         let threads = self.class_of(request).threads;
@@ -48,17 +50,18 @@
         let cores = self.effective_cores(engine).max(MIN_CORES);
         if engine.load.is_saturated {
             Some(BlockReason::Busy)
-        } else if engine.load.all_threads() / cores > CROWDED {
+        } else if engine.load.all_threads() / cores > PRESSURE_LOAD {
             Some(BlockReason::Crowded)
-        } else if engine.slowdown > SLOW {
+        } else if engine.slowdown > PRESSURE_SLOWDOWN {
             Some(BlockReason::Slow)
         } else {
             None
         }
     }
 
-    /// Whether this gateway's share of the limit over all engines has capacity for a request. Fractions of a query are
-    /// rounded by the request's own draw, and up for the group that is preferred.
+    /// Returns whether this gateway's share of the concurrency limit over all engines has capacity for a request.
+    /// Fractions of a query are rounded by the request's random draw, and rounded up for the group of classes that is
+    /// not deferred.
     pub(crate) fn fleet_has_capacity(&self, request: &Request) -> bool {
         let threads = self.class_of(request).threads;
         let is_preferred = self.deferred_group == Some(self.class_state_of(request).group.other());
@@ -67,9 +70,11 @@
         own_threads <= self.own_thread_limit() + rounding
     }
 
-    /// The threads that this gateway may run on all engines together: its share of the limit, far more while the fleet
-    /// is under the limit and less while it is over. Keeps hundreds of gateways from all filling the engine whose old
-    /// report shows free capacity, and bounds bursts and retries. May reject too much where a share has just risen.
+    /// Returns the maximum number of threads that this gateway may run on all engines together: its share of the
+    /// concurrency limit, scaled up strongly while the fleet is below the limit and down while it is above. This
+    /// prevents hundreds of gateways from all filling the engine whose outdated report shows free capacity, and
+    /// bounds bursts and retries. Disadvantage: may reject too much where this gateway's share of the traffic has
+    /// just risen.
     fn own_thread_limit(&self) -> f64 {
         let (fleet, limit) = (&self.fleet, LEVELS[self.limit_level]);
         let load = fleet.load().max(fleet.slowdown / fleet.unloaded_slowdown).max(MIN_LEVEL);
@@ -77,9 +82,9 @@
         fleet.share * limit * fleet.cores * usable_share * (limit / load).powi(FLEET_LIMIT_EXPONENT)
     }
 
-    /// Whether a running request is given up: it is late, and nothing is earned any more or its engine makes no
-    /// progress. Keeps engines from filling up with work that nobody wants any more.
-    pub(crate) fn runs_in_vain(&self, request: &Request) -> bool {
+    /// Returns whether a running request should be given up: it is late, and either a late answer earns nothing or
+    /// its engine makes no progress. This prevents engines from filling up with work that nobody needs any more.
+    pub(crate) fn should_stop_running(&self, request: &Request) -> bool {
         if !self.settings.may_cancel || !self.is_late(request) {
             return false;
         }
@@ -90,7 +95,8 @@
         self.class_of(request).late_weight_share <= 0.0 || request.attempts.iter().any(is_stalled)
     }
 
-    /// Gives the final answer, the one place that does so: a rejection where a retry is harmless, else a failure.
+    /// Gives the final answer to a request; no other function does. The answer is a rejection if a retry is harmless,
+    /// otherwise a failure.
     pub(crate) fn answer(
         &mut self,
         id: RequestId,
@@ -108,11 +114,11 @@
         } else {
             actions.push(Action::Fail { id });
         }
-        self.forget_if_done(id);
+        self.discard_if_done(id);
     }
 
-    /// Forgets a request for which no further event can arrive.
-    pub(crate) fn forget_if_done(&mut self, id: RequestId) {
+    /// Discards a request for which no further event can arrive.
+    pub(crate) fn discard_if_done(&mut self, id: RequestId) {
         let is_done = |request: &&Request| request.closed && request.in_flight() == 0;
         let Some(request) = self.requests.get(&id).filter(is_done) else { return };
         if let Some(key) = request.details.key.and_then(|key| self.ordered_keys.get_mut(&key)) {
--- a/crates/decision/src/aperture.rs
+++ b/crates/decision/src/aperture.rs
@@ -1,45 +1,47 @@
-//! The aperture: which part of a large fleet each gateway sends to. In: the engines that accept work, this gateway's
-//! index, the number of gateways, and this gateway's share of the traffic. Out: for each engine the share, from 0 to 1,
-//! in which it lies in the aperture, and this gateway's share of the engine's slow start budget. At the base width the
-//! shares of all gateways add up to the same for every engine, and the budget shares add up to one.
+//! The aperture: the part of a large fleet that each gateway sends to. Input: the engines that accept work, this
+//! gateway's index, the number of gateways, and this gateway's share of the traffic. Output: for each engine, the
+//! share from 0 to 1 of the engine that the aperture covers, and this gateway's share of the engine's slow start
+//! budget. At the base width the shares of all gateways add up to the same total for every engine, and the budget
+//! shares add up to one.
 //!
-//! Engines lie evenly on a ring, in an order that every gateway finds by itself; gateways do so too, by index. Each
-//! gateway sends to the engines that its arc covers, to those at its ends in part (deterministic aperture, as Finagle
-//! describes it). Were every one of hundreds of gateways to send to every engine, it would send to each seldom: load
-//! reports would be old, a slow start budget would fall into shares smaller than a query, and connections would add up
-//! to the product of both numbers.
+//! Engines are evenly spaced on a ring, in an order that every gateway computes by itself; gateways are evenly spaced
+//! too, by index. Each gateway sends to the engines that its arc covers; engines at the ends of the arc are covered
+//! in part (deterministic aperture, as described by Finagle). If each of hundreds of gateways sent to every engine,
+//! it would send to each engine rarely: load reports would be old, each share of a slow start budget would be smaller
+//! than a query, and the number of connections would be the product of both numbers.
 
 use crate::state::Engine;
 use crate::types::{Availability, EngineId};
 use std::collections::BTreeMap;
 
-/// The number of engines that a gateway sends to, where there are more: enough to balance load among them.
+/// Number of engines that a gateway sends to in a large fleet: enough to balance load among them.
 const ENGINES_PER_GATEWAY: f64 = 10.0;
-/// The least number of gateways that send to an engine: with few gateways each sends to more engines.
+/// Minimum number of gateways that send to each engine: with few gateways, each sends to more engines.
 const MIN_GATEWAYS_PER_ENGINE: f64 = 4.0;
-/// The multiple of an even share of the traffic past which the arc of a gateway widens, in proportion.
+/// Multiple of an even share of the traffic above which the arc of a gateway is widened, in proportion.
 const WIDENING_THRESHOLD: f64 = 3.0;
-/// The arc is left as it is while the wanted width lies within these multiples of the current one.
+/// The arc is not changed while the target width is within these multiples of the current width.
 const NARROWING_HYSTERESIS: f64 = 2.0;
 const WIDENING_HYSTERESIS: f64 = 1.5;
-/// Shares below this are left over from rounding, and count as none.
+/// Shares below this are caused by rounding, and are treated as 0.
 const MIN_SHARE: f64 = 1e-9;
 
 /// A gateway's arc on the ring.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Aperture {
-    /// Where the arc begins, from 0 to 1.
+    /// Position on the ring at which the arc begins, from 0 to 1.
     start: f64,
-    /// The number of gateways.
+    /// Number of gateways that share the engines.
     gateways: f64,
-    /// The width of the arc now, as a multiple of its base width.
+    /// Current width of the arc, as a multiple of its base width.
     widening: f64,
-    /// The number of processes of this gateway that run now and divide its budget shares among them.
+    /// Number of processes of this gateway that are running now and divide its budget shares among them.
     processes: f64,
 }
 
 impl Aperture {
-    /// An arc that begins at the gateway's index, or at random if it has none.
+    /// Creates an arc that begins at the position of the gateway's index, or at a random position if the gateway has
+    /// none.
     pub(crate) fn new(gateway_index: Option<u64>, gateways: usize, seed: u64) -> Self {
         let gateways = gateways.max(1) as f64;
         let random_start = || fastrand::Rng::with_seed(seed).f64();
@@ -47,7 +49,8 @@
         Self { start, gateways, widening: 1.0, processes: 1.0 }
     }
 
-    /// Sets the number of processes of this gateway that run now: during a hot restart, the old one and the new one.
+    /// Sets the number of processes of this gateway that are running now: two during a hot restart, the old one and
+    /// the new one.
     pub(crate) fn set_process_count(
         &mut self,
         processes: u32,
@@ -58,14 +61,14 @@
         self.update(engines, traffic_share, true);
     }
 
-    /// The share of the ring that each gateway's arc covers, before it is widened, with so many engines.
+    /// Returns the share of the ring that each gateway's arc covers before widening, for that number of engines.
     fn base_width(&self, engines: usize) -> f64 {
         let width = ENGINES_PER_GATEWAY / engines.max(1) as f64;
         width.max(MIN_GATEWAYS_PER_ENGINE / self.gateways).min(1.0)
     }
 
-    /// Recomputes the shares of all engines, if the endpoint list has changed or this gateway's share of the traffic has
-    /// become far more or less than its arc was made for.
+    /// Recomputes the shares of all engines if the endpoint list has changed, or if this gateway's share of the
+    /// traffic has become far larger or smaller than the one its arc was computed for.
     pub(crate) fn update(
         &mut self,
         engines: &mut BTreeMap<EngineId, Engine>,
@@ -90,7 +93,7 @@
         }
     }
 
-    /// The share of each engine, in the order given, that an arc of that width covers.
+    /// Returns the share of each engine, in the given order, that an arc of that width covers.
     fn shares(&self, engines: &[&EngineId], width: f64) -> Vec<f64> {
         let count = engines.len() as f64;
         let hashes = engines.iter().map(|id| id.stable_hash());
@@ -100,7 +103,7 @@
         for (position, (_, index)) in ring.iter().enumerate() {
             let (from, to) = (position as f64 / count, (position + 1) as f64 / count);
             let covered = |start: f64| (to.min(start + width) - from.max(start)).max(0.0);
-            // The arc may pass the end of the ring once.
+            // The arc may extend past the end of the ring, and then continues at its start.
             let share = (covered(self.start) + covered(self.start - 1.0)) * count;
             shares[*index] = if share > MIN_SHARE { share.min(1.0) } else { 0.0 };
         }
--- a/crates/decision/src/aperture/tests.rs
+++ b/crates/decision/src/aperture/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn every_engine_is_met_in_equal_share_and_every_gateway_meets_as_many() {
+fn engines_and_gateways_have_even_shares() {
     for (gateways, engines) in [(100, 30), (100, 60), (7, 60), (300, 11), (3, 1_000), (1, 40), (97, 10)] {
         let (by_engine, by_gateway) = sums(gateways, engines);
         let even = by_engine.iter().sum::<f64>() / engines as f64;
@@ -26,21 +26,24 @@
             by_engine.iter().all(|s| (s - even).abs() < 1.0 + 1e-6),
             "{gateways}x{engines}: {by_engine:?}"
         );
-        let met = by_gateway[0];
-        assert!(by_gateway.iter().all(|s| (s - met).abs() < 1e-6), "{gateways}x{engines}: {by_gateway:?}");
-        assert!(met + 1e-6 >= ENGINES_PER_GATEWAY.min(engines as f64), "{gateways}x{engines}: {met}");
+        let covered = by_gateway[0];
+        assert!(
+            by_gateway.iter().all(|s| (s - covered).abs() < 1e-6),
+            "{gateways}x{engines}: {by_gateway:?}"
+        );
+        assert!(covered + 1e-6 >= ENGINES_PER_GATEWAY.min(engines as f64), "{gateways}x{engines}: {covered}");
     }
 }
 
 #[test]
-fn a_small_fleet_is_met_whole() {
+fn every_gateway_covers_a_small_fleet_completely() {
     for engines in 1..=10 {
         assert!(sums(100, engines).0.iter().all(|s| (s - 100.0).abs() < 1e-6));
     }
 }
 
 #[test]
-fn an_engine_that_leaves_moves_few_of_the_others() {
+fn removal_of_an_engine_changes_few_other_shares() {
     let ids = ids(60);
     let all: Vec<&EngineId> = ids.iter().collect();
     let less: Vec<&EngineId> = ids.iter().skip(1).collect();
@@ -55,8 +58,8 @@
 }
 
 #[test]
-fn without_a_number_the_place_is_drawn() {
-    let places: Vec<f64> = (0..50).map(|seed| Aperture::new(None, 50, seed).start).collect();
-    assert!(places.iter().all(|p| (0.0..1.0).contains(p)));
-    assert!(places.iter().filter(|p| **p < 0.5).count().abs_diff(25) < 15, "{places:?}");
+fn without_an_index_the_start_is_random() {
+    let starts: Vec<f64> = (0..50).map(|seed| Aperture::new(None, 50, seed).start).collect();
+    assert!(starts.iter().all(|start| (0.0..1.0).contains(start)));
+    assert!(starts.iter().filter(|start| **start < 0.5).count().abs_diff(25) < 15, "{starts:?}");
 }
--- a/crates/decision/src/arrivals.rs
+++ b/crates/decision/src/arrivals.rs
@@ -1,34 +1,35 @@
-//! The arrival of requests: size, age, quota and place in the order of its key.
+//! Registration of requests on arrival: relative size, age, tenant quota and position in the queue of the key.
 
 use crate::balancer::Balancer;
 use crate::interface::RequestDetails;
 use crate::state::Request;
 use crate::types::{ClassId, Milliseconds};
 
-/// The weight of a new work estimate in the mean of its class.
+/// Weight of a new work estimate in the mean of its class.
 const WORK_ESTIMATE_WEIGHT: f64 = 0.03;
-/// The limits of a request's size relative to the mean of its class: estimates may be absurd.
+/// Bounds of a request's size relative to the mean of its class: estimates from clients may be far off.
 const MIN_RELATIVE_SIZE: f64 = 0.1;
 const MAX_RELATIVE_SIZE: f64 = 10.0;
-/// The factor by which the usual time left of a class falls with each request that has less.
+/// Factor by which the typical time left of a class falls with each request that has less time left.
 const TIME_LEFT_DECAY: f64 = 0.99;
 
 impl Balancer {
-    /// Registers a request. One of an unknown class, or with an identifier in use, is ignored.
+    /// Registers a request. A request of an unknown class, or with an identifier in use, is ignored.
     pub(crate) fn learn_request(&mut self, details: &RequestDetails) {
         if details.class.0 >= self.classes.len() || self.requests.contains_key(&details.id) {
             return;
         }
         let relative_size = self.learn_work_estimate(details);
         if !details.is_retry {
-            // A retry storm must not make its group look starved, so retries do not count.
+            // Retries are not counted, otherwise a retry storm would make its group appear to receive too little
+            // service.
             self.classes[details.class.0].arrivals += 1.0;
         }
-        let over_quota = self.take_from_quota(details.tenant);
+        let over_quota = self.deduct_from_quota(details.tenant);
         self.enqueue_for_key(details);
-        // Requests that arrived during a pause may be as old as the pause.
+        // Requests that arrived during a pause may have been waiting since the start of the pause.
         self.retry_budget.receive(self.now - self.paused_for);
-        self.earn_health_checks();
+        self.add_health_check_credit();
         let age = self.learn_time_left(details.class, details.deadline);
         let mut request = Request::new(details.clone(), self.now, relative_size, over_quota);
         request.received_at -= age;
@@ -36,7 +37,7 @@
         self.requests.insert(details.id, request);
     }
 
-    /// Learns the mean work of the class; returns the size of the request relative to it.
+    /// Updates the mean work of the class, and returns the size of the request relative to it.
     fn learn_work_estimate(&mut self, details: &RequestDetails) -> f64 {
         let state = &mut self.classes[details.class.0];
         let Some(work) = details.work.filter(|work| work.is_finite() && *work > 0.0) else { return 1.0 };
@@ -48,15 +49,16 @@
         (work / state.mean_work).clamp(MIN_RELATIVE_SIZE, MAX_RELATIVE_SIZE)
     }
 
-    /// Learns how much time clients of the class usually leave; returns the age of the request. Only one that arrived
-    /// during a pause has an age: as much of the pause as it has less time left than usual.
+    /// Updates the time that clients of the class typically allow, and returns the age of the request. Only a request
+    /// that arrived during a pause has an age: the amount by which its time left is shorter than typical, limited to
+    /// the length of the pause.
     fn learn_time_left(&mut self, class: ClassId, deadline: Milliseconds) -> Milliseconds {
         let was_paused = self.was_paused();
         let state = &mut self.classes[class.0];
         let time_left = deadline - self.now;
-        let age = (state.usual_time_left - time_left).clamp(0.0, self.paused_for);
+        let age = (state.typical_time_left - time_left).clamp(0.0, self.paused_for);
         if !was_paused {
-            state.usual_time_left = time_left.max(TIME_LEFT_DECAY * state.usual_time_left);
+            state.typical_time_left = time_left.max(TIME_LEFT_DECAY * state.typical_time_left);
         }
         age
     }
--- a/crates/decision/src/checkpoint.rs
+++ b/crates/decision/src/checkpoint.rs
@@ -1,50 +1,51 @@
-//! Hands out what was learned, and restores it in the next incarnation of the gateway.
+//! Exports the learned state, and restores it in the next process of the gateway.
 //!
-//! Nothing is judged here, but values that are not finite, lie out of range or do not fit the settings are left out.
+//! The validity of old records is not decided here. Values that are not finite, out of range or inconsistent with the
+//! settings are ignored.
 
 use crate::balancer::Balancer;
 use crate::execution_terms::{MAX_GRANT_FACTOR, MIN_GRANT_FACTOR};
 use crate::learned::{LearnedBand, LearnedClass, LearnedEngine, LearnedFleet, LearnedState};
 use crate::load_levels::{level_index, LEVELS, MAX_LEVEL, MIN_LEVEL};
-use crate::load_reports::MAX_BELIEVED_LOAD;
+use crate::load_reports::MAX_PLAUSIBLE_LOAD;
 use crate::outlier_ejection::{MAX_EJECTION, MAX_SLOWDOWN, MIN_SLOWDOWN, SLOWDOWN_PRIOR};
 use crate::settings::Class;
-use crate::state::{ClassState, Engine, Fleet, LatencyStatistics, SentWork, ThreadTimes, NEVER};
+use crate::state::{ClassState, Engine, Fleet, LatencyStatistics, RecentSend, ThreadTimes, DISTANT_PAST};
 use crate::types::{ClassId, EngineId, Milliseconds, ZoneId};
 use std::ops::RangeInclusive;
 
-/// Bands with fewer samples than this are not handed out.
+/// Bands with fewer samples than this are not exported.
 const MIN_BAND_SAMPLES: f64 = 0.01;
-/// Work, in thread milliseconds, that uses up any slow start budget.
-const WORK_PAST_ANY_BUDGET: Milliseconds = 1e12;
-/// The most ejections in a row that are restored: more do not lengthen the next one.
+/// Work, in thread milliseconds, that exhausts any slow start budget.
+const BUDGET_EXHAUSTING_WORK: Milliseconds = 1e12;
+/// Maximum number of consecutive ejections that is restored: more do not lengthen the next ejection.
 const MAX_RESTORED_EJECTIONS: u32 = 6;
-/// The longest health check, in milliseconds, that is restored as the shortest of a zone.
+/// Maximum duration of a health check, in milliseconds, that is restored as the shortest of a zone.
 const MAX_RESTORED_CHECK: Milliseconds = 60_000.0;
-/// The weight of restored thread times, as a multiple of the prior: attempts from now on soon outweigh them.
+/// Weight of restored thread times, as a multiple of the prior: new attempts soon outweigh them.
 const RESTORED_TIMES_WEIGHT: f64 = 2.0;
-/// Limits of restored sums and counts: past them a record was damaged.
+/// Maximum values of restored sums and counts: a record with a larger value is damaged.
 const MAX_RESTORED_COUNT: f64 = 1e9;
 const MAX_RESTORED_SAMPLES: f64 = 1e6;
 const MAX_RESTORED_WORK: Milliseconds = 1e12;
-/// The least best latency that is restored: a latency is positive.
+/// Minimum best latency that is restored: a latency must be positive.
 const MIN_RESTORED_LATENCY: Milliseconds = 1e-6;
 
 impl Balancer {
-    /// What has been learned so far.
+    /// Returns the state that has been learned so far.
     pub fn learned(&self) -> LearnedState {
         let classes = self.classes.iter().zip(&self.settings.classes);
         let engines = self.engines.iter();
         LearnedState {
             recorded_at: self.now,
             concurrency_limit: self.concurrency_limit(),
-            fleet: self.fleet_learned(),
-            classes: classes.map(|(state, class)| class_learned(state, class)).collect(),
-            engines: engines.map(|(id, engine)| self.engine_learned(id, engine)).collect(),
+            fleet: self.learned_fleet(),
+            classes: classes.map(|(state, class)| learned_class(state, class)).collect(),
+            engines: engines.map(|(id, engine)| self.learned_engine(id, engine)).collect(),
         }
     }
 
-    fn fleet_learned(&self) -> LearnedFleet {
+    fn learned_fleet(&self) -> LearnedFleet {
         let fleet = &self.fleet;
         let zone_name = |zone: &Option<ZoneId>| {
             zone.and_then(|zone| self.settings.zones.get(zone.0)).cloned().unwrap_or_default()
@@ -53,19 +54,19 @@
             own_threads: fleet.mean_own_threads,
             all_threads: fleet.mean_all_threads,
             threads_per_query: fleet.threads_per_query,
-            other_load: fleet.usual_load,
+            other_load: fleet.mean_other_load,
             overloaded_share: fleet.overloaded_share,
             median_slowdown: fleet.median_slowdown,
             speed: 1.0 / fleet.slowdown.clamp(1.0, MAX_SLOWDOWN),
             shortest_health_checks: fleet
                 .shortest_checks
                 .iter()
-                .map(|(zone, took)| (zone_name(zone), *took))
+                .map(|(zone, check_time)| (zone_name(zone), *check_time))
                 .collect(),
         }
     }
 
-    fn engine_learned(&self, id: &EngineId, engine: &Engine) -> LearnedEngine {
+    fn learned_engine(&self, id: &EngineId, engine: &Engine) -> LearnedEngine {
         let ejection_ended_at = engine.ejection.ended_at;
         LearnedEngine {
             id: id.0.to_string(),
@@ -77,31 +78,31 @@
             other_threads: engine.load.other_threads,
             ejected_until: engine.ejection.until,
             ejections: engine.ejection.count,
-            ejection_ended_at: (ejection_ended_at > NEVER).then_some(ejection_ended_at),
+            ejection_ended_at: (ejection_ended_at > DISTANT_PAST).then_some(ejection_ended_at),
             connections_refused_at: engine.connections_refused_at,
-            in_slow_start: self.warmth(engine) < 1.0,
+            in_slow_start: self.capacity_share(engine) < 1.0,
             maybe_in_slow_start: engine.slow_start.start_suspected,
             slow_start_budget_exhausted: false,
         }
     }
 
-    /// Restores records. Classes and engines that are not known are left out.
+    /// Restores learned state. Records of unknown classes and engines are ignored.
     pub(crate) fn restore(&mut self, learned: &LearnedState) {
-        for class_learned in &learned.classes {
+        for learned_class in &learned.classes {
             let classes = &self.settings.classes;
-            let Some(index) = classes.iter().position(|class| class.name == class_learned.name) else {
+            let Some(index) = classes.iter().position(|class| class.name == learned_class.name) else {
                 continue;
             };
-            if classes[index].threads == class_learned.threads {
-                self.restore_class(ClassId(index), class_learned);
+            if classes[index].threads == learned_class.threads {
+                self.restore_class(ClassId(index), learned_class);
             }
         }
         if let Some(limit) = within(learned.concurrency_limit, MIN_LEVEL..=MAX_LEVEL) {
             self.limit_level = level_index(limit);
             self.restore_fleet(&learned.fleet);
         }
-        for engine_learned in &learned.engines {
-            self.restore_engine(engine_learned);
+        for learned_engine in &learned.engines {
+            self.restore_engine(learned_engine);
         }
     }
 
@@ -116,7 +117,7 @@
         restore_value(&mut state.best_latency, from.best_latency, MIN_RESTORED_LATENCY..=max_latency);
         restore_value(&mut state.unloaded_latency, from.unloaded_latency, 0.0..=max_latency);
         restore_value(&mut state.learned_steps, from.control_steps, 0.0..=MAX_RESTORED_COUNT);
-        restore_value(&mut state.usual_time_left, from.time_left, 0.0..=MAX_RESTORED_COUNT);
+        restore_value(&mut state.typical_time_left, from.time_left, 0.0..=MAX_RESTORED_COUNT);
         restore_value(&mut state.mean_work, from.mean_work_estimate, 0.0..=MAX_RESTORED_WORK);
         restore_value(&mut state.arrivals, from.arrivals, 0.0..=MAX_RESTORED_COUNT);
         restore_value(&mut state.runtime, from.runtime, 0.0..=MAX_RESTORED_WORK);
@@ -129,7 +130,7 @@
         restore_value(&mut fleet.mean_own_threads, from.own_threads, 0.0..=MAX_RESTORED_COUNT);
         restore_value(&mut fleet.mean_all_threads, from.all_threads, 0.0..=MAX_RESTORED_COUNT);
         restore_value(&mut fleet.threads_per_query, from.threads_per_query, 0.01..=1e4);
-        restore_value(&mut fleet.usual_load, from.other_load, 0.0..=MAX_BELIEVED_LOAD);
+        restore_value(&mut fleet.mean_other_load, from.other_load, 0.0..=MAX_PLAUSIBLE_LOAD);
         restore_value(&mut fleet.overloaded_share, from.overloaded_share, 0.0..=1.0);
         restore_value(&mut fleet.median_slowdown, from.median_slowdown, 1.0..=MAX_SLOWDOWN);
         for (name, shortest) in &from.shortest_health_checks {
@@ -144,7 +145,7 @@
     fn restore_engine(&mut self, from: &LearnedEngine) {
         let now = self.now;
         let Some(engine) = self.engines.get_mut(&EngineId(from.id.as_str().into())) else { return };
-        // What was learned in this incarnation is newer than any record.
+        // State learned by this process is newer than any record.
         if engine.confirmed_at.is_some() {
             return;
         }
@@ -152,30 +153,33 @@
         engine.slowdown = within(from.slowdown, MIN_SLOWDOWN..=MAX_SLOWDOWN).unwrap_or(1.0);
         engine.thread_times = thread_times_of(engine.slowdown);
         engine.error_rate = within(from.error_rate, 0.0..=1.0).unwrap_or(engine.error_rate);
-        engine.load.other_threads = within(from.other_threads, 0.0..=MAX_BELIEVED_LOAD * engine.cores)
+        engine.load.other_threads = within(from.other_threads, 0.0..=MAX_PLAUSIBLE_LOAD * engine.cores)
             .unwrap_or(engine.load.other_threads);
         engine.load.last_report_at = past(from.reported_at);
         engine.ejection.count = from.ejections.min(MAX_RESTORED_EJECTIONS);
         let ejected_until = from.ejected_until.filter(|until| until.is_finite());
         engine.ejection.until = ejected_until.map(|until| until.min(now + MAX_EJECTION));
-        engine.ejection.ended_at = past(from.ejection_ended_at).unwrap_or(NEVER);
+        engine.ejection.ended_at = past(from.ejection_ended_at).unwrap_or(DISTANT_PAST);
         engine.connections_refused_at = past(from.connections_refused_at);
         if from.maybe_in_slow_start {
             (engine.slow_start.started_at, engine.slow_start.start_suspected) = (Some(now), true);
         }
         if from.slow_start_budget_exhausted {
-            engine.slow_start.recent_sends.push_back(SentWork { sent_at: now, work: WORK_PAST_ANY_BUDGET });
-            engine.slow_start.recent_work += WORK_PAST_ANY_BUDGET;
+            engine
+                .slow_start
+                .recent_sends
+                .push_back(RecentSend { sent_at: now, work: BUDGET_EXHAUSTING_WORK });
+            engine.slow_start.recent_work += BUDGET_EXHAUSTING_WORK;
         }
     }
 }
 
-/// A value that is finite and within those limits.
+/// Returns the value if it is finite and within the limits.
 fn within(value: f64, limits: RangeInclusive<f64>) -> Option<f64> {
     (value.is_finite() && limits.contains(&value)).then_some(value)
 }
 
-/// Replaces a value by a restored one that is finite and within those limits.
+/// Replaces the value by a restored one if that is finite and within the limits.
 fn restore_value(value: &mut f64, restored: f64, limits: RangeInclusive<f64>) {
     *value = within(restored, limits).unwrap_or(*value);
 }
@@ -188,23 +192,23 @@
     })
 }
 
-/// Thread times that show that slowdown.
+/// Returns thread times that yield the given slowdown.
 fn thread_times_of(slowdown: f64) -> ThreadTimes {
-    let alone = RESTORED_TIMES_WEIGHT * SLOWDOWN_PRIOR;
-    ThreadTimes { taken: (slowdown * (alone + SLOWDOWN_PRIOR) - SLOWDOWN_PRIOR).max(0.0), alone }
+    let unloaded = RESTORED_TIMES_WEIGHT * SLOWDOWN_PRIOR;
+    ThreadTimes { elapsed: (slowdown * (unloaded + SLOWDOWN_PRIOR) - SLOWDOWN_PRIOR).max(0.0), unloaded }
 }
 
-fn class_learned(state: &ClassState, class: &Class) -> LearnedClass {
+fn learned_class(state: &ClassState, class: &Class) -> LearnedClass {
     let bands = state.bands.iter().zip(LEVELS).filter(|(band, _)| band.count > MIN_BAND_SAMPLES);
     LearnedClass {
         name: class.name.clone(),
         threads: class.threads,
         confirmed_at: state.confirmed_at,
-        bands: bands.map(|(band, level)| band_learned(band, level)).collect(),
+        bands: bands.map(|(band, level)| learned_band(band, level)).collect(),
         best_latency: state.best_latency,
         unloaded_latency: state.unloaded_latency,
         control_steps: state.learned_steps,
-        time_left: state.usual_time_left,
+        time_left: state.typical_time_left,
         mean_work_estimate: state.mean_work,
         arrivals: state.arrivals,
         runtime: state.runtime,
@@ -212,7 +216,7 @@
     }
 }
 
-fn band_learned(band: &LatencyStatistics, level: f64) -> LearnedBand {
+fn learned_band(band: &LatencyStatistics, level: f64) -> LearnedBand {
     LearnedBand { level, samples: band.count, mean: band.mean, variance: band.variance }
 }
 
--- a/crates/decision/src/concurrency_limit.rs
+++ b/crates/decision/src/concurrency_limit.rs
@@ -1,35 +1,38 @@
-//! The concurrency limit: how many threads a core all gateways together may run on an engine under pressure.
+//! The concurrency limit: maximum number of threads a core that all gateways together may run on an engine under
+//! pressure.
 
 use crate::balancer::Balancer;
 use crate::latency_model::MIN_TRUSTED_SAMPLES;
 use crate::load_levels::{INITIAL_LIMIT, LEVELS};
 use crate::types::ClassId;
 
-/// Where no limit serves any class, the limit falls to this level: one thread a core.
+/// Index of the level to which the limit falls if no class meets its objective at any level: one thread a core.
 const FALLBACK_LIMIT: usize = 3;
-/// The number of samples, over all classes, that make a level known enough to try the next one.
+/// Minimum number of samples, over all classes, at a level before the next higher level may be chosen.
 const MIN_KNOWN_SAMPLES: f64 = 1.0;
 
 impl Balancer {
-    /// The concurrency limit last chosen, in threads a core over all gateways.
+    /// Returns the last chosen concurrency limit, in threads a core over all gateways.
     pub fn concurrency_limit(&self) -> f64 {
         LEVELS[self.limit_level]
     }
 
-    /// Chooses the limit once latencies are known.
+    /// Chooses the concurrency limit, once enough latency samples have been recorded.
     pub(crate) fn choose_concurrency_limit(&mut self) {
         let mut bands = self.classes.iter().flat_map(|state| &state.bands);
         if !bands.any(|band| band.count >= MIN_TRUSTED_SAMPLES) {
             return;
         }
-        // Where no class meets its objective anywhere, the sums say nothing: engines have collapsed or all are slow,
-        // and fewer threads let some queries end in time. The limit falls by a level each step.
+        // If no class meets its objective at any level, the values of the levels cannot be compared: engines have
+        // collapsed or are all slow, and with fewer threads some queries still end in time. The limit falls by one
+        // level per control step.
         let fallback = FALLBACK_LIMIT.max(self.limit_level.saturating_sub(1));
         self.limit_level = self.best_limit().unwrap_or(fallback);
     }
 
-    /// The level with the highest value: the sum, over classes whose mean latency plus one deviation there is within
-    /// the objective, of recent arrivals by priority weight, times the level. None: no class meets its objective.
+    /// Returns the level with the highest value. The value of a level is the level times the recent arrivals,
+    /// weighted by priority, of the classes whose mean latency plus one standard deviation is within the objective at
+    /// that level. Returns `None` if no class meets its objective at any level.
     fn best_limit(&self) -> Option<usize> {
         let mut best = None;
         let mut best_value = 0.0;
@@ -43,15 +46,15 @@
         best
     }
 
-    /// The level after the highest one with recent samples. Latencies past it are guesses, and past its peak an engine
-    /// collapses.
+    /// Returns the level after the highest one with recent samples. Latencies at higher levels are extrapolated, and
+    /// an engine collapses beyond its maximum throughput.
     fn highest_candidate(&self) -> usize {
         let samples = |level: usize| self.classes.iter().map(|state| state.bands[level].count).sum::<f64>();
         let highest_known = (0..LEVELS.len()).rev().find(|level| samples(*level) >= MIN_KNOWN_SAMPLES);
         highest_known.map_or(0, |level| level + 1).max(INITIAL_LIMIT)
     }
 
-    /// The recent arrivals, by priority weight, of the classes that meet their objective at a level.
+    /// Returns the recent arrivals, weighted by priority, of the classes that meet their objective at a level.
     fn weight_served_at(&self, level: f64) -> f64 {
         let meets_objective = |class: &ClassId| {
             let latency = self.latency_at(*class, level);
--- a/crates/decision/src/data_set_areas/tests.rs
+++ b/crates/decision/src/data_set_areas/tests.rs
@@ -5,24 +5,28 @@
     (0..count).map(|i| EngineId(format!("s-{i:05}").as_str().into()).stable_hash()).collect()
 }
 
-fn weights(area: u64, engines: &[u64], is_load: bool) -> Vec<f64> {
-    engines.iter().map(|engine| preference(DataSet(area), *engine, is_load)).collect()
+fn weights(data_set: u64, engines: &[u64], is_load: bool) -> Vec<f64> {
+    engines.iter().map(|engine| preference(DataSet(data_set), *engine, is_load)).collect()
 }
 
-/// Of the queries that are spread by the weights, how many in a hundred meet on one engine.
-fn meetings(readers: &[f64], loads: &[f64]) -> f64 {
+/// Returns the percentage of pairs of a reader and a load, distributed by these weights, that are sent to the same
+/// engine.
+fn shared_engine_percentage(readers: &[f64], loads: &[f64]) -> f64 {
     let (all_readers, all_loads): (f64, f64) = (readers.iter().sum(), loads.iter().sum());
     readers.iter().zip(loads).map(|(r, l)| 100.0 * r / all_readers * l / all_loads).sum()
 }
 
 #[test]
-fn readers_of_an_area_and_its_loads_seldom_meet() {
+fn readers_and_loads_of_a_data_set_rarely_share_an_engine() {
     let engines = engines(8);
     let even = vec![1.0; 8];
     let mean = |loads: &dyn Fn(u64) -> Vec<f64>| {
-        (0..200).map(|area| meetings(&weights(area, &engines, false), &loads(area))).sum::<f64>() / 200.0
+        (0..200)
+            .map(|data_set| shared_engine_percentage(&weights(data_set, &engines, false), &loads(data_set)))
+            .sum::<f64>()
+            / 200.0
     };
-    let (apart, unordered) = (mean(&|area| weights(area, &engines, true)), mean(&|_| even.clone()));
+    let (apart, unordered) = (mean(&|data_set| weights(data_set, &engines, true)), mean(&|_| even.clone()));
     assert!(
         apart < unordered / 2.0,
         "{apart:.1} in a hundred meet, {unordered:.1} without an order of the loads"
@@ -30,21 +34,21 @@
 }
 
 #[test]
-fn over_all_areas_every_engine_has_its_even_part() {
+fn over_all_data_sets_every_engine_has_an_even_share() {
     let engines = engines(8);
     for is_load in [false, true] {
-        let mut parts = vec![0.0; engines.len()];
-        for area in 0..2_000 {
-            let weights = weights(area, &engines, is_load);
+        let mut shares = vec![0.0; engines.len()];
+        for data_set in 0..2_000 {
+            let weights = weights(data_set, &engines, is_load);
             let all: f64 = weights.iter().sum();
-            parts.iter_mut().zip(&weights).for_each(|(part, weight)| *part += weight / all / 2_000.0);
+            shares.iter_mut().zip(&weights).for_each(|(share, weight)| *share += weight / all / 2_000.0);
         }
-        assert!(parts.iter().all(|part| (0.1..0.15).contains(part)), "{parts:?}");
+        assert!(shares.iter().all(|share| (0.1..0.15).contains(share)), "{shares:?}");
     }
 }
 
 #[test]
-fn no_engine_is_out_of_reach() {
+fn every_engine_has_at_least_the_minimum_weight() {
     let engines = engines(500);
     for is_load in [false, true] {
         let weights = weights(7, &engines, is_load);
--- a/crates/decision/src/decide.rs
+++ b/crates/decision/src/decide.rs
@@ -1,11 +1,11 @@
-//! The decision cycle of a gateway. Its events and actions are in `interface.rs`; read those first.
+//! The decision cycle of a gateway. `interface.rs` defines its events and actions.
 //!
-//! A cycle learns from all events, then decides once: [`Balancer::run_cycle`] calls `learn` for each event, and `decide`.
-//! Each decision has a module of its own; this one holds the order in which they run.
+//! [`Balancer::run_cycle`] first processes all events with `learn`, then runs `decide` once. Each decision has a
+//! module of its own; this module defines the order in which they run.
 //!
 //! - Every attempt is sent by `dispatch`, which checks the rules first; every final answer is given by `admission`.
-//! - The order of the steps, of random draws and of sums is part of the behaviour: a day replayed with the same seed
-//!   and events yields the same actions.
+//! - The order of the steps, of random draws and of sums is part of the behaviour: replaying the same events
+//!   with the same seed yields the same actions.
 
 pub use crate::balancer::Balancer;
 
@@ -23,18 +23,20 @@
 use crate::types::Milliseconds;
 use std::collections::BTreeMap;
 
-/// The interval of timers while requests are open, in the shortest cycles: most cycles are run for other events.
+/// Interval of timers while requests are open, as a multiple of the minimum decision interval: most cycles are
+/// triggered by other events.
 const CYCLES_PER_TIMER: f64 = 4.0;
-/// The longest interval of timers while requests are open.
+/// Maximum interval of timers while requests are open.
 const MAX_BUSY_TIMER: Milliseconds = 20.0;
-/// Timers run this much ahead of the next one that is due, as they may come late by a part of a millisecond.
+/// Time by which the recorded due time of a timer precedes its actual one, because timers may fire late by a fraction
+/// of a millisecond.
 const TIMER_SLACK: Milliseconds = 0.5;
 
 impl Balancer {
-    /// A gateway that knows nothing but its settings.
+    /// Creates the decision state of a gateway that has learned nothing yet.
     ///
     /// # Errors
-    /// The settings are not usable, see [`Settings::check`].
+    /// Returns an error if the settings are not usable, see [`Settings::check`].
     pub fn new(settings: Settings, now: Milliseconds) -> Result<Self, SettingsError> {
         settings.check()?;
         Ok(Self {
@@ -63,7 +65,7 @@
         })
     }
 
-    /// Runs a decision cycle: learns from the events, then decides once and appends what is to be done to `actions`.
+    /// Runs a decision cycle: processes all events, then decides once and appends the resulting actions to `actions`.
     pub fn run_cycle(&mut self, now: Milliseconds, events: &[Event], actions: &mut Vec<Action>) {
         self.measure_pause(now);
         for event in events {
@@ -72,17 +74,18 @@
         self.decide(actions);
     }
 
-    /// The number of requests that are still remembered.
+    /// Returns the number of requests for which state is held.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// The number of engines that are still remembered.
+    /// Returns the number of engines for which state is held.
     pub fn known_engines(&self) -> usize {
         self.engines.len()
     }
 
-    /// Requests that could not be sent in the cycle that received them or ended their last attempt, by class and reason.
+    /// Returns the number of requests that could not be sent in the cycle that received them or ended their last
+    /// attempt, by class and reason.
     pub fn waits(&self) -> &[[u64; BlockReason::COUNT]] {
         &self.waits
     }
@@ -90,7 +93,7 @@
     fn learn(&mut self, event: &Event) {
         match event {
             Event::EndpointListReceived { complete, members } => self.learn_members(*complete, members),
-            Event::EndpointPollFailed => self.resubscribe_soon(),
+            Event::EndpointPollFailed => self.schedule_resubscription(),
             Event::Request(details) => self.learn_request(details),
             Event::Outcome { id, attempt, engine, outcome, elapsed, request_finished, work, report } => {
                 self.learn_report(engine, report.as_ref(), None);
@@ -116,7 +119,7 @@
                 if let Some(request) = self.requests.get_mut(id) {
                     request.closed = true;
                 }
-                self.forget_if_done(*id);
+                self.discard_if_done(*id);
             }
             Event::StateRestored(learned) => self.restore(learned),
             Event::ProcessCount(count) => {
@@ -136,41 +139,41 @@
         self.manage_running_attempts(actions);
         self.place_waiting_requests(actions);
         self.retry_budget.forget(self.now, CONTROL_PERIOD);
-        self.forget_idle_keys();
+        self.discard_idle_keys();
         self.set_timer(actions);
     }
 
-    /// Updates all averages, then the limit and the groups that follow from them.
+    /// Updates all averages, then the concurrency limit and the deferred group, which depend on them.
     fn run_control_step(&mut self) {
         self.decay_class_statistics();
         self.refill_quotas();
         let load = self.sum_fleet_load();
-        self.renew_engine_averages();
+        self.update_engine_averages();
         self.decay_unreported_load(load.own_threads);
         self.update_fleet_share(&load);
         self.aperture.update(&mut self.engines, self.fleet.share, false);
         self.update_fleet_averages(&load);
         self.measure_slowdowns();
         self.learn_best_latencies();
-        self.forget_removed_engines();
+        self.discard_removed_engines();
         self.count_overdue_attempts();
         self.choose_concurrency_limit();
         self.choose_deferred_group();
     }
 
-    /// Advances the averages of each engine by a control step.
-    fn renew_engine_averages(&mut self) {
+    /// Advances the averages of each engine by one control step.
+    fn update_engine_averages(&mut self) {
         let now = self.now;
         for engine in self.engines.values_mut() {
-            engine.renew_slow_start_budget(now, self.settings.overload_collapse_after, &mut self.rng);
+            engine.update_slow_start_budget(now, self.settings.overload_collapse_after, &mut self.rng);
             engine.decay_outlier_statistics();
             engine.expire_locks(now);
-            engine.renew_load(now, self.fleet.usual_load);
+            engine.update_load(now, self.fleet.mean_other_load);
         }
     }
 
-    /// Starts a timer unless one runs that is due soon enough. An idle gateway's timers are slow: a request that
-    /// comes with little time left needs one sooner.
+    /// Starts a timer unless one that is due soon enough is already running. An idle gateway uses a long timer; a
+    /// request that arrives with little time left needs a shorter one.
     fn set_timer(&mut self, actions: &mut Vec<Action>) {
         let after = if self.requests.is_empty() {
             CONTROL_PERIOD
--- a/crates/decision/src/dispatch.rs
+++ b/crates/decision/src/dispatch.rs
@@ -1,22 +1,24 @@
-//! Dispatch: the rules that every attempt keeps, and the one place that sends.
+//! Dispatch: checks the rules that apply to every attempt, and sends attempts. No other module sends.
 
 use crate::balancer::Balancer;
 use crate::interface::Action;
 use crate::permission::send::{may_repeat, EarlierAttempt};
-use crate::retries_and_hedging::MIN_PATIENCE;
-use crate::state::{Attempt, Engine, Request, SentWork};
+use crate::retries_and_hedging::MIN_OVERDUE_AFTER;
+use crate::state::{Attempt, Engine, RecentSend, Request};
 use crate::types::{Availability, ClassId, DataSet, EngineId, RequestId};
 
-/// An attempt is sent only while this many cycles remain until its deadline.
+/// An attempt is sent only while at least this number of minimum decision intervals remains until its deadline.
 const CYCLES_BEFORE_DEADLINE: f64 = 2.0;
-/// Deviations past the mean latency at which an attempt is overdue.
-const PATIENCE_DEVIATIONS: f64 = 2.0;
-/// The least relative size that patience is scaled by: estimates of small queries are inexact.
-const MIN_PATIENCE_SIZE: f64 = 0.5;
+/// Number of standard deviations above the mean latency after which an attempt is overdue.
+const OVERDUE_DEVIATIONS: f64 = 2.0;
+/// Minimum relative size that the time until an attempt is overdue is scaled by: estimates of small queries are
+/// inexact.
+const MIN_OVERDUE_RELATIVE_SIZE: f64 = 0.5;
 
 impl Balancer {
-    /// Whether the rules allow to send the request to that engine now: the request is open, the engine accepts work and is
-    /// one of those that the class may use, attempts are within their limits, and there is time left.
+    /// Returns whether the rules allow the request to be sent to that engine now: the request is open, the engine
+    /// accepts work and may run the class, the limits on attempts and retries are not reached, earlier requests of
+    /// the key have ended, the slow start budget allows it, and enough time remains.
     pub(crate) fn rules_allow(&self, request: &Request, engine: &Engine) -> bool {
         let class = self.class_of(request);
         let member = &engine.member;
@@ -34,7 +36,7 @@
             && self.slow_start_budget_allows(request, engine)
     }
 
-    /// Whether the idempotency of the class allows the engine after the attempts so far.
+    /// Returns whether the idempotency of the class allows an attempt on the engine after the earlier attempts.
     fn may_repeat_on(&self, request: &Request, engine: &Engine) -> bool {
         let earlier = request
             .may_have_run()
@@ -74,21 +76,21 @@
         let threads = self.settings.classes[class.0].threads;
         let load_level = (engine.load.all_threads() + threads) / engine.cores;
         let latency = self.latency_at(class, load_level);
-        let patience = (latency.mean + PATIENCE_DEVIATIONS * latency.deviation).max(MIN_PATIENCE)
-            * request.relative_size.max(MIN_PATIENCE_SIZE);
+        let overdue_after = (latency.mean + OVERDUE_DEVIATIONS * latency.deviation).max(MIN_OVERDUE_AFTER)
+            * request.relative_size.max(MIN_OVERDUE_RELATIVE_SIZE);
         let placement = engine.member.placement();
-        Attempt::new(engine.member.engine.clone(), placement, self.now, load_level, patience)
+        Attempt::new(engine.member.engine.clone(), placement, self.now, load_level, overdue_after)
     }
 
-    /// Counts a new attempt in the load of its engine.
+    /// Adds a new attempt to the load of its engine.
     fn occupy_engine(&mut self, engine: &EngineId, class: ClassId, data: Option<DataSet>) {
-        let work = self.usual_work(class);
+        let work = self.expected_work(class);
         let class_settings = &self.settings.classes[class.0];
         let Some(engine) = self.engines.get_mut(engine) else { return };
         engine.load.own_threads += class_settings.threads;
         self.fleet.own_threads += class_settings.threads;
         engine.load.in_flight += 1.0;
-        engine.slow_start.recent_sends.push_back(SentWork { sent_at: self.now, work });
+        engine.slow_start.recent_sends.push_back(RecentSend { sent_at: self.now, work });
         engine.slow_start.recent_work += work;
         if let Some(data) = data.filter(|_| class_settings.is_load) {
             *engine.own_loads.entry(data).or_default() += 1;
--- a/crates/decision/src/execution_terms.rs
+++ b/crates/decision/src/execution_terms.rs
@@ -1,36 +1,38 @@
-//! Execution terms: the priority and the memory grant of a request at its engine.
+//! Execution terms: the priority and the memory grant with which an engine executes a request.
 
 use crate::balancer::Balancer;
 use crate::interface::Action;
 use crate::state::{ClassState, Engine, Request, RuntimeGroup};
 use crate::types::{ClassId, RequestId};
 
-/// The least memory granted, as a multiple of the estimate: too little memory costs far more work than too much.
+/// Minimum memory grant, as a multiple of the estimate: too little memory costs far more work than too much.
 pub(crate) const MIN_GRANT_FACTOR: f64 = 1.6;
-/// The most memory granted, as a multiple of the estimate.
+/// Maximum memory grant, as a multiple of the estimate.
 pub(crate) const MAX_GRANT_FACTOR: f64 = 2.0 * MIN_GRANT_FACTOR;
-/// The factor by which grants of a class rise with each query that spills.
+/// Factor by which the grants of a class rise with each query that spills.
 const GRANT_RISE: f64 = 1.03;
-/// The factor by which grants of a class fall with each attempt. Never under the least: not every engine reports spills.
+/// Factor by which the grants of a class fall with each attempt, down to the minimum. The minimum is needed because
+/// not every engine reports spills.
 const GRANT_FALL: f64 = 0.999;
 
-/// The priority where engines heed none.
+/// Priority where engines do not honour priorities.
 const DEFAULT_PRIORITY: u8 = 1;
-/// The priority of what is late already.
+/// Priority of requests that are late already.
 const LATE_PRIORITY: u8 = 0;
-/// The priority of classes with long runtimes.
+/// Priority of classes with long runtimes.
 const LONG_PRIORITY: u8 = 1;
-/// The priority of classes with short runtimes, and of loads.
+/// Priority of classes with short runtimes, and of loads.
 const TOP_PRIORITY: u8 = 3;
 
 impl Balancer {
-    /// The priority of a request: short queries first, and what is late last, so that few runaway queries do not hold
-    /// up the many.
+    /// Returns the priority of a request: high for short queries and lowest for late ones, so that a few runaway
+    /// queries do not delay many others.
     pub(crate) fn priority(&self, request: &Request) -> u8 {
         if !self.settings.supports_priorities {
             return DEFAULT_PRIORITY;
         }
-        // All that reads the data set of a load waits there until it ends, and keeps its memory.
+        // All queries that read the data set of a load wait on the engine until the load ends, and hold their memory
+        // meanwhile.
         if self.class_of(request).is_load {
             return TOP_PRIORITY;
         }
@@ -43,7 +45,7 @@
         }
     }
 
-    /// The memory to grant a request on an engine, in MB; 0: the engine chooses.
+    /// Returns the memory to grant a request on an engine, in MB; 0: the engine chooses.
     pub(crate) fn memory_grant_mb(&self, request: &Request, engine: &Engine) -> f64 {
         let estimate = request.details.memory_mb;
         let Some(estimate) =
@@ -55,7 +57,7 @@
         (estimate * self.class_state_of(request).grant_factor).min(max_grant)
     }
 
-    /// Sets the terms of a request, if they changed.
+    /// Sets memory grant and priority of a request, and emits an action if they changed.
     pub(crate) fn set_terms(
         &mut self,
         id: RequestId,
--- a/crates/decision/src/fleet_load.rs
+++ b/crates/decision/src/fleet_load.rs
@@ -1,35 +1,36 @@
-//! The load of the fleet as a whole, and this gateway's share of it.
+//! Load of the fleet as a whole, and this gateway's share of it.
 
 use crate::balancer::Balancer;
 use crate::types::{Availability, Milliseconds};
 
-/// The weight that the past keeps each control step in the means behind this gateway's share: about ten seconds.
+/// Weight that earlier values keep in each control step in the means from which this gateway's share is computed: an
+/// averaging time of about ten seconds.
 const SHARE_DECAY: f64 = 0.99;
-/// The weight of a control step in the mean number of threads of a query.
+/// Weight of a control step in the mean number of threads of a query.
 const THREADS_PER_QUERY_WEIGHT: f64 = 0.02;
-/// Arrivals added to each class, so that none weighs nothing.
+/// Number of arrivals added to each class, so that no class has zero weight.
 const PRIOR_ARRIVALS: f64 = 0.1;
-/// This gateway's share is at least an even one divided by this.
+/// Divisor of an even share that gives the minimum share of this gateway.
 const MAX_SHARE_SHORTFALL: f64 = 4.0;
 
 /// Sums over the engines that accept work.
 pub(crate) struct FleetLoad {
-    /// Threads of this gateway's attempts.
+    /// Number of threads of this gateway's attempts.
     pub(crate) own_threads: f64,
-    /// This gateway's attempts in flight.
+    /// Number of this gateway's attempts in flight.
     in_flight: f64,
-    /// Threads of other gateways.
+    /// Number of threads of other gateways.
     other_threads: f64,
-    /// Effective cores.
+    /// Number of effective cores.
     cores: f64,
-    /// Ages of the last reports, weighted by the share in which engines lie in the aperture.
+    /// Sum of the ages of the last reports, weighted by the share of each engine that lies in the aperture.
     report_ages: Milliseconds,
-    /// The sum of these weights.
+    /// Sum of these weights.
     aperture_shares: f64,
 }
 
 impl Balancer {
-    /// Sums up the engines that accept work.
+    /// Returns the sums over the engines that accept work.
     pub(crate) fn sum_fleet_load(&self) -> FleetLoad {
         let mut load = FleetLoad {
             own_threads: 0.0,
@@ -53,8 +54,8 @@
         load
     }
 
-    /// Updates this gateway's share of all running threads. Until more was measured it is an even share, at one thread
-    /// a core: hundreds of gateways that start at once all measure little.
+    /// Updates this gateway's share of all running threads. It starts from an even share at one thread a core,
+    /// because the first measurements of hundreds of gateways that start at the same time would all be low.
     pub(crate) fn update_fleet_share(&mut self, load: &FleetLoad) {
         let even_share = 1.0 / self.settings.gateways as f64;
         let fleet = &mut self.fleet;
@@ -71,7 +72,7 @@
         fleet.share = share.clamp(even_share / MAX_SHARE_SHORTFALL, 1.0);
     }
 
-    /// Updates the mean age of reports, and how long and on how many threads a usual query runs.
+    /// Updates the mean age of reports, the mean run time of a thread, and the mean number of threads of a query.
     pub(crate) fn update_fleet_averages(&mut self, load: &FleetLoad) {
         self.fleet.report_age = load.report_ages / (load.aperture_shares + 1.0);
         let (mut work, mut threads) = (0.0, 0.0);
--- a/crates/decision/src/health_checks.rs
+++ b/crates/decision/src/health_checks.rs
@@ -1,38 +1,39 @@
-//! Health checks: engines that were silent for a while are checked, at a pace that follows this gateway's own traffic.
-//! Hundreds of idle gateways so cost the engines nothing.
+//! Health checks: engines that have sent no load report for a while are checked, at a rate proportional to this
+//! gateway's own traffic. Hundreds of idle gateways therefore cause no load on the engines.
 
 use crate::balancer::Balancer;
 use crate::interface::Action;
 use crate::settings::Settings;
-use crate::state::{Engine, NEVER};
+use crate::state::{Engine, DISTANT_PAST};
 use crate::types::Milliseconds;
 
 /// An engine that reported its load or was checked within this time is not checked.
 const MIN_SILENCE: Milliseconds = 400.0;
-/// The most health checks that are saved up.
+/// Maximum number of health checks that can be accumulated.
 const MAX_CREDIT: f64 = 16.0;
-/// The share of a request's priority weight that may be spent on health checks.
+/// Share of a request's priority weight that may be spent on health checks.
 const SPENDING_SHARE: f64 = 0.01;
 
-/// The health checks that may be sent before the first request.
+/// Returns the number of health checks that may be sent before the first request.
 pub(crate) fn initial_credit(settings: &Settings) -> f64 {
     MAX_CREDIT * credit_per_request(settings)
 }
 
-/// The health checks that each request pays for, at most one.
+/// Returns the number of health checks that each request adds, at most one.
 fn credit_per_request(settings: &Settings) -> f64 {
     (SPENDING_SHARE / settings.health_check_cost.max(0.0)).min(1.0)
 }
 
 impl Balancer {
-    /// Earns the health checks that a request pays for.
-    pub(crate) fn earn_health_checks(&mut self) {
+    /// Adds the health checks that a received request allows.
+    pub(crate) fn add_health_check_credit(&mut self) {
         let max_credit = MAX_CREDIT.max(self.health_check_credit);
         let earned = self.health_check_credit + credit_per_request(&self.settings);
         self.health_check_credit = earned.min(max_credit);
     }
 
-    /// Checks the engines in the aperture that were silent, the longest silent first, as far as there is credit.
+    /// Checks the engines in the aperture that have been silent, those silent for longest first, as far as the credit
+    /// allows.
     pub(crate) fn check_health(&mut self, actions: &mut Vec<Action>) {
         if !self.settings.may_check_health || self.health_check_credit < 1.0 {
             return;
@@ -54,7 +55,7 @@
     }
 }
 
-/// When an engine was last checked or last reported its load.
+/// Returns the time at which an engine was last checked or last reported its load, whichever is later.
 fn silent_since(engine: &Engine) -> Milliseconds {
-    engine.checked_at.max(engine.load.last_report_at.unwrap_or(NEVER))
+    engine.checked_at.max(engine.load.last_report_at.unwrap_or(DISTANT_PAST))
 }
--- a/crates/decision/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -1,5 +1,5 @@
-//! What goes into the decision module and what comes out of it: events and actions, with their types.
-//! No decision is taken here. All points in time and durations are milliseconds.
+//! Input and output of the decision module: events and actions, with their types. This module takes no decisions. All
+//! points in time and durations are in milliseconds.
 
 pub use crate::settings::{
     Class, Idempotency, MachineType, RetryBudgetSettings, Scope, Settings, SettingsError, Tenant,
@@ -9,22 +9,22 @@
     RequestId, TenantId, ZoneId,
 };
 
-/// The load that an engine reports. Figures may be late, noisy or absurd; each may be missing.
+/// Load report of an engine. Each figure may be delayed, inaccurate, implausible or missing.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LoadReport {
-    /// Queries that run or wait there.
+    /// Number of queries that run or wait at the engine.
     pub inflight: Option<f64>,
-    /// Queries waiting for memory.
+    /// Number of queries at the engine that wait for memory.
     pub queue: Option<f64>,
-    /// Share of cores in use, from 0 to 1.
+    /// Share of the engine's cores in use, from 0 to 1.
     pub util: Option<f64>,
-    /// Share of memory granted, from 0 to 1.
+    /// Share of the engine's memory that is granted, from 0 to 1.
     pub memory: Option<f64>,
-    /// Share of disk time in use, from 0 to 1.
+    /// Share of the engine's disk time in use, from 0 to 1.
     pub disks: Option<f64>,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// The engine answered with a result.
@@ -33,136 +33,137 @@
     Error,
     /// The engine was full and rejected the attempt without running it.
     Full,
-    /// No answer in time; the attempt may still be running.
+    /// The engine did not answer before the timeout; the attempt may still be running.
     Timeout,
     /// The connection was refused; the attempt did not run.
     ConnectFailed,
     /// The connection broke; the attempt may have run.
     Reset,
-    /// The gateway cancelled it; the attempt may have run.
+    /// The gateway cancelled the attempt; it may have run.
     Cancelled,
-    /// It was never sent.
+    /// The attempt was never sent.
     NotExecuted,
 }
 
-/// A request as received.
+/// A request as it was received.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RequestDetails {
-    /// Its identifier.
+    /// Identifier of the request.
     pub id: RequestId,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// Its tenant.
+    /// Tenant that sent the request, if known.
     pub tenant: Option<TenantId>,
-    /// The key that orders it, in ordered classes.
+    /// Key that determines the order of requests, in ordered classes.
     pub key: Option<OrderKey>,
-    /// The deadline: when the client stops waiting.
+    /// Deadline of the request: time at which the client stops waiting.
     pub deadline: Milliseconds,
-    /// The estimate of its work, if any.
+    /// Estimate of the request's work, if the client sent one.
     pub work: Option<Milliseconds>,
-    /// The estimate of its memory in MB, if any.
+    /// Estimate of the memory that the request needs, in MB, if the client sent one.
     pub memory_mb: Option<f64>,
-    /// The data set that it reads or loads.
+    /// Data set that the request reads or loads, if stated.
     pub data: Option<DataSet>,
-    /// The client marked it as a retry.
+    /// The client marked the request as a retry.
     pub is_retry: bool,
 }
 
-/// The state of a running attempt, as its engine reports it.
+/// State of a running attempt, as its engine reports it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ProgressUpdate {
-    /// The share of the work that is done, from 0 to 1.
+    /// Completed share of the attempt's work, from 0 to 1.
     Progress(f64),
-    /// It spills to disk for want of so many MB of memory.
+    /// The attempt spills to disk because it lacks this amount of memory, in MB.
     Spill(f64),
-    /// It waits for memory.
+    /// The attempt waits for memory.
     WaitsForMemory,
-    /// It waits for a load that holds its data set there.
+    /// The attempt waits for a load that locks its data set on this engine.
     WaitsForLoad,
 }
 
-/// What happened: the input of a decision cycle.
+/// Event: input of a decision cycle.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// The endpoint list arrived, complete or as changes.
+    /// The endpoint list was received, complete or as changes.
     EndpointListReceived {
-        /// Whether the list is complete: engines that it does not name were removed.
+        /// True if the list is complete: engines that it does not contain have been removed.
         complete: bool,
-        /// The entries.
+        /// Entries of the list.
         members: Vec<Member>,
     },
-    /// A poll of the endpoint list failed, or the subscription broke.
+    /// A poll of the endpoint list failed, or the subscription was interrupted.
     EndpointPollFailed,
     /// A request was received.
     Request(RequestDetails),
-    /// A timer expired; it carries the token of its [`Action::Timer`].
+    /// A timer expired; the value is the token of its [`Action::Timer`].
     Timer(u64),
     /// An attempt ended.
     Outcome {
-        /// Its request.
+        /// Request that the attempt belongs to.
         id: RequestId,
-        /// Its number, from 0.
+        /// Number of the attempt within the request, from 0.
         attempt: u32,
-        /// The engine that it was sent to.
+        /// Engine that the attempt was sent to.
         engine: EngineId,
-        /// How it ended.
+        /// Outcome of the attempt.
         outcome: Outcome,
-        /// Time since the send.
+        /// Time from the send to the outcome.
         elapsed: Milliseconds,
         /// The request has its final answer.
         request_finished: bool,
-        /// Its true work, where the engine reports it.
+        /// Actual work of the query, if the engine reports it.
         work: Option<Milliseconds>,
-        /// The engine's load report, if one came with the outcome.
+        /// The engine's load report, if the outcome includes one.
         report: Option<LoadReport>,
     },
     /// An engine sent a progress update of a running attempt.
     ProgressUpdate {
-        /// Its request.
+        /// Request that the attempt belongs to.
         id: RequestId,
-        /// Its number.
+        /// Number of the attempt within the request, from 0.
         attempt: u32,
-        /// The update.
+        /// State that the engine reports.
         update: ProgressUpdate,
     },
-    /// A streamed answer began: timeouts no longer apply.
+    /// The engine started to stream its answer: timeouts no longer apply.
     Streaming {
-        /// Its request.
+        /// Request that the attempt belongs to.
         id: RequestId,
     },
     /// A health check ended.
     HealthChecked {
         /// The engine.
         engine: EngineId,
-        /// Whether the engine answered.
+        /// True if the engine answered.
         ok: bool,
-        /// Time since the health check was sent.
+        /// Time from the start of the health check to its end.
         elapsed: Milliseconds,
-        /// Its load report.
+        /// Load report of the engine, if the answer includes one.
         report: Option<LoadReport>,
     },
-    /// The client disconnected or cancelled the request: no answer is pending any more.
+    /// The client disconnected or cancelled the request: no answer is to be sent any more.
     ClientDisconnected(RequestId),
-    /// Bytes from another gateway.
+    /// Message received from another gateway.
     Peer(Vec<u8>),
-    /// The number of processes of this gateway that run now.
+    /// Number of processes of this gateway that are running now.
     ProcessCount(u32),
-    /// What an earlier incarnation learned, as far as it still holds; its engines are in the list already.
+    /// State that an earlier process of this gateway learned, as far as it is still valid. The endpoint list with its
+    /// engines has been received before.
     StateRestored(Box<crate::learned::LearnedState>),
 }
 
-/// Why a request cannot be sent now. Of all engines, the one that came furthest in the order of these
-/// reasons decides.
+/// Reason why a request cannot be sent now. If engines were excluded for different reasons, the last one in this
+/// order is reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum BlockReason {
     /// The endpoint list is empty.
     NoEngine,
     /// The engine is ejected, has just rejected an attempt as full, or failed this request before.
     Unavailable,
-    /// A rule: placement, retries, one attempt in flight, the maximum of attempts, the deadline, the retry
-    /// budget, the order of a key.
+    /// A rule forbids it: placement, idempotency, one attempt in flight, the maximum number of attempts, the
+    /// deadline, the retry budget, or the order of requests with the same key.
     Rules,
-    /// The engine is in slow start, and its budget is spent.
+    /// The engine is in slow start, and its budget is exhausted.
     SlowStart,
     /// The engine reports that it is busy, and the concurrency limit is reached.
     Busy,
@@ -170,7 +171,7 @@
     Crowded,
     /// The engine is slow, and the concurrency limit is reached.
     Slow,
-    /// This gateway's share of the concurrency limit over all engines is used up.
+    /// This gateway's share of the concurrency limit over all engines is exhausted.
     FleetShare,
     /// The client's deadline has passed.
     Deadline,
@@ -179,10 +180,10 @@
 }
 
 impl BlockReason {
-    /// The number of reasons.
+    /// Number of reasons.
     pub const COUNT: usize = BlockReason::Late as usize + 1;
 
-    /// All reasons, in their order.
+    /// All reasons, in the order of their discriminants.
     pub const ALL: [BlockReason; BlockReason::COUNT] = [
         BlockReason::NoEngine,
         BlockReason::Unavailable,
@@ -196,7 +197,7 @@
         BlockReason::Late,
     ];
 
-    /// The name in counts and logs.
+    /// Returns the name of the reason in counters and logs.
     pub fn name(self) -> &'static str {
         match self {
             BlockReason::NoEngine => "no engine",
@@ -213,7 +214,7 @@
     }
 }
 
-/// What the gateway is to do: the output of a decision cycle.
+/// Operation that the gateway must perform: output of a decision cycle.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Sends a request to an engine.
@@ -222,44 +223,44 @@
         id: RequestId,
         /// The engine.
         engine: EngineId,
-        /// The timeout of the attempt; 0: the client's deadline.
+        /// Timeout of the attempt; 0: the client's deadline applies.
         timeout: Milliseconds,
     },
     /// Rejects a request; the client may retry it without harm.
     Reject {
         /// The request.
         id: RequestId,
-        /// How long the client should wait before it retries; 0: not stated.
+        /// Time that the client should wait before it retries; 0: not stated.
         retry_after: Milliseconds,
-        /// Why it was not sent.
+        /// Reason why the request was not sent.
         reason: BlockReason,
     },
-    /// Fails a request; whether it ran is not known.
+    /// Answers a request with a failure: it is not known whether the request ran.
     Fail {
         /// The request.
         id: RequestId,
     },
     /// Cancels an attempt.
     Cancel {
-        /// Its request.
+        /// Request that the attempt belongs to.
         id: RequestId,
-        /// Its number, from 0.
+        /// Number of the attempt within the request, from 0.
         attempt: u32,
     },
     /// Sets the memory grant and the priority of a request, for its next attempt and those in flight.
     Terms {
-        /// Its request.
+        /// Request that the attempt belongs to.
         id: RequestId,
-        /// Memory grant for further attempts; 0: the engine chooses.
+        /// Memory grant for further attempts, in MB; 0: the engine chooses.
         memory_mb: f64,
-        /// From 0, the lowest, to 3.
+        /// Priority, from 0 (lowest) to 3.
         priority: u8,
     },
-    /// Starts a timer that ends in an [`Event::Timer`].
+    /// Starts a timer whose expiry is reported by an [`Event::Timer`].
     Timer {
-        /// How long from now.
+        /// Time from now until the timer expires.
         after: Milliseconds,
-        /// Returned with the event.
+        /// Token that the event returns.
         token: u64,
     },
     /// Subscribes to changes of the endpoint list.
--- a/crates/decision/src/latency_model.rs
+++ b/crates/decision/src/latency_model.rs
@@ -1,4 +1,5 @@
-//! The latency model: how long queries of a class take at each level of load, and what follows from it for a request.
+//! The latency model: estimates the latency of each class at each level of load, and derives latency figures for a
+//! request from it.
 
 use crate::balancer::Balancer;
 use crate::interface::Outcome;
@@ -6,32 +7,32 @@
 use crate::state::{ClassState, EndedAttempt, Request};
 use crate::types::{ClassId, Milliseconds};
 
-/// The least weight of a new sample in a band or mean: about thirty samples are remembered.
+/// Minimum weight of a new sample in a band or mean: an averaging window of about thirty samples.
 const SAMPLE_WEIGHT: f64 = 0.03;
-/// The factor by which a band's sample count falls each control step: old bands give way to new outcomes.
+/// Factor applied to a band's sample count in each control step, so that new samples replace old ones.
 const BAND_DECAY: f64 = 0.99;
-/// The factor by which arrivals and runtimes fall each control step: about ten seconds are remembered.
+/// Factor applied to arrivals and runtimes in each control step: an averaging window of about ten seconds.
 const RECENT_DECAY: f64 = 0.99;
-/// The number of samples from which a band's own mean and deviation are trusted.
+/// Minimum number of samples from which a band's own mean and deviation are used.
 pub(crate) const MIN_TRUSTED_SAMPLES: f64 = 4.0;
-/// Deviations past the mean at which a sample is cut off, so that runaway queries do not dominate.
+/// Number of standard deviations above the mean at which a sample is capped, so that runaway queries do not dominate.
 const MAX_DEVIATIONS: f64 = 4.0;
-/// The least deviation for that cut, as a share of the mean.
+/// Minimum standard deviation used for that cap, as a share of the mean.
 const MIN_DEVIATION_SHARE: f64 = 0.5;
-/// The number of samples that the prior latency counts as.
+/// Number of samples that the prior latency counts as.
 const PRIOR_SAMPLES: f64 = 1.0;
-/// The latency before any outcome, as a share of the class's latency objective.
+/// Assumed latency before any outcome, as a share of the class's latency objective.
 pub(crate) const INITIAL_LATENCY_SHARE: f64 = 0.4;
-/// The load, in threads a core, at which the best latency is read: engines are not slowed down there.
+/// Load, in threads a core, at which the best latency is estimated: engines are not slowed down at this load.
 pub(crate) const BEST_LATENCY_LEVEL: f64 = LEVELS[2];
-/// The weight of a control step in the best latency while it falls ...
+/// Weight of a control step in the best latency while it falls ...
 const BEST_LATENCY_FALL: f64 = 0.05;
-/// ... and while it rises: far less, else a long overload is taken for the best there is.
+/// ... and while it rises: far less, otherwise the latency under a long overload would become the best latency.
 const BEST_LATENCY_RISE: f64 = 0.005;
-/// The number of samples in a band from which the best latency is learned.
+/// Minimum number of samples in a band from which the best latency is learned.
 const MIN_SAMPLES_FOR_BEST: f64 = 1.0;
 
-/// The latency of a class at a level of load.
+/// Estimated latency of a class at a load.
 #[derive(Clone, Copy)]
 pub(crate) struct LatencyEstimate {
     pub(crate) mean: Milliseconds,
@@ -39,8 +40,9 @@
 }
 
 impl Balancer {
-    /// Mean and deviation of a class's latency at a load in threads a core. All bands contribute, the nearest most, so
-    /// a band without samples leans on its neighbours. Between bands, latency is taken to grow in proportion to load.
+    /// Returns mean and standard deviation of a class's latency at a load in threads a core. All bands contribute,
+    /// the nearest ones most, so a band without samples is estimated from its neighbours. Between bands, latency is
+    /// assumed to be proportional to load above one thread a core.
     pub(crate) fn latency_at(&self, class: ClassId, load: f64) -> LatencyEstimate {
         let level = level_index(load);
         let objective = self.settings.classes[class.0].latency_objective;
@@ -60,7 +62,7 @@
         LatencyEstimate { mean: mean / weights, deviation: (variance / weights).sqrt() }
     }
 
-    /// The latency objective of a request of that relative size.
+    /// Returns the latency objective of a request of that class and relative size.
     pub(crate) fn latency_objective(&self, class: ClassId, relative_size: f64) -> Milliseconds {
         let class_settings = &self.settings.classes[class.0];
         let best_latency = self.classes[class.0].best_latency;
@@ -69,33 +71,36 @@
             .min(class_settings.client_timeout)
     }
 
-    /// Whether the latency objective of a request has passed.
+    /// Returns whether the latency objective of a request has passed.
     pub(crate) fn is_late(&self, request: &Request) -> bool {
         let objective = self.latency_objective(request.details.class, request.relative_size);
         self.now - request.received_at > objective
     }
 
-    /// How long a request takes on an idle engine.
+    /// Returns the latency of a request on an idle engine.
     pub(crate) fn unloaded_latency(&self, request: &Request) -> Milliseconds {
         unloaded_latency(self.class_state_of(request), request)
     }
 
-    /// How long an ended attempt would have taken on an idle engine: by its reported work, else by the best latency.
+    /// Returns the latency that an ended attempt would have had on an idle engine: from its reported work, otherwise
+    /// from the best latency of the class.
     pub(crate) fn unloaded_latency_of_ended(&self, ended: &EndedAttempt) -> Milliseconds {
         let threads = self.settings.classes[ended.class.0].threads;
         let best_latency = self.classes[ended.class.0].best_latency * ended.relative_size;
         ended.work.map_or(best_latency, |work| work / threads)
     }
 
-    /// The usual work of a class, in thread time; its whole objective before anything was learned.
-    pub(crate) fn usual_work(&self, class: ClassId) -> Milliseconds {
+    /// Returns the expected work of a query of a class, in thread time. Before anything has been learned it is based
+    /// on the whole latency objective.
+    pub(crate) fn expected_work(&self, class: ClassId) -> Milliseconds {
         let (state, class_settings) = (&self.classes[class.0], &self.settings.classes[class.0]);
         let is_learned = state.learned_steps > 0.0;
         class_settings.threads
             * if is_learned { state.best_latency } else { class_settings.latency_objective }
     }
 
-    /// Learns from an ended attempt how long its class runs, and how long a usual query takes on an idle engine.
+    /// Updates the recent runtime of the class, and the latency of an average query on an idle engine, from an ended
+    /// attempt.
     pub(crate) fn learn_runtime(&mut self, ended: &EndedAttempt) {
         let class_settings = &self.settings.classes[ended.class.0];
         let state = &mut self.classes[ended.class.0];
@@ -111,12 +116,12 @@
         };
     }
 
-    /// Takes the latency of an ended attempt as a sample. A timeout counts as a latency of at least that long, except
-    /// where the engine is an outlier or the attempt was counted while it ran.
+    /// Records the latency of an ended attempt as a sample. A timeout counts as a latency of the elapsed time, except
+    /// if the engine is an outlier or the attempt was already sampled while it was overdue.
     pub(crate) fn learn_latency(&mut self, ended: &EndedAttempt, is_outlier: bool) {
         let is_sample = match ended.outcome {
             Outcome::Ok => true,
-            Outcome::Timeout => !ended.counted && !is_outlier,
+            Outcome::Timeout => !ended.sampled && !is_outlier,
             _ => false,
         };
         let is_measure = !self.was_paused() && ended.elapsed.is_finite() && ended.elapsed >= 0.0;
@@ -125,7 +130,7 @@
         }
     }
 
-    /// Adds a latency, at the size of a usual query of its class, at a load in threads a core.
+    /// Adds a latency sample, scaled to a query of average size of its class, at a load in threads a core.
     pub(crate) fn add_sample(&mut self, class: ClassId, load: f64, latency: Milliseconds) {
         let state = &mut self.classes[class.0];
         state.confirmed_at = Some(self.now);
@@ -138,7 +143,7 @@
         band.add(latency.min(max_latency), SAMPLE_WEIGHT);
     }
 
-    /// Lets arrivals, runtimes and sample counts of all classes decay by a control step.
+    /// Decays arrivals, runtimes and sample counts of all classes by one control step.
     pub(crate) fn decay_class_statistics(&mut self) {
         for state in &mut self.classes {
             state.arrivals *= RECENT_DECAY;
@@ -149,7 +154,7 @@
         }
     }
 
-    /// Moves the best latency of each class towards that of an engine under little load.
+    /// Moves the best latency of each class towards its estimated latency on an engine under little load.
     pub(crate) fn learn_best_latencies(&mut self) {
         for index in 0..self.classes.len() {
             let latency = self.latency_at(ClassId(index), BEST_LATENCY_LEVEL).mean;
@@ -164,7 +169,8 @@
     }
 }
 
-/// How long a request takes on an idle engine: by the work that answers report, else by the best latency.
+/// Returns the latency of a request on an idle engine: from the work that answers report, otherwise from the best
+/// latency of the class.
 pub(crate) fn unloaded_latency(state: &ClassState, request: &Request) -> Milliseconds {
     let usual = if state.unloaded_latency > 0.0 { state.unloaded_latency } else { state.best_latency };
     request.relative_size * usual
--- a/crates/decision/src/learned.rs
+++ b/crates/decision/src/learned.rs
@@ -1,119 +1,120 @@
-//! What the decision module has learned, as plain records: handed out by
-//! [`Balancer::learned`](crate::decide::Balancer::learned), and taken back as
-//! [`Event::StateRestored`](crate::interface::Event::StateRestored). Whoever restores records decides how much of an old record
-//! still holds.
+//! Records of the state that the decision module has learned: exported by
+//! [`Balancer::learned`](crate::decide::Balancer::learned) and restored by
+//! [`Event::StateRestored`](crate::interface::Event::StateRestored). The code that restores records decides how much
+//! of an old record is still valid.
 
 use crate::types::Milliseconds;
 
-/// What a gateway has learned and the next incarnation starts from. Points in time are on the clock of the
+/// State that a gateway process has learned and its successor starts from. Points in time are on the clock of the
 /// decision cycles.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LearnedState {
-    /// When the records were made.
+    /// Time at which the records were made.
     pub recorded_at: Milliseconds,
-    /// The concurrency limit last chosen, in threads a core; 0: none.
+    /// Last chosen concurrency limit, in threads a core; 0: none.
     pub concurrency_limit: f64,
-    /// What was learned of all engines together.
+    /// Learned state of all engines together.
     pub fleet: LearnedFleet,
-    /// What was learned by class.
+    /// Learned state by class.
     pub classes: Vec<LearnedClass>,
-    /// What was learned by engine.
+    /// Learned state by engine.
     pub engines: Vec<LearnedEngine>,
 }
 
-/// What was learned of all engines together.
+/// Learned state of all engines together.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LearnedFleet {
-    /// This gateway's threads of late, averaged.
+    /// Recent mean number of this gateway's threads.
     pub own_threads: f64,
-    /// All gateways' threads of late, averaged.
+    /// Recent mean number of threads of all gateways.
     pub all_threads: f64,
-    /// The mean number of threads of a query.
+    /// Mean number of threads of a query.
     pub threads_per_query: f64,
-    /// Threads a core that other gateways run.
+    /// Mean load by other gateways, in threads a core.
     pub other_load: f64,
-    /// The share of engines whose load is far past any limit.
+    /// Share of engines whose load exceeds the highest possible concurrency limit.
     pub overloaded_share: f64,
-    /// The slowdown of the median engine.
+    /// Slowdown of the median engine.
     pub median_slowdown: f64,
-    /// The time that queries take alone, over the time that they take now.
+    /// Ratio of the time that queries take on an idle engine to the time that they take now.
     pub speed: f64,
-    /// The shortest health check by zone; the empty name: engines of no known zone.
+    /// Shortest health check by zone; the empty name stands for engines whose zone is not in the settings.
     pub shortest_health_checks: Vec<(String, Milliseconds)>,
 }
 
-/// Latencies of a class in one band of load.
+/// Latencies of a class in one load band.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LearnedBand {
-    /// The band, in threads a core.
+    /// Load of the band, in threads a core.
     pub level: f64,
-    /// The number of samples, faded.
+    /// Number of samples; decays over time.
     pub samples: f64,
-    /// The mean in milliseconds, of a query of usual size.
+    /// Mean latency in milliseconds, scaled to a query of average size.
     pub mean: Milliseconds,
-    /// The variance in square milliseconds.
+    /// Variance of the latency in square milliseconds.
     pub variance: f64,
 }
 
-/// What was learned of a class.
+/// Learned state of a class.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LearnedClass {
-    /// The name of the class.
+    /// Name of the class.
     pub name: String,
-    /// Threads of a query when this was learned. Latencies do not carry over to another number.
+    /// Number of threads of a query when this was learned. Latencies are not restored for a different number.
     pub threads: f64,
-    /// When the last latency sample was taken.
+    /// Time of the last latency sample.
     pub confirmed_at: Option<Milliseconds>,
-    /// The bands that have samples.
+    /// Load bands that have samples.
     pub bands: Vec<LearnedBand>,
-    /// The lowest mean latency of late.
+    /// Lowest recent mean latency, as expected under little load.
     pub best_latency: Milliseconds,
-    /// The latency of a usual query that runs alone.
+    /// Latency of an average query on an idle engine.
     pub unloaded_latency: Milliseconds,
-    /// The number of control steps over which the best latency was learned.
+    /// Number of control steps in which the best latency was updated.
     pub control_steps: f64,
-    /// The time that clients usually leave from the arrival of a request to its deadline.
+    /// Time from the arrival of a request to its deadline that clients typically allow.
     pub time_left: Milliseconds,
-    /// The mean of the work estimates that came with requests.
+    /// Mean of the work estimates that were received with requests.
     pub mean_work_estimate: f64,
-    /// The recent number of requests, retries left out.
+    /// Recent number of requests without retries.
     pub arrivals: f64,
-    /// The recent sum of the time that attempts ran.
+    /// Recent total elapsed time of attempts.
     pub runtime: f64,
-    /// The memory granted, as a multiple of the estimate.
+    /// Memory grant, as a multiple of the estimate.
     pub grant_factor: f64,
 }
 
-/// What was learned of an engine.
+/// Learned state of an engine.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LearnedEngine {
-    /// The identifier of the engine.
+    /// Identifier of the engine.
     pub id: String,
-    /// When its process started, where the endpoint list states it.
+    /// Time at which the engine's process started, if the endpoint list states it.
     pub started_at: Option<Milliseconds>,
-    /// When an answer, health check or progress update last came from it.
+    /// Time of the last answer, health check or progress update from the engine.
     pub confirmed_at: Option<Milliseconds>,
-    /// When it last reported its load.
+    /// Time of the engine's last load report.
     pub reported_at: Option<Milliseconds>,
-    /// How many times longer than alone queries take there.
+    /// Ratio of the time that queries take on the engine to their time on an idle engine.
     pub slowdown: f64,
-    /// The recent share of failures among outcomes.
+    /// Recent share of failures among outcomes.
     pub error_rate: f64,
-    /// Threads of other gateways there.
+    /// Number of threads of other gateways on the engine.
     pub other_threads: f64,
-    /// When the current ejection ends.
+    /// Time at which the current ejection ends.
     pub ejected_until: Option<Milliseconds>,
-    /// Ejections in a row.
+    /// Number of consecutive ejections.
     pub ejections: u32,
-    /// When the last ejection ended.
+    /// Time at which the last ejection ended.
     pub ejection_ended_at: Option<Milliseconds>,
-    /// When it last refused connections.
+    /// Time at which the engine last refused a connection.
     pub connections_refused_at: Option<Milliseconds>,
-    /// It was in slow start when last seen, stated or suspected.
+    /// The engine was in slow start, stated or suspected, when the record was made.
     pub in_slow_start: bool,
-    /// Set by whoever restores: its process may have restarted unseen, so it counts as in slow start until
-    /// time or answers show otherwise.
+    /// Set by the code that restores the record: the engine's process may have restarted unnoticed, so the engine
+    /// counts as in slow start until enough time has elapsed or answers show otherwise.
     pub maybe_in_slow_start: bool,
-    /// Set by whoever restores: its slow start budget was just used up.
+    /// Set by the code that restores the record: the slow start budget of the engine may just have been exhausted, so
+    /// it counts as used up.
     pub slow_start_budget_exhausted: bool,
 }
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -1,8 +1,10 @@
-//! The decision module. Events go in ([`Event`](interface::Event)), actions come out ([`Action`](interface::Action)):
-//! which engine a request is sent to, whether it is retried, hedged or rejected, which engine is ejected.
+//! The decision module of the gateway. It receives events ([`Event`](interface::Event)) and returns actions
+//! ([`Action`](interface::Action)): which engine a request is sent to, whether it is retried, hedged or rejected, and
+//! which engine is ejected.
 //!
-//! The module does no I/O, reads no clock and knows no wire format; time is passed in with each cycle. [`decide`] holds
-//! the decision cycle and the order of its steps. Below it stands one module for each decision:
+//! The module does no I/O, reads no clock and knows no wire format; each cycle receives the current time as an
+//! argument. [`decide`] contains the decision cycle and the order of its steps. Each decision has a module of its
+//! own:
 //!
 //! | question | module |
 //! | --- | --- |
@@ -10,17 +12,17 @@
 //! | may an attempt be sent | `dispatch`, with [`permission`] and [`retry_budget`] |
 //! | how long may a request wait, and in which order | `queueing`, `tenant_quotas` |
 //! | when is a request rejected | `admission` |
-//! | how much load may an engine have | `concurrency_limit`, by the `latency_model` |
+//! | how much load may an engine have | `concurrency_limit`, using the `latency_model` |
 //! | when is an engine ejected | `outlier_ejection` |
-//! | how fast is a new engine warmed up | `slow_start` |
+//! | how much work may a newly started engine receive | `slow_start` |
 //! | when is a request retried or hedged | `retries_and_hedging`, `running_attempts` |
 //! | when is an engine's health checked | `health_checks` |
-//! | how loaded is an engine, and the fleet | `load_reports`, `fleet_load` |
-//! | which priority and memory does a request get | `execution_terms` |
+//! | how loaded are an engine and the fleet | `load_reports`, `fleet_load` |
+//! | which priority and memory grant does a request receive | `execution_terms` |
 //!
-//! What happens is learned in `arrivals`, `outcomes`, `endpoints` and `process_pauses`; `checkpoint` hands out and
-//! restores what was learned ([`learned`]). `balancer` and `state` hold the state, [`settings`] and [`types`] lie below
-//! all else.
+//! `arrivals`, `outcomes`, `endpoints` and `process_pauses` process events; `checkpoint` exports and restores learned
+//! state ([`learned`]). `balancer` and `state` define the state, and [`settings`] and [`types`] the types that all
+//! other modules use.
 #![forbid(unsafe_code)]
 #![warn(missing_docs, unreachable_pub)]
 
--- a/crates/decision/src/outcomes.rs
+++ b/crates/decision/src/outcomes.rs
@@ -1,4 +1,4 @@
-//! Outcomes and progress of attempts: what each decision learns from them, in a fixed order.
+//! Outcomes and progress updates of attempts: updates all learned state from them, in a fixed order.
 
 use crate::balancer::Balancer;
 use crate::interface::{Outcome, ProgressUpdate};
@@ -7,20 +7,20 @@
 use crate::state::EndedAttempt;
 use crate::types::{Milliseconds, RequestId};
 
-/// The outcome of an attempt, as the event reports it.
+/// Outcome of an attempt, as the event reports it.
 pub(crate) struct AttemptOutcome {
     pub(crate) id: RequestId,
-    /// The number of the attempt, from 0.
+    /// Number of the attempt within the request, from 0.
     pub(crate) attempt: u32,
     pub(crate) outcome: Outcome,
-    /// Time since the send.
+    /// Time from the send to the outcome.
     pub(crate) elapsed: Milliseconds,
-    /// Its true work, where the engine reports it.
+    /// Actual work of the query, if the engine reports it.
     pub(crate) work: Option<Milliseconds>,
 }
 
 impl Balancer {
-    /// Learns the outcome of an attempt. One that is not in flight is ignored.
+    /// Processes the outcome of an attempt. An outcome of an attempt that is not in flight is ignored.
     pub(crate) fn learn_outcome(&mut self, reported: AttemptOutcome) {
         let Some(ended) = self.end_attempt(&reported) else { return };
         self.pause_key(&ended);
@@ -33,10 +33,10 @@
             self.learn_health(&ended, signal);
             self.learn_latency(&ended, was_outlier);
         }
-        self.forget_if_done(ended.request);
+        self.discard_if_done(ended.request);
     }
 
-    /// Marks the attempt as ended. The request waits again from now on if no other attempt is in flight.
+    /// Marks the attempt as ended. If no other attempt is in flight, the request starts waiting for an engine again.
     fn end_attempt(&mut self, reported: &AttemptOutcome) -> Option<EndedAttempt> {
         let request = self.requests.get_mut(&reported.id)?;
         let attempt = request.attempts.get_mut(reported.attempt as usize)?;
@@ -54,7 +54,7 @@
             engine: attempt.engine.clone(),
             sent_at: attempt.sent_at,
             load_level: attempt.load_level,
-            counted: attempt.counted,
+            sampled: attempt.sampled,
             never_ran: attempt.never_ran,
             outcome: reported.outcome,
             elapsed: reported.elapsed,
@@ -66,7 +66,7 @@
         Some(ended)
     }
 
-    /// Takes an ended attempt out of the load of its engine.
+    /// Removes an ended attempt from the load of its engine.
     fn release_engine(&mut self, ended: &EndedAttempt) {
         let class = &self.settings.classes[ended.class.0];
         let Some(engine) = self.engines.get_mut(&ended.engine) else { return };
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Learns from a progress update of an attempt in flight.
+    /// Processes a progress update of an attempt in flight.
     pub(crate) fn learn_progress(&mut self, id: RequestId, attempt: u32, update: ProgressUpdate) {
         let Some(request) = self.requests.get(&id) else { return };
         let Some(attempt) = request.attempts.get(attempt as usize) else { return };
@@ -89,7 +89,7 @@
         if matches!(update, ProgressUpdate::Spill(missing_mb) if missing_mb > 0.0) {
             state.raise_grant_factor();
         }
-        // An engine that reports progress is not silent.
+        // A progress update proves that the engine is responsive.
         let Some(engine) = self.engines.get_mut(&attempt.engine) else { return };
         engine.last_answer_at = self.now;
         engine.confirmed_at = Some(self.now);
--- a/crates/decision/src/outlier_ejection.rs
+++ b/crates/decision/src/outlier_ejection.rs
@@ -1,75 +1,76 @@
-//! Outlier ejection: engines that fail are left out for a while and come back through a trial; engines that no longer
-//! answer, or are slow, are found by the time that their attempts take.
+//! Outlier ejection: failing engines receive no requests for a while, and are used again after a successful trial
+//! request. Engines that no longer answer or are slow are detected by the elapsed time of their attempts.
 
 use crate::balancer::{Balancer, CONTROL_PERIOD};
 use crate::interface::Outcome;
 use crate::latency_model::{unloaded_latency, BEST_LATENCY_LEVEL};
 use crate::load_levels::MAX_LEVEL;
 use crate::settings::Settings;
-use crate::slow_start::AnswerPace;
+use crate::slow_start::AnswerSpeed;
 use crate::state::{ClassState, EndedAttempt, Engine, Request, RuntimeGroup, ThreadTimes};
 use crate::types::{EngineId, Milliseconds, RequestId};
 use std::collections::BTreeMap;
 
-/// The weight of an outcome in the error rate of its engine.
+/// Weight of an outcome in the error rate of its engine.
 const ERROR_WEIGHT: f64 = 0.2;
-/// The factor by which error rates fall each control step.
+/// Factor applied to error rates in each control step.
 const ERROR_RATE_DECAY: f64 = 0.99;
-/// The error rate past which an engine is ejected.
+/// Error rate above which an engine is ejected.
 const MAX_ERROR_RATE: f64 = 0.3;
-/// The length of a first ejection; it doubles with each further one in a row.
+/// Duration of the first ejection; it doubles with each consecutive one.
 const FIRST_EJECTION: Milliseconds = 1000.0;
-/// The longest ejection.
+/// Maximum duration of an ejection.
 pub(crate) const MAX_EJECTION: Milliseconds = 8000.0;
-/// The most times that the length doubles.
+/// Maximum number of times that the duration doubles.
 const MAX_EJECTION_DOUBLINGS: u32 = 6;
-/// An engine without an ejection for this long starts again with the first length.
+/// An engine without an ejection for this time starts again with the first duration.
 const EJECTION_MEMORY: Milliseconds = 4.0 * MAX_EJECTION;
-/// The length of an ejection is multiplied by a random factor: the least one ...
+/// The duration of an ejection is multiplied by a random factor, which is at least this ...
 const MIN_LENGTH_FACTOR: f64 = 0.8;
-/// ... and the width of the range.
+/// ... and exceeds it by at most this.
 const LENGTH_FACTOR_SPREAD: f64 = 0.4;
-/// The time from the end of an ejection to the full share of requests.
+/// Time from the end of an ejection until the engine receives its full share of requests again.
 pub(crate) const RECOVERY_RAMP: Milliseconds = 4000.0;
-/// The time over which thread times are remembered.
+/// Time constant with which thread times decay.
 const SLOWDOWN_MEMORY: Milliseconds = 5000.0;
-/// Thread time that is taken to be as usual, so that a few attempts make no engine slow.
+/// Thread time added at a slowdown of 1 to each engine's sums, so that a few slow attempts do not mark the engine as
+/// slow.
 pub(crate) const SLOWDOWN_PRIOR: Milliseconds = 500.0;
-/// The limits of an engine's slowdown.
+/// Bounds of an engine's slowdown.
 pub(crate) const MIN_SLOWDOWN: f64 = 0.1;
 pub(crate) const MAX_SLOWDOWN: f64 = 10.0;
-/// The weight of a control step in the slowdown without load.
+/// Weight of a control step in the slowdown without load.
 const UNLOADED_SLOWDOWN_WEIGHT: f64 = 0.05;
-/// The most slowdown without load: an engine past it is faulty, whatever slows it down.
+/// Maximum slowdown without load: an engine above it is faulty, for whatever cause.
 const MAX_UNLOADED_SLOWDOWN: f64 = 1.5;
-/// The mean age of reports up to which they show how many threads run.
+/// Maximum mean age of load reports at which they are used to decide whether the fleet is loaded.
 const MAX_TRUSTED_REPORT_AGE: Milliseconds = 500.0;
 
-/// What an outcome shows of the health of its engine.
+/// Information that an outcome gives about the health of its engine.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HealthSignal {
-    /// The engine works.
+    /// The engine answered correctly.
     Success,
     /// The engine failed.
     Failure,
-    /// Nothing.
+    /// The outcome gives no information about the engine's health.
     Neutral,
 }
 
-/// Whether an engine is ejected, or attempts sent there no longer come back.
+/// Returns whether an engine is ejected, or so slow that it is assumed not to answer.
 pub(crate) fn is_outlier(engine: &Engine) -> bool {
     engine.ejection.until.is_some() || engine.slowdown > MAX_LEVEL
 }
 
 impl Engine {
-    /// Lets thread times and error rate decay by a control step.
+    /// Decays thread times and error rate by one control step.
     pub(crate) fn decay_outlier_statistics(&mut self) {
         self.thread_times.decay((-CONTROL_PERIOD / SLOWDOWN_MEMORY).exp());
         self.error_rate *= ERROR_RATE_DECAY;
     }
 
-    /// Ends an ejection whose trial succeeded. The recovery ramp starts now, unless the attempt that succeeded was sent
-    /// before the last ejection ended.
+    /// Ends the engine's ejection after a successful attempt. The recovery ramp starts now, unless the attempt was
+    /// sent before the previous ejection ended.
     fn end_ejection(&mut self, sent_at: Milliseconds, now: Milliseconds) {
         if self.ejection.until.take().is_some() && sent_at > self.ejection.ended_at {
             self.ejection.ended_at = now;
@@ -78,21 +79,21 @@
 }
 
 impl Balancer {
-    /// Adds the time of an ended attempt to those of its engine. An attempt that failed early shows no more than its
-    /// own time.
+    /// Adds the time of an ended attempt to the sums of its engine. For a failed attempt, the time on an idle engine
+    /// is taken as no longer than its elapsed time, because it may have failed early.
     pub(crate) fn learn_thread_times(&mut self, ended: &EndedAttempt) {
         if ended.never_ran || self.was_paused() {
             return;
         }
         let threads = self.settings.classes[ended.class.0].threads;
         let longest = if ended.outcome == Outcome::Ok { f64::INFINITY } else { ended.elapsed };
-        let alone = self.unloaded_latency_of_ended(ended).min(longest);
+        let unloaded = self.unloaded_latency_of_ended(ended).min(longest);
         if let Some(engine) = self.engines.get_mut(&ended.engine) {
-            engine.thread_times.add(ended.elapsed * threads, alone * threads);
+            engine.thread_times.add(ended.elapsed * threads, unloaded * threads);
         }
     }
 
-    /// Learns from an outcome the state of its engine; returns what it shows of the engine's health.
+    /// Updates the state of the engine from an outcome, and returns the resulting signal about its health.
     pub(crate) fn learn_response(&mut self, ended: &EndedAttempt) -> HealthSignal {
         let now = self.now;
         let slowdown = (ended.elapsed / self.unloaded_latency_of_ended(ended).max(1.0))
@@ -104,11 +105,11 @@
                 engine.last_answer_at = now;
                 engine.confirmed_at = Some(now);
                 engine.end_ejection(ended.sent_at, now);
-                let answer = AnswerPace { slowdown, threads };
-                engine.learn_warmth(&answer, now, &self.settings);
+                let answer = AnswerSpeed { slowdown, threads };
+                engine.learn_capacity_share(&answer, now, &self.settings);
                 HealthSignal::Success
             }
-            // A connection that breaks is one failure, however many attempts it carried.
+            // A broken connection counts as one failure, regardless of the number of attempts it carried.
             Outcome::Reset if engine.reset_at == now => HealthSignal::Neutral,
             Outcome::Reset => {
                 engine.reset_at = now;
@@ -119,8 +120,8 @@
                 HealthSignal::Failure
             }
             Outcome::Error => HealthSignal::Failure,
-            // A full engine answers at once and so looks free. Session limits below the concurrency limit show the
-            // same way.
+            // A full engine rejects at once and would therefore appear to have free capacity. A session limit of the
+            // engine below the concurrency limit has the same effect.
             Outcome::Full => {
                 engine.full_at = now;
                 engine.load.is_saturated = true;
@@ -132,9 +133,10 @@
         }
     }
 
-    /// Updates the error rate of an engine, and ejects it if it fails too often, fails its trial or refuses
-    /// connections. Keeps requests from engines that fail fast and so look free, and from dead ones. Does harm where
-    /// errors are the requests' own fault.
+    /// Updates the error rate of an engine, and ejects it if its error rate is too high, its trial fails, or it
+    /// refuses connections. This keeps requests away from unreachable engines, and from engines that fail quickly and
+    /// therefore appear to have free capacity. Disadvantage: errors caused by the requests themselves also eject
+    /// engines.
     pub(crate) fn learn_health(&mut self, ended: &EndedAttempt, signal: HealthSignal) {
         if signal == HealthSignal::Neutral {
             return;
@@ -149,8 +151,8 @@
         }
     }
 
-    /// Ejects an engine, unless it is ejected already and its trial is not due. The length is drawn, so that
-    /// gateways do not all try again at once.
+    /// Ejects an engine, unless it is already ejected and its trial is not yet due. The duration is randomised so
+    /// that gateways do not all send their trials at the same time.
     fn eject(&mut self, engine: &EngineId) {
         let now = self.now;
         let may_eject = |engine: &&mut Engine| engine.ejection.until.is_none_or(|until| until <= now);
@@ -165,8 +167,9 @@
             Some(now + length * (MIN_LENGTH_FACTOR + LENGTH_FACTOR_SPREAD * self.rng.f64()));
     }
 
-    /// Whether an ejected engine may take this request as a trial: one short query after the end of the ejection.
-    pub(crate) fn may_try_again(
+    /// Returns whether an ejected engine may receive this request as a trial: one short query after the end of the
+    /// ejection.
+    pub(crate) fn may_send_trial(
         &self,
         engine: &Engine,
         ejected_until: Milliseconds,
@@ -176,7 +179,9 @@
         self.now >= ejected_until && engine.load.in_flight == 0.0 && is_short
     }
 
-    /// Whether more than half of the engines are ejected. The cause is then shared, and using them beats having none.
+    /// Returns whether more than half of the engines in the aperture are ejected. A common cause is then likely, and
+    /// sending to ejected engines is better than having no engine. Engines that refuse connections are not counted as
+    /// ejected.
     pub(crate) fn most_are_ejected(&self) -> bool {
         let in_aperture = self.engines.values().filter(|engine| engine.is_in_aperture());
         let is_ejected =
@@ -184,36 +189,38 @@
         in_aperture.clone().filter(is_ejected).count() * 2 > in_aperture.count()
     }
 
-    /// Measures how many times longer than alone queries take, on each engine and over all, with the attempts in
-    /// flight. Finds engines that have collapsed: they answer nothing, and their cores, idle while all queries wait for
-    /// disks or memory, report free capacity. Finds slow ones too; engines in slow start take longer anyway.
+    /// Computes the slowdown of each engine and of the fleet, including attempts in flight. This detects collapsed
+    /// engines: they no longer answer, and because all their queries wait for disks or memory, their idle cores are
+    /// reported as free capacity. It also detects slow engines; for engines in slow start a longer time is expected.
     pub(crate) fn measure_slowdowns(&mut self) {
         let in_flight = times_in_flight(&self.requests, &self.classes, &self.settings, self.now);
-        let warmths: Vec<f64> = self.engines.values().map(|engine| self.warmth(engine)).collect();
-        let (mut answering, mut stuck_work) = (ThreadTimes::default(), 0.0);
-        for ((id, engine), warmth) in self.engines.iter_mut().zip(warmths) {
+        let capacity_shares: Vec<f64> =
+            self.engines.values().map(|engine| self.capacity_share(engine)).collect();
+        let (mut responsive, mut stuck_work) = (ThreadTimes::default(), 0.0);
+        for ((id, engine), capacity_share) in self.engines.iter_mut().zip(capacity_shares) {
             let mut times = engine.thread_times;
             if let Some(in_flight) = in_flight.get(id) {
-                times.add(in_flight.taken, in_flight.alone);
+                times.add(in_flight.elapsed, in_flight.unloaded);
             }
             engine.slowdown = times.slowdown(SLOWDOWN_PRIOR).clamp(MIN_SLOWDOWN, MAX_SLOWDOWN);
             if is_outlier(engine) {
-                stuck_work += times.alone;
+                stuck_work += times.unloaded;
             } else {
-                answering.add(times.taken, times.alone / warmth);
+                responsive.add(times.elapsed, times.unloaded / capacity_share);
             }
         }
         let fleet = &mut self.fleet;
-        // A gateway that sends little has measured little, and goes by what engines report.
-        fleet.slowdown = (answering.taken + SLOWDOWN_PRIOR * fleet.usual_load.min(1.0))
-            / (answering.alone + SLOWDOWN_PRIOR);
-        fleet.stuck_share = stuck_work / (stuck_work + answering.alone + SLOWDOWN_PRIOR);
+        // A gateway that sends little has few measurements, so the load that engines report sets the weight of the
+        // prior.
+        fleet.slowdown = (responsive.elapsed + SLOWDOWN_PRIOR * fleet.mean_other_load.min(1.0))
+            / (responsive.unloaded + SLOWDOWN_PRIOR);
+        fleet.stuck_share = stuck_work / (stuck_work + responsive.unloaded + SLOWDOWN_PRIOR);
         self.learn_unloaded_slowdown();
         self.measure_median_slowdown();
     }
 
-    /// Learns how much spills and locks slow queries down without load. Where memory grants are heeded few queries
-    /// spill, and reports decide whether there is load.
+    /// Updates the slowdown that spills and locks cause without load. Where engines honour memory grants few queries
+    /// spill, and load reports decide whether there is load.
     fn learn_unloaded_slowdown(&mut self) {
         let fleet = &mut self.fleet;
         let is_load_known =
@@ -225,7 +232,8 @@
         }
     }
 
-    /// The slowdown of the median engine. When all are slow the cause is shared: none is then slow against the others.
+    /// Computes the slowdown of the median engine. If all engines are slow the cause is shared, and no engine is slow
+    /// in relation to the others.
     fn measure_median_slowdown(&mut self) {
         let mut slowdowns: Vec<f64> = self.engines.values().map(|engine| engine.slowdown).collect();
         slowdowns.sort_by(f64::total_cmp);
@@ -234,7 +242,7 @@
     }
 }
 
-/// The thread times so far of the attempts in flight, by engine.
+/// Returns the elapsed thread times of the attempts in flight, by engine.
 fn times_in_flight<'a>(
     requests: &'a BTreeMap<RequestId, Request>,
     classes: &[ClassState],
@@ -244,10 +252,11 @@
     let mut times: BTreeMap<&EngineId, ThreadTimes> = BTreeMap::new();
     for request in requests.values() {
         let class = request.details.class.0;
-        let (alone, threads) = (unloaded_latency(&classes[class], request), settings.classes[class].threads);
+        let (unloaded, threads) =
+            (unloaded_latency(&classes[class], request), settings.classes[class].threads);
         for attempt in request.attempts.iter().filter(|attempt| attempt.in_flight) {
-            let taken = now - attempt.sent_at;
-            times.entry(&attempt.engine).or_default().add(taken * threads, taken.min(alone) * threads);
+            let elapsed = now - attempt.sent_at;
+            times.entry(&attempt.engine).or_default().add(elapsed * threads, elapsed.min(unloaded) * threads);
         }
     }
     times
--- a/crates/decision/src/permission/close.rs
+++ b/crates/decision/src/permission/close.rs
@@ -1,55 +1,55 @@
-//! Whether this gateway may close a client's connection.
+//! Conditions under which this gateway may close a client's connection.
 
-/// The state of a connection.
+/// State of a client connection that decides whether it may be closed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CloseConditions {
-    /// The number of its requests that have no final answer.
+    /// Number of requests on the connection that have no final answer.
     pub open_requests: usize,
-    /// The number of bytes in the write queue.
+    /// Number of bytes in the connection's write queue.
     pub unwritten: usize,
-    /// The number of bytes that were read and belong to an incomplete message.
+    /// Number of bytes that were read and belong to an incomplete message.
     pub incomplete: usize,
-    /// The number of bytes in the socket that were not read.
+    /// Number of bytes that the socket has received and the gateway has not read.
     pub unread: usize,
 }
 
-/// Why a connection stays open.
+/// Reason why a connection must stay open.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeepReason {
-    /// A request has no final answer.
+    /// A request on the connection has no final answer.
     RequestOpen,
-    /// An answer is not written completely.
+    /// An answer has not been written completely.
     Unwritten,
-    /// A message was read in part.
+    /// A message has been read only in part.
     Incomplete,
-    /// Bytes were received and not read: they may be a request.
+    /// Bytes have been received but not read; they may contain a request.
     Unread,
 }
 
-/// Whether an idle connection may be closed.
+/// Checks whether an idle connection may be closed.
 ///
 /// # Errors
-/// The first reason against it.
-pub fn may_close(facts: &CloseConditions) -> Result<(), KeepReason> {
-    may_close_mid_message(facts)?;
-    if facts.incomplete > 0 {
+/// Returns the first reason why the connection must stay open.
+pub fn may_close(conditions: &CloseConditions) -> Result<(), KeepReason> {
+    may_close_mid_message(conditions)?;
+    if conditions.incomplete > 0 {
         return Err(KeepReason::Incomplete);
     }
     Ok(())
 }
 
-/// Whether a connection may be closed whose client stopped sending within a message.
+/// Checks whether a connection may be closed after its client stopped sending in the middle of a message.
 ///
 /// # Errors
-/// The first reason against it.
-pub fn may_close_mid_message(facts: &CloseConditions) -> Result<(), KeepReason> {
-    if facts.open_requests > 0 {
+/// Returns the first reason why the connection must stay open.
+pub fn may_close_mid_message(conditions: &CloseConditions) -> Result<(), KeepReason> {
+    if conditions.open_requests > 0 {
         return Err(KeepReason::RequestOpen);
     }
-    if facts.unwritten > 0 {
+    if conditions.unwritten > 0 {
         return Err(KeepReason::Unwritten);
     }
-    if facts.unread > 0 {
+    if conditions.unread > 0 {
         return Err(KeepReason::Unread);
     }
     Ok(())
--- a/crates/decision/src/permission/counters.rs
+++ b/crates/decision/src/permission/counters.rs
@@ -1,34 +1,35 @@
-//! Counters of refusals, and of the violations among them.
+//! Counters of refused sends, and of the violations among them.
 
 use super::send::SendRefusal;
 use std::cell::Cell;
 use std::collections::BTreeMap;
 
-/// Counters since the start of the process.
+/// Number of refused sends since the start of the process, by reason.
 #[derive(Debug, Default)]
 pub struct RuleCounters {
     refused: [Cell<u64>; SendRefusal::ALL.len()],
 }
 
 impl RuleCounters {
-    /// Counts an attempt that was not sent for that reason.
+    /// Counts an attempt that was not sent because of `refusal`.
     pub fn count(&self, refusal: SendRefusal) {
         let cell = &self.refused[refusal as usize];
         cell.set(cell.get() + 1);
     }
 
-    /// The number of attempts that were not sent for that reason.
+    /// Returns the number of attempts that were not sent because of `refusal`.
     pub fn refused(&self, refusal: SendRefusal) -> u64 {
         self.refused[refusal as usize].get()
     }
 
-    /// The number of violations, see [`SendRefusal::is_violation`]. All were caught before anything was sent.
+    /// Returns the number of violations, see [`SendRefusal::is_violation`]. Each was detected before anything was
+    /// sent.
     pub fn violations(&self) -> u64 {
         let violations = SendRefusal::ALL.iter().filter(|refusal| refusal.is_violation());
         violations.map(|refusal| self.refused(*refusal)).sum()
     }
 
-    /// The counters that are not zero, by the name of the reason.
+    /// Returns the counters that are not zero, by the name of the reason.
     pub fn by_name(&self) -> BTreeMap<&'static str, u64> {
         let all = SendRefusal::ALL.iter().map(|refusal| (refusal.name(), self.refused(*refusal)));
         all.filter(|(_, count)| *count > 0).collect()
--- a/crates/decision/src/permission/list_lease.rs
+++ b/crates/decision/src/permission/list_lease.rs
@@ -1,12 +1,12 @@
-//! The lease of the endpoint list: until when the list counts as recent enough to send new work by it. It is checked at
-//! each send.
+//! The lease of the endpoint list: new work may be sent only while the list was confirmed recently enough. The lease
+//! is checked before each send.
 
 use crate::interface::Milliseconds;
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The end of the lease, shared by the reducer, which sets it, and the writers. A gateway whose list needs no confirmation
-/// has a lease without end.
+/// Time at which the lease ends, shared by the reducer, which sets it, and the writers. A gateway whose list needs no
+/// confirmation has a lease that never ends.
 #[derive(Debug, Clone)]
 pub struct ListLease(Rc<Cell<Milliseconds>>);
 
@@ -17,17 +17,17 @@
 }
 
 impl ListLease {
-    /// Sets the end of the lease.
+    /// Sets the time at which the lease ends.
     pub fn set(&self, until: Milliseconds) {
         self.0.set(until);
     }
 
-    /// The end of the lease.
+    /// Returns the time at which the lease ends.
     pub fn until(&self) -> Milliseconds {
         self.0.get()
     }
 
-    /// Whether the lease holds at that time.
+    /// Returns whether the lease is valid at `now`.
     pub fn is_valid(&self, now: Milliseconds) -> bool {
         now < self.0.get()
     }
--- a/crates/decision/src/permission/mod.rs
+++ b/crates/decision/src/permission/mod.rs
@@ -1,9 +1,9 @@
-//! Whether something may be done now, with one module for each question: may this attempt be sent ([`send`]), may this
-//! connection be closed ([`close`]), may this process exit ([`process`]). Every code path calls these functions: the
-//! reducer when an attempt starts, and the writer again when its first byte leaves.
+//! Checks that guard irreversible operations, one module each: sending an attempt ([`send`]), closing a connection
+//! ([`close`]) and exiting the process ([`process`]). Every code path uses these functions: the reducer when an
+//! attempt starts, and the writer again before it writes the first byte.
 //!
-//! All are pure functions of plain facts. [`counters`] counts refusals, and among them violations: attempts that the
-//! reducer should not have started, and that the second check caught.
+//! All checks are pure functions of their arguments. [`counters`] counts refusals, and among them violations:
+//! attempts that the reducer should not have started and that the writer's check stopped.
 
 pub mod close;
 pub mod counters;
--- a/crates/decision/src/permission/process.rs
+++ b/crates/decision/src/permission/process.rs
@@ -1,17 +1,17 @@
-//! Whether a process that is shutting down may exit.
+//! Condition under which a process that is shutting down may exit.
 
-/// The state of a process that is shutting down.
+/// State of a process that is shutting down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ShutdownConditions {
-    /// The window for new requests is over, and every request has its final answer.
+    /// The window for new requests has expired, and every request has its final answer.
     pub requests_finished: bool,
-    /// No client is connected, and no connection is pending or can arrive.
+    /// No client is connected, no connection is pending, and none can be received.
     pub no_connections: bool,
-    /// The window for closing connections is over as well.
+    /// The window in which clients may close their connections has expired.
     pub close_window_expired: bool,
 }
 
-/// Whether the process may exit. It never exits with an open request, which has a deadline of its own.
-pub fn may_exit(facts: &ShutdownConditions) -> bool {
-    facts.requests_finished && (facts.no_connections || facts.close_window_expired)
+/// Returns whether the process may exit. It never exits with an open request; each request has its own deadline.
+pub fn may_exit(conditions: &ShutdownConditions) -> bool {
+    conditions.requests_finished && (conditions.no_connections || conditions.close_window_expired)
 }
--- a/crates/decision/src/permission/send.rs
+++ b/crates/decision/src/permission/send.rs
@@ -1,32 +1,32 @@
-//! Whether an attempt may be sent, and whether a request may be rejected.
+//! Conditions under which an attempt may be sent and a request may be rejected.
 
 use super::list_lease::ListLease;
 use crate::interface::{Idempotency, Milliseconds, Outcome, Placement};
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Why an attempt may not be sent now.
+/// Reason why an attempt may not be sent now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SendRefusal {
-    /// The request is answered, or its client has disconnected or cancelled it.
+    /// The request has its final answer, or its client has disconnected or cancelled it.
     RequestFinished,
-    /// The endpoint list is older than the rule on drains allows: the engine may be draining by now.
+    /// The endpoint list is older than the drain rule allows: the engine may have started draining since.
     ListExpired,
-    /// The engine is draining, was removed, or has no address.
+    /// The engine is draining, has been removed from the list, or has no address.
     EngineNotLive,
     /// The deadline of the attempt has passed.
     DeadlinePassed,
-    /// The engines may have forgotten the idempotency key by now.
+    /// The deduplication window may have expired: engines may no longer recognise the idempotency key.
     DeduplicationWindowExpired,
-    /// Another attempt is in flight.
+    /// Another attempt of the request is in flight.
     AnotherInFlight,
-    /// An earlier attempt may have run, and the class does not allow another.
+    /// An earlier attempt may have run, and the class does not allow a repetition on this engine.
     MayNotRepeat,
-    /// The request has used its maximum of attempts.
+    /// The request has reached the maximum number of attempts.
     MaxAttemptsReached,
-    /// The retry budget of this gateway is used up.
+    /// The retry budget of this gateway is exhausted.
     RetryBudgetExhausted,
-    /// The attempt has ended already, but was still in the write queue.
+    /// The attempt ended while it was still in the write queue.
     Revoked,
 }
 
@@ -45,45 +45,46 @@
         Self::Revoked,
     ];
 
-    /// The name in logs.
+    /// Returns the name of the reason in logs.
     pub fn name(self) -> &'static str {
         match self {
-            Self::RequestFinished => "request over",
+            Self::RequestFinished => "request finished",
             Self::ListExpired => "list expired",
             Self::EngineNotLive => "engine not live",
-            Self::DeadlinePassed => "deadline over",
-            Self::DeduplicationWindowExpired => "window over",
+            Self::DeadlinePassed => "deadline passed",
+            Self::DeduplicationWindowExpired => "deduplication window expired",
             Self::AnotherInFlight => "another in flight",
             Self::MayNotRepeat => "may not repeat",
-            Self::MaxAttemptsReached => "attempts spent",
-            Self::RetryBudgetExhausted => "retry budget spent",
+            Self::MaxAttemptsReached => "maximum number of attempts reached",
+            Self::RetryBudgetExhausted => "retry budget exhausted",
             Self::Revoked => "revoked",
         }
     }
 
-    /// Whether the refusal shows a fault of this program: no outside event explains it, so the caller should not have
-    /// tried to send.
+    /// Returns whether the refusal indicates a fault of this program: no external event explains it, so the caller
+    /// should not have tried to send.
     pub fn is_violation(self) -> bool {
         matches!(self, Self::AnotherInFlight | Self::MayNotRepeat | Self::MaxAttemptsReached | Self::Revoked)
     }
 }
 
-/// Whether an outcome proves that an attempt never ran.
+/// Returns whether the outcome proves that the attempt never ran.
 pub fn never_ran(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::NotExecuted)
 }
 
-/// An earlier attempt of the request that may have run, or may run still.
+/// An earlier attempt of the request that may have run or may still be running.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EarlierAttempt {
-    /// When it was sent.
+    /// Time at which the attempt was sent.
     pub sent_at: Milliseconds,
-    /// The zone and the cell of its engine.
+    /// Zone and cell of the attempt's engine.
     pub placement: Placement,
 }
 
-/// Whether a request may be sent to an engine at `placement` after these attempts, which may have run. A request with an
-/// idempotency key is sent again only to engines in the scope of the key, and only within its window.
+/// Returns whether a request may be sent to an engine at `placement` after the attempts in `earlier`, which may have
+/// run. A request with an idempotency key is sent again only to engines in the scope of the key, and only within its
+/// deduplication window.
 pub fn may_repeat(
     idempotency: Idempotency,
     mut earlier: impl Iterator<Item = EarlierAttempt>,
@@ -98,59 +99,59 @@
     }
 }
 
-/// Whether a request may be rejected. A rejection states that a retry is harmless, so it must not be used where the request
-/// may have run and must not run twice.
+/// Returns whether a request may be rejected. A rejection states that a retry is harmless, so it must not be used
+/// where the request may have run and must not run twice.
 pub fn may_reject(idempotency: Idempotency, may_have_run: bool) -> bool {
     idempotency.allows_retry_anywhere() || !may_have_run
 }
 
-/// The state of an attempt that is about to be sent.
+/// State of an attempt that is about to be sent.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SendConditions {
     /// The request has no final answer yet, and its client is connected.
     pub request_open: bool,
-    /// The endpoint list is recent enough.
+    /// The lease of the endpoint list is valid.
     pub list_reliable: bool,
     /// The engine is in the list, accepts new work and has an address.
     pub engine_live: bool,
-    /// The current time.
+    /// Current time.
     pub now: Milliseconds,
-    /// The attempt's deadline.
+    /// Deadline of the attempt.
     pub deadline: Milliseconds,
-    /// The time by which a request with an idempotency key must be sent.
+    /// Time by which a request with an idempotency key must be sent, because its deduplication window ends then.
     pub send_by: Milliseconds,
-    /// The number of other attempts of the request in flight.
+    /// Number of other attempts of the request in flight.
     pub in_flight: usize,
-    /// The settings allow several attempts in flight at once.
+    /// The settings allow several attempts of one request in flight at once.
     pub may_hedge: bool,
     /// The class allows this attempt after the earlier ones, see [`may_repeat`].
     pub may_repeat: bool,
-    /// The number of attempts of the request before this one.
+    /// Number of earlier attempts of the request.
     pub attempts: usize,
-    /// The maximum of attempts of a request.
+    /// Maximum number of attempts of a request.
     pub max_attempts: usize,
 }
 
-/// Whether an attempt may be sent now.
+/// Checks whether an attempt may be sent now.
 ///
 /// # Errors
-/// The first reason against it.
-pub fn may_send(facts: &SendConditions) -> Result<(), SendRefusal> {
+/// Returns the first reason why the attempt may not be sent.
+pub fn may_send(conditions: &SendConditions) -> Result<(), SendRefusal> {
     let refusals = [
-        (!facts.request_open, SendRefusal::RequestFinished),
-        (!facts.list_reliable, SendRefusal::ListExpired),
-        (!facts.engine_live, SendRefusal::EngineNotLive),
-        (facts.now >= facts.deadline, SendRefusal::DeadlinePassed),
-        (facts.now >= facts.send_by, SendRefusal::DeduplicationWindowExpired),
-        (facts.in_flight > 0 && !facts.may_hedge, SendRefusal::AnotherInFlight),
-        (!facts.may_repeat, SendRefusal::MayNotRepeat),
-        (facts.attempts >= facts.max_attempts, SendRefusal::MaxAttemptsReached),
+        (!conditions.request_open, SendRefusal::RequestFinished),
+        (!conditions.list_reliable, SendRefusal::ListExpired),
+        (!conditions.engine_live, SendRefusal::EngineNotLive),
+        (conditions.now >= conditions.deadline, SendRefusal::DeadlinePassed),
+        (conditions.now >= conditions.send_by, SendRefusal::DeduplicationWindowExpired),
+        (conditions.in_flight > 0 && !conditions.may_hedge, SendRefusal::AnotherInFlight),
+        (!conditions.may_repeat, SendRefusal::MayNotRepeat),
+        (conditions.attempts >= conditions.max_attempts, SendRefusal::MaxAttemptsReached),
     ];
     refusals.iter().find(|(holds, _)| *holds).map_or(Ok(()), |(_, refusal)| Err(*refusal))
 }
 
-/// Permission to write one attempt. It ends with the attempt, and is suspended while the endpoint list is not recent
-/// enough. The writer checks it when the first byte leaves.
+/// Permission to write one attempt to an engine connection. It is revoked when the attempt ends, and does not hold
+/// while the lease of the endpoint list has expired. The writer checks it before it writes the first byte.
 #[derive(Debug, Clone, Default)]
 pub struct SendPermit {
     revoked: Rc<Cell<bool>>,
@@ -158,20 +159,20 @@
 }
 
 impl SendPermit {
-    /// A permit for an attempt on an engine of the endpoint list with that lease.
+    /// Creates a permit for an attempt to an engine of the endpoint list that has the lease `list_lease`.
     pub fn new(list_lease: ListLease) -> Self {
         Self { revoked: Rc::default(), list_lease }
     }
 
-    /// Revokes the permit: the attempt has ended, and nothing of it may be written any more.
+    /// Revokes the permit when the attempt has ended: no more of it may be written.
     pub fn revoke(&self) {
         self.revoked.set(true);
     }
 
-    /// Whether the attempt may be written now.
+    /// Checks whether the attempt may be written now.
     ///
     /// # Errors
-    /// The reason against it.
+    /// Returns the reason why the attempt may not be written.
     pub fn check(&self, now: Milliseconds) -> Result<(), SendRefusal> {
         if self.revoked.get() {
             return Err(SendRefusal::Revoked);
--- a/crates/decision/src/permission/tests.rs
+++ b/crates/decision/src/permission/tests.rs
@@ -6,7 +6,7 @@
 use crate::interface::{Idempotency, Outcome, Placement, Scope};
 use rstest::rstest;
 
-const FACTS: SendConditions = SendConditions {
+const CONDITIONS: SendConditions = SendConditions {
     request_open: true,
     list_reliable: true,
     engine_live: true,
@@ -20,36 +20,39 @@
     max_attempts: 3,
 };
 
-/// An engine of no known zone in that cell.
+/// Returns the placement of an engine in that cell whose zone is not in the settings.
 fn cell(cell: u64) -> Placement {
     Placement { zone: None, cell }
 }
 
 #[test]
-fn attempt_with_nothing_against_it_is_sent() {
-    assert_eq!(may_send(&FACTS), Ok(()));
+fn attempt_that_meets_all_conditions_may_be_sent() {
+    assert_eq!(may_send(&CONDITIONS), Ok(()));
 }
 
 #[rstest]
-#[case::client_gone(SendConditions { request_open: false, ..FACTS }, SendRefusal::RequestFinished)]
-#[case::list_too_old(SendConditions { list_reliable: false, ..FACTS }, SendRefusal::ListExpired)]
-#[case::draining(SendConditions { engine_live: false, ..FACTS }, SendRefusal::EngineNotLive)]
-#[case::at_its_deadline(SendConditions { deadline: 1_000.0, ..FACTS }, SendRefusal::DeadlinePassed)]
-#[case::past_its_window(SendConditions { send_by: 999.0, ..FACTS }, SendRefusal::DeduplicationWindowExpired)]
-#[case::second_copy(SendConditions { in_flight: 1, ..FACTS }, SendRefusal::AnotherInFlight)]
-#[case::may_have_run(SendConditions { may_repeat: false, ..FACTS }, SendRefusal::MayNotRepeat)]
-#[case::at_the_cap(SendConditions { attempts: 3, ..FACTS }, SendRefusal::MaxAttemptsReached)]
-fn each_reason_is_enough(#[case] facts: SendConditions, #[case] refusal: SendRefusal) {
-    assert_eq!(may_send(&facts), Err(refusal));
+#[case::request_finished(SendConditions { request_open: false, ..CONDITIONS }, SendRefusal::RequestFinished)]
+#[case::list_expired(SendConditions { list_reliable: false, ..CONDITIONS }, SendRefusal::ListExpired)]
+#[case::draining(SendConditions { engine_live: false, ..CONDITIONS }, SendRefusal::EngineNotLive)]
+#[case::at_the_deadline(SendConditions { deadline: 1_000.0, ..CONDITIONS }, SendRefusal::DeadlinePassed)]
+#[case::past_the_deduplication_window(SendConditions { send_by: 999.0, ..CONDITIONS }, SendRefusal::DeduplicationWindowExpired)]
+#[case::another_in_flight(SendConditions { in_flight: 1, ..CONDITIONS }, SendRefusal::AnotherInFlight)]
+#[case::may_have_run(SendConditions { may_repeat: false, ..CONDITIONS }, SendRefusal::MayNotRepeat)]
+#[case::at_the_maximum_of_attempts(SendConditions { attempts: 3, ..CONDITIONS }, SendRefusal::MaxAttemptsReached)]
+fn each_unmet_condition_refuses_the_attempt(
+    #[case] conditions: SendConditions,
+    #[case] refusal: SendRefusal,
+) {
+    assert_eq!(may_send(&conditions), Err(refusal));
 }
 
 #[rstest]
-#[case::safe(Idempotency::Idempotent, cell(2), 9_999.0, true)]
-#[case::must_not_run_twice(Idempotency::NotIdempotent, cell(1), 1_001.0, false)]
+#[case::idempotent(Idempotency::Idempotent, cell(2), 9_999.0, true)]
+#[case::not_idempotent(Idempotency::NotIdempotent, cell(1), 1_001.0, false)]
 #[case::same_cell(Idempotency::Keyed { scope: Scope::Cell, window: 500.0 }, cell(1), 1_499.0, true)]
 #[case::other_cell(Idempotency::Keyed { scope: Scope::Cell, window: 500.0 }, cell(2), 1_001.0, false)]
 #[case::past_the_window(Idempotency::Keyed { scope: Scope::All, window: 500.0 }, cell(1), 1_500.0, false)]
-fn what_may_have_run_is_sent_again_where_the_class_allows_it(
+fn request_that_may_have_run_is_repeated_only_if_its_idempotency_allows_it(
     #[case] idempotency: Idempotency,
     #[case] placement: Placement,
     #[case] now: f64,
@@ -61,14 +64,14 @@
 }
 
 #[test]
-fn only_what_proves_it_counts_as_never_run() {
+fn only_rejected_refused_or_unsent_attempts_never_ran() {
     use Outcome::*;
     let proofs = [Ok, Error, Full, Timeout, ConnectFailed, Reset, Cancelled, NotExecuted].map(never_ran);
     assert_eq!(proofs, [false, false, true, false, true, false, false, true]);
 }
 
 #[test]
-fn refusal_of_what_may_have_run_is_for_classes_that_any_engine_recognises() {
+fn request_that_may_have_run_is_rejected_only_if_a_retry_anywhere_is_harmless() {
     assert!(may_reject(Idempotency::NotIdempotent, false) && !may_reject(Idempotency::NotIdempotent, true));
     assert!(may_reject(Idempotency::Idempotent, true));
     assert!(may_reject(Idempotency::Keyed { scope: Scope::All, window: 1.0 }, true));
@@ -76,27 +79,27 @@
 }
 
 #[rstest]
-#[case::resting(CloseConditions::default(), Ok(()))]
+#[case::idle(CloseConditions::default(), Ok(()))]
 #[case::open(CloseConditions { open_requests: 1, ..Default::default() }, Err(KeepReason::RequestOpen))]
 #[case::unwritten(CloseConditions { unwritten: 1, ..Default::default() }, Err(KeepReason::Unwritten))]
-#[case::begun(CloseConditions { incomplete: 1, ..Default::default() }, Err(KeepReason::Incomplete))]
-#[case::arrived(CloseConditions { unread: 1, ..Default::default() }, Err(KeepReason::Unread))]
-fn resting_connection_is_closed_with_nothing_pending(
-    #[case] facts: CloseConditions,
+#[case::incomplete_message(CloseConditions { incomplete: 1, ..Default::default() }, Err(KeepReason::Incomplete))]
+#[case::unread(CloseConditions { unread: 1, ..Default::default() }, Err(KeepReason::Unread))]
+fn idle_connection_is_closed_only_with_nothing_pending(
+    #[case] conditions: CloseConditions,
     #[case] verdict: Result<(), KeepReason>,
 ) {
-    assert_eq!(may_close(&facts), verdict);
+    assert_eq!(may_close(&conditions), verdict);
 }
 
 #[test]
-fn client_that_stops_inside_a_message_is_cut_off_unless_more_has_arrived() {
+fn connection_stalled_within_a_message_is_closed_unless_bytes_are_unread() {
     let stopped = CloseConditions { incomplete: 9, ..Default::default() };
     assert_eq!(may_close_mid_message(&stopped), Ok(()));
     assert_eq!(may_close_mid_message(&CloseConditions { unread: 1, ..stopped }), Err(KeepReason::Unread));
 }
 
 #[test]
-fn process_with_an_open_request_does_not_end() {
+fn process_with_an_open_request_does_not_exit() {
     let open =
         ShutdownConditions { requests_finished: false, no_connections: true, close_window_expired: true };
     assert!(!may_exit(&open));
@@ -109,17 +112,17 @@
 }
 
 #[test]
-fn violations_are_counted_apart_from_refusals() {
+fn only_refusals_that_are_violations_count_as_violations() {
     let counters = RuleCounters::default();
     counters.count(SendRefusal::RequestFinished);
     assert_eq!(counters.violations(), 0);
     counters.count(SendRefusal::Revoked);
     assert_eq!((counters.violations(), counters.refused(SendRefusal::Revoked)), (1, 1));
-    assert_eq!(counters.by_name().into_iter().collect::<Vec<_>>(), [("request over", 1), ("revoked", 1)]);
+    assert_eq!(counters.by_name().into_iter().collect::<Vec<_>>(), [("request finished", 1), ("revoked", 1)]);
 }
 
 #[test]
-fn permit_holds_while_the_list_may_be_relied_on_and_until_the_attempt_ends() {
+fn permit_holds_until_the_list_lease_expires_or_the_attempt_ends() {
     let list = ListLease::default();
     let permit = SendPermit::new(list.clone());
     assert_eq!(permit.check(f64::MAX), Ok(()), "a list that needs no confirmation");
--- a/crates/decision/src/queueing.rs
+++ b/crates/decision/src/queueing.rs
@@ -1,5 +1,5 @@
-//! Queueing: which waiting request is placed first, how long one may wait, which group of classes waits behind the
-//! other, and the order of requests with the same key.
+//! Queueing: the order in which waiting requests are placed, how long each may wait, which group of classes is
+//! deferred behind the other, and the order of requests with the same key.
 
 use crate::admission::MIN_RETRY_AFTER;
 use crate::balancer::Balancer;
@@ -8,37 +8,37 @@
 use crate::state::{EndedAttempt, Request, RuntimeGroup};
 use crate::types::{Milliseconds, RequestId};
 
-/// The longest wait is at least a Retry-After of the least length ...
+/// The maximum wait is the largest of the minimum Retry-After, ...
 const MIN_LONGEST_WAIT: Milliseconds = MIN_RETRY_AFTER;
-/// ... or this share of the expected latency ...
+/// ... this share of the expected latency ...
 const LONGEST_WAIT_LATENCY_SHARE: f64 = 0.1;
-/// ... or of the latency objective: capacity comes free sooner than a rejected client comes back.
+/// ... and this share of the latency objective: capacity becomes free sooner than a rejected client retries.
 const LONGEST_WAIT_OBJECTIVE_SHARE: f64 = 0.25;
-/// The ratio of runtime to arrivals, over that of the other group, past which a group is deferred.
+/// A group is deferred if its ratio of runtime to arrivals is more than this multiple of the other group's ratio.
 const DEFERRAL_RATIO: f64 = 1.5;
-/// Recent arrivals from which the ratio of a group is computed.
+/// Minimum number of recent arrivals from which the ratio of a group is computed.
 const MIN_GROUP_ARRIVALS: f64 = 0.5;
-/// The number of waiting requests past which going through all of them each cycle costs too much CPU ...
+/// Number of waiting requests above which checking all of them in each cycle takes too much CPU time ...
 const MAX_PLACED_EACH_CYCLE: usize = 64;
-/// ... and they are gone through at this interval.
+/// ... so that they are checked at this interval instead.
 const PLACEMENT_INTERVAL: Milliseconds = 4.0;
-/// Requests are ordered by their relative size in steps of one over this.
+/// Requests are ordered by their relative size in steps of 1 / `SIZE_STEPS`.
 const SIZE_STEPS: f64 = 4.0;
-/// Cycles that may pass before a request is looked at again.
-const CYCLES_TO_NEXT_LOOK: f64 = 3.0;
+/// Number of cycles that may pass before a request is checked again.
+const CYCLES_TO_NEXT_CHECK: f64 = 3.0;
 
-/// What waiting requests are ordered by; the lowest is placed first.
+/// Sort key of waiting requests; the lowest is placed first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueuePriority {
-    /// It is late already, or past its tenant's quota.
+    /// The request is late already, or exceeds its tenant's quota.
     is_last: bool,
-    /// Its group is deferred.
+    /// The group of the request's class is deferred.
     is_deferred: bool,
-    /// Its relative size, in steps: short requests first.
+    /// Relative size of the request, in steps: small requests first.
     size_step: u64,
 }
 
-/// A waiting request.
+/// A request that waits for an engine, with its sort key.
 struct WaitingRequest {
     id: RequestId,
     priority: QueuePriority,
@@ -46,7 +46,7 @@
 }
 
 impl Balancer {
-    /// Sends each waiting request, rejects it, or lets it wait on.
+    /// Sends each waiting request, rejects it, or leaves it waiting.
     pub(crate) fn place_waiting_requests(&mut self, actions: &mut Vec<Action>) {
         if self.now < self.next_placement {
             return;
@@ -55,12 +55,12 @@
         let is_long = queue.len() > MAX_PLACED_EACH_CYCLE;
         self.next_placement = self.now + if is_long { PLACEMENT_INTERVAL } else { 0.0 };
         for waiting in queue {
-            self.place_or_hold(waiting.id, actions);
+            self.place_or_keep_waiting(waiting.id, actions);
         }
     }
 
-    /// The requests without an answer or an attempt in flight, in the order in which they are placed: by priority,
-    /// then by arrival.
+    /// Returns the requests that have neither an answer nor an attempt in flight, in the order in which they are
+    /// placed: by priority, then by arrival.
     fn waiting_requests(&self) -> Vec<WaitingRequest> {
         let is_waiting = |request: &&Request| !request.closed && request.in_flight() == 0;
         let waiting = self.requests.values().filter(is_waiting).map(|request| WaitingRequest {
@@ -84,7 +84,7 @@
         }
     }
 
-    fn place_or_hold(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    fn place_or_keep_waiting(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let reason = match self.select_engine(request) {
             Ok(engine) => return self.send(id, &engine, actions),
@@ -96,30 +96,32 @@
         }
         let expected_latency = self.latency_at(class, LEVELS[self.limit_level]).mean * request.relative_size;
         let is_first_of_key = self.is_first_of_key(request);
-        if self.waits_in_vain(request, expected_latency, is_first_of_key) {
+        if self.should_stop_waiting(request, expected_latency, is_first_of_key) {
             self.answer(id, expected_latency, reason, actions);
         } else if !is_first_of_key {
-            // Waiting for earlier requests of a key is no queueing: that begins when they have ended.
+            // The wait for earlier requests of the same key does not count as queueing, which begins when those have
+            // ended.
             if let Some(request) = self.requests.get_mut(&id) {
                 request.waiting_since = self.now;
             }
         }
     }
 
-    /// Whether a waiting request should be rejected: it cannot end in time, no rule allows it an engine, or it has
-    /// waited long enough.
-    fn waits_in_vain(
+    /// Returns whether a waiting request should be rejected: it cannot end before its deadline, the rules allow no
+    /// engine for it, or its maximum wait has elapsed.
+    fn should_stop_waiting(
         &self,
         request: &Request,
         expected_latency: Milliseconds,
         is_first_of_key: bool,
     ) -> bool {
-        // What stands too far back in the order of its key to end in time is answered now.
+        // A request with too many earlier requests of its key to end before its deadline is answered now.
         let earlier = if is_first_of_key { 0 } else { self.earlier_requests_of_key(request) };
-        // A pause of the process may pass the deadline.
-        let next_look =
-            self.now + CYCLES_TO_NEXT_LOOK * self.settings.min_decision_interval + self.longest_recent_pause;
-        if next_look + earlier as f64 * expected_latency >= request.details.deadline {
+        // The deadline may pass during a pause of this process, so a pause of the recent maximum length is allowed
+        // for.
+        let next_check =
+            self.now + CYCLES_TO_NEXT_CHECK * self.settings.min_decision_interval + self.longest_recent_pause;
+        if next_check + earlier as f64 * expected_latency >= request.details.deadline {
             return true;
         }
         let is_retry = !request.attempts.is_empty();
@@ -135,9 +137,9 @@
             .max(LONGEST_WAIT_OBJECTIVE_SHARE * self.class_of(request).latency_objective)
     }
 
-    /// Splits the classes into two groups by runtime, and defers the one whose ratio of runtime to arrivals is far over
-    /// the other's. The split is the geometric mean: a mean minus one deviation lies below every class wherever short
-    /// ones are many.
+    /// Splits the classes into two groups by runtime, and defers the group whose ratio of runtime to arrivals is far
+    /// above the other's. The split is the geometric mean of the shortest and the longest runtime: the mean minus one
+    /// deviation would lie below every class where most classes are short.
     pub(crate) fn choose_deferred_group(&mut self) {
         let shortest = self.classes.iter().map(|state| state.best_latency).fold(f64::INFINITY, f64::min);
         let longest = self.classes.iter().map(|state| state.best_latency).fold(0.0, f64::max);
@@ -154,7 +156,7 @@
         };
     }
 
-    /// The recent runtime of a group for each of its arrivals; 0: too few arrivals.
+    /// Returns the recent runtime of a group per arrival, or 0 if there are too few arrivals.
     fn runtime_ratio(&self, group: RuntimeGroup) -> f64 {
         let (mut runtime, mut arrivals) = (0.0, 0.0);
         for state in self.classes.iter().filter(|state| state.group == group) {
@@ -176,7 +178,8 @@
         }
     }
 
-    /// Whether a request is the next of its key, or has none. A first attempt waits for the pause of its key.
+    /// Returns whether a request is the first of its key, or is not ordered by a key. A first attempt also waits for
+    /// the end of the key's pause.
     pub(crate) fn is_first_of_key(&self, request: &Request) -> bool {
         let Some(key) = request.details.key.and_then(|key| self.ordered_keys.get(&key)) else { return true };
         let is_first = key.queue.front() == Some(&request.details.id);
@@ -199,8 +202,8 @@
         }
     }
 
-    /// Forgets keys that have neither requests nor a pause.
-    pub(crate) fn forget_idle_keys(&mut self) {
+    /// Discards keys that have neither requests nor a pause.
+    pub(crate) fn discard_idle_keys(&mut self) {
         let now = self.now;
         self.ordered_keys.retain(|_, key| !key.queue.is_empty() || key.paused_until > now);
     }
--- a/crates/decision/src/queueing/tests.rs
+++ b/crates/decision/src/queueing/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn late_requests_come_last_then_the_deferred_group_then_large_ones() {
+fn small_requests_precede_large_ones_then_deferred_then_late_ones() {
     let first = QueuePriority { is_last: false, is_deferred: false, size_step: 4 };
     let large = QueuePriority { size_step: 8, ..first };
     let deferred = QueuePriority { is_deferred: true, size_step: 0, ..first };
--- a/crates/decision/src/retries_and_hedging.rs
+++ b/crates/decision/src/retries_and_hedging.rs
@@ -1,5 +1,5 @@
-//! Retries and hedging: a further attempt for a request that can still meet its objective, beside the first if that is
-//! overdue, or in its place if it is stuck.
+//! Retries and hedging: starts a further attempt for a request that can still meet its objective, in parallel with
+//! the first attempt if that is overdue, or in place of it if it is stuck.
 
 use crate::balancer::Balancer;
 use crate::interface::Action;
@@ -8,28 +8,29 @@
 use crate::state::{Attempt, Request, RuntimeGroup};
 use crate::types::{Milliseconds, RequestId};
 
-/// The least time after which an attempt is overdue: shorter ones are within ordinary scatter.
-pub(crate) const MIN_PATIENCE: Milliseconds = 200.0;
-/// The share of the latency objective by which a further attempt must be expected to end.
+/// Minimum time after which an attempt is overdue: shorter times are within the ordinary variation.
+pub(crate) const MIN_OVERDUE_AFTER: Milliseconds = 200.0;
+/// Share of the latency objective within which a further attempt must be expected to end.
 const MAX_OBJECTIVE_SHARE: f64 = 0.7;
-/// How many times longer than alone an attempt takes when it is stuck. Up to it, one in three still ends in time.
+/// Slowdown above which an attempt is considered stuck. Up to this slowdown, one in three attempts still ends in
+/// time.
 const STUCK_SLOWDOWN: f64 = 3.0;
-/// The slowdown of the fleet up to which stuck attempts are moved. Where all take long, a move is more work for engines
-/// that are full, and moves add up to a storm.
+/// Slowdown of the fleet up to which stuck attempts are replaced. If all engines are slow, a replacement adds work to
+/// engines that are full, and replacements amplify the overload.
 const MAX_FLEET_SLOWDOWN: f64 = 1.5;
-/// The margin of the retry budget, in cycles: times are not known better.
+/// Margin of the retry budget's window, in cycles: times are known only to the cycle.
 const BUDGET_MARGIN_CYCLES: f64 = 2.0;
 
-/// How a further attempt is made.
+/// Kind of further attempt.
 enum FurtherAttempt {
-    /// Beside the attempt in flight.
+    /// Sent in parallel with the attempt in flight.
     Hedge,
-    /// In place of it: it is cancelled, and the request waits for an engine again.
+    /// Replaces the attempt in flight, which is cancelled; the request then waits for an engine again.
     Replace,
 }
 
 impl Balancer {
-    /// Starts a further attempt for a request with one attempt in flight, where that is worth it.
+    /// Starts a further attempt for a request with one attempt in flight, if the conditions for it are met.
     pub(crate) fn hedge_or_replace(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let mut attempts = (0..).zip(&request.attempts);
@@ -50,7 +51,7 @@
             return None;
         }
         let on_outlier = self.engines.get(&attempt.engine).is_none_or(is_outlier);
-        let is_overdue = self.now - attempt.sent_at > attempt.patience;
+        let is_overdue = self.now - attempt.sent_at > attempt.overdue_after;
         let is_short = self.class_state_of(request).group == RuntimeGroup::Short;
         if self.settings.may_hedge && (on_outlier || is_overdue && is_short) {
             return Some(FurtherAttempt::Hedge);
@@ -75,7 +76,7 @@
     }
 
     fn is_stuck(&self, request: &Request, attempt: &Attempt) -> bool {
-        let longest = (STUCK_SLOWDOWN * self.unloaded_latency(request)).max(MIN_PATIENCE);
+        let longest = (STUCK_SLOWDOWN * self.unloaded_latency(request)).max(MIN_OVERDUE_AFTER);
         !self.was_paused() && self.now - attempt.sent_at > longest && self.fleet.slowdown < MAX_FLEET_SLOWDOWN
     }
 
@@ -86,8 +87,8 @@
         }
     }
 
-    /// Cancels what still runs for a request that is closed: the attempt that lost, or the work of a client that has
-    /// disconnected. It serves nobody.
+    /// Cancels the attempts that still run for a closed request: the slower of two hedged attempts, or the work for a
+    /// client that has disconnected. Their results are not needed.
     pub(crate) fn cancel_attempts_of_closed(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if !self.settings.may_cancel {
             return;
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Whether the retry budget of this gateway allows a further attempt.
+    /// Returns whether the retry budget of this gateway allows a further attempt.
     pub(crate) fn retry_budget_allows(&self) -> bool {
         self.retry_budget.allows(self.now, BUDGET_MARGIN_CYCLES * self.settings.min_decision_interval)
     }
--- a/crates/decision/src/retry_budget.rs
+++ b/crates/decision/src/retry_budget.rs
@@ -1,13 +1,14 @@
-//! The retry budget of a gateway: how many retries, attempts beyond the first, the recent requests allow.
+//! The retry budget of a gateway: limits retries, that is attempts after the first, in proportion to recent requests.
 
 use crate::settings::RetryBudgetSettings;
 use crate::types::Milliseconds;
 use std::collections::VecDeque;
 
-/// The most requests that are remembered. Past it the oldest no longer count, which only makes the budget smaller.
-const MAX_REMEMBERED: usize = 1 << 17;
+/// Maximum number of requests that are recorded. Beyond it the oldest no longer count, which can only make the
+/// budget smaller.
+const MAX_RECORDED_REQUESTS: usize = 1 << 17;
 
-/// Requests received and retries sent, by time.
+/// Times of received requests and sent retries.
 #[derive(Debug, Default)]
 pub struct RetryBudget {
     settings: Option<RetryBudgetSettings>,
@@ -16,38 +17,38 @@
 }
 
 impl RetryBudget {
-    /// The budget that the settings give; `None`: retries are not limited.
+    /// Creates a budget with these settings; `None`: retries are not limited.
     pub fn new(settings: Option<RetryBudgetSettings>) -> Self {
         Self { settings, ..Self::default() }
     }
 
-    /// A request was received at that time.
+    /// Records a request received at `at`.
     pub fn receive(&mut self, at: Milliseconds) {
         if self.settings.is_some() {
             self.received.push_back(at);
-            if self.received.len() > MAX_REMEMBERED {
+            if self.received.len() > MAX_RECORDED_REQUESTS {
                 self.received.pop_front();
             }
         }
     }
 
-    /// A retry was sent at that time.
+    /// Records a retry sent at `at`.
     pub fn retry(&mut self, at: Milliseconds) {
         if self.settings.is_some() {
             self.retries.push_back(at);
         }
     }
 
-    /// Whether the budget allows one more retry. The window is longer by a margin for retries that were sent, and shorter
-    /// by it for requests that earned them: times are not known more exactly.
+    /// Returns whether the budget allows one more retry. Because times are known only to within `margin`, the window
+    /// is longer by the margin for counting retries, and shorter by it for counting requests.
     pub fn allows(&self, now: Milliseconds, margin: Milliseconds) -> bool {
         let Some(settings) = self.settings else { return true };
-        let spent = count_since(&self.retries, now - settings.window - margin);
-        let earned = count_since(&self.received, now - settings.window + margin);
-        spent + 1.0 <= settings.min_retries + settings.retry_ratio * earned
+        let sent = count_since(&self.retries, now - settings.window - margin);
+        let received = count_since(&self.received, now - settings.window + margin);
+        sent + 1.0 <= settings.min_retries + settings.retry_ratio * received
     }
 
-    /// Forgets what lies before the window with that margin.
+    /// Discards times before the start of the window minus the margin.
     pub fn forget(&mut self, now: Milliseconds, margin: Milliseconds) {
         let from = now - margin - self.settings.map_or(0.0, |settings| settings.window);
         for times in [&mut self.received, &mut self.retries] {
@@ -58,8 +59,8 @@
     }
 }
 
-/// The number of times after `since`. The times are in order, and each attempt needs the number, so a binary search
-/// keeps the cost from growing with traffic.
+/// Returns the number of times after `since`. The times are in order; a binary search is used because the count is
+/// needed for each attempt, and its cost must not grow with traffic.
 fn count_since(times: &VecDeque<Milliseconds>, since: Milliseconds) -> f64 {
     (times.len() - times.partition_point(|at| *at <= since)) as f64
 }
--- a/crates/decision/src/running_attempts.rs
+++ b/crates/decision/src/running_attempts.rs
@@ -1,4 +1,4 @@
-//! What is done each cycle about requests with attempts in flight.
+//! Per-cycle handling of requests with attempts in flight.
 
 use crate::admission::MIN_RETRY_AFTER;
 use crate::balancer::Balancer;
@@ -7,17 +7,18 @@
 use crate::state::Request;
 use crate::types::{ClassId, Milliseconds, RequestId};
 
-/// The number of requests with attempts in flight past which going through all of them each cycle costs too much CPU ...
+/// Number of requests with attempts in flight above which checking all of them in each cycle takes too much CPU time
+/// ...
 const MAX_CHECKED_EACH_CYCLE: usize = 64;
-/// ... and they are gone through at this interval.
+/// ... so that they are checked at this interval instead.
 const CHECK_INTERVAL: Milliseconds = 20.0;
 
-/// The latency so far of an attempt that is overdue.
+/// Elapsed time of an overdue attempt, to be recorded as a latency sample.
 struct OverdueSample {
     class: ClassId,
-    /// Threads a core on the engine when the attempt was sent.
+    /// Load of the engine in threads a core when the attempt was sent.
     load_level: f64,
-    /// At the size of a usual query of the class.
+    /// Elapsed time, scaled to a query of average size of the class.
     latency: Milliseconds,
 }
 
@@ -43,7 +44,7 @@
             self.cancel_attempts_of_closed(id, actions);
         } else if self.is_past_deadline(request) {
             self.answer(id, 0.0, BlockReason::Deadline, actions);
-        } else if self.runs_in_vain(request) {
+        } else if self.should_stop_running(request) {
             self.answer(id, MIN_RETRY_AFTER, BlockReason::Late, actions);
         } else {
             let (memory_grant_mb, priority) = (request.memory_grant_mb, self.priority(request));
@@ -52,25 +53,26 @@
         }
     }
 
-    /// Whether the deadline and half of the grace after it have passed. The timeout of the attempt normally ends a
-    /// request before; this is for clocks that jump.
+    /// Returns whether the deadline and half of the grace period after it have passed. Normally the timeout of the
+    /// attempt ends a request earlier; this check covers clock jumps.
     fn is_past_deadline(&self, request: &Request) -> bool {
         self.now >= request.details.deadline + self.settings.answer_grace / 2.0
     }
 
-    /// Counts attempts that are overdue as latency before they end, except on engines that are outliers.
+    /// Records the elapsed time of overdue attempts as latency samples before the attempts end, except on engines
+    /// that are outliers.
     pub(crate) fn count_overdue_attempts(&mut self) {
         let mut samples = Vec::new();
         for request in self.requests.values_mut() {
             for attempt in &mut request.attempts {
                 let age = self.now - attempt.sent_at;
-                if !attempt.in_flight || attempt.counted || age <= attempt.patience {
+                if !attempt.in_flight || attempt.sampled || age <= attempt.overdue_after {
                     continue;
                 }
                 if self.engines.get(&attempt.engine).is_none_or(is_outlier) {
                     continue;
                 }
-                attempt.counted = true;
+                attempt.sampled = true;
                 samples.push(OverdueSample {
                     class: request.details.class,
                     load_level: attempt.load_level,
--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a gateway is configured with: request classes, machine types, tenants and the rules of the deployment.
+//! Configuration of a gateway: request classes, machine types, tenants and the rules of the deployment.
 
 use crate::types::{MachineTypeId, Member, Milliseconds, Placement, ZoneId};
 use thiserror::Error;
@@ -15,7 +15,7 @@
 }
 
 impl Scope {
-    /// Whether an engine at `second` recognises a key that was sent to an engine at `first`.
+    /// Returns whether an engine at `second` recognises an idempotency key that was sent to an engine at `first`.
     pub fn covers(self, first: Placement, second: Placement) -> bool {
         match self {
             Scope::All => true,
@@ -25,16 +25,16 @@
     }
 }
 
-/// What a second execution of a request would do.
+/// Effect of a second execution of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Idempotency {
     /// A second execution is harmless.
     Idempotent,
-    /// Requests carry an idempotency key by which engines drop repeats.
+    /// Requests carry an idempotency key by which engines discard repetitions.
     Keyed {
-        /// The engines that drop repeats.
+        /// Engines that discard repetitions.
         scope: Scope,
-        /// How long after the first send they do so.
+        /// Time after the first send during which engines discard repetitions.
         window: Milliseconds,
     },
     /// The request must not run twice.
@@ -42,7 +42,8 @@
 }
 
 impl Idempotency {
-    /// Whether a client may retry a request that may have run, whichever engine receives the retry.
+    /// Returns whether a client may retry a request that may have run, regardless of the engine that receives the
+    /// retry.
     pub fn allows_retry_anywhere(self) -> bool {
         matches!(self, Idempotency::Idempotent | Idempotency::Keyed { scope: Scope::All, .. })
     }
@@ -51,27 +52,27 @@
 /// A class of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// The label.
+    /// Name in the configuration, in logs and in metrics.
     pub name: String,
-    /// The fixed part of the latency objective: an answer within it earns the full priority weight.
+    /// Fixed part of the latency objective: an answer within the objective earns the full priority weight.
     pub latency_objective: Milliseconds,
-    /// The variable part of the objective, as a multiple of the true work over the threads.
+    /// Variable part of the latency objective, as a multiple of the actual work divided by the number of threads.
     pub latency_objective_stretch: f64,
-    /// How long clients wait, over all their attempts.
+    /// Time that clients wait for an answer, over all attempts.
     pub client_timeout: Milliseconds,
-    /// What an answer within the objective earns.
+    /// Value of an answer within the latency objective.
     pub priority_weight: f64,
-    /// The share of the priority weight that a late answer earns.
+    /// Share of the priority weight that a late answer earns.
     pub late_weight_share: f64,
-    /// Whether a request may run again.
+    /// Effect of a second execution of a request of this class.
     pub idempotency: Idempotency,
-    /// Requests with the same key run one after another.
+    /// Requests of this class that have the same key run one after another.
     pub ordered: bool,
-    /// The machine types that may run it; `None`: all.
+    /// Machine types that may run the class; `None`: all.
     pub machine_types: Option<Vec<MachineTypeId>>,
-    /// The zones that may run it; `None`: all.
+    /// Zones whose engines may run the class; `None`: all.
     pub zones: Option<Vec<ZoneId>>,
-    /// The threads that one query runs on.
+    /// Number of threads that one query runs on.
     pub threads: f64,
     /// A query of this class loads its data set and locks it on its engine while it runs.
     pub is_load: bool,
@@ -80,22 +81,21 @@
 }
 
 impl Class {
-    /// Whether the placement rules of the class allow that engine.
+    /// Returns whether the placement rules of the class allow that engine.
     pub fn may_run_on(&self, engine: &Member) -> bool {
-        let among_kinds = self
-            .machine_types
-            .as_ref()
-            .is_none_or(|kinds| engine.machine_type.is_some_and(|kind| kinds.contains(&kind)));
-        let among_zones =
+        let machine_type_allowed = self.machine_types.as_ref().is_none_or(|machine_types| {
+            engine.machine_type.is_some_and(|machine_type| machine_types.contains(&machine_type))
+        });
+        let zone_allowed =
             self.zones.as_ref().is_none_or(|zones| engine.zone.is_some_and(|zone| zones.contains(&zone)));
-        among_kinds && among_zones
+        machine_type_allowed && zone_allowed
     }
 }
 
-/// A machine type.
+/// A type of machine that engines run on.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineType {
-    /// The label.
+    /// Name in the configuration, in logs and in metrics.
     pub name: String,
     /// Number of cores.
     pub cores: f64,
@@ -103,92 +103,92 @@
     pub memory_mb: f64,
 }
 
-/// A tenant.
+/// A tenant and its quota.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// The label.
+    /// Name in the configuration, in logs and in metrics.
     pub name: String,
-    /// Requests a second, over all gateways, that lie within its quota; 0: unlimited.
+    /// Quota of the tenant over all gateways, in requests per second; 0: unlimited.
     pub quota_per_s: f64,
 }
 
-/// The limit on retries: attempts beyond the first of each request.
+/// Limit on retries, that is on attempts after the first of each request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudgetSettings {
-    /// Retries allowed whatever the traffic.
+    /// Number of retries allowed per window regardless of traffic.
     pub min_retries: f64,
-    /// Retries allowed for each request received.
+    /// Number of additional retries allowed per request received.
     pub retry_ratio: f64,
-    /// Length of the window over which both are counted.
+    /// Length of the window over which requests and retries are counted.
     pub window: Milliseconds,
 }
 
-/// The configuration of a gateway.
+/// Configuration of a gateway.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// Seed of this gateway's random numbers.
     pub seed: u64,
     /// Number of gateways that share the engines.
     pub gateways: usize,
-    /// The index of this gateway among them, from 0; `None`: not configured.
+    /// Index of this gateway among them, from 0; `None`: not configured.
     pub gateway_index: Option<u64>,
-    /// The zone of this gateway.
+    /// Zone of this gateway, if it is one of `zones`.
     pub zone: Option<ZoneId>,
-    /// Request classes.
+    /// Request classes; [`ClassId`](crate::types::ClassId) is an index into them.
     pub classes: Vec<Class>,
-    /// Machine types.
+    /// Machine types; [`MachineTypeId`] is an index into them.
     pub machine_types: Vec<MachineType>,
-    /// Zone names.
+    /// Zone names; [`ZoneId`] is an index into them.
     pub zones: Vec<String>,
-    /// Tenants; may be empty.
+    /// Tenants; [`TenantId`](crate::types::TenantId) is an index into them. May be empty.
     pub tenants: Vec<Tenant>,
-    /// The endpoint list must be subscribed to.
+    /// The gateway must subscribe to the endpoint list.
     pub subscribes_to_endpoints: bool,
-    /// A running attempt may be cancelled.
+    /// Running attempts may be cancelled.
     pub may_cancel: bool,
-    /// Requests may be hedged: two attempts in flight at once.
+    /// Requests may be hedged, with two attempts in flight at once.
     pub may_hedge: bool,
     /// The gateway may check the health of engines.
     pub may_check_health: bool,
-    /// What a health check costs, as a share of a request's priority weight.
+    /// Cost of a health check, as a share of a request's priority weight.
     pub health_check_cost: f64,
-    /// The longest Retry-After that clients heed.
+    /// Maximum Retry-After that clients honour.
     pub max_retry_after: Milliseconds,
-    /// The most attempts of one request.
+    /// Maximum number of attempts of one request.
     pub max_attempts: u32,
-    /// How long after the client's deadline a final answer still counts.
+    /// Time after the client's deadline within which a final answer still counts.
     pub answer_grace: Milliseconds,
-    /// Without a subscription the endpoint list must be polled at least this often.
+    /// Maximum interval between polls of the endpoint list without a subscription.
     pub max_poll_interval: Milliseconds,
-    /// How long after the notice of a drain work may still be sent.
+    /// Time after the announcement of a drain during which work may still be sent to the engine.
     pub drain_grace: Milliseconds,
-    /// The share of its capacity that an engine starts with, in (0, 1].
+    /// Share of its full capacity that an engine starts with, in (0, 1].
     pub slow_start_initial_share: f64,
-    /// How long after its start an engine reaches its full capacity.
+    /// Time from its start until an engine reaches its full capacity.
     pub slow_start_duration: Milliseconds,
-    /// An engine in slow start collapses under this multiple of its capacity ...
+    /// An engine in slow start collapses under a load of this multiple of its capacity ...
     pub overload_collapse_multiple: f64,
-    /// ... sustained for this long.
+    /// ... that is sustained for this time.
     pub overload_collapse_after: Milliseconds,
-    /// The limit on retries, if any.
+    /// Limit on retries; `None`: retries are not limited.
     pub retry_budget: Option<RetryBudgetSettings>,
-    /// Pause of an ordered key after an attempt that may still be running.
+    /// Time for which an ordered key is paused after an attempt that may still be running.
     pub ordered_key_pause: Milliseconds,
-    /// Engines heed memory grants.
+    /// Engines honour memory grants.
     pub supports_memory_grants: bool,
-    /// The largest share of an engine's memory that one query may be granted.
+    /// Maximum share of an engine's memory that may be granted to one query.
     pub max_grant_share: f64,
-    /// Engines heed priorities, 0 to 3.
+    /// Engines honour priorities from 0 to 3.
     pub supports_priorities: bool,
-    /// The shortest time between decision cycles.
+    /// Minimum interval between decision cycles.
     pub min_decision_interval: Milliseconds,
 }
 
 impl Settings {
-    /// Checks that a gateway can work with these settings.
+    /// Checks that the settings are complete and consistent.
     ///
     /// # Errors
-    /// Names the first setting that is missing, out of range or in contradiction to another.
+    /// Returns the first setting that is missing, out of range or inconsistent with another.
     pub fn check(&self) -> Result<(), SettingsError> {
         let bad = |name, why| Err(SettingsError::Bad { name, why });
         if self.gateways == 0 {
@@ -198,16 +198,18 @@
             return bad("classes", "at least one class is needed");
         }
         if !self.classes.iter().all(objective_precedes_timeout) {
-            return bad("classes.on_time", "must lie above 0 and not past give_up");
+            return bad("classes.on_time", "must be greater than 0 and not greater than give_up");
         }
         if self.classes.iter().any(|class| !is_positive(class.threads)) {
-            return bad("specifics.width_by_class", "must lie above 0");
+            return bad("specifics.width_by_class", "must be greater than 0");
         }
-        if self.machine_types.is_empty() || self.machine_types.iter().any(|kind| !is_positive(kind.cores)) {
-            return bad("specifics.cpu_of_kind", "every kind needs cores");
+        if self.machine_types.is_empty()
+            || self.machine_types.iter().any(|machine_type| !is_positive(machine_type.cores))
+        {
+            return bad("specifics.cpu_of_kind", "every machine type needs a positive number of cores");
         }
         if !(is_positive(self.slow_start_initial_share) && self.slow_start_initial_share <= 1.0) {
-            return bad("rules.cold_from", "must lie above 0 and not past 1");
+            return bad("rules.cold_from", "must be greater than 0 and not greater than 1");
         }
         let durations_and_factors = [
             ("rules.drain_grace", self.drain_grace),
@@ -235,22 +237,22 @@
     value > 0.0 && value.is_finite()
 }
 
-/// Whether both times are positive, and the objective lies not past the client's timeout.
+/// Returns whether both times are positive, and the latency objective is not greater than the client's timeout.
 fn objective_precedes_timeout(class: &Class) -> bool {
     is_positive(class.latency_objective)
         && is_positive(class.client_timeout)
         && class.latency_objective <= class.client_timeout
 }
 
-/// Why a gateway cannot start with its settings.
+/// Error in the settings because of which the gateway cannot start.
 #[derive(Debug, Error, PartialEq)]
 pub enum SettingsError {
-    /// A setting is missing, out of range or in contradiction to another.
+    /// A setting is missing, out of range or inconsistent with another.
     #[error("setting {name}: {why}")]
     Bad {
-        /// The key of the setting.
+        /// Key of the setting.
         name: &'static str,
-        /// What is wrong with it.
+        /// Violated requirement.
         why: &'static str,
     },
 }
--- a/crates/decision/src/start_times/tests.rs
+++ b/crates/decision/src/start_times/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn start_in_the_first_list_is_as_old_as_the_wall_clock_says_and_never_in_the_future() {
+fn start_in_the_first_list_is_the_stated_time_and_never_in_the_future() {
     assert_eq!(receive(&mut StartTimes::default(), 900.0, 1_000.0), 900.0);
     assert_eq!(receive(&mut StartTimes::default(), 3_600_000.0, 1_000.0), 1_000.0);
 }
@@ -24,19 +24,19 @@
 }
 
 #[test]
-fn start_that_was_told_before_stays_as_it_was() {
+fn start_that_was_stated_before_is_not_changed() {
     let mut starts = StartTimes::default();
     starts.receive(&[], 1_000.0);
     assert_eq!(receive(&mut starts, 1_100.0, 1_200.0), 1_100.0);
     starts.confirm(9_000.0);
     assert_eq!(receive(&mut starts, 1_100.0, 9_100.0), 1_100.0);
-    // It left the list and came back, the same process.
+    // The same process left the list and joined it again.
     starts.receive(&[], 10_000.0);
     assert_eq!(receive(&mut starts, 1_100.0, 10_100.0), 1_100.0);
 }
 
 #[test]
-fn restart_counts_also_where_the_clock_went_back_in_between() {
+fn restart_is_recognised_after_the_stated_clock_was_set_back() {
     let mut starts = StartTimes::default();
     starts.receive(&[], 1_000.0);
     assert_eq!(receive(&mut starts, 1_100.0, 1_200.0), 1_100.0);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn start_long_ago_is_none_and_so_is_one_that_is_no_number() {
+fn unstated_start_and_non_finite_start_are_none() {
     let mut starts = StartTimes::default();
     starts.receive(&[(engine("s-1"), None), (engine("s-2"), Some(f64::NAN))], 1_000.0);
     assert_eq!(starts.local(&engine("s-1"), None), None);
@@ -53,10 +53,10 @@
 }
 
 #[test]
-fn no_more_starts_are_remembered_than_the_bound_and_the_list() {
+fn number_of_recorded_starts_is_bounded() {
     let mut starts = StartTimes::default();
-    for i in 0..MAX_REMEMBERED + 10 {
+    for i in 0..MAX_RECORDED_STARTS + 10 {
         starts.receive(&[(engine(&format!("s-{i}")), Some(1.0))], 1_000.0);
     }
-    assert!(starts.starts.len() <= MAX_REMEMBERED + 1);
+    assert!(starts.starts.len() <= MAX_RECORDED_STARTS + 1);
 }
--- a/crates/decision/src/state/class.rs
+++ b/crates/decision/src/state/class.rs
@@ -1,20 +1,20 @@
-//! What was learned of a class of requests.
+//! Learned state of a class of requests.
 
 use crate::types::Milliseconds;
 
-/// Mean and variance of latencies, in which old samples lose weight: of one class in one band of load.
+/// Mean and variance of the latencies of one class in one load band; old samples lose weight.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct LatencyStatistics {
-    /// The number of samples, faded.
+    /// Number of samples; decays over time.
     pub(crate) count: f64,
-    /// The mean in milliseconds, of a query of usual size.
+    /// Mean latency in milliseconds, scaled to a query of average size.
     pub(crate) mean: Milliseconds,
-    /// The variance in square milliseconds.
+    /// Variance of the latency in square milliseconds.
     pub(crate) variance: f64,
 }
 
 impl LatencyStatistics {
-    /// Adds a sample, with `min_weight` or more.
+    /// Adds a sample with a weight of at least `min_weight`.
     pub(crate) fn add(&mut self, sample: Milliseconds, min_weight: f64) {
         self.count += 1.0;
         let weight = (1.0 / self.count).max(min_weight);
@@ -24,7 +24,7 @@
     }
 }
 
-/// The two groups that classes are split into by their runtime.
+/// Group of classes by runtime.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum RuntimeGroup {
     /// Classes with short runtimes.
@@ -35,7 +35,7 @@
 }
 
 impl RuntimeGroup {
-    /// The other group.
+    /// Returns the other group.
     pub(crate) fn other(self) -> Self {
         match self {
             Self::Short => Self::Long,
@@ -44,29 +44,29 @@
     }
 }
 
-/// What was learned of a class.
+/// Learned state of a class of requests.
 #[derive(Default)]
 pub(crate) struct ClassState {
-    /// Latencies by band of load, see [`load_levels::LEVELS`](crate::load_levels::LEVELS).
+    /// Latencies by load band, see [`load_levels::LEVELS`](crate::load_levels::LEVELS).
     pub(crate) bands: Vec<LatencyStatistics>,
-    /// The lowest mean latency of late.
+    /// Lowest recent mean latency, as expected under little load.
     pub(crate) best_latency: Milliseconds,
-    /// The latency of a usual query that runs alone, from the work that answers report; 0: never reported.
+    /// Latency of an average query on an idle engine, computed from the work that answers report; 0: never reported.
     pub(crate) unloaded_latency: Milliseconds,
-    /// The number of control steps over which the best latency was learned.
+    /// Number of control steps in which the best latency was updated.
     pub(crate) learned_steps: f64,
-    /// The time that clients usually leave from the arrival of a request to its deadline.
-    pub(crate) usual_time_left: Milliseconds,
-    /// The mean of the work estimates that came with requests; 0: none came.
+    /// Time from the arrival of a request to its deadline that clients typically allow.
+    pub(crate) typical_time_left: Milliseconds,
+    /// Mean of the work estimates that were received with requests; 0: none was received.
     pub(crate) mean_work: Milliseconds,
-    /// The recent number of requests, retries left out; decays.
+    /// Recent number of requests without retries; decays over time.
     pub(crate) arrivals: f64,
-    /// The recent sum of the time that attempts ran; decays.
+    /// Recent total elapsed time of attempts; decays over time.
     pub(crate) runtime: Milliseconds,
-    /// The memory granted, as a multiple of the estimate.
+    /// Memory grant, as a multiple of the estimate.
     pub(crate) grant_factor: f64,
-    /// When the last latency sample was taken.
+    /// Time of the last latency sample.
     pub(crate) confirmed_at: Option<Milliseconds>,
-    /// The group that the class belongs to.
+    /// Runtime group of the class.
     pub(crate) group: RuntimeGroup,
 }
