--- a/crates/decision/src/state/engine.rs
+++ b/crates/decision/src/state/engine.rs
@@ -1,139 +1,143 @@
-//! What is known of an engine.
+//! Learned state of an engine.
 
 use crate::settings::MachineType;
 use crate::types::{Availability, DataSet, Member, Milliseconds};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A point in time before any other.
-pub(crate) const NEVER: Milliseconds = -1e15;
+/// Point in time before any other, for events that have not occurred.
+pub(crate) const DISTANT_PAST: Milliseconds = -1e15;
 
-/// The least number of cores that an engine counts as where a load is divided by cores: an engine in slow start that
-/// fails may count as next to none.
+/// Minimum number of cores that an engine counts as where a load is divided by cores: the effective cores of a
+/// failing engine in slow start may be close to 0.
 pub(crate) const MIN_CORES: f64 = 0.1;
 
-/// Two sums over attempts: the time that their threads took, and the time that they would have taken alone.
+/// Two sums over attempts: the elapsed time of their threads, and the time that the same threads would have taken on
+/// an idle engine.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct ThreadTimes {
-    /// Thread time from send to outcome.
-    pub(crate) taken: Milliseconds,
+    /// Thread time from send to outcome, in milliseconds times threads.
+    pub(crate) elapsed: Milliseconds,
     /// Thread time of the same queries on an idle engine.
-    pub(crate) alone: Milliseconds,
+    pub(crate) unloaded: Milliseconds,
 }
 
 impl ThreadTimes {
-    /// Adds an attempt.
-    pub(crate) fn add(&mut self, taken: Milliseconds, alone: Milliseconds) {
-        self.taken += taken;
-        self.alone += alone;
+    /// Adds the thread times of an attempt.
+    pub(crate) fn add(&mut self, elapsed: Milliseconds, unloaded: Milliseconds) {
+        self.elapsed += elapsed;
+        self.unloaded += unloaded;
     }
 
     /// Multiplies both sums by `factor`, so that old attempts lose weight.
     pub(crate) fn decay(&mut self, factor: f64) {
-        self.taken *= factor;
-        self.alone *= factor;
+        self.elapsed *= factor;
+        self.unloaded *= factor;
     }
 
-    /// How many times longer than alone the attempts took, with `prior` of time taken to be as usual.
+    /// Returns the ratio of elapsed time to time on an idle engine. `prior` is added to both sums, so that a small
+    /// number of attempts has little effect.
     pub(crate) fn slowdown(&self, prior: Milliseconds) -> f64 {
-        (self.taken + prior) / (self.alone + prior)
+        (self.elapsed + prior) / (self.unloaded + prior)
     }
 }
 
-/// The load of an engine.
+/// Load of an engine.
 pub(crate) struct EngineLoad {
-    /// Threads of this gateway's attempts there.
+    /// Number of threads of this gateway's attempts on the engine.
     pub(crate) own_threads: f64,
-    /// This gateway's attempts in flight there.
+    /// Number of this gateway's attempts in flight on the engine.
     pub(crate) in_flight: f64,
-    /// The same, averaged over the time by which load reports are late.
+    /// Number of this gateway's attempts in flight on the engine, averaged over the delay of load reports.
     pub(crate) mean_in_flight: f64,
-    /// Threads of other gateways, estimated from load reports.
+    /// Number of threads of other gateways' attempts, estimated from load reports.
     pub(crate) other_threads: f64,
-    /// When it last reported its load, or a health check showed it.
+    /// Time of the last load report, or of the last health check that gave an estimate of the load.
     pub(crate) last_report_at: Option<Milliseconds>,
-    /// Its last report, or a rejection as full, says that it is saturated.
+    /// The last load report, or a rejection as full, showed that the engine is saturated.
     pub(crate) is_saturated: bool,
 }
 
-/// The ejections of an engine.
+/// Ejections of an engine.
 pub(crate) struct EjectionState {
-    /// It is ejected; from this time on a trial may be sent.
+    /// Time from which a trial may be sent to the ejected engine; `None`: the engine is not ejected.
     pub(crate) until: Option<Milliseconds>,
-    /// Ejections in a row.
+    /// Number of consecutive ejections.
     pub(crate) count: u32,
-    /// When the last ejection ended.
+    /// Time at which the last ejection ended.
     pub(crate) ended_at: Milliseconds,
 }
 
-/// The start of an engine's process, and its budget while it is in slow start.
+/// Start of an engine's process, and its budget while it is in slow start.
 pub(crate) struct SlowStartState {
-    /// This gateway's share of the budget.
+    /// This gateway's share of the engine's slow start budget, from 0 to 1.
     pub(crate) own_share: f64,
-    /// What the engine was sent of late.
-    pub(crate) recent_sends: VecDeque<SentWork>,
-    /// The sum of the work in it, recomputed each control step.
+    /// Attempts that this gateway sent to the engine within the budget's window.
+    pub(crate) recent_sends: VecDeque<RecentSend>,
+    /// Total work of `recent_sends`, recomputed in each control step.
     pub(crate) recent_work: Milliseconds,
-    /// A random number from 0 to 1: rounds this gateway's share of the budget up or down.
+    /// Random number from 0 to 1 that rounds this gateway's share of the budget up or down.
     pub(crate) budget_draw: f64,
-    /// When that is drawn anew.
+    /// Time at which `budget_draw` is drawn again.
     pub(crate) next_draw_at: Milliseconds,
-    /// When its process started, stated by the list or suspected.
+    /// Time at which the engine's process started, stated by the endpoint list or suspected.
     pub(crate) started_at: Option<Milliseconds>,
-    /// Its start is suspected only: the process may still be the earlier, warm one.
+    /// The start is only suspected: the process may be the earlier one, which has left slow start.
     pub(crate) start_suspected: bool,
-    /// Answers in a row that show it to be warmer than it is taken for.
-    pub(crate) warm_answers: u32,
-    /// The lowest warmth that those answers show, as a share of its capacity.
-    pub(crate) shown_warmth: f64,
+    /// Number of consecutive answers that prove a larger capacity share than is assumed.
+    pub(crate) fast_answers: u32,
+    /// Lowest capacity share that these answers prove.
+    pub(crate) shown_capacity_share: f64,
 }
 
-/// What is known of an engine.
+/// Learned state of an engine.
 pub(crate) struct Engine {
-    /// Its entry in the endpoint list.
+    /// Entry of the engine in the endpoint list.
     pub(crate) member: Member,
-    /// Its number for hashing, the same on every gateway.
+    /// Hash of the engine's identifier, the same on every gateway.
     pub(crate) stable_hash: u64,
-    /// Its cores.
+    /// Number of cores of the engine.
     pub(crate) cores: f64,
-    /// Its memory in MB.
+    /// Memory of the engine in MB.
     pub(crate) memory_mb: f64,
-    /// The share, from 0 to 1, in which it lies in this gateway's aperture.
+    /// Share of the engine that this gateway's aperture covers, from 0 to 1.
     pub(crate) aperture_share: f64,
-    /// A random number from 0 to 1 that tells apart engines which are otherwise alike.
+    /// Random number from 0 to 1 that breaks ties between otherwise equal engines.
     pub(crate) jitter: f64,
     pub(crate) load: EngineLoad,
     pub(crate) ejection: EjectionState,
     pub(crate) slow_start: SlowStartState,
-    /// How many times longer than alone queries take there, with those in flight.
+    /// Ratio of the time that queries take on this engine to their time on an idle engine, including attempts in
+    /// flight.
     pub(crate) slowdown: f64,
-    /// Thread times of attempts that ended of late.
+    /// Thread times of recently ended attempts.
     pub(crate) thread_times: ThreadTimes,
-    /// The recent share of failures among outcomes.
+    /// Recent share of failures among outcomes.
     pub(crate) error_rate: f64,
-    /// When an attempt there last succeeded or reported progress.
+    /// Time at which an attempt on the engine last succeeded or reported progress.
     pub(crate) last_answer_at: Milliseconds,
-    /// When it last answered anything, in this incarnation of the gateway.
+    /// Time at which the engine last answered an attempt or a health check or reported progress, within the lifetime
+    /// of this gateway process.
     pub(crate) confirmed_at: Option<Milliseconds>,
-    /// When its health was last checked.
+    /// Time at which the health of the engine was last checked.
     pub(crate) checked_at: Milliseconds,
-    /// When it last rejected an attempt as full.
+    /// Time at which the engine last rejected an attempt as full.
     pub(crate) full_at: Milliseconds,
-    /// When a connection to it last broke.
+    /// Time at which a connection to the engine last broke.
     pub(crate) reset_at: Milliseconds,
-    /// When it last refused connections: its process may be a new one, in slow start.
+    /// Time at which the engine last refused a connection: its process may have been restarted and be in slow start.
     pub(crate) connections_refused_at: Option<Milliseconds>,
-    /// Data sets that a load of another gateway seems to lock here, and until when.
+    /// Data sets that loads of other gateways appear to lock on this engine, with the expected end of each lock.
     pub(crate) locked_until: BTreeMap<DataSet, Milliseconds>,
-    /// This gateway's loads in flight here, by data set.
+    /// Number of this gateway's loads in flight on the engine, by data set.
     pub(crate) own_loads: BTreeMap<DataSet, u32>,
 }
 
-/// Work that was sent to an engine.
+/// An attempt that was sent to an engine, as counted in its slow start budget.
 #[derive(Clone, Copy)]
-pub(crate) struct SentWork {
-    /// When it was sent.
+pub(crate) struct RecentSend {
+    /// Time at which the attempt was sent.
     pub(crate) sent_at: Milliseconds,
-    /// The usual work of its class, in thread time.
+    /// Expected work of the attempt's class, in thread time.
     pub(crate) work: Milliseconds,
 }
 
@@ -149,7 +153,7 @@
         }
     }
 
-    /// Threads of all gateways.
+    /// Returns the number of threads of all gateways' attempts.
     pub(crate) fn all_threads(&self) -> f64 {
         self.own_threads + self.other_threads
     }
@@ -157,7 +161,7 @@
 
 impl EjectionState {
     fn new() -> Self {
-        Self { until: None, count: 0, ended_at: NEVER }
+        Self { until: None, count: 0, ended_at: DISTANT_PAST }
     }
 }
 
@@ -171,20 +175,20 @@
             next_draw_at: now,
             started_at: None,
             start_suspected: false,
-            warm_answers: 0,
-            shown_warmth: 1.0,
+            fast_answers: 0,
+            shown_capacity_share: 1.0,
         }
     }
 }
 
 impl Engine {
-    /// An engine of which nothing is known yet.
-    pub(crate) fn new(member: Member, kind: &MachineType, now: Milliseconds, jitter: f64) -> Self {
+    /// Creates the state of an engine about which nothing has been learned yet.
+    pub(crate) fn new(member: Member, machine_type: &MachineType, now: Milliseconds, jitter: f64) -> Self {
         Self {
             stable_hash: member.engine.stable_hash(),
             member,
-            cores: kind.cores,
-            memory_mb: kind.memory_mb.max(1.0),
+            cores: machine_type.cores,
+            memory_mb: machine_type.memory_mb.max(1.0),
             aperture_share: 1.0,
             jitter,
             load: EngineLoad::new(),
@@ -195,20 +199,20 @@
             error_rate: 0.0,
             last_answer_at: now,
             confirmed_at: None,
-            checked_at: NEVER,
-            full_at: NEVER,
-            reset_at: NEVER,
+            checked_at: DISTANT_PAST,
+            full_at: DISTANT_PAST,
+            reset_at: DISTANT_PAST,
             connections_refused_at: None,
             locked_until: BTreeMap::new(),
             own_loads: BTreeMap::new(),
         }
     }
 
-    /// Replaces the record after a restart of the engine's process: nothing that was learned of the earlier
-    /// process holds. Attempts in flight, the aperture and the slow start budget are carried over.
+    /// Resets the state after a restart of the engine's process, because nothing learned of the earlier process
+    /// applies. Attempts in flight, the aperture and the slow start budget are carried over.
     pub(crate) fn restart(&mut self, started_at: Milliseconds) {
-        let kind = MachineType { name: String::new(), cores: self.cores, memory_mb: self.memory_mb };
-        let mut fresh = Self::new(self.member.clone(), &kind, self.last_answer_at, self.jitter);
+        let machine_type = MachineType { name: String::new(), cores: self.cores, memory_mb: self.memory_mb };
+        let mut fresh = Self::new(self.member.clone(), &machine_type, self.last_answer_at, self.jitter);
         fresh.aperture_share = self.aperture_share;
         fresh.load.own_threads = self.load.own_threads;
         fresh.load.in_flight = self.load.in_flight;
@@ -219,12 +223,12 @@
         *self = fresh;
     }
 
-    /// Whether a load is known or seems to lock that data set here.
+    /// Returns whether a load is known or assumed to lock that data set on this engine.
     pub(crate) fn is_locked(&self, data: DataSet, now: Milliseconds) -> bool {
         self.own_loads.contains_key(&data) || self.locked_until.get(&data).is_some_and(|until| now < *until)
     }
 
-    /// Ends one of this gateway's loads of that data set.
+    /// Records the end of one of this gateway's loads of that data set.
     pub(crate) fn release_load(&mut self, data: DataSet) {
         if let Some(loads) = self.own_loads.get_mut(&data) {
             *loads -= 1;
@@ -232,12 +236,12 @@
         }
     }
 
-    /// Forgets locks of other gateways' loads that have expired.
+    /// Discards expired locks of other gateways' loads.
     pub(crate) fn expire_locks(&mut self, now: Milliseconds) {
         self.locked_until.retain(|_, until| now < *until);
     }
 
-    /// Whether the engine accepts work and lies in this gateway's aperture.
+    /// Returns whether the engine accepts work and is in this gateway's aperture.
     pub(crate) fn is_in_aperture(&self) -> bool {
         self.member.availability == Availability::Live && self.aperture_share > 0.0
     }
--- a/crates/decision/src/state/fleet.rs
+++ b/crates/decision/src/state/fleet.rs
@@ -1,44 +1,44 @@
-//! What is known of all engines together, and of this gateway's part in their load.
+//! Learned state of all engines together, and this gateway's share of their load.
 
 use crate::types::{Milliseconds, ZoneId};
 use std::collections::BTreeMap;
 
-/// What is known of all engines together, and of this gateway's part in their load.
+/// Learned state of all engines together, and this gateway's share of their load.
 pub(crate) struct Fleet {
-    /// This gateway's share of all running threads.
+    /// This gateway's share of all running threads, from 0 to 1.
     pub(crate) share: f64,
-    /// This gateway's threads on all engines.
+    /// Number of this gateway's threads on all engines.
     pub(crate) own_threads: f64,
-    /// Effective cores of all engines.
+    /// Total number of effective cores of all engines.
     pub(crate) cores: f64,
-    /// This gateway's threads of late, averaged.
+    /// Recent mean number of this gateway's threads.
     pub(crate) mean_own_threads: f64,
-    /// All gateways' threads of late, averaged; 0: never measured.
+    /// Recent mean number of threads of all gateways; 0: never measured.
     pub(crate) mean_all_threads: f64,
-    /// The mean number of threads of a query.
+    /// Mean number of threads of a query.
     pub(crate) threads_per_query: f64,
-    /// Threads a core that other gateways run, averaged over the latest load reports.
-    pub(crate) usual_load: f64,
-    /// The share of engines whose load is far past any limit.
+    /// Mean load by other gateways, in threads a core, averaged over the latest load reports.
+    pub(crate) mean_other_load: f64,
+    /// Share of engines whose load exceeds the highest possible concurrency limit.
     pub(crate) overloaded_share: f64,
-    /// The slowdown of the median engine.
+    /// Slowdown of the median engine.
     pub(crate) median_slowdown: f64,
-    /// How many times longer than alone queries take, on engines that are not stuck.
+    /// Ratio of the time that queries take to their time on an idle engine, over all engines that are not outliers.
     pub(crate) slowdown: f64,
-    /// The same while few threads run: what spills and locks cost without any load.
+    /// Slowdown while few threads run: effect of spills and locks without load.
     pub(crate) unloaded_slowdown: f64,
-    /// The share of this gateway's work that is on engines which no longer answer.
+    /// Share of this gateway's work that is on engines which no longer answer.
     pub(crate) stuck_share: f64,
-    /// The mean age of the latest load reports.
+    /// Mean age of the latest load reports.
     pub(crate) report_age: Milliseconds,
-    /// How long a thread of a usual query runs.
+    /// Mean time for which a thread of a query runs.
     pub(crate) residence_time: Milliseconds,
-    /// The shortest health check by zone; `None`: engines of no known zone.
+    /// Shortest health check by zone; the key `None` stands for engines whose zone is not in the settings.
     pub(crate) shortest_checks: BTreeMap<Option<ZoneId>, Milliseconds>,
 }
 
 impl Fleet {
-    /// A fleet of which nothing is known but this gateway's share.
+    /// Creates the state of a fleet about which only this gateway's share is known.
     pub(crate) fn new(share: f64) -> Self {
         Self {
             share,
@@ -47,7 +47,7 @@
             mean_own_threads: 0.0,
             mean_all_threads: 0.0,
             threads_per_query: 1.0,
-            usual_load: 0.0,
+            mean_other_load: 0.0,
             overloaded_share: 0.0,
             median_slowdown: 1.0,
             slowdown: 1.0,
@@ -59,8 +59,9 @@
         }
     }
 
-    /// Threads a core that run on all engines: those of others by the latest reports, and this gateway's own.
+    /// Returns the mean load of all engines, in threads a core: other gateways' threads by the latest reports plus
+    /// this gateway's own.
     pub(crate) fn load(&self) -> f64 {
-        self.usual_load + self.own_threads / self.cores
+        self.mean_other_load + self.own_threads / self.cores
     }
 }
--- a/crates/decision/src/state/mod.rs
+++ b/crates/decision/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! What the decision module remembers, as plain records: engines, requests, classes and the fleet as a whole.
-//! No decision is taken here, and no constant here tunes one.
+//! State of the decision module as plain records: engines, requests, classes and the fleet as a whole. These modules
+//! take no decisions and contain no tuning constants.
 
 mod class;
 mod engine;
@@ -7,6 +7,6 @@
 mod request;
 
 pub(crate) use class::{ClassState, LatencyStatistics, RuntimeGroup};
-pub(crate) use engine::{Engine, SentWork, ThreadTimes, MIN_CORES, NEVER};
+pub(crate) use engine::{Engine, RecentSend, ThreadTimes, DISTANT_PAST, MIN_CORES};
 pub(crate) use fleet::Fleet;
 pub(crate) use request::{Attempt, EndedAttempt, OrderedKey, Request};
--- a/crates/decision/src/types.rs
+++ b/crates/decision/src/types.rs
@@ -1,20 +1,20 @@
-//! Identifiers, units and engine endpoints: the types that all other modules of this package build on.
+//! Identifiers, units and endpoint list entries: the types that all other modules of this crate use.
 
 use std::sync::Arc;
 
 /// A point in time or a duration, in milliseconds.
 pub type Milliseconds = f64;
 
-/// The identifier of a client request; never reused.
+/// Identifier of a client request; never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// The identifier of an engine. The text is opaque: it carries identity only.
+/// Identifier of an engine. The text is opaque and serves only to compare engines.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EngineId(pub Arc<str>);
 
 impl EngineId {
-    /// A number derived from the identifier alone, hence the same on every gateway.
+    /// Returns a hash of the identifier alone, which is therefore the same on every gateway.
     pub fn stable_hash(&self) -> u64 {
         self.0.bytes().fold(0, |hash: u64, byte| fastrand::Rng::with_seed(hash ^ u64::from(byte)).u64(..))
     }
@@ -36,53 +36,53 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TenantId(pub usize);
 
-/// The key whose requests run one after another, in order of arrival.
+/// Key that orders requests: requests with the same key run one after another, in order of arrival.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OrderKey(pub u64);
 
-/// The identifier of a data set: a group of tables that a request reads or loads.
+/// Identifier of a data set: a group of tables that a request reads or loads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DataSet(pub u64);
 
-/// Where an engine stands: what the scope of an idempotency key is compared by.
+/// Location of an engine, with which the scope of an idempotency key is compared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Placement {
-    /// The zone, if it is one of those in the settings.
+    /// Zone of the engine, if it is one of those in the settings.
     pub zone: Option<ZoneId>,
-    /// The cell.
+    /// Cell of the engine.
     pub cell: u64,
 }
 
-/// Whether an engine accepts work, as the endpoint list states it.
+/// Availability of an engine for new work, as the endpoint list states it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Availability {
-    /// It accepts new work.
+    /// The engine accepts new work.
     Live,
-    /// It finishes its work and accepts no new work.
+    /// The engine is draining: it finishes its work and accepts no new work.
     Draining,
-    /// It is no longer in the list.
+    /// The engine is no longer in the list.
     Removed,
 }
 
 /// An entry of the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Member {
-    /// The engine.
+    /// Identifier of the engine.
     pub engine: EngineId,
-    /// Its zone, if it is one of those in the settings.
+    /// Zone of the engine, if it is one of those in the settings.
     pub zone: Option<ZoneId>,
-    /// Its machine type, if it is one of those in the settings.
+    /// Machine type of the engine, if it is one of those in the settings.
     pub machine_type: Option<MachineTypeId>,
-    /// Its cell.
+    /// Cell of the engine.
     pub cell: u64,
-    /// Whether it accepts work.
+    /// Availability of the engine for new work.
     pub availability: Availability,
-    /// When its process started, if that was recent.
+    /// Time at which the engine's process started, if the list states a recent start.
     pub started: Option<Milliseconds>,
 }
 
 impl Member {
-    /// The zone and the cell of the engine.
+    /// Returns the zone and the cell of the engine.
     pub fn placement(&self) -> Placement {
         Placement { zone: self.zone, cell: self.cell }
     }
