--- a/crates/decision/src/aperture.rs
+++ b/crates/decision/src/aperture.rs
@@ -20,8 +20,9 @@
 const MIN_GATEWAYS_PER_ENGINE: f64 = 4.0;
 /// Multiple of an even share of the traffic above which the arc of a gateway is widened, in proportion.
 const WIDENING_THRESHOLD: f64 = 3.0;
-/// The arc is not changed while the target width is within these multiples of the current width.
+/// The arc is not narrowed while its current width is at most this multiple of the target width.
 const NARROWING_HYSTERESIS: f64 = 2.0;
+/// The arc is not widened while the target width is at most this multiple of its current width.
 const WIDENING_HYSTERESIS: f64 = 1.5;
 /// Shares below this are caused by rounding, and are treated as 0.
 const MIN_SHARE: f64 = 1e-9;
--- a/crates/decision/src/arrivals.rs
+++ b/crates/decision/src/arrivals.rs
@@ -7,8 +7,9 @@
 
 /// Weight of a new work estimate in the mean of its class.
 const WORK_ESTIMATE_WEIGHT: f64 = 0.03;
-/// Bounds of a request's size relative to the mean of its class: estimates from clients may be far off.
+/// Lower bound of a request's size relative to the mean of its class: estimates from clients may be far off.
 const MIN_RELATIVE_SIZE: f64 = 0.1;
+/// Upper bound of a request's size relative to the mean of its class.
 const MAX_RELATIVE_SIZE: f64 = 10.0;
 /// Factor by which the typical time left of a class falls with each request that has less time left.
 const TIME_LEFT_DECAY: f64 = 0.99;
--- a/crates/decision/src/checkpoint.rs
+++ b/crates/decision/src/checkpoint.rs
@@ -24,9 +24,11 @@
 const MAX_RESTORED_CHECK: Milliseconds = 60_000.0;
 /// Weight of restored thread times, as a multiple of the prior: new attempts soon outweigh them.
 const RESTORED_TIMES_WEIGHT: f64 = 2.0;
-/// Maximum values of restored sums and counts: a record with a larger value is damaged.
+/// Maximum value of a restored sum or count: a record with a larger value is damaged.
 const MAX_RESTORED_COUNT: f64 = 1e9;
+/// Maximum number of restored samples of a band: a record with a larger value is damaged.
 const MAX_RESTORED_SAMPLES: f64 = 1e6;
+/// Maximum value of a restored work or runtime: a record with a larger value is damaged.
 const MAX_RESTORED_WORK: Milliseconds = 1e12;
 /// Minimum best latency that is restored: a latency must be positive.
 const MIN_RESTORED_LATENCY: Milliseconds = 1e-6;
--- a/crates/decision/src/decide.rs
+++ b/crates/decision/src/decide.rs
@@ -74,12 +74,12 @@
         self.decide(actions);
     }
 
-    /// Returns the number of requests for which state is held.
+    /// Returns the number of requests whose state is stored.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Returns the number of engines for which state is held.
+    /// Returns the number of engines whose state is stored.
     pub fn known_engines(&self) -> usize {
         self.engines.len()
     }
@@ -156,7 +156,7 @@
         self.measure_slowdowns();
         self.learn_best_latencies();
         self.discard_removed_engines();
-        self.count_overdue_attempts();
+        self.sample_overdue_attempts();
         self.choose_concurrency_limit();
         self.choose_deferred_group();
     }
--- a/crates/decision/src/engine_selection.rs
+++ b/crates/decision/src/engine_selection.rs
@@ -20,12 +20,14 @@
 const FULL_PAUSE: Milliseconds = 250.0;
 /// Age of the figures in a load report when the report arrives.
 const REPORT_DELAY: Milliseconds = 200.0;
-/// Minimum share of an engine's cores that is counted directly after an ejection ...
+/// Minimum share of an engine's cores that counts as effective directly after an ejection.
 const MIN_RECOVERY: f64 = 0.1;
-/// ... and while its attempts fail.
+/// Minimum share of an engine's cores that counts as effective while its attempts fail.
 const MIN_SUCCESS_RATE: f64 = 0.3;
-/// Bounds of the ratio of an engine's slowdown to the median of the fleet, by which its effective cores are divided.
+/// Lower bound of the ratio of an engine's slowdown to the median of the fleet. The effective cores of the engine are
+/// divided by this ratio.
 const MIN_RELATIVE_SLOWDOWN: f64 = 0.9;
+/// Upper bound of the ratio of an engine's slowdown to the median of the fleet.
 const MAX_RELATIVE_SLOWDOWN: f64 = 10.0;
 
 impl Balancer {
--- a/crates/decision/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -147,8 +147,8 @@
     Peer(Vec<u8>),
     /// Number of processes of this gateway that are running now.
     ProcessCount(u32),
-    /// State that an earlier process of this gateway learned, as far as it is still valid. The endpoint list with its
-    /// engines has been received before.
+    /// State that an earlier process of this gateway learned, as far as it is still valid. The endpoint list that
+    /// contains its engines has already been received.
     StateRestored(Box<crate::learned::LearnedState>),
 }
 
--- a/crates/decision/src/latency_model.rs
+++ b/crates/decision/src/latency_model.rs
@@ -25,9 +25,10 @@
 pub(crate) const INITIAL_LATENCY_SHARE: f64 = 0.4;
 /// Load, in threads a core, at which the best latency is estimated: engines are not slowed down at this load.
 pub(crate) const BEST_LATENCY_LEVEL: f64 = LEVELS[2];
-/// Weight of a control step in the best latency while it falls ...
+/// Weight of a control step in the best latency while it falls.
 const BEST_LATENCY_FALL: f64 = 0.05;
-/// ... and while it rises: far less, otherwise the latency under a long overload would become the best latency.
+/// Weight of a control step in the best latency while it rises: far less than while it falls, otherwise the latency
+/// under a long overload would become the best latency.
 const BEST_LATENCY_RISE: f64 = 0.005;
 /// Minimum number of samples in a band from which the best latency is learned.
 const MIN_SAMPLES_FOR_BEST: f64 = 1.0;
--- a/crates/decision/src/load_reports.rs
+++ b/crates/decision/src/load_reports.rs
@@ -17,7 +17,7 @@
 pub(crate) const MAX_PLAUSIBLE_LOAD: f64 = 20.0;
 /// Time constant with which reports are smoothed.
 const SMOOTHING_TIME: Milliseconds = 1000.0;
-/// Minimum weight of a report in an engine's load, however soon it follows the previous one.
+/// Minimum weight of a report in an engine's load, regardless of how soon it follows the previous one.
 const MIN_REPORT_WEIGHT: f64 = 0.05;
 /// Weight of a report in the mean load of the fleet.
 const FLEET_WEIGHT: f64 = 0.1;
@@ -63,7 +63,7 @@
             engine.load.is_saturated = is_saturated(report);
         }
         let report = report.copied().unwrap_or_default();
-        // Elapsed times that include a pause of this process say nothing about the engine.
+        // Elapsed times that include a pause of this process are no measure of the engine's load.
         let check_time = check_time.filter(|_| !was_paused);
         let Some(input) = best_load_input(&report, check_time) else { return };
 
@@ -79,7 +79,7 @@
     }
 
     /// Decays the load of the fleet while this gateway sends nothing and therefore receives no reports. Otherwise the
-    /// last reports received could prevent it from sending for ever.
+    /// last reports received could prevent it from sending indefinitely.
     pub(crate) fn decay_unreported_load(&mut self, own_threads: f64) {
         let now = self.now;
         if own_threads == 0.0 && self.engines.values().all(|engine| engine.is_report_stale(now)) {
--- a/crates/decision/src/outlier_ejection.rs
+++ b/crates/decision/src/outlier_ejection.rs
@@ -24,24 +24,25 @@
 /// Maximum number of times that the duration doubles.
 const MAX_EJECTION_DOUBLINGS: u32 = 6;
 /// An engine without an ejection for this time starts again with the first duration.
-const EJECTION_MEMORY: Milliseconds = 4.0 * MAX_EJECTION;
-/// The duration of an ejection is multiplied by a random factor, which is at least this ...
+const EJECTION_RESET_TIME: Milliseconds = 4.0 * MAX_EJECTION;
+/// Minimum of the random factor by which the duration of an ejection is multiplied.
 const MIN_LENGTH_FACTOR: f64 = 0.8;
-/// ... and exceeds it by at most this.
+/// Width of the range of the random factor by which the duration of an ejection is multiplied.
 const LENGTH_FACTOR_SPREAD: f64 = 0.4;
 /// Time from the end of an ejection until the engine receives its full share of requests again.
 pub(crate) const RECOVERY_RAMP: Milliseconds = 4000.0;
 /// Time constant with which thread times decay.
-const SLOWDOWN_MEMORY: Milliseconds = 5000.0;
+const SLOWDOWN_TIME_CONSTANT: Milliseconds = 5000.0;
 /// Thread time added at a slowdown of 1 to each engine's sums, so that a few slow attempts do not mark the engine as
 /// slow.
 pub(crate) const SLOWDOWN_PRIOR: Milliseconds = 500.0;
-/// Bounds of an engine's slowdown.
+/// Lower bound of an engine's slowdown.
 pub(crate) const MIN_SLOWDOWN: f64 = 0.1;
+/// Upper bound of an engine's slowdown.
 pub(crate) const MAX_SLOWDOWN: f64 = 10.0;
 /// Weight of a control step in the slowdown without load.
 const UNLOADED_SLOWDOWN_WEIGHT: f64 = 0.05;
-/// Maximum slowdown without load: an engine above it is faulty, for whatever cause.
+/// Maximum slowdown without load: an engine above it is faulty, regardless of the cause.
 const MAX_UNLOADED_SLOWDOWN: f64 = 1.5;
 /// Maximum mean age of load reports at which they are used to decide whether the fleet is loaded.
 const MAX_TRUSTED_REPORT_AGE: Milliseconds = 500.0;
@@ -65,7 +66,7 @@
 impl Engine {
     /// Decays thread times and error rate by one control step.
     pub(crate) fn decay_outlier_statistics(&mut self) {
-        self.thread_times.decay((-CONTROL_PERIOD / SLOWDOWN_MEMORY).exp());
+        self.thread_times.decay((-CONTROL_PERIOD / SLOWDOWN_TIME_CONSTANT).exp());
         self.error_rate *= ERROR_RATE_DECAY;
     }
 
@@ -157,7 +158,7 @@
         let now = self.now;
         let may_eject = |engine: &&mut Engine| engine.ejection.until.is_none_or(|until| until <= now);
         let Some(engine) = self.engines.get_mut(engine).filter(may_eject) else { return };
-        if now - engine.ejection.ended_at > EJECTION_MEMORY && engine.ejection.until.is_none() {
+        if now - engine.ejection.ended_at > EJECTION_RESET_TIME && engine.ejection.until.is_none() {
             engine.ejection.count = 0;
         }
         let doublings = engine.ejection.count.min(MAX_EJECTION_DOUBLINGS);
--- a/crates/decision/src/queueing.rs
+++ b/crates/decision/src/queueing.rs
@@ -8,19 +8,21 @@
 use crate::state::{EndedAttempt, Request, RuntimeGroup};
 use crate::types::{Milliseconds, RequestId};
 
-/// The maximum wait is the largest of the minimum Retry-After, ...
+/// The maximum wait of a request is at least the minimum Retry-After.
 const MIN_LONGEST_WAIT: Milliseconds = MIN_RETRY_AFTER;
-/// ... this share of the expected latency ...
+/// The maximum wait of a request is at least this share of its expected latency.
 const LONGEST_WAIT_LATENCY_SHARE: f64 = 0.1;
-/// ... and this share of the latency objective: capacity becomes free sooner than a rejected client retries.
+/// The maximum wait of a request is at least this share of its latency objective: capacity becomes free sooner than a
+/// rejected client retries.
 const LONGEST_WAIT_OBJECTIVE_SHARE: f64 = 0.25;
 /// A group is deferred if its ratio of runtime to arrivals is more than this multiple of the other group's ratio.
 const DEFERRAL_RATIO: f64 = 1.5;
 /// Minimum number of recent arrivals from which the ratio of a group is computed.
 const MIN_GROUP_ARRIVALS: f64 = 0.5;
-/// Number of waiting requests above which checking all of them in each cycle takes too much CPU time ...
+/// Number of waiting requests above which checking all of them in each cycle takes too much CPU time; they are then
+/// checked every [`PLACEMENT_INTERVAL`].
 const MAX_PLACED_EACH_CYCLE: usize = 64;
-/// ... so that they are checked at this interval instead.
+/// Interval at which waiting requests are checked if there are more than [`MAX_PLACED_EACH_CYCLE`].
 const PLACEMENT_INTERVAL: Milliseconds = 4.0;
 /// Requests are ordered by their relative size in steps of 1 / `SIZE_STEPS`.
 const SIZE_STEPS: f64 = 4.0;
--- a/crates/decision/src/running_attempts.rs
+++ b/crates/decision/src/running_attempts.rs
@@ -7,10 +7,10 @@
 use crate::state::Request;
 use crate::types::{ClassId, Milliseconds, RequestId};
 
-/// Number of requests with attempts in flight above which checking all of them in each cycle takes too much CPU time
-/// ...
+/// Number of requests with attempts in flight above which checking all of them in each cycle takes too much CPU time;
+/// they are then checked every [`CHECK_INTERVAL`].
 const MAX_CHECKED_EACH_CYCLE: usize = 64;
-/// ... so that they are checked at this interval instead.
+/// Interval at which requests with attempts in flight are checked if there are more than [`MAX_CHECKED_EACH_CYCLE`].
 const CHECK_INTERVAL: Milliseconds = 20.0;
 
 /// Elapsed time of an overdue attempt, to be recorded as a latency sample.
@@ -61,7 +61,7 @@
 
     /// Records the elapsed time of overdue attempts as latency samples before the attempts end, except on engines
     /// that are outliers.
-    pub(crate) fn count_overdue_attempts(&mut self) {
+    pub(crate) fn sample_overdue_attempts(&mut self) {
         let mut samples = Vec::new();
         for request in self.requests.values_mut() {
             for attempt in &mut request.attempts {
--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -52,7 +52,7 @@
 /// A class of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// Name in the configuration, in logs and in metrics.
+    /// Name of the class.
     pub name: String,
     /// Fixed part of the latency objective: an answer within the objective earns the full priority weight.
     pub latency_objective: Milliseconds,
@@ -95,7 +95,7 @@
 /// A type of machine that engines run on.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineType {
-    /// Name in the configuration, in logs and in metrics.
+    /// Name of the machine type.
     pub name: String,
     /// Number of cores.
     pub cores: f64,
@@ -106,7 +106,7 @@
 /// A tenant and its quota.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// Name in the configuration, in logs and in metrics.
+    /// Name of the tenant.
     pub name: String,
     /// Quota of the tenant over all gateways, in requests per second; 0: unlimited.
     pub quota_per_s: f64,
@@ -166,9 +166,10 @@
     pub slow_start_initial_share: f64,
     /// Time from its start until an engine reaches its full capacity.
     pub slow_start_duration: Milliseconds,
-    /// An engine in slow start collapses under a load of this multiple of its capacity ...
+    /// Multiple of its capacity at which an engine in slow start collapses, if the load is sustained for
+    /// `overload_collapse_after`.
     pub overload_collapse_multiple: f64,
-    /// ... that is sustained for this time.
+    /// Time for which an overload must be sustained until an engine in slow start collapses.
     pub overload_collapse_after: Milliseconds,
     /// Limit on retries; `None`: retries are not limited.
     pub retry_budget: Option<RetryBudgetSettings>,
--- a/crates/decision/src/slow_start.rs
+++ b/crates/decision/src/slow_start.rs
@@ -10,7 +10,7 @@
 const USABLE_BUDGET_SHARE: f64 = 0.8;
 /// Safety margin where each gateway's share of a budget is smaller than one query: number of standard deviations by
 /// which the expected total work of all gateways stays below the budget.
-const CHANCE_DEVIATIONS: f64 = 3.0;
+const BUDGET_MARGIN_DEVIATIONS: f64 = 3.0;
 /// Number of consecutive answers faster than the assumed capacity share allows, after which the share is raised.
 const MIN_FAST_ANSWERS: u32 = 8;
 /// Minimum increase of the capacity share over a slow start. Prevents a division by zero where engines start at full
@@ -65,13 +65,14 @@
 
 /// Returns this gateway's share of a budget, for queries of the given work. If the share is smaller than one query,
 /// whether a query fits is decided by a random draw, repeated about once per window. The expected total of all
-/// gateways then lies [`CHANCE_DEVIATIONS`] standard deviations below the budget, counted in queries of that work.
+/// gateways then lies [`BUDGET_MARGIN_DEVIATIONS`] standard deviations below the budget, counted in queries of that
+/// work.
 fn own_share_of_budget(budget: Milliseconds, work: Milliseconds, share: f64) -> Milliseconds {
     if budget * share >= work {
         return budget * share;
     }
-    let (queries, variance) = (budget / work, CHANCE_DEVIATIONS * CHANCE_DEVIATIONS);
-    let mean = queries + variance / 2.0 - CHANCE_DEVIATIONS * (queries + variance / 4.0).sqrt();
+    let (queries, variance) = (budget / work, BUDGET_MARGIN_DEVIATIONS * BUDGET_MARGIN_DEVIATIONS);
+    let mean = queries + variance / 2.0 - BUDGET_MARGIN_DEVIATIONS * (queries + variance / 4.0).sqrt();
     mean * work * share
 }
 
--- a/crates/decision/src/slow_start/tests.rs
+++ b/crates/decision/src/slow_start/tests.rs
@@ -16,6 +16,6 @@
         // deviations.
         let mean = own / share / work;
         let deviations = (budget / work - mean) / mean.sqrt();
-        assert!(deviations >= CHANCE_DEVIATIONS - 1e-9, "{deviations} deviations below the budget");
+        assert!(deviations >= BUDGET_MARGIN_DEVIATIONS - 1e-9, "{deviations} deviations below the budget");
     }
 }
--- a/crates/decision/src/start_times.rs
+++ b/crates/decision/src/start_times.rs
@@ -3,7 +3,7 @@
 //! The endpoint list states a start by the wall clock of another machine, which may have been stepped. Input: the
 //! stated starts, and the times at which lists were received. Output: a start that is never in the future, and never
 //! earlier than the last list that did not state it. An engine that joins is therefore in slow start for a span of
-//! real time, whatever wall clocks show.
+//! real time, regardless of changes of wall clocks.
 
 use crate::types::{EngineId, Milliseconds};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/decision/src/state/engine.rs
+++ b/crates/decision/src/state/engine.rs
@@ -101,7 +101,7 @@
     pub(crate) memory_mb: f64,
     /// Share of the engine that this gateway's aperture covers, from 0 to 1.
     pub(crate) aperture_share: f64,
-    /// Random number from 0 to 1 that breaks ties between otherwise equal engines.
+    /// Random number from 0 to 1 that distinguishes otherwise equal engines.
     pub(crate) jitter: f64,
     pub(crate) load: EngineLoad,
     pub(crate) ejection: EjectionState,
