--- a/src/net/persistence/takeover.rs
+++ b/src/net/persistence/takeover.rs
@@ -29,7 +29,7 @@
 
     /// Sends keyed requests while another process of this gateway has the folder: as that process's log allows, each
     /// recorded where both look. Where the folder is required they wait for it.
-    pub fn follow(&mut self, config: &Config, core: &mut Core, now: Milliseconds) {
+    pub fn use_owner_log(&mut self, config: &Config, core: &mut Core, now: Milliseconds) {
         let Some(settings) = &config.knowledge else { return };
         if !self.awaits_folder || !settings.logs_keys || settings.required {
             return;
--- a/src/net/runtime/calls.rs
+++ b/src/net/runtime/calls.rs
@@ -1,4 +1,4 @@
-//! Operators' calls and the changes that they make.
+//! Answers operators' calls and applies the changes that they request.
 
 use crate::core::Event;
 use crate::net::hot_restart::ChangeError;
@@ -8,10 +8,10 @@
 use starlingplank_admin::operator_overrides::{OperatorOverrides, OverrideError};
 
 impl Runtime {
-    /// Answers an operator's call. Its changes are pushed to `events` for the reducer.
+    /// Answers an operator's call. The changes that the call makes are pushed to `events` for the reducer.
     pub(super) fn answer_call(&mut self, call: Call, events: &mut Vec<Event>) -> Reply {
         match call {
-            Call::Ready if self.terminated.is_some() => Reply::line(503, "ending"),
+            Call::Ready if self.terminated_at.is_some() => Reply::line(503, "ending"),
             Call::Ready if !self.listening || self.core.awaits_endpoint_list() => {
                 Reply::line(503, "starting: the list of engines is awaited")
             }
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Excludes an engine or includes it again, and records that for the other processes of this gateway. `state` names the
-    /// new state of the engine.
+    /// Excludes an engine or includes it again, and stores the change for the other processes of this gateway. `state` is the
+    /// name of the engine's new state, for the log and the reply.
     fn change_exclusion(
         &mut self,
         id: &str,
@@ -60,7 +60,7 @@
             }
             Err(ChangeError::Invalid(why)) => Reply::line(503, format_args!("{id}: {why}")),
             Err(ChangeError::NotStored(why)) => {
-                tracing::error!(engine = id, state, error = %why, "operator override failed");
+                tracing::error!(engine = id, state, error = %why, "operator override not stored: the engine's state is unchanged");
                 Reply::line(503, format_args!("{id}: the call cannot be kept for the next version: {why}"))
             }
         }
--- a/src/net/runtime/cycle.rs
+++ b/src/net/runtime/cycle.rs
@@ -1,17 +1,17 @@
-//! The decision cycle: events go to the reducer, its effects are performed, and the events that arise from them start the
-//! next cycle.
+//! The decision cycle: the reducer handles the events, the runtime performs the effects that the reducer returns, and events
+//! that result from those effects start the next cycle.
 
 use crate::core::{AttemptEnd, AttemptId, Effect, Event};
 use crate::interface::{Milliseconds, RequestDetails};
 use crate::net::runtime::Runtime;
 
-/// Engines that a line of the log names at most.
+/// Maximum number of engines that one log line names.
 const MAX_LOGGED_ENGINES: usize = 8;
 
 impl Runtime {
-    /// Hands events to the reducer and performs its effects, until no further events arise from them.
+    /// Passes events to the reducer and performs its effects, and repeats this until the effects produce no further events.
     pub(super) fn run_decision_cycles(&mut self, events: impl IntoIterator<Item = Event>) {
-        let serial = self.core.membership_version();
+        let previous_version = self.core.membership_version();
         let mut effects = Vec::new();
         let mut new_events: Vec<Event> = events.into_iter().collect();
         loop {
@@ -23,35 +23,35 @@
                 break;
             }
         }
-        // The next process starts from the endpoint list that this one received last.
-        if self.core.membership_version() != serial {
-            self.log_members();
+        // The cached list is what the next process of this gateway starts from.
+        if self.core.membership_version() != previous_version {
+            self.log_endpoint_list();
             self.persistence.cache_endpoints(&self.core, &self.frontend.settings);
         }
     }
 
-    /// Logs the endpoint list that is used from now on.
-    fn log_members(&self) {
+    /// Logs the endpoint list that has just come into use: its version, its size and some of the draining engines.
+    fn log_endpoint_list(&self) {
         let (version, draining) = (self.core.membership_version().unwrap_or(0), self.core.draining());
         let named = draining.iter().take(MAX_LOGGED_ENGINES).collect::<Vec<_>>();
         let (engines, drain) = (self.core.engines().0, draining.len());
         tracing::info!("list of engines: version {version}, {engines} engines, {drain} drain {named:?}");
     }
 
-    /// One cycle: the reducer takes the events, and decides once.
+    /// Runs one cycle: the reducer handles all events and then decides once.
     fn decide(&mut self, events: impl Iterator<Item = Event>, effects: &mut Vec<Effect>) {
         let now = self.frontend.clock.now();
         for event in events.chain([Event::TimersDue, Event::RunDecisionCycle]) {
             trace_event(&event);
-            self.prepare(now, &event, effects);
+            self.before_event(now, &event, effects);
             self.core.handle(now, event, effects);
         }
         self.core.deduct_decision_time(self.frontend.clock.now() - now);
         self.frontend.awaits_endpoint_list.set(self.core.awaits_endpoint_list());
     }
 
-    /// Does what has to be done before the reducer takes an event.
-    fn prepare(&mut self, now: Milliseconds, event: &Event, effects: &mut Vec<Effect>) {
+    /// Updates the runtime's own state before the reducer handles an event.
+    fn before_event(&mut self, now: Milliseconds, event: &Event, effects: &mut Vec<Effect>) {
         match event {
             Event::EndpointList { .. } => self.list_received = true,
             Event::RequestReceived(request) if request.statement.key.is_some() => {
@@ -61,7 +61,8 @@
         }
     }
 
-    /// Passes the keys that other processes have just sent to the reducer: a request with one of them is a repetition.
+    /// Passes idempotency keys that other processes have recently sent to the reducer, so that it treats a request with one of
+    /// these keys as a repetition.
     fn read_peer_keys(&mut self, now: Milliseconds, effects: &mut Vec<Effect>) {
         let Some(hot_restart) = &mut self.hot_restart else { return };
         let keys = hot_restart.peer_keys(now);
@@ -71,7 +72,7 @@
     }
 }
 
-/// Logs an event in one line at the level `trace`; where that is off, it costs a test of one flag.
+/// Logs an event as one line at level `trace`. With that level disabled, the cost is the check of one flag.
 fn trace_event(event: &Event) {
     match event {
         Event::AttemptEnded(AttemptId { request, number: attempt }, end) => {
--- a/src/net/runtime/effects.rs
+++ b/src/net/runtime/effects.rs
@@ -1,4 +1,4 @@
-//! Performs the effects that the reducer returns.
+//! Performs the effects that the reducer returns: sends attempts, answers clients, writes records.
 
 use crate::core::{Answer, AttemptEnd, AttemptId, Effect, Event, Send};
 use crate::interface::{Idempotency, Outcome};
@@ -7,7 +7,7 @@
 use starlingplank_persistence::deduplication_window::{self, KeySend};
 
 impl Runtime {
-    /// Performs one effect. Events that arise at once are pushed to `new_events`.
+    /// Performs one effect. Events that result immediately are pushed to `new_events`.
     pub(super) fn perform(&mut self, effect: Effect, new_events: &mut Vec<Event>) {
         trace_effect(&effect);
         match effect {
@@ -38,7 +38,7 @@
                     new_events.push(Event::RecordsFailed(vec![number]));
                 }
             }
-            // A mark that cannot be queued is left out: the log is then trusted for a shorter time.
+            // A mark that cannot be queued is skipped: the next process then trusts the log for a shorter time.
             Effect::WriteMark(mark) => drop(self.persistence.mark(mark)),
             Effect::RewriteLog(rewrite) => {
                 if !self.persistence.rewrite(rewrite) {
@@ -46,11 +46,11 @@
                 }
             }
             Effect::LogListReliability(is_reliable) => log_list_reliability(is_reliable),
-            Effect::Exit => self.settled = true,
+            Effect::Exit => self.requests_finished = true,
         }
     }
 
-    /// Sends an attempt. One with a key that cannot be recorded is not sent.
+    /// Sends an attempt. A keyed attempt that cannot be recorded for the other processes is not sent and ends as not executed.
     fn send(&mut self, send: Send, new_events: &mut Vec<Event>) {
         if self.record_for_peers(&send) {
             self.engines.send(send, new_events);
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Records a keyed send for the other processes of this gateway. False: it is not recorded, and must not be sent.
+    /// Records a keyed send for the other processes of this gateway. Returns `false` if the record failed: the attempt must not
+    /// be sent.
     fn record_for_peers(&mut self, send: &Send) -> bool {
         let (Some(hot_restart), Some(key)) = (&mut self.hot_restart, &send.statement.key) else {
             return true;
@@ -91,7 +92,7 @@
     }
 }
 
-/// Logs an effect in one line at the level `trace`, and each retry at the level `debug`.
+/// Logs an effect as one line at level `trace`, and additionally each retry at level `debug`.
 fn trace_effect(effect: &Effect) {
     match effect {
         Effect::Send(Send {
--- a/src/net/runtime/inputs.rs
+++ b/src/net/runtime/inputs.rs
@@ -1,56 +1,56 @@
-//! The inputs of the loop: signals, events, operators' calls and timers.
+//! Inputs of the event loop: signals, events for the reducer, operators' calls and timers.
 
 use crate::config::PersistenceSettings;
 use crate::core::Event;
 use crate::limits::Limits;
 use crate::net::admin::PendingCall;
-use crate::net::runtime::signals::{Received, Signals};
+use crate::net::runtime::signals::{ReceivedSignal, Signals};
 use crate::net::tasks::TaskName;
 use std::time::Duration;
 use tokio::sync::mpsc::Receiver;
 use tokio::time::{interval, interval_at, sleep_until, Instant, Interval, MissedTickBehavior};
 
-/// An input of the loop.
+/// One input of the event loop.
 pub(super) enum Input {
-    /// An event for the reducer.
+    /// An event for the reducer; `None` if the queue of events is closed.
     Event(Option<Event>),
-    /// A timer of the reducer is due.
+    /// The reducer's next timer is due.
     Due,
-    /// The maintenance tick of the connections to engines.
+    /// The maintenance tick of the connections to engines is due.
     MaintainEngines,
-    /// The other processes of this gateway are due to be polled.
+    /// The next poll of the other processes of this gateway is due.
     ObservePeers,
-    /// An operator calls.
+    /// A call of an operator.
     Call(PendingCall),
-    /// The maintenance tick of persisted state.
-    MaintainKnowledge,
-    /// A snapshot is due.
+    /// The maintenance tick of the idempotency log is due.
+    MaintainIdempotencyLog,
+    /// The next snapshot is due.
     Snapshot,
     /// SIGHUP.
     Reload,
     /// SIGTERM.
     Terminate,
-    /// A task that the process cannot do without ended by a panic.
+    /// A required task panicked.
     TaskFailed(TaskName),
 }
 
-/// The timers of the loop. A late tick delays those after it.
+/// Timers of the event loop. A late tick delays the ticks that follow it.
 pub(super) struct Timers {
     maintain_engines: Interval,
-    maintain_knowledge: Interval,
+    maintain_idempotency_log: Interval,
     snapshots: Interval,
     observe_peers: Interval,
 }
 
 impl Timers {
-    /// Starts all timers. All but the one for snapshots have their first tick at once.
-    pub(super) fn start(limits: &Limits, knowledge: Option<&PersistenceSettings>) -> Self {
-        let snapshot_interval = knowledge.map_or(limits.log_maintenance_interval, |settings| {
+    /// Starts all timers. The first tick is immediate, except for snapshots, where it follows after one interval.
+    pub(super) fn start(limits: &Limits, persistence: Option<&PersistenceSettings>) -> Self {
+        let snapshot_interval = persistence.map_or(limits.log_maintenance_interval, |settings| {
             Duration::from_secs_f64(settings.snapshot_interval / 1000.0)
         });
         Self {
             maintain_engines: delayed(interval(limits.maintenance_interval)),
-            maintain_knowledge: delayed(interval(limits.log_maintenance_interval)),
+            maintain_idempotency_log: delayed(interval(limits.log_maintenance_interval)),
             snapshots: delayed(interval_at(Instant::now() + snapshot_interval, snapshot_interval)),
             observe_peers: delayed(interval(limits.peer_poll_interval)),
         }
@@ -62,31 +62,31 @@
     timer
 }
 
-/// Inputs that only some gateways have.
+/// Inputs that only some configurations have.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct OptionalInputs {
-    /// Other processes of this gateway are polled.
+    /// Whether other processes of this gateway are polled.
     pub peers: bool,
-    /// State is persisted through restarts.
-    pub knowledge: bool,
+    /// Whether state is persisted across restarts.
+    pub persistence: bool,
 }
 
-/// Everything that the loop waits for.
+/// All sources of input of the event loop.
 pub(super) struct Inputs {
-    /// Signals.
+    /// SIGTERM and SIGHUP.
     pub signals: Signals,
-    /// Events for the reducer.
+    /// Queue of events for the reducer.
     pub events: Receiver<Event>,
-    /// Operators' calls.
+    /// Queue of operators' calls.
     pub calls: Receiver<PendingCall>,
-    /// Tasks that failed.
+    /// Names of required tasks that failed.
     pub failed_tasks: Receiver<TaskName>,
-    /// Timers.
+    /// The periodic timers.
     pub timers: Timers,
 }
 
 impl Inputs {
-    /// Waits for the next input, until `due` at the longest.
+    /// Waits for the next input, but no longer than until `due`.
     pub(super) async fn next(&mut self, due: Instant, optional: OptionalInputs) -> Input {
         let (signals, timers) = (&self.signals, &mut self.timers);
         tokio::select! {
@@ -95,17 +95,17 @@
             _ = timers.maintain_engines.tick() => Input::MaintainEngines,
             _ = timers.observe_peers.tick(), if optional.peers => Input::ObservePeers,
             Some(call) = self.calls.recv() => Input::Call(call),
-            _ = timers.maintain_knowledge.tick(), if optional.knowledge => Input::MaintainKnowledge,
-            _ = timers.snapshots.tick(), if optional.knowledge => Input::Snapshot,
+            _ = timers.maintain_idempotency_log.tick(), if optional.persistence => Input::MaintainIdempotencyLog,
+            _ = timers.snapshots.tick(), if optional.persistence => Input::Snapshot,
             signal = signals.next() => match signal {
-                Received::Reload => Input::Reload,
-                Received::Terminate => Input::Terminate,
+                ReceivedSignal::Reload => Input::Reload,
+                ReceivedSignal::Terminate => Input::Terminate,
             },
             Some(name) = self.failed_tasks.recv() => Input::TaskFailed(name),
         }
     }
 
-    /// Takes the events that are queued, until there are `max` events.
+    /// Moves queued events to `events` until the queue is empty or `events` holds `max` events.
     pub(super) fn drain_events(&mut self, events: &mut Vec<Event>, max: usize) {
         while let Ok(event) = self.events.try_recv() {
             events.push(event);
@@ -115,8 +115,8 @@
         }
     }
 
-    /// An operator's call that is queued, if there is one.
-    pub(super) fn next_waiting_call(&mut self) -> Option<PendingCall> {
+    /// Returns the next queued operator's call, if there is one.
+    pub(super) fn next_queued_call(&mut self) -> Option<PendingCall> {
         self.calls.try_recv().ok()
     }
 }
--- a/src/net/runtime/listeners.rs
+++ b/src/net/runtime/listeners.rs
@@ -1,4 +1,4 @@
-//! Listeners for clients: each connection is served by a task of its own, once it has a slot.
+//! Listeners for clients. Each connection is served by its own task after it has obtained a connection slot.
 
 use crate::config::{ClickHouseListener, Config};
 use crate::net::front::{clickhouse, thrift, ClientConnection, FrontendState, ListenerGuard};
@@ -14,16 +14,17 @@
 use tokio::sync::{AcquireError, OwnedSemaphorePermit};
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// Connections that may wait to be accepted in the system's queue: as many as the library's own listener allows.
+/// Length of the kernel's queue of connections that are not accepted yet; the same value as tokio's default for listeners.
 const BACKLOG: u32 = 1024;
 
-/// A slot among the connections that were accepted and wait to be served.
+/// A permit for an accepted connection that waits for a connection slot; an error if the semaphore is closed.
 type WaitingSlot = Result<OwnedSemaphorePermit, AcquireError>;
 
-/// Listens for clients. Where a new version may take over, both processes listen at the same address.
+/// Listens for clients at all configured addresses. Where hot restart is possible, the old and the new process listen at the
+/// same address (`SO_REUSEPORT`).
 ///
 /// # Errors
-/// An address cannot be listened at.
+/// Listening at one of the addresses fails.
 pub(super) async fn listen_to_clients(
     config: &Config,
     frontend: &Rc<FrontendState>,
@@ -48,10 +49,10 @@
     Ok(())
 }
 
-/// Listens at an address; a lack of descriptors or memory is retried for a while.
+/// Listens at an address. Failures for lack of descriptors or memory are retried for the time `retry`.
 ///
 /// # Errors
-/// It cannot be listened at.
+/// Listening fails for another reason, or still fails after that time.
 pub(super) async fn bind(address: SocketAddr, shared: bool, retry: Duration) -> io::Result<TcpListener> {
     transient_errors::retry(retry, || bind_once(address, shared)).await
 }
@@ -64,7 +65,7 @@
     socket.listen(BACKLOG)
 }
 
-/// Accepts connections in a task of its own.
+/// Starts a task that accepts the connections of a listener and serves each of them with `serve`.
 fn accept<S, F>(name: TaskName, tasks: &Tasks, listener: TcpListener, frontend: &Rc<FrontendState>, serve: S)
 where
     S: Fn(TcpStream, Rc<ClientConnection>) -> F + Clone + 'static,
@@ -74,7 +75,8 @@
     tasks.spawn(name, acceptor.run(listener));
 }
 
-/// Since when connections may have been waiting in the system's queue: what they send arrives meanwhile.
+/// Tracks since when connections may have been waiting in the kernel's accept queue. Their clients may already have sent
+/// requests, and deadlines count from then.
 #[derive(Debug, Default)]
 struct ListenerQueue {
     waiting_since: Option<Instant>,
@@ -82,28 +84,28 @@
 }
 
 impl ListenerQueue {
-    /// Records that connections wait to be accepted since that time, at the earliest.
+    /// Records that connections may have been waiting to be accepted since `earliest`.
     fn set_waiting(&mut self, earliest: Instant) {
         self.waiting_since.get_or_insert(earliest);
     }
 
-    /// Records that no connection waits to be accepted.
+    /// Records that the accept queue is empty.
     fn set_empty(&mut self) {
         self.waiting_since = None;
     }
 
-    /// When a connection that is accepted now arrived, at the earliest.
+    /// Earliest time at which a connection that is accepted now may have arrived; `earliest` if none had to wait.
     fn arrived(&self, earliest: Instant) -> Instant {
         self.waiting_since.unwrap_or(earliest)
     }
 }
 
-/// Accepts the connections of one listener.
+/// Accepts the connections of one listener and starts a task for each.
 struct Acceptor<S> {
     frontend: Rc<FrontendState>,
-    /// The front that serves a connection.
+    /// Serves one connection with the listener's protocol.
     serve: S,
-    /// Held while further connections may be accepted.
+    /// Signals, until dropped, that further connections may be accepted.
     listener_guard: ListenerGuard,
 }
 
@@ -117,21 +119,21 @@
         self.empty_backlog(listener, arrived).await;
     }
 
-    /// Accepts connections until another process takes over or this one is about to end. A few may wait for a slot at once,
-    /// so that one client that waits does not block others. Returns when the connections that wait now arrived, at the
-    /// earliest.
+    /// Accepts connections until another process takes over or this one is about to exit. Several accepted connections may wait
+    /// for a slot at the same time, so that one that waits does not block the others. Returns the earliest time at which
+    /// connections that are still in the accept queue may have arrived.
     async fn accept_until_closing(&self, listener: &TcpListener) -> Instant {
         let mut stop_accepting = self.frontend.stop_accepting.subscribe();
         let mut queue = ListenerQueue::default();
         loop {
             let accepted = tokio::select! {
                 biased;
-                _ = stop_accepting.wait_for(|stop| *stop) => return queue.arrived(self.earliest()),
+                _ = stop_accepting.wait_for(|stop| *stop) => return queue.arrived(self.earliest_arrival()),
                 accepted = self.accept_one(listener, &mut queue) => accepted,
             };
             match accepted {
-                (slot, Ok(stream)) => self.spawn(stream, slot, queue.arrived(self.earliest())),
-                // Descriptors lack, or the client has disconnected: others may still be served.
+                (slot, Ok(stream)) => self.spawn(stream, slot, queue.arrived(self.earliest_arrival())),
+                // No descriptor is available, or the client has disconnected: other connections can still be served.
                 (_, Err(error)) => {
                     log::error_rate_limited("a connection cannot be accepted", &error);
                     sleep(queue.backoff.wait_to_accept(&error)).await;
@@ -140,8 +142,9 @@
         }
     }
 
-    /// When a connection that is accepted now arrived, at the earliest: it may have arrived in a pause of the process.
-    fn earliest(&self) -> Instant {
+    /// Earliest time at which a connection that is accepted now may have arrived; after a pause of the process, the start of
+    /// the pause.
+    fn earliest_arrival(&self) -> Instant {
         self.frontend.pauses.earliest_arrival(Instant::now())
     }
 
@@ -154,7 +157,7 @@
         let slot = if let Ok(slot) = slots.clone().try_acquire_owned() {
             Ok(slot)
         } else {
-            queue.set_waiting(self.earliest());
+            queue.set_waiting(self.earliest_arrival());
             slots.acquire_owned().await
         };
         let accepted = tokio::select! {
@@ -171,14 +174,14 @@
                 (slot, Ok(stream))
             }
             Err(error) => {
-                queue.set_waiting(self.earliest());
+                queue.set_waiting(self.earliest_arrival());
                 (slot, Err(error))
             }
         }
     }
 
-    /// Accepts the connections in the system's queue: they would be reset as the listener is closed. The listener is closed
-    /// after the call that found the queue empty.
+    /// Accepts the connections that remain in the kernel's queue, since closing the listener would reset them. The listener is
+    /// closed as soon as a call finds the queue empty, or after the maximum wait for a slot.
     async fn empty_backlog(&self, listener: TcpListener, arrived: Instant) {
         let deadline = Instant::now() + self.frontend.limits.max_wait_for_slot;
         let slots = self.frontend.waiting_slots.clone();
@@ -200,14 +203,16 @@
                     }
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
-                // Connections may still be waiting behind this failure.
+                // Further connections may still be in the queue after this failure.
                 Err(error) if Instant::now() < deadline => sleep(backoff.wait_to_accept(&error)).await,
-                Err(error) => return tracing::warn!(%error, "waiting connections were not accepted"),
+                Err(error) => {
+                    return tracing::warn!(%error, "connections in the accept queue were not accepted: closing the listener resets them")
+                }
             }
         }
     }
 
-    /// Serves a connection that arrived at that time, at the earliest.
+    /// Starts a task that serves a connection; `arrived` is the earliest time at which it may have arrived.
     fn spawn(&self, stream: TcpStream, slot: WaitingSlot, arrived: Instant) {
         let (frontend, serve) = (self.frontend.clone(), self.serve.clone());
         let guard = self.listener_guard.clone();
@@ -215,7 +220,7 @@
     }
 }
 
-/// Serves a connection, once it has a slot.
+/// Waits for a connection slot, and then serves the connection. Without a slot in time the connection is closed.
 async fn serve_when_admitted<S, F>(
     stream: TcpStream,
     arrived: Instant,
@@ -236,7 +241,7 @@
     serve(stream, served.connection.clone()).await;
 }
 
-/// A connection that is served. Its slot is released however that ends, by a panic as well.
+/// A connection that is being served. Its slot is released on drop, also if the serving task panics or is aborted.
 struct ServedConnection {
     frontend: Rc<FrontendState>,
     connection: Rc<ClientConnection>,
--- a/src/net/runtime/mod.rs
+++ b/src/net/runtime/mod.rs
@@ -1,9 +1,9 @@
-//! The event loop around the reducer: one thread, as the machine has one core.
+//! The event loop around the reducer. It runs on one thread, as the machine has one core.
 //!
-//! The modules are in the order in which they take part: `startup` opens and recovers everything; `listeners` accept
-//! clients' connections; `inputs` waits for the next input; `cycle` passes it to the reducer and `effects` performs the
-//! effects that the reducer returns; `peers`, `calls` and `reload` handle other processes of this gateway, operators and
-//! SIGHUP; `shutdown` ends the process.
+//! The modules are declared in the order in which they run: `startup` opens all resources and recovers stored state;
+//! `listeners` accepts clients' connections; `inputs` waits for the next input; `cycle` passes it to the reducer and `effects`
+//! performs the effects that the reducer returns; `peers`, `calls` and `reload` handle other processes of this gateway,
+//! operators' calls and SIGHUP; `shutdown` ends the process.
 
 mod startup;
 
@@ -46,28 +46,29 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// Why the gateway could not serve, or ended before SIGTERM.
+/// Reason why the gateway could not start, or exited without SIGTERM.
 #[derive(Debug, Error)]
 pub enum ServeError {
     /// The settings contradict each other.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The persistent state is required and cannot be used.
+    /// The persistence folder is required and cannot be used, or a writer thread cannot be started.
     #[error(transparent)]
     Persistence(#[from] PersistenceError),
-    /// An address cannot be listened at, or a required folder cannot be used.
+    /// Listening at an address failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// A task that the process cannot do without has failed.
-    #[error("a task failed")]
+    /// A required task panicked.
+    #[error("a required task panicked")]
     TaskFailed,
 }
 
-/// Serves until SIGTERM, then until all requests that were accepted are answered. At SIGHUP `reload` reads the
-/// configuration again: the address of the name service may change, while connections, requests and learned state stay.
+/// Serves until SIGTERM, and then until all accepted requests are answered. On SIGHUP, `reload` loads the configuration again:
+/// only the address of the name service is replaced, while connections, requests and learned state are kept.
 ///
 /// # Errors
-/// An address cannot be listened at, the settings contradict each other, or a task failed.
+/// Listening at an address fails, the settings contradict each other, the persistence folder is required and cannot be used,
+/// or a required task panicked.
 pub async fn serve(
     config: Config,
     signals: Signals,
@@ -78,64 +79,64 @@
     let mut inputs = Inputs { signals, events, calls, failed_tasks, timers };
     runtime.run(&mut inputs, &reload).await?;
     runtime.shut_down(inputs).await;
-    match runtime.failed {
+    match runtime.task_failed {
         true => Err(ServeError::TaskFailed),
         false => Ok(()),
     }
 }
 
-/// The gateway around its reducer. It owns the reducer, the connections to engines and the state that is persisted; one
-/// task runs it.
+/// The event loop's state. It owns the reducer, the connections to engines and the persistent state, and is run by a single
+/// task.
 struct Runtime {
     config: Config,
     core: Core,
     engines: Box<dyn Engines>,
     frontend: Rc<FrontendState>,
-    /// The folder that the processes of this gateway share, if it can be used.
+    /// The folder that the processes of this gateway share; `None` if it cannot be used or no operators' address is configured.
     hot_restart: Option<HotRestart>,
-    /// State that is persisted through restarts.
+    /// State that is persisted across restarts.
     persistence: Persistence,
     /// The queue of events for the reducer.
     events: mpsc::Sender<Event>,
-    /// The address of the name service, for the task that polls it.
+    /// Publishes the address of the name service to the task that polls it.
     name_service: watch::Sender<NameServiceAddress>,
-    /// The queries to the name service, and the age of the endpoint list.
+    /// State of service discovery: polls of the name service and the age of the endpoint list.
     discovery: Rc<RefCell<Discovery>>,
-    /// Starts tasks that the process cannot do without.
+    /// Starts required tasks and reports those that fail.
     tasks: Tasks,
-    /// A task that the process cannot do without has failed: the process ends with an error.
-    failed: bool,
-    /// Operators' connections that are open.
-    callers: Rc<Cell<usize>>,
-    /// When it began to wait for the endpoint list.
-    started: Instant,
-    /// It listens to clients.
+    /// Whether a required task has failed: the process then exits with an error.
+    task_failed: bool,
+    /// Number of open operators' connections.
+    open_operator_connections: Rc<Cell<usize>>,
+    /// Time at which the process began to wait for the endpoint list.
+    awaiting_list_since: Instant,
+    /// Whether the process listens for clients.
     listening: bool,
-    /// When SIGTERM was received.
-    terminated: Option<Instant>,
-    /// All requests that were accepted are answered, and the window for that is over.
-    settled: bool,
-    /// The name service has answered.
+    /// Time at which SIGTERM was received, if it was.
+    terminated_at: Option<Instant>,
+    /// Whether the last decision cycle found that all accepted requests are answered and the shutdown window has passed.
+    requests_finished: bool,
+    /// Whether the name service has sent an endpoint list; always true without a name service.
     list_received: bool,
-    /// A reload whose file could not be used yet.
+    /// A failed reload of the configuration that is to be retried.
     pending_reload: Option<PendingReload>,
-    /// The stage of this process, if it could not be published to the others.
-    unpublished: Cell<Option<Stage>>,
+    /// The stage of this process, if publishing it to the other processes failed.
+    unpublished_stage: Cell<Option<Stage>>,
     statistics: LoopStatistics,
 }
 
-/// How long the cycles of the loop took, and how late its timers were.
+/// Statistics of the event loop, logged when the process exits.
 #[derive(Debug, Default)]
 struct LoopStatistics {
-    /// The longest cycle.
+    /// Duration of the longest cycle.
     longest_cycle: Duration,
-    /// The largest delay of a timer of the reducer.
+    /// Largest delay of one of the reducer's timers.
     max_delay: Milliseconds,
 }
 
 impl LoopStatistics {
-    fn count_cycle(&mut self, begun: Instant) {
-        self.longest_cycle = self.longest_cycle.max(begun.elapsed());
+    fn count_cycle(&mut self, started_at: Instant) {
+        self.longest_cycle = self.longest_cycle.max(started_at.elapsed());
     }
 
     fn count_delay(&mut self, delay: Milliseconds) {
@@ -144,17 +145,17 @@
 }
 
 impl Runtime {
-    /// Runs the loop until the process may end.
+    /// Runs the event loop until the process may exit.
     async fn run(
         &mut self,
         inputs: &mut Inputs,
         reload: &impl Fn() -> Result<Config, LoadError>,
     ) -> io::Result<()> {
         loop {
-            if !self.listening && self.may_listen(self.started.elapsed()) {
+            if !self.listening && self.may_listen(self.awaiting_list_since.elapsed()) {
                 self.listen_to_clients().await?;
             }
-            if self.terminated.is_some_and(|at| self.has_drained(at)) {
+            if self.terminated_at.is_some_and(|at| self.has_drained(at)) {
                 return Ok(());
             }
             let due_at = self.core.next_due();
@@ -167,18 +168,18 @@
             self.handle_input(input, reload, &mut events);
             inputs.drain_events(&mut events, self.frontend.limits.event_queue_capacity);
             let delay = self.check_delay(due_at);
-            while let Some(PendingCall { call, reply_to }) = inputs.next_waiting_call() {
+            while let Some(PendingCall { call, reply_to }) = inputs.next_queued_call() {
                 drop(reply_to.send(self.answer_call(call, &mut events)));
             }
-            let begun = Instant::now();
-            self.settled = false;
+            let started_at = Instant::now();
+            self.requests_finished = false;
             self.run_decision_cycles(events);
-            self.statistics.count_cycle(begun);
+            self.statistics.count_cycle(started_at);
             self.statistics.count_delay(delay);
         }
     }
 
-    /// Begins to listen to clients, and publishes that to other processes of this gateway.
+    /// Starts listening for clients, and publishes this stage to the other processes of this gateway.
     async fn listen_to_clients(&mut self) -> io::Result<()> {
         listeners::listen_to_clients(&self.config, &self.frontend, &self.tasks).await?;
         self.listening = true;
@@ -186,7 +187,7 @@
         Ok(())
     }
 
-    /// When the next cycle begins at the latest.
+    /// Latest time at which the next cycle has to begin, whether or not there is an input.
     fn wake_by(&self, due_at: Option<Milliseconds>) -> Instant {
         let due: Instant = match due_at {
             Some(at) => self.frontend.clock.instant(at).into(),
@@ -198,11 +199,11 @@
     fn optional_inputs(&self) -> OptionalInputs {
         OptionalInputs {
             peers: self.hot_restart.is_some() || self.persistence.awaits_folder(),
-            knowledge: self.persistence.is_on(),
+            persistence: self.persistence.is_on(),
         }
     }
 
-    /// Turns an input into events for the reducer.
+    /// Handles an input, and pushes the resulting events for the reducer to `events`.
     fn handle_input(
         &mut self,
         input: Input,
@@ -220,58 +221,60 @@
             Input::Call(PendingCall { call, reply_to }) => {
                 drop(reply_to.send(self.answer_call(call, events)));
             }
-            Input::MaintainKnowledge => events.push(Event::MaintenanceTick),
+            Input::MaintainIdempotencyLog => events.push(Event::MaintenanceTick),
             Input::Snapshot => self.write_snapshot(),
             Input::Reload => self.begin_reload(reload()),
             Input::Terminate => self.begin_termination(events),
-            Input::TaskFailed(name) => self.end_after_failure(name, events),
+            Input::TaskFailed(name) => self.shut_down_after_failure(name, events),
         }
     }
 
-    /// Polls the other processes of this gateway, and takes over the folder of persisted state once its owner has ended.
+    /// Polls the other processes of this gateway, and takes over the persistence folder after its owner has exited.
     fn poll_peers(&mut self, events: &mut Vec<Event>) {
         events.extend(self.observe_peers());
-        if self.persistence.awaits_folder() && self.take_over_knowledge() {
+        if self.persistence.awaits_folder() && self.take_over_persistence_folder() {
             events.push(Event::MaintenanceTick);
         }
     }
 
-    fn take_over_knowledge(&mut self) -> bool {
+    fn take_over_persistence_folder(&mut self) -> bool {
         let now = self.frontend.clock.now();
         self.persistence.take_over(&self.config, &mut self.core, now, &self.events)
     }
 
     fn write_snapshot(&mut self) {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         self.persistence.save_snapshot(&self.core, self.frontend.clock.now());
         self.persistence.cache_endpoints(&self.core, &self.frontend.settings);
-        self.statistics.count_cycle(begun);
+        self.statistics.count_cycle(started_at);
     }
 
-    /// Ends the process as SIGTERM does, so that open requests are answered: without the task it would run on and not work.
-    fn end_after_failure(&mut self, name: TaskName, events: &mut Vec<Event>) {
-        tracing::error!(task = name, "the process ends, as a required task has failed");
-        self.failed = true;
+    /// Begins the same shutdown as SIGTERM, so that open requests are answered. Without the failed task the process would keep
+    /// running without working.
+    fn shut_down_after_failure(&mut self, name: TaskName, events: &mut Vec<Event>) {
+        tracing::error!(task = name, "required task panicked: shutting down");
+        self.task_failed = true;
         self.begin_termination(events);
     }
 
-    /// Begins the shutdown. A further SIGTERM changes nothing: neither the time that is left nor the shutdown phase.
+    /// Begins the shutdown. A repeated SIGTERM changes neither the remaining time nor the shutdown phase.
     fn begin_termination(&mut self, events: &mut Vec<Event>) {
-        if self.terminated.is_some() {
+        if self.terminated_at.is_some() {
             return tracing::info!("SIGTERM: already shutting down");
         }
         tracing::info!("SIGTERM: shutting down");
-        // SIGKILL follows the signal by a fixed time, and the signal may have arrived in a pause.
-        let requested = self.frontend.pauses.earliest_arrival(Instant::now());
-        self.terminated = Some(requested);
+        // SIGKILL follows SIGTERM after a fixed time. SIGTERM may have arrived during a pause of the process, so the time counts
+        // from the start of the pause.
+        let requested_at = self.frontend.pauses.earliest_arrival(Instant::now());
+        self.terminated_at = Some(requested_at);
         self.frontend.enter_shutdown_phase(ShutdownPhase::Draining);
-        events.push(Event::Terminate { requested_at: self.frontend.clock.at(requested) });
+        events.push(Event::Terminate { requested_at: self.frontend.clock.at(requested_at) });
         events.extend(self.observe_peers());
         self.persistence.save_snapshot(&self.core, self.frontend.clock.now());
     }
 
-    /// By how much a timer of the reducer is late. A pause of the process is logged: answers that were due in it are late
-    /// through no decision.
+    /// Returns the delay of the reducer's timer that was due at `due_at`. A long delay is logged as a pause of the process, which
+    /// explains answers that are late without any decision being the cause.
     fn check_delay(&self, due_at: Option<Milliseconds>) -> Milliseconds {
         let delay = due_at.map_or(0.0, |at| self.frontend.clock.now() - at);
         if delay > self.frontend.limits.pause_threshold {
--- a/src/net/runtime/reload.rs
+++ b/src/net/runtime/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: the configuration is loaded again, and the address of the name service is replaced.
+//! Handles SIGHUP: loads the configuration again, and replaces the address of the name service.
 
 use crate::config::{Config, LoadError};
 use crate::interface::Settings;
@@ -7,12 +7,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A configuration that cannot be used is loaded so often ...
+/// Maximum number of attempts to load a configuration that cannot be used.
 const MAX_ATTEMPTS: u32 = 25;
-/// ... at this interval: the file may be being written, or a descriptor may lack.
+/// Interval between these attempts: the file may be incomplete while it is written, or no descriptor may be available.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A reload that failed and is retried.
+/// A failed reload that is to be retried.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PendingReload {
     due: Instant,
@@ -20,26 +20,26 @@
 }
 
 impl PendingReload {
-    /// When it is retried.
+    /// Time of the next attempt.
     pub(super) fn due(&self) -> Instant {
         self.due
     }
 }
 
 impl Runtime {
-    /// Whether a reload that failed is to be retried now.
+    /// Whether a failed reload is due to be retried.
     pub(super) fn reload_is_due(&self) -> bool {
         self.pending_reload.is_some_and(|pending| pending.due <= Instant::now())
     }
 
-    /// Begins a reload; it replaces one that is to be retried.
+    /// Begins a reload on SIGHUP; a pending retry of an earlier reload is cancelled.
     pub(super) fn begin_reload(&mut self, loaded: Result<Config, LoadError>) {
         self.pending_reload = None;
         self.reload(loaded);
     }
 
-    /// Applies a configuration that was loaded again: the address of the name service. Other changes need a restart. A
-    /// configuration that cannot be used is loaded again a little later.
+    /// Applies the address of the name service from a configuration that was loaded again; other changes need a restart. If
+    /// loading failed, a retry is scheduled.
     pub(super) fn reload(&mut self, loaded: Result<Config, LoadError>) {
         let previous = self.pending_reload.take();
         let new = match loaded {
@@ -48,7 +48,7 @@
         };
         tracing::info!(name_service = ?new.name_service, "SIGHUP: configuration loaded");
         if needs_restart(&self.config, &new) {
-            tracing::warn!("SIGHUP: further changes of the configuration need a restart");
+            tracing::warn!("SIGHUP: only the name service's address is applied; the other changes of the configuration need a restart");
         }
         let changed_at = self.frontend.earliest_arrival();
         self.name_service.send_replace(NameServiceAddress { address: new.name_service, changed_at });
@@ -69,7 +69,7 @@
 
 /// Whether a new configuration differs from the one in use in more than the name service.
 fn needs_restart(old: &Config, new: &Config) -> bool {
-    // A new seed is no difference.
+    // A different seed alone is not reported: the seed of the start stays in use.
     let settings = Settings { seed: old.settings.seed, ..new.settings.clone() };
     (new.listen, new.operator, &new.limits, &new.knowledge)
         != (old.listen, old.operator, &old.limits, &old.knowledge)
--- a/src/net/runtime/shutdown.rs
+++ b/src/net/runtime/shutdown.rs
@@ -1,4 +1,4 @@
-//! The shutdown of the process: when it may end, and its last report.
+//! Shutdown of the process: when it may exit, and the totals that it logs before.
 
 use crate::interface::BlockReason;
 use crate::net::front::ShutdownPhase;
@@ -11,29 +11,29 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout, Instant};
 
-/// Checks, within the wait for operators, whether all of them are disconnected.
-const CALLER_CHECKS: u32 = 10;
+/// Number of checks, during the wait for operators to disconnect, whether all of them have.
+const OPERATOR_CONNECTION_CHECKS: u32 = 10;
 
 impl Runtime {
-    /// Whether the process may end: all requests are answered, and either no connection is open and none can be opened, or
-    /// the time for that is over.
-    pub(super) fn has_drained(&mut self, terminated: Instant) -> bool {
+    /// Advances the shutdown phase, and returns whether the process may exit: all requests are answered, and either no client
+    /// connection is open and none can be opened, or the time for closing connections has expired.
+    pub(super) fn has_drained(&mut self, terminated_at: Instant) -> bool {
         let window = self.drain_window();
-        let waited = terminated.elapsed();
+        let waited = terminated_at.elapsed();
         self.advance_shutdown_phase(waited, window);
         let closes_idle =
             matches!(self.frontend.shutdown_phase(), ShutdownPhase::ClosingIdle | ShutdownPhase::Stopping);
-        // Connections that are in use until the end are answered and closed before the program ends.
+        // Connections that stay in use until the end get their answers and are closed before the program exits.
         may_exit(&ShutdownConditions {
-            requests_finished: self.settled,
+            requests_finished: self.requests_finished,
             no_connections: closes_idle && self.frontend.has_no_connections(),
-            // What clients sent while the process was paused is read before it ends.
+            // Requests that clients sent while the process was paused are read before it exits.
             close_window_expired: waited >= window + self.frontend.limits.connection_close_wait
                 && !self.frontend.pauses.has_backlog(Instant::now()),
         })
     }
 
-    /// How long requests are answered after SIGTERM.
+    /// Time after SIGTERM within which open requests are answered.
     fn drain_window(&self) -> Duration {
         let is_hot_restart = self.frontend.shutdown_phase().is_hot_restart();
         let limits = &self.frontend.limits;
@@ -42,10 +42,10 @@
         Duration::from_secs_f64(window / 1000.0)
     }
 
-    /// Goes on to the next phase of the shutdown once it is due.
+    /// Enters the next phase of the shutdown when it is due; `waited` is the time since SIGTERM.
     fn advance_shutdown_phase(&self, waited: Duration, window: Duration) {
         match self.frontend.shutdown_phase() {
-            ShutdownPhase::Draining if self.settled && !self.awaits_successor(waited, window) => {
+            ShutdownPhase::Draining if self.requests_finished && !self.awaits_successor(waited, window) => {
                 self.frontend.enter_shutdown_phase(ShutdownPhase::Stopping);
             }
             ShutdownPhase::HandingOver if waited >= self.frontend.limits.hot_restart_idle_after => {
@@ -55,21 +55,24 @@
         }
     }
 
-    /// Whether another process of this gateway may still begin to listen and take over.
+    /// Whether a later process of this gateway has started and may still begin to listen and take over.
     fn awaits_successor(&self, waited: Duration, window: Duration) -> bool {
         let Some(hot_restart) = &self.hot_restart else { return false };
         process_lifecycle::awaits_successor(hot_restart.incarnation(), &hot_restart.peers(), waited, window)
     }
 
-    /// Ends the process: operators' calls are answered, the counts are logged, and the last snapshot is written.
+    /// Finishes the shutdown: answers pending operators' calls, logs the totals, and writes the last snapshot.
     pub(super) async fn shut_down(&mut self, inputs: Inputs) {
-        // Operators whose call is under way are answered that it ends; one that sends nothing is not waited for.
+        // Pending calls are answered with 503, as the process is ending. Operators that have sent nothing are not waited for
+        // beyond the timeout.
         drop(inputs.calls);
         if self.config.operator.is_some() {
-            let _ = timeout(self.frontend.limits.peer_poll_interval, self.callers_end()).await;
+            let _ = timeout(self.frontend.limits.peer_poll_interval, self.wait_for_operators_to_disconnect())
+                .await;
         }
         self.report_loop();
-        // What was learned from the last answers is in the last snapshot, if the disk takes it in time.
+        // The last snapshot includes what was learned from the last answers. It is lost if it is not written within the timeout
+        // below.
         self.persistence.save_snapshot(&self.core, self.frontend.clock.now());
         self.report_classes();
         self.report_rules();
@@ -82,11 +85,11 @@
         }
     }
 
-    /// Waits until no operator's connection is open.
-    async fn callers_end(&self) {
+    /// Waits until no operator's connection is open; the caller limits the time.
+    async fn wait_for_operators_to_disconnect(&self) {
         loop {
-            sleep(self.frontend.limits.peer_poll_interval / CALLER_CHECKS).await;
-            if self.callers.get() == 0 {
+            sleep(self.frontend.limits.peer_poll_interval / OPERATOR_CONNECTION_CHECKS).await;
+            if self.open_operator_connections.get() == 0 {
                 break;
             }
         }
@@ -98,20 +101,20 @@
         tracing::info!("loop: longest turn {longest:.3} ms, latest {latest:.3} ms");
     }
 
-    /// Logs how many attempts the rules withheld, by reason, and how many of them were violations.
+    /// Logs the number of attempts that the rules withheld, by reason, and how many of them were violations.
     fn report_rules(&self) {
         let rules = &self.frontend.shared.rule_counters;
         tracing::info!("rules: attempts kept back {:?}, violations {}", rules.by_name(), rules.violations());
     }
 
-    /// Logs the answers of the name service by kind, and the age of the endpoint list.
+    /// Logs the numbers of polls and responses of the name service, and the age of the endpoint list.
     fn report_discovery(&self) {
         let discovery = self.discovery.borrow();
         let age = discovery.age(self.frontend.clock.now()) / 1000.0;
         tracing::info!("name service: {}; the list is known as of {age:.2} s ago", discovery.counts());
     }
 
-    /// Logs the outcomes of the requests of each class.
+    /// Logs for each class the numbers of requests, attempts, outcomes and rejections, and the reasons for waits.
     fn report_classes(&self) {
         let classes = self.frontend.settings.classes.iter();
         let by_class = classes.zip(self.core.counts()).zip(self.core.waits());
--- a/src/net/runtime/signals.rs
+++ b/src/net/runtime/signals.rs
@@ -1,5 +1,5 @@
-//! SIGTERM and SIGHUP. A handler sets a flag and then wakes the loop, which checks the flags: a wake-up that is lost delays a
-//! signal until the loop's next cycle, and no signal is lost.
+//! SIGTERM and SIGHUP. A handler sets a flag and then wakes the event loop, which checks the flags. A lost wake-up delays the
+//! handling of a signal until the loop's next cycle, but no signal is lost.
 
 use crate::net::connection::SocketRetry;
 use crate::net::transient_errors;
@@ -12,21 +12,21 @@
 use std::time::Duration;
 use tokio::net::UnixStream;
 
-/// How long a lack of descriptors is waited out at the start.
+/// Time for which the start retries creating the wake-up sockets while no descriptors are available.
 const REGISTER_RETRY: Duration = Duration::from_secs(1);
-/// Input-ups that are read at once.
+/// Maximum number of wake-ups that are read by one call.
 const MAX_WAKE_UPS: usize = 64;
 
-/// A signal that the program handles.
+/// A signal that was received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Received {
+pub enum ReceivedSignal {
     /// SIGTERM.
     Terminate,
     /// SIGHUP.
     Reload,
 }
 
-/// The signals that the program handles.
+/// The flags and the wake-up socket that the signal handlers set and write.
 pub struct Signals {
     terminate: Arc<AtomicBool>,
     reload: Arc<AtomicBool>,
@@ -34,10 +34,10 @@
 }
 
 impl Signals {
-    /// Registers the handlers.
+    /// Registers the signal handlers.
     ///
     /// # Errors
-    /// The system rejects a handler, or descriptors lack for longer.
+    /// The system rejects a handler, or no descriptors become available within 1 s.
     pub async fn register() -> io::Result<Self> {
         let (wake_ups, handler) = transient_errors::retry(REGISTER_RETRY, StdStream::pair).await?;
         wake_ups.set_nonblocking(true)?;
@@ -47,7 +47,7 @@
             reload: Arc::default(),
             wake_ups: UnixStream::from_std(wake_ups)?,
         };
-        // The flags are set first: handlers of one signal run in the order in which they are registered.
+        // The handlers of one signal run in the order of their registration: the flag is set before the wake-up is written.
         flag::register(SIGTERM, signals.terminate.clone())?;
         flag::register(SIGHUP, signals.reload.clone())?;
         pipe::register(SIGTERM, handler.try_clone()?)?;
@@ -55,14 +55,14 @@
         Ok(signals)
     }
 
-    /// Waits for a signal. Several of one kind that arrive close together count as one.
-    pub async fn next(&self) -> Received {
+    /// Waits for a signal. Several signals of one kind that arrive before the first is handled count as one.
+    pub async fn next(&self) -> ReceivedSignal {
         loop {
             if self.terminate.swap(false, Ordering::SeqCst) {
-                return Received::Terminate;
+                return ReceivedSignal::Terminate;
             }
             if self.reload.swap(false, Ordering::SeqCst) {
-                return Received::Reload;
+                return ReceivedSignal::Reload;
             }
             self.wait_for_wake_up().await;
         }
@@ -70,7 +70,7 @@
 
     async fn wait_for_wake_up(&self) {
         if self.wake_ups.readable().await.is_err() {
-            // The flags are still checked in each cycle of the loop.
+            // Without the socket, the flags are still checked in each cycle of the event loop.
             std::future::pending::<()>().await;
         }
         let mut bytes = [0; MAX_WAKE_UPS];
--- a/src/net/runtime/startup.rs
+++ b/src/net/runtime/startup.rs
@@ -1,4 +1,4 @@
-//! Opens and recovers everything before the loop begins.
+//! Startup: opens all resources and recovers stored and inherited state before the event loop begins.
 
 use crate::config::{Config, EngineWire};
 use crate::core::{Core, Endpoint, Event};
@@ -28,22 +28,23 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// A gateway that is ready for its loop.
+/// A gateway that is ready to run its event loop.
 pub(super) struct Started {
-    /// Events for the reducer.
+    /// Queue of events for the reducer.
     pub events: Receiver<Event>,
-    /// Operators' calls.
+    /// Queue of operators' calls.
     pub calls: Receiver<PendingCall>,
-    /// Tasks that failed.
+    /// Names of required tasks that failed.
     pub failed_tasks: Receiver<TaskName>,
-    /// The gateway.
+    /// The state of the event loop.
     pub runtime: Runtime,
 }
 
-/// Opens everything, recovers the state of earlier processes of this gateway, and begins with the first endpoint list.
+/// Opens all resources, recovers the state of earlier processes of this gateway, and runs the first decision cycles with the
+/// initial endpoint list.
 ///
 /// # Errors
-/// An address cannot be listened at, the settings contradict themselves, or the folder of knowledge is required and
+/// Listening at the operators' address fails, the settings contradict each other, or the persistence folder is required and
 /// cannot be used.
 pub(super) async fn start(config: Config) -> Result<Started, ServeError> {
     let limits = Rc::new(config.limits.clone());
@@ -55,7 +56,7 @@
     let persistence = Persistence::open(&config, &mut core, frontend.clock.now(), &sender)?;
     let engines = open_engines(config.engine_wire, limits.clone(), frontend.shared.clone(), sender.clone());
     let (call_sender, calls) = mpsc::channel(limits.max_admin_connections);
-    let callers = Rc::new(Cell::new(0));
+    let open_operator_connections = Rc::new(Cell::new(0));
     let (tasks, failed_tasks) = Tasks::new();
     let now = frontend.clock.now();
     let discovery =
@@ -63,7 +64,15 @@
     let discovery = Rc::new(RefCell::new(discovery));
     let mut hot_restart = None;
     if let Some(at) = config.operator {
-        listen_to_operators(at, &config.name, &frontend, call_sender, callers.clone(), &tasks).await?;
+        listen_to_operators(
+            at,
+            &config.name,
+            &frontend,
+            call_sender,
+            open_operator_connections.clone(),
+            &tasks,
+        )
+        .await?;
         hot_restart = open_hot_restart(&config, &frontend).await;
     }
     let mut runtime = Runtime {
@@ -80,22 +89,22 @@
         persistence,
         events: sender,
         tasks,
-        failed: false,
-        callers,
-        started: Instant::now(),
+        task_failed: false,
+        open_operator_connections,
+        awaiting_list_since: Instant::now(),
         listening: false,
-        terminated: None,
-        settled: false,
+        terminated_at: None,
+        requests_finished: false,
         list_received: false,
-        unpublished: Cell::new(None),
+        unpublished_stage: Cell::new(None),
         pending_reload: None,
         statistics: LoopStatistics::default(),
     };
     let inherited = runtime.inherit_from_peers().await;
-    runtime.claim_knowledge()?;
-    runtime.started = Instant::now();
-    runtime.begin(inherited);
-    runtime.poll_names();
+    runtime.claim_persistence_folder()?;
+    runtime.awaiting_list_since = Instant::now();
+    runtime.run_first_cycles(inherited);
+    runtime.start_poller();
     Ok(Started { events, calls, failed_tasks, runtime })
 }
 
@@ -111,25 +120,26 @@
     }
 }
 
-/// Listens at the second address, where operators call.
+/// Listens at the operators' address.
 async fn listen_to_operators(
     at: SocketAddr,
     name: &str,
     frontend: &FrontendState,
     calls: Sender<PendingCall>,
-    callers: Rc<Cell<usize>>,
+    open_connections: Rc<Cell<usize>>,
     tasks: &Tasks,
 ) -> io::Result<()> {
     let listener = bind(at, false, frontend.limits.bind_retry).await?;
     tracing::info!("{name} listens at {} for its operators", listener.local_addr()?);
     let (limits, shared) = (frontend.limits.clone(), frontend.shared.clone());
     let context = admin::AdminContext { limits, shared, calls };
-    tasks.spawn("operators' listener", admin::listen(listener, context, callers));
+    tasks.spawn("operators' listener", admin::listen(listener, context, open_connections));
     Ok(())
 }
 
-/// Opens the folder that the processes of this gateway share. A disk that takes no writes is retried for a while: the next
-/// process must know what this one sends. Without the folder the gateway serves on its own.
+/// Opens the folder that the processes of this gateway share. Write failures of the disk are retried for a limited time, as
+/// the next process has to know the keyed requests that this one sends. If the folder cannot be opened, `None`: the gateway
+/// then serves without sharing state.
 async fn open_hot_restart(config: &Config, frontend: &FrontendState) -> Option<HotRestart> {
     let folder = hot_restart::folder(&std::env::temp_dir(), &config.name, config.listen);
     let open = || HotRestart::open(&folder, frontend.clock.now());
@@ -147,16 +157,16 @@
 }
 
 impl Runtime {
-    /// Takes over what other processes of this gateway know: keys that were sent, operators' exclusions, what was learned
-    /// and what was heard of the list service.
+    /// Takes over the state of other processes of this gateway: idempotency keys that were sent, operator overrides, learned
+    /// state, and the membership received from the name service.
     async fn inherit_from_peers(&mut self) -> Vec<Event> {
         let Some(hot_restart) = &mut self.hot_restart else { return Vec::new() };
         let (config, clock, limits) = (&self.config, &self.frontend.clock, &self.frontend.limits);
         let mut inherited = vec![Event::PeerKeys(hot_restart.observe(clock.now()).keys)];
-        // A folder of knowledge that an earlier process of this gateway holds is followed; one that another gateway holds
-        // is not.
+        // The persistence folder may be locked by another process of this gateway, whose log can then be used, or by another
+        // gateway, whose log is of no use.
         if !hot_restart.peers().is_empty() {
-            self.persistence.follow(config, &mut self.core, clock.now());
+            self.persistence.use_owner_log(config, &mut self.core, clock.now());
         }
         inherited.push(Event::OperatorOverrides(hot_restart.overrides().clone()));
         let rules = recovery::RecoverySettings {
@@ -166,7 +176,7 @@
         if let Some(restored_state) = hot_restart.inherit_learned(clock.now(), rules, limits).await {
             self.core.set_restored_state(restored_state);
         }
-        // Without a list service the list at the start is the list.
+        // Without a name service, the configured list is authoritative.
         let membership = hot_restart.inherit_membership().filter(|_| config.name_service.is_some());
         inherited.extend(
             membership.map(|membership| Event::InheritedMembership(membership.taken_over(clock.now()))),
@@ -174,17 +184,18 @@
         inherited
     }
 
-    /// Takes the folder of knowledge where no other process of this gateway has it.
-    fn claim_knowledge(&mut self) -> Result<(), PersistenceError> {
-        let shared = self.hot_restart.as_ref().is_some_and(|hot_restart| !hot_restart.peers().is_empty());
-        if self.persistence.awaits_folder() && !shared && !self.take_over_knowledge() {
+    /// Takes over the persistence folder if no other process of this gateway runs; if another gateway has locked it, serves
+    /// without it.
+    fn claim_persistence_folder(&mut self) -> Result<(), PersistenceError> {
+        let has_peers = self.hot_restart.as_ref().is_some_and(|hot_restart| !hot_restart.peers().is_empty());
+        if self.persistence.awaits_folder() && !has_peers && !self.take_over_persistence_folder() {
             self.persistence.serve_without_folder(&self.config)?;
         }
         Ok(())
     }
 
-    /// Hands the reducer its first events: what was inherited and the list of engines at the start.
-    fn begin(&mut self, mut inherited: Vec<Event>) {
+    /// Passes the first events to the reducer: inherited state and the initial endpoint list.
+    fn run_first_cycles(&mut self, mut inherited: Vec<Event>) {
         let observed = self.observe_peers();
         let known = self.initial_list(&mut inherited);
         let first = [
@@ -196,12 +207,13 @@
             self.core.await_endpoint_list(self.frontend.clock.now());
             self.frontend.awaits_endpoint_list.set(self.core.awaits_endpoint_list());
         }
-        // Without a name service the list at the start is the list.
+        // Without a name service, the initial list is authoritative.
         self.list_received = self.config.name_service.is_none();
     }
 
-    /// The list of engines at the start. Where the configuration names none, it is the one that an earlier process kept;
-    /// else the drains and removals of the kept list bind until the name service answers.
+    /// Returns the initial endpoint list. If the configuration contains no engines, it is the list that an earlier process
+    /// cached. Otherwise it is the configured list, and engines that were draining or removed in the cached list get no new
+    /// work until the name service answers.
     fn initial_list(&self, inherited: &mut Vec<Event>) -> Vec<Endpoint> {
         let known = self.config.endpoints.clone();
         let Some(cached) = self.persistence.cached_endpoints().filter(|_| self.config.name_service.is_some())
@@ -214,11 +226,14 @@
         }
         let age = (self.frontend.clock.now() - cached.confirmed_at) / 1000.0;
         let known = persistence::endpoints_from_cache(cached, &self.config.settings);
-        tracing::info!("starting with the list of {age:.1} s ago: {} engines", known.len());
+        tracing::info!(
+            "starting with the cached endpoint list, confirmed {age:.1} s ago: {} engines",
+            known.len()
+        );
         known
     }
 
-    fn poll_names(&self) {
+    fn start_poller(&self) {
         let poller = Poller {
             discovery: self.discovery.clone(),
             clock: self.frontend.clock,
@@ -234,7 +249,7 @@
     }
 }
 
-/// The engines that drain in a kept list, or were removed from it.
+/// Returns the engines that are draining in a cached list or were removed from it.
 fn out_of_service(cached: &CachedEndpoints) -> InheritedMembership {
     let draining = cached.endpoints.iter().filter(|engine| !engine.live).map(|engine| engine.id.clone());
     InheritedMembership::new(cached.confirmed_at, draining.chain(cached.removed.iter().cloned()))
