--- a/src/net/hot_restart/folder.rs
+++ b/src/net/hot_restart/folder.rs
@@ -1,4 +1,4 @@
-//! The shared folder: its path, its lock, and the names of its files.
+//! The folder that the processes of one gateway share: its path, its lock, and the names of its files.
 
 use starlingplank_storage::disk::Disk;
 use starlingplank_storage::folder::Files;
@@ -11,38 +11,38 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Prefix of the files that running processes lock; their text is the process's stage.
+/// Prefix of the files that running processes keep locked; such a file contains the process's stage as text.
 pub(super) const PROCESS_PREFIX: &str = "life";
-/// Prefix of the files of idempotency keys.
+/// Prefix of the files in which processes record the idempotency keys that they send.
 pub(super) const KEYS_PREFIX: &str = "keys";
-/// Prefix of the files in which learned state is passed on.
+/// Prefix of the files in which learned state is passed to a successor.
 pub(super) const LEARNED_PREFIX: &str = "learned";
-/// Prefix of the files in which membership is passed on.
+/// Prefix of the files in which membership is passed to a successor.
 pub(super) const MEMBERSHIP_PREFIX: &str = "heard";
-/// Name of the file of operator overrides.
+/// Name of the file that stores operator overrides.
 pub(super) const OVERRIDES_FILE: &str = "hand";
 /// Name of the file whose lock serializes changes to the folder.
 const LOCK_FILE: &str = "lock";
-/// Hexadecimal digits of a process's number in a file name.
-const NUMBER_DIGITS: usize = 16;
-/// Bound on the length of the folder's name.
+/// Number of hexadecimal digits of an incarnation in a file name.
+const INCARNATION_DIGITS: usize = 16;
+/// Maximum length of the folder's name, in characters.
 const MAX_FOLDER_NAME_CHARS: usize = 200;
-/// How often a lock is tried: others hold it for microseconds.
+/// Maximum number of attempts to obtain a lock, which other processes hold for microseconds.
 const MAX_LOCK_ATTEMPTS: usize = 50;
-/// Time between two attempts to lock.
+/// Time between two attempts to obtain a lock.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Why the shared folder cannot be used, where no system call failed.
+/// Reason, other than a failed system call, why the shared folder cannot be used.
 #[derive(Debug, Error)]
 pub enum SharedFolderError {
-    /// It is not a folder of which only this user has permissions.
-    #[error("it is no folder, or others may use it: chmod 700 it")]
+    /// The path is not a folder, or users other than its owner have access to it.
+    #[error("not a folder, or other users have access to it: set its mode with chmod 700")]
     NotPrivate {
-        /// The folder.
+        /// The path of the folder.
         path: PathBuf,
     },
-    /// Another process has not released a lock in time.
-    #[error("another process has held the lock too long")]
+    /// Another process did not release a lock in time.
+    #[error("another process did not release the lock in time")]
     LockTimeout,
 }
 
@@ -52,20 +52,20 @@
     }
 }
 
-/// Path of the folder, below `parent`, of the gateway with that name and listening address.
+/// Returns the path, below `parent`, of the folder that all processes with this gateway name and listening address share.
 pub fn folder(parent: &Path, gateway: &str, listen: SocketAddr) -> PathBuf {
-    let plain = |character: char| match character {
+    let sanitize = |character: char| match character {
         _ if character.is_ascii_alphanumeric() || character == '-' => character,
         _ => '_',
     };
     let name = format!("starlingplank-{gateway}-{listen}");
-    parent.join(name.chars().map(plain).take(MAX_FOLDER_NAME_CHARS).collect::<String>())
+    parent.join(name.chars().map(sanitize).take(MAX_FOLDER_NAME_CHARS).collect::<String>())
 }
 
 /// Creates the folder if it does not exist.
 ///
 /// # Errors
-/// It cannot be created, or is not private.
+/// The folder cannot be created, or users other than its owner have access to it.
 pub(super) fn create_private(path: &Path) -> io::Result<()> {
     DirBuilder::new().mode(0o700).recursive(true).create(path)?;
     let metadata = std::fs::metadata(path)?;
@@ -75,22 +75,22 @@
     Ok(())
 }
 
-/// Name of a process's file.
+/// Returns the name of a file that belongs to one process.
 pub(super) fn file_name(prefix: &str, incarnation: u64) -> String {
     format!("{prefix}-{incarnation:016x}")
 }
 
-/// Name of a file that one process writes for another.
+/// Returns the name of a file that the process `from` writes for the process `to`.
 pub(super) fn passed_file_name(prefix: &str, from: u64, to: u64) -> String {
     format!("{}-for-{to:016x}", file_name(prefix, from))
 }
 
 fn incarnation_of(name: &str) -> Option<u64> {
     let digits = name.strip_prefix(PROCESS_PREFIX)?.strip_prefix('-')?;
-    (digits.len() == NUMBER_DIGITS).then(|| u64::from_str_radix(digits, 16).ok()).flatten()
+    (digits.len() == INCARNATION_DIGITS).then(|| u64::from_str_radix(digits, 16).ok()).flatten()
 }
 
-/// The numbers of all processes that have a file, in ascending order.
+/// Returns the incarnations of all processes that have a file in the folder, in ascending order.
 ///
 /// # Errors
 /// The folder cannot be read.
@@ -104,7 +104,7 @@
 /// Creates a file that must not exist yet.
 ///
 /// # Errors
-/// It cannot be created.
+/// The file exists or cannot be created.
 pub(super) fn create_new(path: &Path) -> io::Result<File> {
     OpenOptions::new().create_new(true).read(true).write(true).mode(0o600).open(path)
 }
@@ -112,7 +112,7 @@
 /// Locks the folder until the returned file is dropped.
 ///
 /// # Errors
-/// The lock cannot be opened, or another process has held it too long.
+/// The lock file cannot be opened, or another process did not release the lock in time.
 pub(super) fn lock(path: &Path) -> io::Result<File> {
     let mut options = OpenOptions::new();
     options.create(true).truncate(false).write(true).mode(0o600);
@@ -121,10 +121,10 @@
     Ok(file)
 }
 
-/// Locks a file, waiting a short while for its owner.
+/// Locks a file; retries about 50 ms while another process holds the lock.
 ///
 /// # Errors
-/// Another process has held the lock too long.
+/// Another process did not release the lock in time, or the system call failed.
 pub(super) fn lock_file(file: &File) -> io::Result<()> {
     for _ in 0..MAX_LOCK_ATTEMPTS {
         match file.try_lock() {
--- a/src/net/hot_restart/keys.rs
+++ b/src/net/hot_restart/keys.rs
@@ -1,4 +1,5 @@
-//! The exchange of idempotency keys: each process appends its sends to a file of its own, and reads those of the others.
+//! Exchange of idempotency keys between processes: each process appends its sends to its own file and reads the files of the
+//! other processes.
 
 use super::folder::{file_name, KEYS_PREFIX};
 use crate::interface::Milliseconds;
@@ -13,22 +14,22 @@
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 
-/// Records after which the file is rewritten: 80 KiB.
+/// Number of records, about 80 KiB, after which the file is rewritten.
 const REWRITE_AFTER_RECORDS: usize = 2_048;
-/// Bound on what is read of another process's file at a time, in bytes.
+/// Maximum number of bytes of another process's file that are read at a time.
 const MAX_READ_BYTES: u64 = 8 << 20;
 
-/// The keys of all processes. Owns the file of this process's keys.
+/// The keys that all processes have sent. Owns the file of this process's keys.
 #[derive(Debug)]
 pub(super) struct SharedKeys {
     folder: PathBuf,
     incarnation: u64,
     file: File,
-    /// Records in the file.
+    /// Number of records in the file.
     records: usize,
-    /// Whether the file may end inside a record, as a write failed.
-    torn: bool,
-    /// All keys whose window may not have ended, by this process's clock.
+    /// Whether the file may end with an incomplete record because a write failed.
+    may_end_in_partial_record: bool,
+    /// Keys whose deduplication window may not have ended, with times of this process's clock.
     tracked: HashMap<Key, KeySends>,
     offset: ClockOffset,
 }
@@ -36,10 +37,10 @@
 impl SharedKeys {
     pub(super) fn new(folder: &Path, incarnation: u64, file: File, offset: ClockOffset) -> Self {
         let (folder, tracked) = (folder.to_owned(), HashMap::new());
-        Self { folder, incarnation, file, records: 0, torn: false, tracked, offset }
+        Self { folder, incarnation, file, records: 0, may_end_in_partial_record: false, tracked, offset }
     }
 
-    /// The boot that stored times count from.
+    /// Returns the id of the boot from which stored times count.
     pub(super) fn boot_id(&self) -> [u8; 16] {
         self.offset.boot_id
     }
@@ -47,14 +48,14 @@
     /// Records that a key is about to be sent.
     ///
     /// # Errors
-    /// The send is not recorded; it must not take place.
+    /// The record cannot be written; the key must not be sent.
     pub(super) fn record(&mut self, key: Key, send: KeySend) -> io::Result<()> {
-        let before = self.tracked.get(&key).copied();
-        self.tracked.insert(key, before.map_or(KeySends::single(send), |sends| sends.and(send)));
+        let previous = self.tracked.get(&key).copied();
+        self.tracked.insert(key, previous.map_or(KeySends::single(send), |sends| sends.and(send)));
         let written = self.write(key, send);
         if written.is_err() {
-            // Nothing is sent, so nothing binds other processes.
-            match before {
+            // The key is not sent, so its window does not begin for any process.
+            match previous {
                 Some(sends) => self.tracked.insert(key, sends),
                 None => self.tracked.remove(&key),
             };
@@ -62,24 +63,24 @@
         written
     }
 
-    /// Appends a record. A file that has grown long, or may end inside a record, where its readers stop, is rewritten
-    /// instead.
+    /// Appends a record. Instead, the file is rewritten if it has reached its maximum length or may end with an incomplete
+    /// record, at which readers stop.
     fn write(&mut self, key: Key, send: KeySend) -> io::Result<()> {
-        if self.torn || self.records >= REWRITE_AFTER_RECORDS {
+        if self.may_end_in_partial_record || self.records >= REWRITE_AFTER_RECORDS {
             return self.rewrite(send.at);
         }
         let record = Record::KeySend(key, self.offset.stored_send(send));
         let written = self.file.write_all(&record.bytes());
-        self.torn = written.is_err();
+        self.may_end_in_partial_record = written.is_err();
         written?;
         self.records += 1;
         Ok(())
     }
 
-    /// Replaces the file by one with a mark and all keys whose window has not ended.
+    /// Replaces the file with one that contains a mark and all keys whose window has not ended.
     ///
     /// # Errors
-    /// The file cannot be written; the old one still exists.
+    /// The new file cannot be written or opened.
     pub(super) fn rewrite(&mut self, now: Milliseconds) -> io::Result<()> {
         self.tracked.retain(|_, sends| now < sends.end());
         let mark = Mark { at: self.offset.by + now, blocked_until: None, boot_id: self.offset.boot_id };
@@ -93,11 +94,12 @@
         disk::replace(&mut Files::new(&self.folder), &name, &bytes)?;
         self.file = OpenOptions::new().append(true).open(self.folder.join(name))?;
         self.records = 2 * self.tracked.len();
-        self.torn = false;
+        self.may_end_in_partial_record = false;
         Ok(())
     }
 
-    /// Adds a send of another process. Returns all sends of the key; `None` if their window has ended.
+    /// Merges a send of another process with the tracked sends of its key. Returns all sends of the key, or `None` if their
+    /// window has ended.
     pub(super) fn merge(&mut self, key: Key, stored: KeySend, now: Milliseconds) -> Option<KeySends> {
         let sends = self.offset.restored_sends(KeySends::single(stored));
         let send = KeySend { at: sends.first, window: sends.window };
@@ -110,13 +112,13 @@
     }
 }
 
-/// Reads another process's file as it grows. Owns the descriptor.
+/// Reads the sends that another process appends to its file. Owns the file's descriptor.
 #[derive(Debug)]
 pub(super) struct KeyReader {
     file: File,
-    /// Offset of the first byte that was not read.
+    /// Offset of the first byte that has not been read.
     position: u64,
-    /// Whether the last mark that was read is of another boot, and with it the sends that follow it.
+    /// Whether the last mark read, and thus the sends that follow it, belong to another boot.
     is_of_other_boot: bool,
 }
 
@@ -125,21 +127,22 @@
         File::open(path).ok().map(|file| Self { file, position: 0, is_of_other_boot: false })
     }
 
-    /// Whether the path still names the file that is open: a rewritten file is another one of the same name. If that cannot
-    /// be told it is taken to be so.
+    /// Returns whether `path` still refers to the open file: a rewrite replaces the file by a new one of the same name. If the
+    /// metadata cannot be read, the file is assumed to be the same.
     pub(super) fn is_current(&self, path: &Path) -> bool {
         let Ok(open) = self.file.metadata() else { return true };
         let Ok(named) = std::fs::metadata(path) else { return true };
         open.ino() == named.ino()
     }
 
-    /// The sends that were appended since the last call. Records of another boot are left out, as their times cannot be
-    /// compared.
+    /// Returns the sends that were appended since the last call. Records of another boot are skipped, as their times cannot be
+    /// compared with this boot's.
     pub(super) fn read_new_sends(&mut self, boot_id: [u8; 16]) -> Vec<(Key, KeySend)> {
         let mut sends = Vec::new();
         let bytes = self.read_new_bytes().unwrap_or_default();
         let Some(records) = self.skip_header(&bytes) else { return sends };
-        // A record that is being written is read once it is complete; one that was damaged is never read.
+        // Reading stops at a record that is incomplete or damaged: an incomplete one is read after its writer has completed it,
+        // a damaged one never.
         for record in records.chunks_exact(RECORD_BYTES).map_while(Record::read) {
             self.position += RECORD_BYTES as u64;
             match record {
@@ -158,8 +161,8 @@
         Ok(bytes)
     }
 
-    /// The records in bytes that were read; `None` if the file has no valid header: it was just created, or another release
-    /// wrote it.
+    /// Returns the records in `bytes`, after the header at the start of the file. `None` if the header is not valid: the file
+    /// was just created, or another release wrote it.
     fn skip_header<'a>(&mut self, bytes: &'a [u8]) -> Option<&'a [u8]> {
         if self.position > 0 || bytes.is_empty() {
             return Some(bytes);
--- a/src/net/hot_restart/keys/tests.rs
+++ b/src/net/hot_restart/keys/tests.rs
@@ -11,7 +11,7 @@
     Record::KeySend([key; 16], KeySend { at: 2_000.0, window: 12_000.0 })
 }
 
-/// The file of another process.
+/// The file of keys of another process.
 struct PeerFile {
     folder: tempfile::TempDir,
     file: File,
@@ -34,7 +34,7 @@
     }
 
     fn reader(&self) -> KeyReader {
-        KeyReader::open(&self.folder.path().join("keys-1")).expect("it is there")
+        KeyReader::open(&self.folder.path().join("keys-1")).expect("the file exists")
     }
 }
 
@@ -53,13 +53,13 @@
 }
 
 #[test]
-fn sends_of_another_boot_are_left_out_at_every_look() {
+fn sends_of_another_boot_are_skipped_on_every_read() {
     let mut peer = PeerFile::with(&[mark(OTHER_BOOT), send(1)]);
     let mut reader = peer.reader();
     assert_eq!(keys(&mut reader), [0; 0]);
-    assert_eq!(keys(&mut reader), [0; 0], "the rest of what was there");
+    assert_eq!(keys(&mut reader), [0; 0], "nothing was appended");
     peer.append(&[send(2)]);
-    assert_eq!(keys(&mut reader), [0; 0], "the same process writes on");
+    assert_eq!(keys(&mut reader), [0; 0], "no mark of this boot precedes the appended send");
     peer.append(&[mark(THIS_BOOT), send(3)]);
     assert_eq!(keys(&mut reader), [3]);
 }
--- a/src/net/hot_restart/mod.rs
+++ b/src/net/hot_restart/mod.rs
@@ -1,7 +1,7 @@
-//! Hot restart: the folder that the processes of one gateway share. It tells which of them run and how far each is, and
-//! holds operator overrides, the idempotency keys that were sent, and state that is passed to a successor. Each call here
-//! takes microseconds, as `$TMPDIR` is in memory. What cannot be read costs its contents and a line in the log, never the
-//! start.
+//! Hot restart: the folder that the processes of one gateway share. It shows which processes run and at which stage each one
+//! is, and stores operator overrides, the idempotency keys that were sent, and state that is passed to a successor. Each call
+//! here takes microseconds, as `$TMPDIR` is in memory. A file that cannot be read is logged and its contents are ignored; it
+//! never prevents the start.
 
 mod folder;
 mod keys;
@@ -35,22 +35,22 @@
 use std::path::{Path, PathBuf};
 use tracing::info;
 
-/// How many processes of one gateway are observed; far more than ever run.
+/// Maximum number of other processes that are observed at once; far more than ever run.
 const MAX_PEERS: usize = 64;
 
-/// What was observed of the other processes.
+/// Changes observed since the last poll of the other processes.
 #[derive(Debug, Default)]
 pub struct Observation {
-    /// Operator overrides, if they have changed.
+    /// The operator overrides, if they have changed.
     pub overrides: Option<OperatorOverrides>,
-    /// Keys that other processes have sent.
+    /// Idempotency keys that other processes have sent.
     pub keys: Vec<(Key, KeySends)>,
-    /// Later processes that wait for this one's state.
+    /// Incarnations of later processes that wait for this process's state.
     pub waiting_successors: Vec<u64>,
 }
 
-/// This process's side of the shared folder. Owns the lock on this process's file, which tells others that it runs, and the
-/// descriptors of its peers' files.
+/// This process's access to the shared folder. Owns the lock on this process's file, which shows other processes that it
+/// runs, and the descriptors of its peers' files.
 #[derive(Debug)]
 pub struct HotRestart {
     path: PathBuf,
@@ -62,10 +62,10 @@
 }
 
 impl HotRestart {
-    /// Opens the folder as the latest process of the gateway.
+    /// Opens the folder, and registers this process in it with the highest incarnation.
     ///
     /// # Errors
-    /// The folder cannot be created, locked or written, or is not private.
+    /// The folder cannot be created, locked or written, or users other than its owner have access to it.
     pub fn open(path: &Path, now: Milliseconds) -> io::Result<Self> {
         create_private(path)?;
         let _lock = lock(path)?;
@@ -91,12 +91,12 @@
         Ok(hot_restart)
     }
 
-    /// This process's number: the later of two processes has the higher one.
+    /// The number of this process: a process that started later has a higher number.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// The other running processes.
+    /// The other running processes of this gateway.
     pub fn peers(&self) -> Vec<PeerProcess> {
         let process =
             |(incarnation, peer): (&u64, &Peer)| PeerProcess { incarnation: *incarnation, stage: peer.stage };
@@ -108,7 +108,7 @@
         self.overrides.current()
     }
 
-    /// Tells other processes how far this one is.
+    /// Publishes this process's stage to the other processes.
     ///
     /// # Errors
     /// The stage cannot be written.
@@ -116,8 +116,8 @@
         self.process_file.write_all_at(stage.file_text().as_bytes(), 0)
     }
 
-    /// Adds the processes that are not known yet. Past the bound the oldest are left out: they ended long ago, or their files
-    /// are not of this program.
+    /// Opens the files of processes that are not known yet. Above [`MAX_PEERS`] the oldest are ignored: they exited long ago, or
+    /// their files belong to another program.
     fn add_peers(&mut self, incarnations: Vec<u64>) {
         for incarnation in incarnations.into_iter().rev().take(MAX_PEERS) {
             if incarnation == self.incarnation || self.peers.contains_key(&incarnation) {
@@ -129,59 +129,68 @@
                 }
                 Err(error) if error.kind() == io::ErrorKind::NotFound => {}
                 Err(error) => {
-                    log::error_rate_limited("another process of this gateway cannot be observed", error);
+                    log::error_rate_limited(
+                        "a file of another process cannot be opened; retrying at the next poll",
+                        error,
+                    );
                 }
             }
         }
     }
 
-    /// Observes the other processes.
+    /// Polls the other processes: opens files of new ones, and takes over from those that have exited.
     pub fn observe(&mut self, now: Milliseconds) -> Observation {
         match incarnations(&self.path) {
             Ok(incarnations) => self.add_peers(incarnations),
             Err(error) => {
-                log::error_rate_limited("the folder shared with other processes cannot be read", error);
+                log::error_rate_limited(
+                    "the folder shared with other processes cannot be read; retrying at the next poll",
+                    error,
+                );
             }
         }
-        // Keys are read before it is checked which processes have ended, so that the last ones are not missed.
+        // Keys are read before checking which processes have exited, so that a process's last keys are not missed.
         let mut keys = self.peer_keys(now);
         let mut waiting_successors = Vec::new();
-        let mut ended = Vec::new();
+        let mut exited = Vec::new();
         for (incarnation, peer) in &mut self.peers {
             peer.update_stage();
-            if peer.has_ended() {
-                ended.push(*incarnation);
+            if peer.has_exited() {
+                exited.push(*incarnation);
             } else if *incarnation > self.incarnation && peer.stage == Stage::Starting && !peer.state_passed {
                 peer.state_passed = true;
                 waiting_successors.push(*incarnation);
             }
         }
-        if !ended.is_empty() {
-            keys.extend(self.take_over_ended(ended, now));
+        if !exited.is_empty() {
+            keys.extend(self.take_over_exited(exited, now));
         }
         let overrides = self.overrides.refresh().then(|| self.overrides.current().clone());
         Observation { overrides, keys, waiting_successors }
     }
 
-    /// Takes over from processes that have ended. A process that has just created its file holds the folder's lock until it
-    /// has locked the file, so that it is checked again under that lock.
-    fn take_over_ended(&mut self, mut ended: Vec<u64>, now: Milliseconds) -> Vec<(Key, KeySends)> {
+    /// Takes over the keys of processes that have exited, and returns keys that were not read before. A process that has just
+    /// created its file holds the folder's lock until it has locked that file, so the check is repeated under the folder's lock.
+    fn take_over_exited(&mut self, mut exited: Vec<u64>, now: Milliseconds) -> Vec<(Key, KeySends)> {
         let Ok(_lock) = lock(&self.path) else { return Vec::new() };
-        ended.retain(|incarnation| self.peers.get(incarnation).is_some_and(Peer::has_ended));
+        exited.retain(|incarnation| self.peers.get(incarnation).is_some_and(Peer::has_exited));
         let keys = self.peer_keys(now);
-        for incarnation in ended {
-            self.remove_ended(incarnation, now);
+        for incarnation in exited {
+            self.remove_exited(incarnation, now);
         }
         keys
     }
 
-    /// Forgets a process that has ended, and removes its files. Its keys are written to this process's file before.
-    fn remove_ended(&mut self, incarnation: u64, now: Milliseconds) {
+    /// Removes a process that has exited and its files, after its keys are written to this process's file.
+    fn remove_exited(&mut self, incarnation: u64, now: Milliseconds) {
         self.peers.remove(&incarnation);
         if let Err(error) = self.keys.rewrite(now) {
-            return log::error_rate_limited("the keys of an ended process cannot be taken over yet", error);
+            return log::error_rate_limited(
+                "the keys of a process that has exited cannot be taken over; retrying at the next poll",
+                error,
+            );
         }
-        // Prefixes, so that half-written files and those for successors are removed as well.
+        // The names are matched as prefixes, so that temporary files and files for successors are removed as well.
         let prefixes = [KEYS_PREFIX, LEARNED_PREFIX, MEMBERSHIP_PREFIX, PROCESS_PREFIX]
             .map(|prefix| file_name(prefix, incarnation));
         for name in Files::new(&self.path).names().unwrap_or_default() {
@@ -191,7 +200,7 @@
         }
     }
 
-    /// Keys that other processes have sent since the last call.
+    /// Returns the keys that other processes have sent since the last call.
     pub fn peer_keys(&mut self, now: Milliseconds) -> Vec<(Key, KeySends)> {
         let mut keys = Vec::new();
         for (incarnation, peer) in &mut self.peers {
@@ -207,15 +216,15 @@
     /// Records that a key is about to be sent.
     ///
     /// # Errors
-    /// The send is not recorded; it must not take place.
+    /// The record cannot be written; the key must not be sent.
     pub fn record(&mut self, key: Key, send: KeySend) -> io::Result<()> {
         self.keys.record(key, send)
     }
 
-    /// Changes the operator overrides for this process and its successors. Returns them if the call changed something.
+    /// Changes the operator overrides for this process and its successors. Returns the overrides if they changed.
     ///
     /// # Errors
-    /// The call is not valid, or the change cannot be stored.
+    /// The change is not valid or cannot be stored.
     pub fn change_overrides(
         &mut self,
         change: impl FnOnce(&mut OperatorOverrides) -> Result<bool, OverrideError>,
@@ -223,7 +232,7 @@
         self.overrides.change(change)
     }
 
-    /// Logs what was found in the folder.
+    /// Logs this process's incarnation, the other processes and the excluded engines found in the folder.
     pub fn log_opened(&self) {
         let peers: Vec<_> = self.peers.keys().collect();
         let excluded: Vec<_> = self.overrides().excluded().collect();
--- a/src/net/hot_restart/overrides.rs
+++ b/src/net/hot_restart/overrides.rs
@@ -1,4 +1,4 @@
-//! Operator overrides, which all processes of the gateway share.
+//! Operator overrides, which all processes of the gateway share through a file.
 
 use super::folder::{lock, OVERRIDES_FILE};
 use crate::net::log;
@@ -11,24 +11,24 @@
 use thiserror::Error;
 use tracing::error;
 
-/// Why an operator's call is rejected.
+/// Reason why an operator's change is rejected.
 #[derive(Debug, Error)]
 pub enum ChangeError {
-    /// The call is not valid.
+    /// The change is not valid.
     #[error(transparent)]
     Invalid(#[from] OverrideError),
-    /// The change cannot be stored for a successor.
+    /// The change cannot be stored for the other processes.
     #[error(transparent)]
     NotStored(#[from] StoreOverridesError),
 }
 
-/// Why operator overrides cannot be stored.
+/// Reason why operator overrides cannot be stored.
 #[derive(Debug, Error)]
 pub enum StoreOverridesError {
     /// The folder cannot be locked, or the file cannot be written.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The overrides exceed the file's bound.
+    /// The overrides exceed the maximum size of the file.
     #[error(transparent)]
     Frame(#[from] FrameError),
 }
@@ -38,7 +38,7 @@
 pub(super) struct SharedOverrides {
     folder: PathBuf,
     current: OperatorOverrides,
-    /// The file's bytes as they were last read; `None` if there was no file.
+    /// Contents of the file when it was last read or written; `None` if it did not exist.
     bytes: Option<Vec<u8>>,
 }
 
@@ -51,12 +51,16 @@
         &self.current
     }
 
-    /// Reads the file. Returns whether the overrides have changed; if the file cannot be read they stay in force.
+    /// Reads the file, and returns whether the overrides have changed. If the file cannot be read or is invalid, the known
+    /// overrides stay in force.
     pub(super) fn refresh(&mut self) -> bool {
         let bytes = match Files::new(&self.folder).read(OVERRIDES_FILE, MAX_FILE_BYTES) {
             Ok(bytes) => bytes,
             Err(error) => {
-                log::error_rate_limited("operator overrides cannot be read", error);
+                log::error_rate_limited(
+                    "operator overrides cannot be read: the known ones stay in force",
+                    error,
+                );
                 return false;
             }
         };
@@ -79,10 +83,10 @@
         }
     }
 
-    /// Changes the overrides for this process and its successors. Returns them if the call changed something.
+    /// Changes the overrides for this process and its successors. Returns the overrides if they changed.
     ///
     /// # Errors
-    /// The call is not valid, or the change cannot be stored.
+    /// The change is not valid or cannot be stored.
     pub(super) fn change(
         &mut self,
         change: impl FnOnce(&mut OperatorOverrides) -> Result<bool, OverrideError>,
--- a/src/net/hot_restart/peers.rs
+++ b/src/net/hot_restart/peers.rs
@@ -1,4 +1,4 @@
-//! The other processes of this gateway, as far as their files tell.
+//! The other processes of this gateway, observed through their files in the shared folder.
 
 use super::folder::{file_name, KEYS_PREFIX, PROCESS_PREFIX};
 use super::keys::KeyReader;
@@ -8,22 +8,24 @@
 use std::io::{self, Read, Seek, SeekFrom};
 use std::path::Path;
 
-/// Bound on what is read of a process's stage, in bytes.
+/// Maximum number of bytes that are read of a process's stage.
 const MAX_STAGE_BYTES: u64 = 64;
 
 /// Another process of this gateway. Owns the descriptors of its files.
 #[derive(Debug)]
 pub(super) struct Peer {
-    /// A file that the process has locked until it ends.
+    /// File that the process keeps locked until it exits.
     process_file: File,
     pub(super) stage: Stage,
-    /// Its keys; `None` until its file could be opened.
+    /// Reader of the process's keys; `None` until the file of keys could be opened.
     keys: Option<KeyReader>,
-    /// Whether this process's state was passed to it.
+    /// Whether the observing process has passed its state to this peer.
     pub(super) state_passed: bool,
 }
 
 impl Peer {
+    /// Opens the file of a process. Its stage counts as starting until it is first read.
+    ///
     /// # Errors
     /// The process's file cannot be opened.
     pub(super) fn open(folder: &Path, incarnation: u64) -> io::Result<Self> {
@@ -32,8 +34,9 @@
         Ok(Self { process_file, stage: Stage::Starting, keys: None, state_passed: false })
     }
 
-    /// Whether the process has ended: then nobody holds its lock. The lock is released at once.
-    pub(super) fn has_ended(&self) -> bool {
+    /// Returns whether the process has exited: its file is then not locked. If this check obtains the lock, it is released
+    /// immediately.
+    pub(super) fn has_exited(&self) -> bool {
         let unlocked = self.process_file.try_lock().is_ok();
         if unlocked {
             let _ = self.process_file.unlock();
@@ -41,7 +44,7 @@
         unlocked
     }
 
-    /// Reads the process's stage. One that cannot be read counts as starting.
+    /// Reads the process's stage. A stage that cannot be read counts as starting.
     pub(super) fn update_stage(&mut self) {
         self.stage = self.read_stage_text().map_or(Stage::Starting, |text| Stage::read(&text));
     }
@@ -53,7 +56,7 @@
         Ok(text)
     }
 
-    /// The sends that the process has recorded since the last call.
+    /// Returns the sends that the process has recorded since the last call.
     pub(super) fn read_new_sends(
         &mut self,
         folder: &Path,
--- a/src/net/hot_restart/state_transfer.rs
+++ b/src/net/hot_restart/state_transfer.rs
@@ -1,4 +1,4 @@
-//! State that a running process passes to a successor: what it has learned, and the membership it knows of.
+//! Transfer of state from a running process to a successor: learned state and membership.
 
 use super::folder::{passed_file_name, LEARNED_PREFIX, MEMBERSHIP_PREFIX};
 use super::HotRestart;
@@ -17,31 +17,32 @@
 use thiserror::Error;
 use tracing::{info, warn};
 
-/// Time between two looks for the predecessor's learned state.
+/// Interval at which the successor checks for the predecessor's learned state.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Why state cannot be passed on or taken over.
+/// Reason why state cannot be passed on or taken over.
 #[derive(Debug, Error)]
 enum TransferError {
     /// The file cannot be read or written.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The bytes are no such state, or it is too large.
+    /// The bytes cannot be decoded, or the state is too large to be encoded.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// The learned state is rejected.
+    /// The rules for restored state reject the learned state.
     #[error(transparent)]
     Rejected(#[from] RejectedSnapshot),
 }
 
-/// The bytes of passed state, and how long was waited for them.
-struct Received {
+/// State that was received from a predecessor, and the time spent waiting for it.
+struct ReceivedState {
     bytes: Vec<u8>,
     waited: Duration,
 }
 
 impl HotRestart {
-    /// Writes this process's state for a successor. `gateway` is the gateway's name.
+    /// Writes this process's membership and learned state to files for a successor. `gateway` is the gateway's name. Failures
+    /// are logged; the successor then starts without that state.
     pub fn pass_state_to(
         &self,
         successor: u64,
@@ -50,7 +51,7 @@
         now: Milliseconds,
         limits: &Limits,
     ) {
-        // The successor waits for the learned state, which therefore is written last.
+        // The successor waits until the learned state exists, so that is written last.
         if let Some(membership) = core.membership_for_successor() {
             if let Err(reason) = self.pass_membership(successor, &membership) {
                 warn!(successor, %reason, "membership cannot be passed to the new process");
@@ -75,8 +76,8 @@
         Ok(disk::replace(&mut Files::new(&self.path), &name, &bytes)?)
     }
 
-    /// Waits for the learned state of the latest predecessor, if one runs. `None` if it did not come in time or is not
-    /// accepted.
+    /// Waits for the learned state of the latest predecessor. `None` if no predecessor runs, or if its state did not arrive in
+    /// time or is not accepted.
     pub async fn inherit_learned(
         &mut self,
         now: Milliseconds,
@@ -111,13 +112,13 @@
         }
     }
 
-    /// Waits until a file exists, and reads it. `None` if it did not come in time.
-    async fn receive(&self, name: &str, limits: &Limits) -> io::Result<Option<Received>> {
+    /// Waits until a file exists, and reads it. `None` if the file does not appear in time.
+    async fn receive(&self, name: &str, limits: &Limits) -> io::Result<Option<ReceivedState>> {
         let mut waited = Duration::ZERO;
         loop {
             let read = Files::new(&self.path).read(name, limits.max_inherited_state_bytes as u64)?;
             if let Some(bytes) = read {
-                return Ok(Some(Received { bytes, waited }));
+                return Ok(Some(ReceivedState { bytes, waited }));
             }
             if waited >= limits.inherited_state_wait {
                 return Ok(None);
@@ -127,8 +128,8 @@
         }
     }
 
-    /// The membership that the latest predecessor has passed on. A predecessor that is itself starting has passed on none;
-    /// then the one before it counts.
+    /// Returns the membership that the latest predecessor has passed on. A predecessor that is itself starting has passed on
+    /// none; in that case the membership of the predecessor before it is used.
     pub fn inherit_membership(&self) -> Option<InheritedMembership> {
         let predecessors = self.peers.range(..self.incarnation).rev();
         predecessors.into_iter().find_map(|(predecessor, _)| self.inherit_membership_of(*predecessor))
