--- a/src/net/persistence/endpoint_cache.rs
+++ b/src/net/persistence/endpoint_cache.rs
@@ -1,4 +1,4 @@
-//! The cached endpoint list: what is written of a list, and what a list is made of from it.
+//! The cached endpoint list: conversion from and to the reducer's endpoints, and its loading at the start.
 
 use crate::config::{describe, PersistenceSettings};
 use crate::core::Endpoint;
@@ -8,7 +8,7 @@
 use starlingplank_persistence::writers::EndpointCacheHealth;
 use tracing::{info, warn};
 
-/// The endpoints of a cached list. One whose address cannot be parsed is left out.
+/// Returns the endpoints of a cached list. An endpoint whose address cannot be parsed is omitted.
 pub fn endpoints_from_cache(cached: &CachedEndpoints, settings: &Settings) -> Vec<Endpoint> {
     let endpoint = |cached: &CachedEndpoint| {
         let availability = if cached.live { Availability::Live } else { Availability::Draining };
@@ -19,7 +19,7 @@
     cached.endpoints.iter().filter_map(endpoint).collect()
 }
 
-/// An endpoint as it is cached.
+/// Converts an endpoint to the form in which it is cached.
 pub(super) fn cached_endpoint(endpoint: &Endpoint, settings: &Settings) -> CachedEndpoint {
     let member = &endpoint.member;
     let zone = member.zone.and_then(|zone| settings.zones.get(zone.0));
@@ -35,7 +35,7 @@
     }
 }
 
-/// The list that the previous process cached, as it holds now.
+/// Loads the list that the previous process cached, as far as it is still valid now. An invalid file is logged and ignored.
 pub(super) fn load(
     disk: &dyn Disk,
     settings: &PersistenceSettings,
@@ -45,13 +45,13 @@
         Ok(cached) => cached?.as_of(now, settings.min_restart_time, settings.max_snapshot_age),
         Err(reason) => {
             let (folder, file) = (settings.folder.display(), cached_endpoints::FILE);
-            warn!(%folder, file, %reason, "stored file is invalid");
+            warn!(%folder, file, %reason, "stored file is invalid and is ignored");
             None
         }
     }
 }
 
-/// Logs that writing the list has begun to fail, or works again.
+/// Logs that writing the list has begun to fail or succeeds again.
 pub(super) fn log_health(health: EndpointCacheHealth) {
     match health {
         EndpointCacheHealth::Failing(reason) => warn!(reason, "endpoint list cannot be cached"),
--- a/src/net/persistence/idempotency_log.rs
+++ b/src/net/persistence/idempotency_log.rs
@@ -1,4 +1,4 @@
-//! The idempotency log: recovered at a start or takeover, written by a thread.
+//! The idempotency log: recovered at startup or at a takeover of the folder, and written by a thread.
 
 use super::statistics::SharedWriterState;
 use crate::core::Event;
@@ -18,8 +18,8 @@
 use tokio::sync::mpsc::{unbounded_channel, Sender};
 use tracing::{error, info};
 
-/// A file in the folder which tells that a process sends keyed requests that the log there does not hold. Owns a lock
-/// on the file until the process ends.
+/// A file which marks that a process sends keyed requests that the log in the folder does not contain. Owns a lock on the
+/// file until the process exits.
 pub(super) struct UnrecordedSendsMarker {
     path: PathBuf,
     _lock: File,
@@ -44,24 +44,24 @@
     }
 }
 
-/// The marker files of processes that have ended: nobody holds their locks.
-pub(super) fn markers_of_ended_processes(folder: &Folder) -> Vec<PathBuf> {
+/// Returns the marker files of processes that have exited: these files are not locked.
+pub(super) fn markers_of_exited_processes(folder: &Folder) -> Vec<PathBuf> {
     let names = folder.disk().names().unwrap_or_default();
     let markers = names.iter().filter(|name| name.starts_with(UNRECORDED_SENDS_PREFIX));
     let is_unlocked = |path: &PathBuf| File::open(path).is_ok_and(|file| file.try_lock().is_ok());
     markers.map(|name| folder.path().join(name)).filter(is_unlocked).collect()
 }
 
-/// Which sends a log has to hold to be trusted.
+/// The sends that a log has to contain to be trusted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum LogCoverage {
-    /// All of them: this process starts after the log's owner has ended.
+    /// All sends: this process starts after the log's owner has exited.
     AllSends,
-    /// Those of its owner: this process knows what others have sent.
+    /// The sends of the log's owner: this process receives the sends of other processes through the shared folder.
     OwnersSends,
 }
 
-/// The idempotency log of an earlier process, by this process's clock.
+/// The idempotency log of an earlier process, with times of this process's clock.
 pub(super) struct RecoveredLog {
     pub(super) log: Result<TrustedLog, DistrustedLog>,
     pub(super) offset: ClockOffset,
@@ -83,7 +83,7 @@
         Self { log: found.map(|log| offset.restored_log(log)), offset }
     }
 
-    /// Logs whether the log is trusted.
+    /// Logs whether the log is trusted, and if not, why and for how long keyed requests are rejected.
     pub(super) fn log_outcome(&self, window: Milliseconds) {
         match &self.log {
             Ok(trusted) => info!(keys = trusted.sends.len(), "idempotency log recovered"),
@@ -96,8 +96,8 @@
     }
 }
 
-/// Starts the thread that writes the log; its outcomes become events of the reducer. `markers` are removed once the first
-/// file of this process is durable, as it holds what they stand for.
+/// Starts the thread that writes the log; the outcomes of its writes become events for the reducer. The files `markers` are
+/// removed after the first log file of this process is durable, as that file contains the sends that they stand for.
 ///
 /// # Errors
 /// The folder cannot be read, or the thread cannot be started.
@@ -108,8 +108,8 @@
     state: &SharedWriterState,
     markers: Vec<PathBuf>,
 ) -> io::Result<IdempotencyLogWriter> {
-    // The channel between the writer's thread and the reducer's is unbounded, but it holds only outcomes of writes that
-    // the reducer requested, whose number the writer bounds.
+    // The channel from the writer thread to the reducer's thread is unbounded, but it contains only outcomes of writes that
+    // the reducer requested, and the writer limits their number.
     let (sender, mut outcomes) = unbounded_channel();
     let (events, state) = (events.clone(), state.clone());
     tokio::task::spawn_local(async move {
@@ -132,12 +132,13 @@
 fn remove_files(files: &Mutex<Vec<PathBuf>>) {
     let files = std::mem::take(&mut *files.lock().unwrap_or_else(PoisonError::into_inner));
     for file in files {
-        // A file that cannot be removed costs the next process a wait.
+        // If a file cannot be removed, the next process distrusts the log and rejects keyed requests for one window.
         let _ = std::fs::remove_file(file);
     }
 }
 
-/// The reducer's event for an outcome. Failures are logged when they begin and end, not for each record.
+/// Converts the outcome of a write to an event for the reducer. Failures are logged when they begin and end, not for each
+/// record.
 fn on_log_event(event: IdempotencyLogEvent, statistics: WriteStatistics, state: &SharedWriterState) -> Event {
     let mut state = state.lock();
     state.keys = statistics;
@@ -145,13 +146,17 @@
         IdempotencyLogEvent::Recorded(tickets) => Event::RecordsDurable(tickets),
         IdempotencyLogEvent::Rewritten(keys) => {
             if std::mem::replace(&mut state.keys_failing, false) {
-                info!("idempotency log works again");
+                info!("idempotency log is written again");
             }
             Event::LogRewritten(keys)
         }
         IdempotencyLogEvent::Failed(tickets, reason) => {
             if !std::mem::replace(&mut state.keys_failing, true) {
-                error!(reason, "idempotency log failed: keyed requests are rejected for a while");
+                error!(
+                    reason,
+                    "idempotency log cannot be written: keyed requests are rejected until it is written again, \
+                     or, if it is not required, for the longest deduplication window"
+                );
             }
             Event::RecordsFailed(tickets)
         }
--- a/src/net/persistence/mod.rs
+++ b/src/net/persistence/mod.rs
@@ -1,8 +1,8 @@
-//! The edge of the state that outlives a process: opens the folder, reads it, and passes what is to be written to the
-//! threads that write. Off unless the operator's file configures it.
+//! Persistent state: opens the folder, recovers its contents, and queues writes to the writer threads. Disabled unless the
+//! operator's configuration file enables it.
 //!
-//! `snapshots`, `idempotency_log` and `endpoint_cache` each handle one kind of file, `takeover` a folder that
-//! another process of this gateway still has.
+//! `snapshots`, `idempotency_log` and `endpoint_cache` each handle one kind of file; `takeover` handles a folder that another
+//! process of this gateway has locked.
 
 mod endpoint_cache;
 mod error;
@@ -17,7 +17,7 @@
 use crate::config::{Config, PersistenceSettings};
 use crate::core::{Core, Event};
 use crate::interface::{Class, Idempotency, Milliseconds, Settings};
-use idempotency_log::{markers_of_ended_processes, LogCoverage, RecoveredLog, UnrecordedSendsMarker};
+use idempotency_log::{markers_of_exited_processes, LogCoverage, RecoveredLog, UnrecordedSendsMarker};
 use starlingplank_persistence::cached_endpoints::CachedEndpoints;
 use starlingplank_persistence::deduplication_window::{
     DeduplicationWindow, Key, KeySend, LogMark, LogState, Rewrite,
@@ -33,32 +33,32 @@
 use tokio::sync::mpsc::Sender;
 use tracing::{error, info, warn};
 
-/// Consecutive skipped snapshots after which the disk is reported as hanging.
-const SKIPPED_SNAPSHOTS_OF_HANGING_DISK: u32 = 3;
-/// How often it is checked whether the last snapshot is written.
+/// Number of consecutive skipped snapshots after which the disk is reported as not responding.
+const SKIPPED_SNAPSHOTS_BEFORE_WARNING: u32 = 3;
+/// Interval at which the shutdown checks whether the last snapshot is written.
 const FINISH_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Stores the gateway's state. Owns the lock on the folder and the threads that write into it.
+/// Stores the gateway's state. Owns the lock on the folder and the writer threads.
 pub struct Persistence {
     gateway: String,
     snapshots: Option<SnapshotWriter>,
     keys: Option<IdempotencyLogWriter>,
     endpoints: Option<EndpointCacheWriter>,
-    /// The endpoint list that the previous process cached, as it held at the start.
+    /// The endpoint list that the previous process cached, as far as it was still valid at the start.
     cached: Option<CachedEndpoints>,
-    /// Consecutive snapshots that were skipped, as earlier ones are still being written.
+    /// Number of consecutive snapshots that were skipped because earlier ones are still being written.
     skipped_snapshots: Cell<u32>,
     writer_state: SharedWriterState,
     folder: Option<Folder>,
-    /// Another process of this gateway has the folder, and leaves it to this one.
+    /// Whether another process has locked the folder, and this process takes it over after that process exits.
     awaits_folder: bool,
-    /// Present once this process may send keyed requests that the log of the folder's owner does not hold.
+    /// Marker file, present once this process may send keyed requests that the log of the folder's owner does not contain.
     marker: Option<UnrecordedSendsMarker>,
-    /// Taking over the folder has failed, and that was logged.
+    /// Whether a failure to take over the folder has been logged.
     takeover_failing: bool,
 }
 
-/// The rules for aging stored knowledge.
+/// Returns the rules by which stored state is aged and accepted at the start.
 pub fn recovery_settings(
     settings: &PersistenceSettings,
     overload_collapse_after: Milliseconds,
@@ -71,7 +71,7 @@
     }
 }
 
-/// The longest deduplication window of all classes; 0 if no class is keyed.
+/// Returns the longest deduplication window of all classes; 0 if no class is keyed.
 fn longest_window(config: &Config) -> Milliseconds {
     let window = |class: &Class| match class.idempotency {
         Idempotency::Keyed { window, .. } => Some(window),
@@ -80,17 +80,17 @@
     config.settings.classes.iter().filter_map(window).fold(0.0, f64::max)
 }
 
-/// What a starting process needs to open its folder.
-struct Opening<'a> {
+/// The settings with which a starting process opens its folder.
+struct FolderOpening<'a> {
     config: &'a Config,
     settings: &'a PersistenceSettings,
     window: Milliseconds,
-    /// Whether keyed requests are recorded.
+    /// Whether keyed requests are recorded in the idempotency log.
     keyed: bool,
     now: Milliseconds,
 }
 
-impl Opening<'_> {
+impl FolderOpening<'_> {
     fn open_folder(&self) -> Result<(Folder, SnapshotStore, LoadedSnapshot), FolderError> {
         let folder = Folder::open(&self.settings.folder)?;
         let disk = folder.disk().closing_written_files();
@@ -104,12 +104,15 @@
         DeduplicationWindow::new(log, self.window, self.settings.max_keys, self.now)
     }
 
-    /// Serves without a folder that cannot be used: waits for one that another process of this gateway may have, and else
-    /// stores nothing.
+    /// Starts without the folder, which cannot be used. A locked folder may belong to another process of this gateway and is
+    /// taken over later if hot restart is possible; otherwise nothing is stored.
+    ///
+    /// # Errors
+    /// The folder is required.
     fn without_folder(&self, core: &mut Core, reason: FolderError) -> Result<Persistence, PersistenceError> {
         let locked = matches!(reason, FolderError::Locked { .. });
         if locked && self.config.operator.is_some() {
-            info!(%reason, "another process has the folder: it is taken over once that process has ended");
+            info!(%reason, "the folder is locked by another process: it is taken over after that process has exited");
             core.resume(self.deduplication(if self.keyed { LogState::Locked } else { LogState::Off }), None);
             let gateway = self.config.name.clone();
             return Ok(Persistence { gateway, awaits_folder: true, ..Persistence::disabled() });
@@ -123,14 +126,14 @@
                 LogState::Off
             }
             (true, true) => {
-                error!(%reason, "serving without persistent state and rejecting all keyed requests");
+                error!(%reason, "serving without persistent state: all keyed requests are rejected");
                 LogState::Locked
             }
             (true, false) => {
                 error!(
                     %reason,
                     window_ms = %format_args!("{:.0}", self.window),
-                    "serving without persistent state and rejecting keyed requests for a while"
+                    "serving without persistent state: keyed requests are rejected for the longest deduplication window from now"
                 );
                 LogState::Missing
             }
@@ -139,7 +142,7 @@
         Ok(Persistence::disabled())
     }
 
-    /// Recovers the idempotency log, and starts the thread that writes this process's.
+    /// Recovers the idempotency log of the previous process, and starts the thread that writes this process's log.
     fn recover_log(
         &self,
         persistence: &mut Persistence,
@@ -155,8 +158,8 @@
         if let Ok(trusted) = recovered.log {
             deduplication.restore(trusted, self.now);
         }
-        // The markers of processes that have ended are not needed once this process's own log begins.
-        let markers = markers_of_ended_processes(folder);
+        // The markers of processes that have exited are not needed after this process's own log exists.
+        let markers = markers_of_exited_processes(folder);
         let state = &persistence.writer_state;
         let writer = idempotency_log::start_writer(folder, recovered.offset, events, state, markers)?;
         persistence.keys = Some(writer);
@@ -165,7 +168,7 @@
 }
 
 impl Persistence {
-    /// Stores nothing.
+    /// Returns a state in which nothing is stored.
     pub fn disabled() -> Self {
         Self {
             gateway: String::new(),
@@ -182,11 +185,11 @@
         }
     }
 
-    /// Opens the folder, and has the reducer resume from its contents. A folder that cannot be used is logged once, and the
+    /// Opens the folder, and passes its contents to the reducer. If the folder cannot be used, this is logged once, and the
     /// gateway serves without it.
     ///
     /// # Errors
-    /// The folder cannot be used and is required, or a thread that writes cannot be started.
+    /// The folder cannot be used and is required, or a writer thread cannot be started.
     pub fn open(
         config: &Config,
         core: &mut Core,
@@ -196,7 +199,7 @@
         let Some(settings) = &config.knowledge else { return Ok(Self::disabled()) };
         let window = longest_window(config);
         let keyed = settings.logs_keys && window > 0.0;
-        let opening = Opening { config, settings, window, keyed, now };
+        let opening = FolderOpening { config, settings, window, keyed, now };
         let (folder, store, loaded) = match opening.open_folder() {
             Ok(opened) => opened,
             Err(reason) => return opening.without_folder(core, reason),
@@ -222,7 +225,7 @@
         Ok(())
     }
 
-    /// Has a snapshot written, unless one is being written and another waits.
+    /// Queues a snapshot of the learned state, unless one is being written and another one is queued.
     pub fn save_snapshot(&self, core: &Core, now: Milliseconds) {
         let Some(writer) = &self.snapshots else { return };
         if writer.save(Snapshot::new(&self.gateway, &core.learned(now), &core.addresses())) {
@@ -230,19 +233,19 @@
             return;
         }
         self.skipped_snapshots.set(self.skipped_snapshots.get().saturating_add(1));
-        if self.skipped_snapshots.get() == SKIPPED_SNAPSHOTS_OF_HANGING_DISK {
-            let skipped = SKIPPED_SNAPSHOTS_OF_HANGING_DISK;
-            warn!(skipped, "the disk hangs: snapshots are skipped until it responds");
+        if self.skipped_snapshots.get() == SKIPPED_SNAPSHOTS_BEFORE_WARNING {
+            let skipped = SKIPPED_SNAPSHOTS_BEFORE_WARNING;
+            warn!(skipped, "the disk does not respond: snapshots are skipped until it does");
         }
     }
 
-    /// The endpoint list that the previous process cached, if it still holds.
+    /// The endpoint list that the previous process cached, if it was still valid at the start.
     pub fn cached_endpoints(&self) -> Option<&CachedEndpoints> {
         self.cached.as_ref()
     }
 
-    /// Has the list cached that the list service last confirmed. The caller repeats this every second, so that a list for
-    /// which there is no space in the queue is passed again.
+    /// Queues the endpoint list that the name service last confirmed to be cached. The caller repeats this with each snapshot,
+    /// so that a list for which the queue had no space is queued again.
     pub fn cache_endpoints(&self, core: &Core, settings: &Settings) {
         let Some(writer) = &self.endpoints else { return };
         let Some(membership) = core.service_membership() else { return };
@@ -252,34 +255,35 @@
         writer.save(CachedEndpoints { confirmed_at: membership.confirmed_at, endpoints, removed });
     }
 
-    /// Queues the record of a send. Returns whether it will be written.
+    /// Queues the record of a send. Returns whether the record was queued.
     pub fn record(&self, number: u64, key: Key, send: KeySend) -> bool {
         self.keys.as_ref().is_some_and(|keys| keys.record(number, key, send))
     }
 
-    /// Queues a mark. Returns whether it will be written.
+    /// Queues a mark. Returns whether the mark was queued.
     pub fn mark(&self, mark: LogMark) -> bool {
         self.keys.as_ref().is_some_and(|keys| keys.mark(mark))
     }
 
-    /// Queues a rewrite of the idempotency log. Returns whether it will be written.
+    /// Queues a rewrite of the idempotency log. Returns whether the rewrite was queued.
     pub fn rewrite(&self, rewrite: Rewrite) -> bool {
         self.keys.as_ref().is_some_and(|keys| keys.rewrite(rewrite))
     }
 
-    /// Whether state is stored.
+    /// Returns whether state is stored.
     pub fn is_on(&self) -> bool {
         self.snapshots.is_some()
     }
 
-    /// Waits until the last snapshot is written.
+    /// Waits until all queued snapshots are written; the caller limits the time.
     pub async fn finish(&mut self) {
         while self.snapshots.as_mut().is_some_and(|writer| !writer.finished()) {
             tokio::time::sleep(FINISH_POLL_INTERVAL).await;
         }
     }
 
-    /// Logs how much was written. `rejected` counts keyed requests that the deduplication window has rejected.
+    /// Logs the numbers of writes and of bytes written. `rejected` is the number of keyed requests that the deduplication window
+    /// has rejected.
     pub fn log_totals(&self, rejected: u64) {
         let state = self.writer_state.lock();
         info!(
--- a/src/net/persistence/snapshots.rs
+++ b/src/net/persistence/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots of what the decision module has learned: restored at a start, written by a thread.
+//! Snapshots of the decision module's learned state: restored at the start and written by a thread.
 
 use super::statistics::SharedWriterState;
 use crate::interface::Milliseconds;
@@ -8,7 +8,7 @@
 use std::path::Path;
 use tracing::{info, warn};
 
-/// Restores the latest snapshot, if the rules accept it, and logs what was found.
+/// Restores the latest valid snapshot if the rules accept it. Invalid files and the result are logged.
 pub(super) fn restore(
     folder: &Path,
     loaded: LoadedSnapshot,
@@ -16,7 +16,7 @@
     now: Milliseconds,
 ) -> Option<RestoredState> {
     for fault in &loaded.faults {
-        warn!(folder = %folder.display(), file = fault.file, reason = fault.reason, "stored file is invalid");
+        warn!(folder = %folder.display(), file = fault.file, reason = fault.reason, "stored file is invalid and is ignored");
     }
     let restored = restore_snapshot(loaded, rules, now);
     if restored.is_none() {
@@ -44,7 +44,8 @@
     }
 }
 
-/// Counts a snapshot that was written. Failures are logged when they begin and end, not for each snapshot.
+/// Updates the statistics after a snapshot was written or failed. Failures are logged when they begin and end, not for each
+/// snapshot.
 pub(super) fn on_snapshot_event(event: &SnapshotEvent, state: &SharedWriterState) {
     let mut state = state.lock();
     match event {
--- a/src/net/persistence/statistics.rs
+++ b/src/net/persistence/statistics.rs
@@ -1,9 +1,9 @@
-//! What the writer threads have written, and whether they can.
+//! Statistics of the writer threads: amounts written and current failures.
 
 use starlingplank_persistence::writers::WriteStatistics;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// What has been written, and which writes are failing.
+/// Amounts written, and whether writes are currently failing, by kind of file.
 #[derive(Debug, Default)]
 pub(super) struct WriterState {
     pub(super) snapshots: WriteStatistics,
@@ -18,7 +18,7 @@
 
 impl SharedWriterState {
     pub(super) fn lock(&self) -> MutexGuard<'_, WriterState> {
-        // It holds counters and flags only, which are valid whatever a thread that panicked has left.
+        // The state consists of counters and flags, which stay valid if a thread panics while it holds the lock.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/src/net/persistence/takeover.rs
+++ b/src/net/persistence/takeover.rs
@@ -1,9 +1,9 @@
-//! A folder that another process of this gateway has locked: it is followed while that process runs, and taken over once
-//! it has ended.
+//! A folder that another process of this gateway has locked: its idempotency log is read while that process runs, and the
+//! folder is taken over after it has exited.
 
 use super::error::PersistenceError;
 use super::idempotency_log::{
-    self, markers_of_ended_processes, LogCoverage, RecoveredLog, UnrecordedSendsMarker,
+    self, markers_of_exited_processes, LogCoverage, RecoveredLog, UnrecordedSendsMarker,
 };
 use super::{longest_window, Persistence};
 use crate::config::{Config, PersistenceSettings};
@@ -15,20 +15,21 @@
 use tokio::sync::mpsc::Sender;
 use tracing::{error, info};
 
-/// A folder that was taken over, with its idempotency log if requests are keyed.
-struct TakenOver {
+/// A folder that was taken over, with its idempotency log if keyed requests are recorded.
+struct TakenOverFolder {
     folder: Folder,
     log: Option<RecoveredLog>,
 }
 
 impl Persistence {
-    /// Whether this process waits for another one to release the folder.
+    /// Returns whether this process waits for another one to release the folder.
     pub fn awaits_folder(&self) -> bool {
         self.awaits_folder
     }
 
-    /// Sends keyed requests while another process of this gateway has the folder: as that process's log allows, each
-    /// recorded where both look. Where the folder is required they wait for it.
+    /// Permits keyed requests while another process of this gateway owns the folder: that process's log is recovered, and each
+    /// further send of either process is recorded in the shared folder. If the folder is required, keyed requests are rejected
+    /// until this process has taken it over.
     pub fn use_owner_log(&mut self, config: &Config, core: &mut Core, now: Milliseconds) {
         let Some(settings) = &config.knowledge else { return };
         if !self.awaits_folder || !settings.logs_keys || settings.required {
@@ -39,17 +40,18 @@
             return error!(
                 folder = %settings.folder.display(),
                 gateway = config.name,
-                "keyed requests are rejected until the folder is free: no snapshot in it is of this gateway"
+                "keyed requests are rejected until the folder is released: its latest snapshot is missing or belongs to another gateway"
             );
         }
-        // Before the first keyed request: a later process that finds this file, but not what was sent, waits.
+        // The marker must exist before the first keyed request is sent: a later process that finds it without knowing these
+        // sends distrusts the log and waits for one window.
         match UnrecordedSendsMarker::create(&settings.folder) {
             Ok(marker) => self.marker = Some(marker),
             Err(reason) => {
                 return error!(
                     folder = %settings.folder.display(),
                     %reason,
-                    "keyed requests are rejected until the folder is free: it cannot be written"
+                    "keyed requests are rejected until the folder is released: no marker file can be created in it"
                 )
             }
         }
@@ -64,8 +66,8 @@
         core.resume(deduplication, None);
     }
 
-    /// Whether the latest snapshot in the folder is of this gateway. Each process writes one every second and one as it
-    /// ends.
+    /// Returns whether the latest snapshot in the folder belongs to this gateway. Each process writes a snapshot every
+    /// second by default, and one when it exits.
     fn owns_snapshot_in(&self, files: &Files, settings: &PersistenceSettings) -> bool {
         let loaded = snapshot_store::load(files, settings.max_snapshot_bytes).ok();
         loaded
@@ -73,8 +75,8 @@
             .is_some_and(|(_, snapshot)| snapshot.gateway == self.gateway)
     }
 
-    /// No other process of this gateway runs: the folder belongs to another gateway, whose log holds only its own sends. No
-    /// keyed request is sent, and no state is stored.
+    /// Gives up waiting for the folder. As no other process of this gateway runs, the folder belongs to another gateway, whose
+    /// log contains only its own sends. Keyed requests are rejected, and no state is stored.
     ///
     /// # Errors
     /// The folder is required.
@@ -86,15 +88,14 @@
             return Err(PersistenceError::Required(reason));
         }
         if settings.logs_keys && longest_window(config) > 0.0 {
-            error!(%reason, "serving without persistent state and rejecting all keyed requests");
+            error!(%reason, "serving without persistent state: all keyed requests are rejected");
         } else {
             error!(%reason, "serving without persistent state");
         }
         Ok(())
     }
 
-    /// Takes the folder over once the process that had it has ended. Returns whether it was taken over. A failure is logged
-    /// once; the caller tries again.
+    /// Takes over the folder if its owner has exited, and returns whether it did. A failure is logged once; the caller retries.
     pub fn take_over(
         &mut self,
         config: &Config,
@@ -112,7 +113,7 @@
             .and_then(|folder| self.start_writers(folder, config, settings, now, events));
         let path = settings.folder.display();
         match taken {
-            Ok(TakenOver { folder, log }) => {
+            Ok(TakenOverFolder { folder, log }) => {
                 info!(folder = %path, "the previous process has ended: its folder is taken over");
                 if let Some(recovered) = log {
                     recovered.log_outcome(longest_window(config));
@@ -127,7 +128,7 @@
                 self.endpoints = None;
                 self.keys = None;
                 if !std::mem::replace(&mut self.takeover_failing, true) {
-                    error!(folder = %path, %reason, "the folder cannot be taken over yet");
+                    error!(folder = %path, %reason, "the folder cannot be taken over; retrying at each poll of the other processes");
                 }
                 false
             }
@@ -141,18 +142,19 @@
         settings: &PersistenceSettings,
         now: Milliseconds,
         events: &Sender<Event>,
-    ) -> Result<TakenOver, PersistenceError> {
+    ) -> Result<TakenOverFolder, PersistenceError> {
         let disk = folder.disk().closing_written_files();
         let (store, _) = SnapshotStore::open(Box::new(disk), settings.max_snapshot_bytes)?;
         let window = longest_window(config);
-        // A process that rejected all keyed requests knows of none that were sent without a record.
+        // Without a marker, this process has rejected all keyed requests and does not know of sends that the log does not
+        // contain: the log has to contain all sends.
         let coverage = if self.marker.is_some() { LogCoverage::OwnersSends } else { LogCoverage::AllSends };
         let keyed = settings.logs_keys && window > 0.0;
         let log = keyed.then(|| RecoveredLog::read(&folder.disk(), coverage, window, now));
         self.start_state_writers(&folder, store)?;
         if let Some(recovered) = &log {
             let own_marker = self.marker.as_ref().map(|marker| marker.path().to_owned());
-            let markers = markers_of_ended_processes(&folder).into_iter().chain(own_marker).collect();
+            let markers = markers_of_exited_processes(&folder).into_iter().chain(own_marker).collect();
             let writer = idempotency_log::start_writer(
                 &folder,
                 recovered.offset,
@@ -162,6 +164,6 @@
             )?;
             self.keys = Some(writer);
         }
-        Ok(TakenOver { folder, log })
+        Ok(TakenOverFolder { folder, log })
     }
 }
