--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -1,5 +1,5 @@
-//! The second address, where operators call. Each connection carries one call, which is answered beside the queue that
-//! requests wait in.
+//! The operators' address. Each connection carries one HTTP call. Calls have a queue of their own, so that they do not wait
+//! behind clients' requests.
 
 use crate::limits::Limits;
 use crate::net::connection::{ReadBuffer, SharedState, SocketRetry};
@@ -16,27 +16,27 @@
 use tokio::task::JoinHandle;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// An operator's call, and where its reply goes.
+/// An operator's call, and the channel for its reply.
 pub struct PendingCall {
     /// The call.
     pub call: Call,
-    /// Where its reply goes.
+    /// Receives the reply.
     pub reply_to: oneshot::Sender<Reply>,
 }
 
-/// What all connections of the second address share.
+/// State that all connections of the operators' address share.
 #[derive(Clone)]
 pub struct AdminContext {
-    /// The limits.
+    /// Limits on connections, times and message sizes.
     pub limits: Rc<Limits>,
-    /// The state of all connections.
+    /// State that these connections share with those of clients and engines.
     pub shared: Rc<SharedState>,
-    /// Takes the calls.
+    /// Queue of calls for the event loop.
     pub calls: mpsc::Sender<PendingCall>,
 }
 
-/// Accepts operators' connections; `open_connections` counts them. Operators are few: beyond the limit the connection that
-/// has been incomplete longest is closed, so that idle ones keep nobody out.
+/// Accepts operators' connections; `open_connections` counts them. There are few operators. When the maximum number of
+/// connections is reached, the oldest one that is owed no reply is closed, so that idle connections keep no operator out.
 pub async fn listen(listener: TcpListener, context: AdminContext, open_connections: Rc<Cell<usize>>) {
     let mut connections = OpenConnections::default();
     let mut backoff = Backoff::default();
@@ -47,7 +47,7 @@
                 log::error_rate_limited("an operator's connection cannot be accepted", &error);
                 let wait = backoff.wait_to_accept(&error);
                 if !wait.is_zero() {
-                    // Out of descriptors.
+                    // No descriptor is available: closing a connection frees one.
                     connections.close_one(&context.limits).await;
                 }
                 tokio::time::sleep(wait).await;
@@ -62,38 +62,38 @@
     }
 }
 
-/// A connection as its task and the listener share it.
+/// A connection, shared by the task that serves it and the listener.
 struct OperatorConnection {
     stream: TcpStream,
-    /// Its call was read, and the reply is not written yet.
+    /// Whether a call was read and its reply is not written yet.
     is_answering: Cell<bool>,
 }
 
 impl OperatorConnection {
-    /// Whether a reply is owed: a call was read, or bytes have arrived that may be one.
+    /// Returns whether a reply is owed: a call was read, or unread bytes have arrived that may be a call.
     fn owes_reply(&self) -> bool {
         self.is_answering.get() || rustix::io::ioctl_fionread(&self.stream).map_or(true, |unread| unread > 0)
     }
 }
 
-/// An open connection and its task.
+/// An open connection and the task that serves it.
 struct OpenConnection {
     connection: Rc<OperatorConnection>,
     task: JoinHandle<()>,
 }
 
-/// The open connections, the one that has been open longest first.
+/// The open connections, ordered from the oldest to the newest.
 #[derive(Default)]
 struct OpenConnections(VecDeque<OpenConnection>);
 
 impl OpenConnections {
-    /// The number of connections that have not ended.
+    /// Removes connections that have ended, and returns the number of the others.
     fn count(&mut self) -> usize {
         self.0.retain(|open| !open.task.is_finished());
         self.0.len()
     }
 
-    /// Serves a connection in a task of its own.
+    /// Starts a task that serves a connection.
     fn serve(&mut self, stream: TcpStream, context: AdminContext, guard: OpenConnectionGuard) {
         let connection = Rc::new(OperatorConnection { stream, is_answering: Cell::new(false) });
         let served = connection.clone();
@@ -105,8 +105,8 @@
         self.0.push_back(OpenConnection { connection, task });
     }
 
-    /// Closes the oldest connection that is owed no reply; if all are, the oldest one, which gets a moment to be answered. Its
-    /// descriptor is closed when this returns.
+    /// Closes the oldest connection that is owed no reply. If all are owed one, closes the oldest after it had
+    /// `admin_discard_timeout` to be answered. The connection's descriptor is closed when this returns.
     async fn close_one(&mut self, limits: &Limits) {
         self.0.retain(|open| !open.task.is_finished());
         let idle = self.0.iter().position(|open| !open.connection.owes_reply());
@@ -119,7 +119,7 @@
     }
 }
 
-/// Counts a connection until it is dropped.
+/// Counts a connection as open until the guard is dropped.
 struct OpenConnectionGuard(Rc<Cell<usize>>);
 
 impl OpenConnectionGuard {
@@ -160,7 +160,7 @@
     let _ = timeout(limits.admin_discard_timeout, discard(stream, &mut read_buffer, limits)).await;
 }
 
-/// Passes a call on and waits for its reply.
+/// Passes a call to the event loop and waits for its reply.
 async fn forward(call: Call, calls: &mpsc::Sender<PendingCall>) -> Reply {
     let (sender, reply) = oneshot::channel();
     let is_sent = calls.send(PendingCall { call, reply_to: sender }).await.is_ok();
@@ -170,7 +170,7 @@
     }
 }
 
-/// A reply as HTTP.
+/// Encodes a reply as an HTTP response.
 fn encode(reply: &Reply) -> Vec<u8> {
     let head = format!(
         "HTTP/1.1 {} {}\r\nContent-Type: text/plain; charset=UTF-8\r\nContent-Length: {}\r\nConnection: close\r\n\r\n",
@@ -181,8 +181,8 @@
     [head.as_bytes(), reply.text.as_bytes()].concat()
 }
 
-/// Reads and drops the rest of a rejected call. A connection that is closed with unread bytes is reset, and the reply
-/// may be lost.
+/// Reads and discards the rest of a rejected call. Closing a connection with unread bytes resets it, and the reply could be
+/// lost.
 async fn discard(stream: &TcpStream, read_buffer: &mut ReadBuffer, limits: &Limits) {
     read_buffer.consume(read_buffer.unread().len());
     while matches!(read_buffer.fill(stream, limits).await, Ok(true)) {
@@ -190,7 +190,7 @@
     }
 }
 
-/// Writes all bytes, and retries calls that were interrupted.
+/// Writes all bytes, and retries system calls that were interrupted or would block.
 async fn write_all(stream: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         stream.writable().await?;
@@ -204,7 +204,7 @@
     Ok(())
 }
 
-/// Reads one call, or the reply that tells what is wrong with it. `None` if the client has disconnected.
+/// Reads one call. Returns the error reply if the call is not valid, or `None` if the operator has disconnected.
 async fn read_call(
     stream: &TcpStream,
     read_buffer: &mut ReadBuffer,
@@ -222,7 +222,7 @@
     }
 }
 
-/// Parses a call; `None` if it is not complete yet.
+/// Parses a call; `None` if the call is not complete yet. An error is the reply to a call that is not valid.
 fn parse_call(bytes: &[u8], max_head_bytes: usize) -> Result<Option<Call>, Reply> {
     let (head, head_bytes) = match http::read_head(bytes) {
         Read::Done(head, head_bytes) => (head, head_bytes),
@@ -242,7 +242,7 @@
         None => return Err(Reply::line(400, "the length of the body is not clear")),
     };
     if length > calls::MAX_BODY_BYTES {
-        // A wrong path or method is reported whatever body follows.
+        // A wrong path or method is reported in preference to the excessive length of the body.
         let wrong_target = calls::read(head.first, &path, b"-").err();
         return Err(wrong_target.unwrap_or_else(|| Reply::line(413, "the body is longer than any id")));
     }
--- a/src/net/discovery/message.rs
+++ b/src/net/discovery/message.rs
@@ -1,4 +1,4 @@
-//! The messages of service discovery: DNS over UDP (RFC 1035), a query for SRV records and the list in the response.
+//! Messages of service discovery: DNS over UDP (RFC 1035), a query for SRV records and the endpoint list in its response.
 
 use crate::config::describe;
 use crate::core::Endpoint;
@@ -10,55 +10,55 @@
 use winnow::prelude::*;
 use winnow::token::take;
 
-/// The name that is queried.
+/// DNS name that is queried for SRV records.
 pub const SERVICE: &str = "_work._tcp.fleet.local";
-/// Record types and the class of RFC 1035, and SRV of RFC 2782.
+/// Record types and class of RFC 1035, and the type SRV of RFC 2782.
 const TYPE_A: u16 = 1;
 const TYPE_SOA: u16 = 6;
 const TYPE_TXT: u16 = 16;
 const TYPE_SRV: u16 = 33;
 const CLASS_IN: u16 = 1;
-/// The bits of the flags of a response that are checked: response, opcode, truncated, response code ...
+/// Mask of the flags that are checked in a response: response, opcode, truncation and response code.
 const CHECKED_FLAGS: u16 = 0xfa0f;
-/// ... and their value in a complete response to a standard query, without error.
+/// Value of the checked flags in a complete response to a standard query without an error.
 const COMPLETE_RESPONSE: u16 = 0x8000;
-/// The truncation flag, in the third byte of a message.
+/// Truncation flag in the third byte of a message.
 const TRUNCATED_FLAG: u8 = 0x02;
-/// The length from which a length byte and its successor are a compression pointer.
-const FIRST_POINTER: u8 = 192;
-/// The bits of the length byte of a pointer that belong to its offset.
+/// Smallest value of a length byte that begins a two-byte compression pointer.
+const MIN_POINTER_BYTE: u8 = 192;
+/// Mask of the bits in the first byte of a compression pointer that belong to the offset.
 const POINTER_OFFSET_BITS: u8 = 63;
-/// The number of labels of one name, pointers counted, so that a loop of pointers ends.
+/// Maximum number of labels and compression pointers in one name. It ends the parsing of a loop of pointers.
 const MAX_LABELS: usize = 128;
 
 type ParseResult<T> = Result<T, EmptyError>;
 
-/// Why a message holds no list.
+/// Reason why a message contains no endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// Its truncation flag is set.
+    /// The truncation flag of the message is set.
     #[error("the message is truncated by the sender")]
     Truncated,
-    /// It is damaged, cut short, no response, or reports an error.
+    /// The message is damaged, incomplete, not a response, or reports an error.
     #[error("the message is malformed, or reports an error")]
     Malformed,
 }
 
-/// The addresses of the engines in the list in use, by id.
+/// Addresses of the engines in the endpoint list in use, by engine id.
 pub type KnownAddresses = BTreeMap<String, SocketAddr>;
 
-/// A response that holds a list.
+/// A response that contains an endpoint list.
 #[derive(Debug, PartialEq)]
 pub struct ListResponse {
-    /// The id of its query.
+    /// The message id, which is that of the query.
     pub id: u16,
-    /// The version of the list: the number of the last event.
+    /// The version of the list, from the SOA serial: the number of the last event that changed it.
     pub version: u64,
-    /// All members.
+    /// All engines of the list.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// A query with that id.
+/// Encodes a query for the SRV records of [`SERVICE`] with the message id `id`.
 pub fn encode_query(id: u16) -> Vec<u8> {
     let mut message = Vec::new();
     for word in [id, 0, 1, 0, 0, 0] {
@@ -74,11 +74,11 @@
     message
 }
 
-/// Parses a response. An engine whose address is missing in it keeps the known address. Without a known one it is left out, as
-/// nothing can be sent to it, and the other engines are taken.
+/// Parses a response. An engine without an A record keeps its address from `known`. An engine whose address is not known
+/// either is omitted, as nothing can be sent to it.
 ///
 /// # Errors
-/// The message holds no list: the list in use stays.
+/// The message contains no endpoint list: the list in use stays.
 pub fn parse(
     bytes: &[u8],
     settings: &Settings,
@@ -102,26 +102,26 @@
     Some(ListResponse { id, version, endpoints })
 }
 
-/// An SRV record.
+/// An SRV record: one engine of the list.
 struct Service {
-    /// 0 for an engine that takes new work.
+    /// Zero if the engine accepts new work; any other value if the engine is draining.
     priority: u16,
     port: u16,
     target: String,
 }
 
-/// The records of a response.
+/// The records of a response that describe the list.
 #[derive(Default)]
 struct Records<'a> {
     serial: Option<u64>,
     services: Vec<Service>,
-    /// By names in lower case, as the case of names does not matter (RFC 4343).
+    /// IPv4 addresses by host name in lower case, as names are compared without regard to case (RFC 4343).
     addresses: BTreeMap<String, Ipv4Addr>,
     texts: BTreeMap<String, Vec<&'a str>>,
 }
 
 impl Records<'_> {
-    /// The engine of an SRV record; none if its address is not known.
+    /// Returns the endpoint that an SRV record describes; `None` if its address is not known.
     fn endpoint(&self, service: &Service, settings: &Settings, known: &KnownAddresses) -> Option<Endpoint> {
         let Service { priority, port, target } = service;
         let mut labels = target.split('.');
@@ -137,13 +137,13 @@
         Some(Endpoint { member, address })
     }
 
-    /// The value of the first TXT attribute `key=value` of a name.
+    /// Returns the value of the first TXT attribute `key=value` of a host name.
     fn text(&self, owner: &str, key: &str) -> Option<&str> {
         let mut attributes = self.texts.get(owner)?.iter().filter_map(|text| text.split_once('='));
         attributes.find(|(name, _)| *name == key).map(|(_, value)| value)
     }
 
-    /// A numeric TXT attribute; 0 where it is missing or no number.
+    /// Returns a numeric TXT attribute, or 0 if the attribute is missing or not a number.
     fn number(&self, owner: &str, key: &str) -> f64 {
         self.text(owner, key).and_then(|value| value.parse().ok()).unwrap_or(0.0)
     }
@@ -203,13 +203,13 @@
     Ok(())
 }
 
-/// Parses a name, following compression pointers into the message.
+/// Parses a domain name, following compression pointers into the message.
 fn parse_name<'a>(message: &'a [u8], input: &mut &'a [u8]) -> ParseResult<String> {
     let mut name = String::new();
-    // What a pointer refers to; `input` itself ends after the first pointer.
-    let mut pointed: Option<&'a [u8]> = None;
+    // The rest of the message from the target of the last pointer. `input` advances only up to the end of the first pointer.
+    let mut target: Option<&'a [u8]> = None;
     for _ in 0..MAX_LABELS {
-        let rest = pointed.as_mut().unwrap_or(input);
+        let rest = target.as_mut().unwrap_or(input);
         let length = u8.parse_next(rest)?;
         match length {
             0 => return Ok(name),
@@ -221,10 +221,10 @@
                 }
                 name.push_str(label);
             }
-            FIRST_POINTER.. => {
+            MIN_POINTER_BYTE.. => {
                 let low = u8.parse_next(rest)?;
                 let offset = usize::from(length & POINTER_OFFSET_BITS) << 8 | usize::from(low);
-                pointed = Some(message.get(offset..).ok_or(EmptyError)?);
+                target = Some(message.get(offset..).ok_or(EmptyError)?);
             }
             _ => return Err(EmptyError),
         }
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -1,7 +1,7 @@
-//! Service discovery: polls the name service for the list of engines, and passes it to the reducer.
+//! Service discovery: polls the name service for the endpoint list, and passes the list to the reducer.
 //!
-//! When to poll and how a response counts is decided in `starlingplank_service_discovery`. Here, [`message`] has the format of
-//! the messages, [`sockets`] owns the descriptors, and [`poller`] is the loop.
+//! The crate `starlingplank_service_discovery` decides when to poll and classifies responses. In this module, [`message`]
+//! encodes and parses the messages, [`sockets`] owns the descriptors, and [`poller`] runs the polling loop.
 
 pub mod message;
 pub mod poller;
@@ -16,18 +16,18 @@
 use starlingplank_service_discovery::discovery::{Discovery, DiscoveryConfig};
 use std::net::SocketAddr;
 
-/// The address of the name service in the configuration.
+/// The configured address of the name service.
 #[derive(Debug, Clone, Copy)]
 pub struct NameServiceAddress {
-    /// None where there is no name service.
+    /// The address; `None` without a name service.
     pub address: Option<SocketAddr>,
-    /// When the process was told of it, at the earliest: SIGHUP may have arrived in a pause of the process.
+    /// Earliest time at which the configuration may have changed: SIGHUP may have arrived during a pause of the process.
     pub changed_at: Milliseconds,
 }
 
-/// The state of service discovery at the start of a process that knows that version of the list. Without an address there is
-/// no name service.
-pub fn begin(
+/// Returns the initial state of service discovery for a process that starts with version `known_version` of the list. Without
+/// an `address` there is no name service.
+pub fn initialize(
     settings: &Settings,
     limits: &Limits,
     known_version: u64,
@@ -50,7 +50,7 @@
     Discovery::new(&config, now)
 }
 
-/// The addresses of the engines of a list.
+/// Returns the addresses of the engines in a list, by engine id.
 pub fn addresses_of(endpoints: &[Endpoint]) -> KnownAddresses {
     let addresses = endpoints.iter().map(|endpoint| (endpoint.member.engine.0.to_string(), endpoint.address));
     addresses.collect()
--- a/src/net/discovery/poller.rs
+++ b/src/net/discovery/poller.rs
@@ -1,7 +1,7 @@
 //! The loop that polls the name service.
 //!
-//! No datagram that was received is dropped: a change of the service's address, a signal or a timer is handled between
-//! datagrams, never while one is passed on.
+//! No received datagram is lost: a change of the service's address or a due timer is handled between datagrams, and never
+//! cancels the handling of one.
 
 use super::message::{self, KnownAddresses, ListResponse, MessageError};
 use super::sockets::{Datagram, Sockets};
@@ -21,38 +21,38 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// The wait after a socket failed, or where none is available.
+/// Delay after a socket has failed or no socket is available.
 const RETRY_DELAY: Duration = Duration::from_millis(5);
-/// The number of datagrams that are received before a poll that is due is sent.
+/// Maximum number of pending datagrams that are handled before a due poll is sent.
 const MAX_DATAGRAMS_BEFORE_POLL: usize = 64;
 
-/// The loop of service discovery. It owns the sockets and the buffer.
+/// Polls the name service. Owns the sockets and the receive buffer.
 pub struct Poller {
-    /// The state of service discovery; the runtime logs its counts.
+    /// State of service discovery, shared with the runtime, which logs its counts.
     pub discovery: Rc<RefCell<Discovery>>,
-    /// The clock of the gateway.
+    /// Clock of the gateway.
     pub clock: Clock,
-    /// The settings.
+    /// Settings with the names of zones and machine types.
     pub settings: Rc<Settings>,
-    /// The queue of the reducer.
+    /// Queue of events for the reducer.
     pub events: Sender<Event>,
-    /// The sockets.
+    /// Sockets of the open flows.
     pub sockets: Sockets,
-    /// The addresses of the engines in the newest list.
+    /// Addresses of the engines in the latest list.
     pub addresses: KnownAddresses,
-    /// The end of the lease on the list as the reducer knows it.
+    /// End of the lease on the list that was last reported to the reducer.
     pub reported_lease_end: Milliseconds,
-    /// The bytes of the last datagram.
+    /// Buffer that holds the last received datagram.
     pub buffer: Vec<u8>,
 }
 
 impl Poller {
-    /// Polls the service at its present address until the reducer's queue is closed.
+    /// Polls the name service at its current address until the reducer's queue is closed.
     pub async fn run(mut self, mut address: watch::Receiver<NameServiceAddress>) {
         while self.step(&mut address).await.is_ok() {}
     }
 
-    /// Handles one datagram, one poll or one change of the address.
+    /// Handles one received datagram, one due poll or one change of the service's address.
     async fn step(
         &mut self,
         address: &mut watch::Receiver<NameServiceAddress>,
@@ -62,7 +62,7 @@
             received = self.sockets.receive(&mut self.buffer) => match received {
                 Ok(datagram) => self.handle(datagram).await,
                 Err(error) => {
-                    tracing::debug!(%error, "a socket of service discovery failed");
+                    tracing::debug!(%error, "a socket of service discovery failed: the next poll uses a new flow");
                     self.discovery.borrow_mut().fail_flow(error.flow);
                     sleep(RETRY_DELAY).await;
                     Ok(())
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Sends the poll that is due. Datagrams that have already arrived are handled first: after a pause of the process these
-    /// are the responses to earlier polls.
+    /// Sends the poll that is due. Datagrams that have already arrived are handled first, as they may be responses to earlier
+    /// polls that arrived during a pause of the process.
     async fn poll(&mut self) -> Result<(), SendError<Event>> {
         for _ in 0..MAX_DATAGRAMS_BEFORE_POLL {
             let Some(datagram) = self.sockets.try_receive(&mut self.buffer) else { break };
@@ -95,15 +95,15 @@
         tracing::trace!(number = poll.number, id = poll.id, flow = poll.flow.0, to = %poll.to, "poll of the name service");
         let query = message::encode_query(poll.id);
         if let Err(error) = self.sockets.send(poll.flow, &query, poll.to).await {
-            tracing::debug!(%error, "a poll of the name service was not sent");
+            tracing::debug!(%error, "a poll of the name service was not sent: the next one uses a new flow");
             self.discovery.borrow_mut().fail_flow(poll.flow);
         }
         self.report().await
     }
 
-    /// The poll that is sent now, from a new flow where one is needed and a socket is available.
+    /// Starts a poll, from a new flow if one is needed and a socket is available. `None` without a name service or an open flow.
     async fn start_poll(&mut self) -> Option<Poll> {
-        // Where no socket is available now, the current flow stays in use.
+        // If no socket is available, the current flow stays in use.
         let _ = self.sockets.prepare_spare().await;
         let now = self.clock.now();
         let mut discovery = self.discovery.borrow_mut();
@@ -114,7 +114,7 @@
         discovery.start_poll(now)
     }
 
-    /// Handles a datagram.
+    /// Classifies a received datagram, and passes its list to the reducer if the reducer needs it.
     async fn handle(&mut self, datagram: Datagram) -> Result<(), SendError<Event>> {
         let parsed = message::parse(&self.buffer[..datagram.len], &self.settings, &self.addresses);
         let response = match &parsed {
@@ -123,31 +123,31 @@
             Err(MessageError::Malformed) => Response::Malformed,
         };
         let now = self.clock.now();
-        let verdict = self.discovery.borrow_mut().receive(response, datagram.from, datagram.flow, now);
-        log_response(response, verdict);
-        if let Some(list) = parsed.ok().filter(|_| is_passed_on(verdict.kind)) {
-            self.pass_on(list, verdict).await?;
+        let classified = self.discovery.borrow_mut().receive(response, datagram.from, datagram.flow, now);
+        log_response(response, classified);
+        if let Some(list) = parsed.ok().filter(|_| is_passed_on(classified.kind)) {
+            self.pass_on(list, classified).await?;
         }
         self.report().await
     }
 
-    /// Passes a list to the reducer.
+    /// Passes a list to the reducer, after a notification if it supersedes the list of the service's previous address.
     async fn pass_on(
         &mut self,
         list: ListResponse,
-        verdict: ClassifiedResponse,
+        classified: ClassifiedResponse,
     ) -> Result<(), SendError<Event>> {
         let ListResponse { version, endpoints, .. } = list;
-        if verdict.kind == ResponseKind::Update {
+        if classified.kind == ResponseKind::Update {
             self.addresses = addresses_of(&endpoints);
         }
-        if verdict.supersedes {
+        if classified.supersedes {
             self.events.send(Event::PreviousAddressSuperseded).await?;
         }
         self.events.send(Event::EndpointList { version, endpoints }).await
     }
 
-    /// Reports a change of the lease on the list to the reducer, and logs a change of the list's freshness.
+    /// Reports a changed end of the lease on the list to the reducer, and logs a change of the list's freshness.
     async fn report(&mut self) -> Result<(), SendError<Event>> {
         let lease_end = self.discovery.borrow().lease_end();
         if std::mem::replace(&mut self.reported_lease_end, lease_end) != lease_end {
@@ -164,12 +164,12 @@
     }
 }
 
-/// Whether the reducer receives lists of that kind. It ignores older ones by itself.
+/// Returns whether lists of that kind are passed to the reducer, which itself ignores lists older than the one in use.
 fn is_passed_on(kind: ResponseKind) -> bool {
     kind.confirms() || kind == ResponseKind::Older
 }
 
-fn log_response(response: Response, verdict: ClassifiedResponse) {
+fn log_response(response: Response, classified: ClassifiedResponse) {
     match response {
         Response::Truncated => {
             log::warn_rate_limited("a response of the name service is truncated; the list in use stays");
@@ -181,14 +181,14 @@
     }
     tracing::debug!(
         ?response,
-        kind = verdict.kind.name(),
-        supersedes = verdict.supersedes,
-        round_trip_ms = verdict.round_trip,
+        kind = classified.kind.name(),
+        supersedes = classified.supersedes,
+        round_trip_ms = classified.round_trip,
         "response of the name service"
     );
 }
 
-/// Waits until the next poll is due; without one, forever.
+/// Waits until the next poll is due; never returns if none is due.
 async fn sleep_until_due(due: Option<Instant>) {
     match due {
         Some(due) => sleep_until(due).await,
--- a/src/net/discovery/sockets.rs
+++ b/src/net/discovery/sockets.rs
@@ -1,5 +1,5 @@
-//! The sockets of the flows. They are not connected: each sends to whatever address the service has and receives from previous
-//! ones too, so that a change of the address needs no new socket.
+//! UDP sockets of the flows to the name service. They are not connected: each sends to the service's current address and also
+//! receives responses from its previous addresses, so that a change of the address needs no new socket.
 
 use crate::net::connection::SocketRetry;
 use starlingplank_service_discovery::poll::FlowId;
@@ -10,36 +10,36 @@
 use tokio::io::ReadBuf;
 use tokio::net::UdpSocket;
 
-/// A datagram that was received into the buffer.
+/// A datagram that was received into the caller's buffer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Datagram {
-    /// Bytes in the buffer.
+    /// Length of the datagram in bytes.
     pub len: usize,
-    /// Its sender.
+    /// Address of the sender.
     pub from: SocketAddr,
-    /// The flow on which it was received.
+    /// Flow on which the datagram was received.
     pub flow: FlowId,
 }
 
-/// A flow could not be read from.
+/// Receiving on a flow failed.
 #[derive(Debug, thiserror::Error)]
 #[error("{source}")]
 pub struct ReceiveError {
-    /// The flow.
+    /// The flow whose socket failed.
     pub flow: FlowId,
-    /// The error of its socket.
+    /// The error of the flow's socket.
     pub source: io::Error,
 }
 
-/// The sockets of the open flows, and a spare one for the next flow, so that a flow can be renewed while no descriptor is
-/// available. It owns the descriptors: they are closed with their flows.
+/// The sockets of the open flows, and a spare socket for the next flow, so that a flow can be replaced while no descriptor is
+/// available. Owns the descriptors, which are closed with their flows.
 #[derive(Debug, Default)]
 pub struct Sockets {
     open: Vec<(FlowId, UdpSocket)>,
     spare: Option<UdpSocket>,
 }
 
-/// Binds a socket to a port that the system chooses.
+/// Binds a UDP socket to a port that the system chooses.
 async fn bind() -> io::Result<UdpSocket> {
     let any_port = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
     loop {
@@ -50,13 +50,13 @@
     }
 }
 
-/// Whether a signal interrupted a call, which is to be made again.
+/// Returns whether a signal interrupted the call, which is then retried immediately.
 fn is_interrupted(error: &io::Error) -> bool {
     SocketRetry::after(error) == Some(SocketRetry::Immediately)
 }
 
 impl Sockets {
-    /// Binds the spare socket, unless there is one.
+    /// Binds a spare socket unless one exists.
     ///
     /// # Errors
     /// No socket is available.
@@ -67,25 +67,25 @@
         Ok(())
     }
 
-    /// Whether there is a spare socket.
+    /// Returns whether a spare socket exists.
     pub fn has_spare(&self) -> bool {
         self.spare.is_some()
     }
 
-    /// Opens a flow with the spare socket.
+    /// Opens a flow with the spare socket; without a spare socket, does nothing.
     pub fn open(&mut self, flow: FlowId) {
         self.open.extend(self.spare.take().map(|socket| (flow, socket)));
     }
 
-    /// Closes flows.
+    /// Closes flows and their sockets.
     pub fn close(&mut self, flows: &[FlowId]) {
         self.open.retain(|(flow, _)| !flows.contains(flow));
     }
 
-    /// Sends a message on a flow. Without such a flow it is dropped, as the network might do.
+    /// Sends a message on a flow. If the flow is not open, the message is dropped, as if lost in the network.
     ///
     /// # Errors
-    /// The socket of the flow cannot send it.
+    /// The flow's socket cannot send the message.
     pub async fn send(&self, flow: FlowId, message: &[u8], to: SocketAddr) -> io::Result<()> {
         let Some((_, socket)) = self.open.iter().find(|(id, _)| *id == flow) else { return Ok(()) };
         loop {
@@ -96,10 +96,10 @@
         }
     }
 
-    /// Receives the next datagram of any flow.
+    /// Receives the next datagram on any flow.
     ///
     /// # Errors
-    /// A flow cannot be read from.
+    /// Receiving on one of the flows fails.
     pub async fn receive(&self, buffer: &mut [u8]) -> Result<Datagram, ReceiveError> {
         poll_fn(|context| self.poll_receive(context, buffer)).await
     }
@@ -130,7 +130,7 @@
     }
 }
 
-/// Polls one socket for a datagram: its length and its sender.
+/// Polls one socket for a datagram. Returns the datagram's length and its sender.
 fn poll_socket(
     socket: &UdpSocket,
     context: &mut Context<'_>,
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -1,4 +1,5 @@
-//! HTTP/1.1 messages: heads are read in place, bodies by length, in chunks or up to the end of the stream.
+//! Parsing of HTTP/1.1 messages. Heads are parsed in place. Bodies are delimited by their length, by chunks or by the end of the
+//! stream.
 
 use winnow::ascii::{digit1, hex_uint};
 use winnow::combinator::{opt, preceded, repeat, terminated};
@@ -10,7 +11,7 @@
 type Input<'a> = Partial<&'a [u8]>;
 type ParseResult<T> = Result<T, ErrMode<EmptyError>>;
 
-/// The head of a request or a response, still in the buffer.
+/// The head of a request or a response, borrowed from the receive buffer.
 #[derive(Debug, PartialEq)]
 pub struct Head<'a> {
     /// The method of a request, or the version of a response.
@@ -19,18 +20,18 @@
     pub second: &'a str,
     /// The version of a request, or the reason of a response.
     pub third: &'a str,
-    /// Names and values, as they were sent.
+    /// Names and values of the headers as they were sent; values without surrounding white space.
     pub headers: Vec<(&'a str, &'a str)>,
 }
 
-/// The result of reading the start of a buffer.
+/// Result of parsing the start of a buffer.
 #[derive(Debug, PartialEq)]
 pub enum Read<T> {
-    /// What was read, and its length in bytes.
+    /// The parsed value and its length in bytes.
     Done(T, usize),
-    /// It is incomplete.
+    /// The buffer does not contain the complete value yet.
     More,
-    /// It is malformed.
+    /// The bytes are malformed.
     Bad,
 }
 
@@ -68,35 +69,36 @@
     }
 }
 
-/// Reads a head.
+/// Parses the head of a request or a response.
 pub fn read_head(bytes: &[u8]) -> Read<Head<'_>> {
     read(bytes, head)
 }
 
 impl<'a> Head<'a> {
-    /// The value of a header.
+    /// Returns the value of the first header of that name.
     pub fn header(&self, name: &str) -> Option<&'a str> {
         self.headers.iter().find(|(known, _)| known.eq_ignore_ascii_case(name)).map(|(_, value)| *value)
     }
 
-    /// Whether a header that is a list has an item.
+    /// Returns whether the comma-separated value of a header contains an item.
     fn lists(&self, name: &str, item: &str) -> bool {
         let is_item = |listed: &str| listed.trim().eq_ignore_ascii_case(item);
         self.header(name).is_some_and(|value| value.split(',').any(is_item))
     }
 
-    /// Whether the connection may be used again after this message of that version.
+    /// Returns whether the connection stays open after this message, which has the HTTP version `version`.
     pub fn keeps_alive(&self, version: &str) -> bool {
         !self.lists("connection", "close")
             && (version != "HTTP/1.0" || self.lists("connection", "keep-alive"))
     }
 
-    /// How the body ends, `default` without a header for it; none where the headers contradict each other.
+    /// Returns how the end of the body is determined: `default` if no header says so, and `None` if the headers are invalid or
+    /// contradict each other.
     pub fn body(&self, default: Length) -> Option<Length> {
         let lengths: Vec<_> =
             self.headers.iter().filter(|(name, _)| name.eq_ignore_ascii_case("content-length")).collect();
         if self.header("transfer-encoding").is_some() {
-            // Both at once could smuggle a request past a gateway.
+            // A message with both headers could be used for request smuggling.
             return (self.lists("transfer-encoding", "chunked") && lengths.is_empty())
                 .then_some(Length::Chunked);
         }
@@ -110,18 +112,18 @@
     }
 }
 
-/// How a body ends.
+/// The way in which the end of a body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Length {
-    /// After so many bytes.
+    /// By this number of bytes.
     Bytes(usize),
-    /// With an empty chunk.
+    /// By an empty chunk.
     Chunked,
-    /// With the stream.
+    /// By the end of the stream.
     Stream,
 }
 
-/// One chunk of a body; an empty one is its end.
+/// Parses one chunk of a body, of up to `limit` bytes. An empty chunk ends the body.
 pub fn read_chunk(bytes: &[u8], limit: usize) -> Read<&[u8]> {
     read(bytes, |input| {
         let size: u32 = hex_uint.parse_next(input)?;
@@ -137,13 +139,13 @@
     })
 }
 
-/// The status code of a response.
+/// Returns the status code of a response; `None` if the head is not that of a valid HTTP/1 response.
 pub fn status(head: &Head<'_>) -> Option<u16> {
     let code: Result<&str, EmptyError> = digit1.parse_next(&mut { head.second });
     code.ok().filter(|_| head.first.starts_with("HTTP/1.")).and_then(|code| code.parse().ok())
 }
 
-/// Undoes percent-encoding; `+` is a space.
+/// Decodes percent-encoding; `+` is decoded to a space.
 pub fn decode(encoded: &str) -> String {
     fn byte(input: &mut &[u8]) -> Result<u8, EmptyError> {
         let digits =
@@ -154,7 +156,7 @@
     String::from_utf8_lossy(&all.unwrap_or_default()).into_owned()
 }
 
-/// The path and the parameters of a target.
+/// Splits a request target into its path and its query parameters, all decoded.
 pub fn target(target: &str) -> (String, Vec<(String, String)>) {
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     let pair = |text: &str| {
--- a/src/net/log.rs
+++ b/src/net/log.rs
@@ -1,6 +1,6 @@
-//! The log: lines through `tracing`, warnings and errors to standard error, the rest to standard output. Lines about
-//! faults of peers are limited in rate: what is left out is counted. A line that cannot be written, as on a full disk, is
-//! counted and lost; nothing waits for it or fails with it.
+//! The log, written through `tracing`: warnings and errors go to standard error, other lines to standard output. Lines about
+//! faults of peers are rate-limited, and suppressed lines are counted. A line that cannot be written, for example to a full
+//! disk, is lost and counted; no caller waits or fails because of it.
 
 use crate::config::LogSettings;
 use std::cell::{Cell, RefCell};
@@ -12,14 +12,14 @@
 use tracing::Level;
 use tracing_subscriber::fmt::writer::MakeWriterExt;
 
-/// Shortest time between two lines of the same text, where their rate is limited.
+/// Minimum interval between two rate-limited lines of the same text.
 const MIN_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Lines that could not be written since the start.
+/// Number of lines that could not be written since the start of the process.
 static LOST_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Writes each line whole, or counts it as lost. It never fails: the library that calls it would print the failure, and
-/// panic where that cannot be printed.
+/// Writes each line completely, or counts it as lost. Never returns an error: `tracing_subscriber` would print the error, and
+/// panic if it cannot be printed.
 struct LossyWriter<W>(W);
 
 impl<W: Write> Write for LossyWriter<W> {
@@ -35,7 +35,7 @@
     }
 }
 
-/// Starts the log in the form of the settings. Further calls change nothing.
+/// Initializes the log with the configured level and format. Further calls have no effect.
 pub fn start(settings: &LogSettings) {
     let errors = || LossyWriter(io::stderr());
     let writer = errors.with_max_level(Level::WARN).or_else(|| LossyWriter(io::stdout()));
@@ -44,73 +44,75 @@
         .with_writer(writer)
         .with_ansi(false)
         .log_internal_errors(false);
-    // A log that was started before stays: tests start several gateways in one process.
+    // A log that is already initialized stays in use: tests start several gateways in one process.
     let _ = match settings.json {
         true => log.json().flatten_event(true).try_init(),
         false => log.with_target(false).try_init(),
     };
 }
 
-/// Lines that could not be written since the start.
+/// Returns the number of lines that could not be written since the start of the process.
 pub fn lost_lines() -> u64 {
     LOST_LINES.load(Ordering::Relaxed)
 }
 
-/// Logs how many lines were lost, if there are more than at the last report. What cannot be written now is reported later.
+/// Logs the number of lost lines if it has grown since the last report, at a limited rate. A report that cannot be written
+/// counts as a lost line itself and is repeated later.
 pub fn report_lost_lines() {
-    const WHAT: &str = "lines of the log could not be written";
+    const MESSAGE: &str = "lines of the log could not be written";
     let lost = lost_lines();
-    if lost > REPORTED_LOST_LINES.get() && is_due(WHAT).is_some() {
+    if lost > REPORTED_LOST_LINES.get() && suppressed_if_due(MESSAGE).is_some() {
         REPORTED_LOST_LINES.set(lost);
-        tracing::warn!(lost, "{lost} {WHAT} since the start");
+        tracing::warn!(lost, "{lost} {MESSAGE} since the start");
     }
 }
 
 thread_local! {
-    /// Lost lines at the last report.
+    /// Number of lost lines at the last report.
     static REPORTED_LOST_LINES: Cell<u64> = const { Cell::new(0) };
-    /// Lines whose rate is limited, by their texts.
+    /// State of the rate-limited lines, by their texts.
     static LIMITED_LINES: RefCell<BTreeMap<&'static str, LimitedLine>> = const { RefCell::new(BTreeMap::new()) };
 }
 
-/// Logs a warning at a limited rate; what is left out is counted.
-pub fn warn_rate_limited(what: &'static str) {
-    if let Some(more) = is_due(what) {
+/// Logs a warning at a limited rate; suppressed repetitions are counted.
+pub fn warn_rate_limited(message: &'static str) {
+    if let Some(more) = suppressed_if_due(message) {
         match more {
-            0 => tracing::warn!("{what}"),
-            more => tracing::warn!(more, "{what} (and {more} times more since this was last said)"),
+            0 => tracing::warn!("{message}"),
+            more => tracing::warn!(more, "{message} (suppressed {more} times since last logged)"),
         }
     }
 }
 
-/// Logs an error with its cause at a limited rate; what is left out is counted.
-pub fn error_rate_limited(what: &'static str, cause: impl Display) {
-    if let Some(more) = is_due(what) {
+/// Logs an error with its cause at a limited rate; suppressed repetitions are counted.
+pub fn error_rate_limited(message: &'static str, cause: impl Display) {
+    if let Some(more) = suppressed_if_due(message) {
         match more {
-            0 => tracing::error!("{what}: {cause}"),
-            more => tracing::error!(more, "{what}: {cause} (and {more} times more since this was last said)"),
+            0 => tracing::error!("{message}: {cause}"),
+            more => tracing::error!(more, "{message}: {cause} (suppressed {more} times since last logged)"),
         }
     }
 }
 
-/// A line whose rate is limited.
+/// State of one rate-limited line.
 struct LimitedLine {
     last_written: Instant,
-    /// How often it was left out since.
-    left_out: u64,
+    /// Number of times the line has been suppressed since then.
+    suppressed: u64,
 }
 
-/// Whether a line of this text is due; if so, how many were left out since the last one.
-fn is_due(what: &'static str) -> Option<u64> {
-    LIMITED_LINES.with_borrow_mut(|lines| match lines.get_mut(what) {
+/// Returns the number of suppressed repetitions if a line of this text may be logged now; otherwise counts the line as
+/// suppressed and returns `None`.
+fn suppressed_if_due(message: &'static str) -> Option<u64> {
+    LIMITED_LINES.with_borrow_mut(|lines| match lines.get_mut(message) {
         Some(line) if line.last_written.elapsed() < MIN_INTERVAL => {
-            line.left_out += 1;
+            line.suppressed += 1;
             None
         }
         previous => {
-            let left_out = previous.map_or(0, |line| line.left_out);
-            lines.insert(what, LimitedLine { last_written: Instant::now(), left_out: 0 });
-            Some(left_out)
+            let suppressed = previous.map_or(0, |line| line.suppressed);
+            lines.insert(message, LimitedLine { last_written: Instant::now(), suppressed: 0 });
+            Some(suppressed)
         }
     })
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,5 @@
-//! Sockets, wires and the runtime that performs the reducer's effects. Nothing here decides.
+//! All input and output: sockets, wire protocols, files, and the runtime that performs the reducer's effects. Scheduling
+//! decisions are made in the reducer, not here.
 
 pub mod admin;
 pub mod clock;
--- a/src/net/pause.rs
+++ b/src/net/pause.rs
@@ -1,13 +1,15 @@
-//! Pauses of the process: it was stopped, or got no time from the system. What is read right after a pause may have arrived
-//! at any time in it, and counts as arrived at its beginning: a client's deadline counts from when the request was sent.
+//! Detects pauses of the process, in which it was stopped or got no CPU time. Input that is read right after a pause may have
+//! arrived at any time during the pause, and counts as having arrived at its beginning, because a client's deadline counts from
+//! the time at which the client sent the request.
 
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The loop runs at least this often when nothing happens (the decision module's period is 100 ms): a longer gap is a pause.
+/// Longest interval between two runs of the event loop that does not count as a pause. Without input, the loop runs once in the
+/// decision module's period of 100 ms.
 const MAX_GAP: Duration = Duration::from_millis(140);
-/// What arrived in a pause is read within this time after its end.
+/// Time after a pause within which all input that arrived during the pause is read.
 const BACKLOG_DURATION: Duration = Duration::from_millis(50);
 
 #[derive(Debug, Clone, Copy)]
@@ -24,7 +26,7 @@
 }
 
 impl PauseDetector {
-    /// The process has run until now.
+    /// Returns a detector that assumes that the process has run until now.
     pub fn new(now: Instant) -> Self {
         Self { last_alive: Cell::new(now), last_pause: Cell::new(None) }
     }
@@ -37,18 +39,18 @@
         }
     }
 
-    /// The earliest time at which something that is read now may have arrived.
+    /// Returns the earliest time at which input that is read now may have arrived.
     pub fn earliest_arrival(&self, now: Instant) -> Instant {
-        self.recent(now).map_or(now, |pause| pause.from)
+        self.recent_pause(now).map_or(now, |pause| pause.from)
     }
 
-    /// Whether something that arrived in a pause may still be unread.
+    /// Returns whether input that arrived during a pause may still be unread.
     pub fn has_backlog(&self, now: Instant) -> bool {
-        self.recent(now).is_some()
+        self.recent_pause(now).is_some()
     }
 
-    /// The pause that has just ended.
-    fn recent(&self, now: Instant) -> Option<Pause> {
+    /// Returns the last pause if its backlog may still be unread.
+    fn recent_pause(&self, now: Instant) -> Option<Pause> {
         self.record_alive(now);
         let is_recent = |pause: &Pause| now.saturating_duration_since(pause.until) <= BACKLOG_DURATION;
         self.last_pause.get().filter(is_recent)
--- a/src/net/pause/tests.rs
+++ b/src/net/pause/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn what_is_read_while_the_process_runs_has_just_arrived() {
+fn input_read_while_the_process_runs_counts_as_arrived_now() {
     let start = Instant::now();
     let pauses = PauseDetector::new(start);
     pauses.record_alive(after(start, 100));
@@ -13,11 +13,11 @@
 }
 
 #[test]
-fn what_is_read_right_after_a_pause_is_as_old_as_the_pause() {
+fn input_read_right_after_a_pause_counts_as_arrived_at_its_start() {
     let start = Instant::now();
     let pauses = PauseDetector::new(start);
     pauses.record_alive(after(start, 50));
-    // Whether the loop or a connection notices it first.
+    // The end of the pause may be noticed first by the event loop, as here, or by a connection, as below.
     pauses.record_alive(after(start, 1_050));
     assert_eq!(pauses.earliest_arrival(after(start, 1_060)), after(start, 50));
     assert_eq!(pauses.earliest_arrival(after(start, 1_101)), after(start, 1_101));
@@ -25,11 +25,11 @@
 }
 
 #[test]
-fn backlog_of_a_pause_is_there_for_a_moment_after_it() {
+fn backlog_is_reported_for_50_ms_after_a_pause() {
     let start = Instant::now();
     let pauses = PauseDetector::new(start);
     assert!(!pauses.has_backlog(after(start, 100)));
-    assert!(pauses.has_backlog(after(start, 1_000)), "it has just gone on");
+    assert!(pauses.has_backlog(after(start, 1_000)), "the process has just resumed");
     assert!(pauses.has_backlog(after(start, 1_050)));
     assert!(!pauses.has_backlog(after(start, 1_051)));
 }
--- a/src/net/runtime/mod.rs
+++ b/src/net/runtime/mod.rs
@@ -107,7 +107,7 @@
     /// Whether a required task has failed: the process then exits with an error.
     task_failed: bool,
     /// Number of open operators' connections.
-    open_operator_connections: Rc<Cell<usize>>,
+    operator_count: Rc<Cell<usize>>,
     /// Time at which the process began to wait for the endpoint list.
     awaiting_list_since: Instant,
     /// Whether the process listens for clients.
--- a/src/net/runtime/shutdown.rs
+++ b/src/net/runtime/shutdown.rs
@@ -89,7 +89,7 @@
     async fn wait_for_operators_to_disconnect(&self) {
         loop {
             sleep(self.frontend.limits.peer_poll_interval / OPERATOR_CONNECTION_CHECKS).await;
-            if self.open_operator_connections.get() == 0 {
+            if self.operator_count.get() == 0 {
                 break;
             }
         }
--- a/src/net/runtime/startup.rs
+++ b/src/net/runtime/startup.rs
@@ -56,23 +56,15 @@
     let persistence = Persistence::open(&config, &mut core, frontend.clock.now(), &sender)?;
     let engines = open_engines(config.engine_wire, limits.clone(), frontend.shared.clone(), sender.clone());
     let (call_sender, calls) = mpsc::channel(limits.max_admin_connections);
-    let open_operator_connections = Rc::new(Cell::new(0));
+    let operator_count = Rc::new(Cell::new(0));
     let (tasks, failed_tasks) = Tasks::new();
     let now = frontend.clock.now();
     let discovery =
-        discovery::begin(&config.settings, &limits, config.endpoints_version, config.name_service, now);
+        discovery::initialize(&config.settings, &limits, config.endpoints_version, config.name_service, now);
     let discovery = Rc::new(RefCell::new(discovery));
     let mut hot_restart = None;
     if let Some(at) = config.operator {
-        listen_to_operators(
-            at,
-            &config.name,
-            &frontend,
-            call_sender,
-            open_operator_connections.clone(),
-            &tasks,
-        )
-        .await?;
+        listen_to_operators(at, &config.name, &frontend, call_sender, operator_count.clone(), &tasks).await?;
         hot_restart = open_hot_restart(&config, &frontend).await;
     }
     let mut runtime = Runtime {
@@ -90,7 +82,7 @@
         events: sender,
         tasks,
         task_failed: false,
-        open_operator_connections,
+        operator_count,
         awaiting_list_since: Instant::now(),
         listening: false,
         terminated_at: None,
@@ -143,7 +135,12 @@
 async fn open_hot_restart(config: &Config, frontend: &FrontendState) -> Option<HotRestart> {
     let folder = hot_restart::folder(&std::env::temp_dir(), &config.name, config.listen);
     let open = || HotRestart::open(&folder, frontend.clock.now());
-    match transient_errors::retry_while(transient_errors::is_of_disk, frontend.limits.disk_retry, open).await
+    match transient_errors::retry_while(
+        transient_errors::is_local_or_of_disk,
+        frontend.limits.disk_retry,
+        open,
+    )
+    .await
     {
         Ok(opened) => {
             opened.log_opened();
--- a/src/net/sql.rs
+++ b/src/net/sql.rs
@@ -1,10 +1,11 @@
-//! Reads the words of a statement, apart from strings and comments: enough to tell which tables it names.
+//! Splits a SQL statement into words, skipping string literals and comments. That suffices to find the tables that the
+//! statement names.
 
 use winnow::combinator::{alt, opt, preceded, repeat};
 use winnow::prelude::*;
 use winnow::token::{any, one_of, take_till, take_until, take_while};
 
-/// Words that are followed by the name of a table.
+/// Keywords that are followed by the name of a table.
 const WORDS_BEFORE_TABLE: [&str; 6] = ["from", "join", "into", "update", "table", "only"];
 
 #[derive(Debug, Clone, PartialEq)]
@@ -21,7 +22,7 @@
         loop {
             take_till(0.., |c| c == quote || c == '\\').parse_next(input)?;
             match input.chars().next() {
-                // A string without an end takes all the rest.
+                // A literal that is not terminated extends to the end of the statement.
                 None => return Ok(&start[1..]),
                 Some('\\') => {
                     any.parse_next(input)?;
@@ -60,8 +61,9 @@
     repeat(0.., token).parse_next(&mut rest).unwrap_or_default()
 }
 
-/// The number after the underscore in the name of the first schema with one: 17 in `sales_17.orders`. Names in the place of
-/// a table go before others, as an alias may look like a schema.
+/// Returns the number after the last underscore in the name of the first schema that has one: 17 in `sales_17.orders`. Names
+/// that follow a keyword for a table take precedence over others, as an alias may look like a schema. The schema `staging` is
+/// ignored.
 pub fn table_group(statement: &[u8]) -> Option<u64> {
     let text = String::from_utf8_lossy(statement);
     let tokens: Vec<_> = tokens(&text).into_iter().filter(|token| *token != Token::Other).collect();
@@ -83,7 +85,7 @@
     all.clone().filter(is_table).find_map(group).or_else(|| all.filter(is_first_part).find_map(group))
 }
 
-/// The first word of a statement in lower case, after comments and brackets.
+/// Returns the first word of a statement in lower case. Comments, string literals and punctuation before it are skipped.
 pub fn first_word(statement: &[u8]) -> Option<String> {
     let text = String::from_utf8_lossy(statement);
     tokens(&text).into_iter().find_map(|token| match token {
--- a/src/net/sql/tests.rs
+++ b/src/net/sql/tests.rs
@@ -13,13 +13,13 @@
 #[case("select 'x_1.y", None)]
 #[case("/* x_1.y", None)]
 #[case("", None)]
-fn groups(#[case] statement: &str, #[case] group: Option<u64>) {
+fn table_group_is_found(#[case] statement: &str, #[case] group: Option<u64>) {
     assert_eq!(table_group(statement.as_bytes()), group);
 }
 
 #[rstest]
 #[case("-- load\n (INSERT into x", Some("insert"))]
 #[case("  ", None)]
-fn first_words(#[case] statement: &str, #[case] word: Option<&str>) {
+fn first_word_is_lower_case(#[case] statement: &str, #[case] word: Option<&str>) {
     assert_eq!(first_word(statement.as_bytes()).as_deref(), word);
 }
--- a/src/net/tasks/tests.rs
+++ b/src/net/tasks/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn task_that_panics_is_told_by_its_name() {
+fn panicked_task_is_reported_by_name() {
     run(async {
         let (tasks, mut failed) = Tasks::new();
         tasks.spawn("one", async { panic!("for the test") });
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn task_that_ends_is_no_failure() {
+fn task_that_returns_is_not_reported() {
     run(async {
         let (tasks, mut failed) = Tasks::new();
         tasks.spawn("one", async {});
--- a/src/net/transient_errors.rs
+++ b/src/net/transient_errors.rs
@@ -1,16 +1,17 @@
-//! Transient failures of system calls: which they are, and how soon the call is retried.
+//! Transient failures of system calls: their classification, and the delays before retries.
 
 use std::io;
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// The wait after the first failure while descriptors or memory lack ...
+/// Delay after the first failure for lack of descriptors or memory.
 const MIN_WAIT: Duration = Duration::from_millis(1);
-/// ... which doubles up to this: clients wait meanwhile, some of them for tens of milliseconds only.
+/// Maximum delay, up to which the delay doubles with each failure. It is short because clients wait meanwhile, some of them for
+/// only tens of milliseconds.
 const MAX_WAIT: Duration = Duration::from_millis(8);
 
-/// Whether this process or its system lacks something for the moment: descriptors, memory, ports or a route. The peer has no
-/// part in such a failure.
+/// Returns whether a failure is local and transient: the process or the system temporarily has no descriptors, memory, ports or
+/// route, or the call was interrupted. The peer does not cause such a failure.
 pub fn is_local(error: &io::Error) -> bool {
     use rustix::io::Errno;
     const LOCAL: [Errno; 8] = [
@@ -26,18 +27,18 @@
     Errno::from_io_error(error).is_some_and(|errno| LOCAL.contains(&errno))
 }
 
-/// Whether a disk takes no writes for the moment, or the failure [`is_local`].
-pub fn is_of_disk(error: &io::Error) -> bool {
+/// Returns whether a disk temporarily accepts no writes, or the failure [`is_local`].
+pub fn is_local_or_of_disk(error: &io::Error) -> bool {
     use rustix::io::Errno;
     const OF_DISK: [Errno; 3] = [Errno::NOSPC, Errno::DQUOT, Errno::IO];
     is_local(error) || Errno::from_io_error(error).is_some_and(|errno| OF_DISK.contains(&errno))
 }
 
-/// Whether a failed `accept` concerns one connection alone, which is lost: the next one may be accepted at once.
-fn is_of_one_connection(error: &io::Error) -> bool {
+/// Returns whether a failed `accept` concerns only one connection, which is lost: the next `accept` can follow immediately.
+fn affects_one_connection(error: &io::Error) -> bool {
     use rustix::io::Errno;
-    // Linux reports errors of the connection as errors of `accept`.
-    const OF_ONE: [Errno; 10] = [
+    // Linux reports pending network errors of a new connection as errors of `accept`.
+    const OF_ONE_CONNECTION: [Errno; 10] = [
         Errno::INTR,
         Errno::CONNABORTED,
         Errno::PROTO,
@@ -49,21 +50,21 @@
         Errno::OPNOTSUPP,
         Errno::NETUNREACH,
     ];
-    Errno::from_io_error(error).is_some_and(|errno| OF_ONE.contains(&errno))
+    Errno::from_io_error(error).is_some_and(|errno| OF_ONE_CONNECTION.contains(&errno))
 }
 
-/// Retries a call while its failure is local, for so long at most.
+/// Retries a call for up to `within` while its failure [`is_local`].
 ///
 /// # Errors
-/// The call fails for another reason, or still fails at the end of that time.
+/// The call fails for another reason, or still fails after that time.
 pub async fn retry<T>(within: Duration, call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     retry_while(is_local, within, call).await
 }
 
-/// Retries a call while its failure is transient, for so long at most.
+/// Retries a call for up to `within` while `is_transient` holds for its failure.
 ///
 /// # Errors
-/// The call fails for another reason, or still fails at the end of that time.
+/// The call fails for another reason, or still fails after that time.
 pub async fn retry_while<T>(
     is_transient: impl Fn(&io::Error) -> bool,
     within: Duration,
@@ -79,28 +80,28 @@
     }
 }
 
-/// The waits between calls that fail one after the other: an exponential backoff.
+/// Exponential backoff between consecutive failures of a call.
 #[derive(Debug, Default)]
 pub struct Backoff {
     last: Option<Duration>,
 }
 
 impl Backoff {
-    /// Records that a call succeeded.
+    /// Records that a call succeeded: the next delay is the shortest again.
     pub fn reset(&mut self) {
         self.last = None;
     }
 
-    /// How long to wait after a transient failure.
+    /// Returns the delay before the retry after a transient failure, and doubles the next one.
     pub fn wait(&mut self) -> Duration {
         let wait = self.last.map_or(MIN_WAIT, |last| (last * 2).min(MAX_WAIT));
         self.last = Some(wait);
         wait
     }
 
-    /// How long to wait after a failed `accept`: not at all where only one connection was lost.
+    /// Returns the delay after a failed `accept`; zero if only one connection was lost.
     pub fn wait_to_accept(&mut self, error: &io::Error) -> Duration {
-        if is_of_one_connection(error) {
+        if affects_one_connection(error) {
             return Duration::ZERO;
         }
         self.wait()
--- a/src/net/transient_errors/tests.rs
+++ b/src/net/transient_errors/tests.rs
@@ -3,11 +3,11 @@
 use rustix::io::Errno;
 
 #[rstest]
-#[case::client_left(Errno::CONNABORTED)]
+#[case::client_disconnected(Errno::CONNABORTED)]
 #[case::interrupted(Errno::INTR)]
 #[case::protocol(Errno::PROTO)]
 #[case::unreachable(Errno::HOSTUNREACH)]
-fn connection_that_is_gone_delays_no_other(#[case] errno: Errno) {
+fn failed_accept_of_one_connection_causes_no_delay(#[case] errno: Errno) {
     let mut backoff = Backoff::default();
     for _ in 0..10 {
         assert_eq!(backoff.wait_to_accept(&errno.into()), Duration::ZERO);
@@ -19,7 +19,7 @@
 #[case::of_the_system(Errno::NFILE)]
 #[case::buffers(Errno::NOBUFS)]
 #[case::memory(Errno::NOMEM)]
-fn want_of_something_is_waited_for_briefly_and_longer_while_it_lasts(#[case] errno: Errno) {
+fn accept_delay_doubles_up_to_a_maximum_while_resources_are_exhausted(#[case] errno: Errno) {
     let mut backoff = Backoff::default();
     let waits: Vec<_> = (0..8).map(|_| backoff.wait_to_accept(&errno.into()).as_millis()).collect();
     assert_eq!(waits, [1, 2, 4, 8, 8, 8, 8, 8]);
@@ -35,6 +35,6 @@
 #[case::no_port(Errno::ADDRNOTAVAIL, true)]
 #[case::no_route(Errno::NETUNREACH, true)]
 #[case::interrupted(Errno::INTR, true)]
-fn what_the_other_side_did_is_told_from_what_lacks_here(#[case] errno: Errno, #[case] local: bool) {
+fn local_failures_are_distinguished_from_failures_of_the_peer(#[case] errno: Errno, #[case] local: bool) {
     assert_eq!(is_local(&errno.into()), local);
 }
