--- a/src/net/persistence/mod.rs
+++ b/src/net/persistence/mod.rs
@@ -271,7 +271,7 @@
     }
 
     /// Returns whether state is stored.
-    pub fn is_on(&self) -> bool {
+    pub fn is_enabled(&self) -> bool {
         self.snapshots.is_some()
     }
 
--- a/src/net/runtime/mod.rs
+++ b/src/net/runtime/mod.rs
@@ -199,7 +199,7 @@
     fn optional_inputs(&self) -> OptionalInputs {
         OptionalInputs {
             peers: self.hot_restart.is_some() || self.persistence.awaits_folder(),
-            persistence: self.persistence.is_on(),
+            persistence: self.persistence.is_enabled(),
         }
     }
 
--- a/src/net/runtime/shutdown.rs
+++ b/src/net/runtime/shutdown.rs
@@ -79,7 +79,7 @@
         if self.config.name_service.is_some() {
             self.report_discovery();
         }
-        if self.persistence.is_on() {
+        if self.persistence.is_enabled() {
             let _ = timeout(self.frontend.limits.final_snapshot_timeout, self.persistence.finish()).await;
             self.persistence.log_totals(self.core.deduplication().rejected());
         }
