--- a/src/net/front/clickhouse/mod.rs
+++ b/src/net/front/clickhouse/mod.rs
@@ -1,8 +1,7 @@
-//! The ClickHouse HTTP interface: the same requests, deadlines and answers as the platform's protocol, in the terms of
-//! that interface.
+//! The ClickHouse HTTP interface for clients, with the same requests, deadlines and answers as the platform's protocol.
 //!
-//! [`serve`] owns a connection and handles one request after the other. `request` reads a request, `query` submits it and
-//! `response` writes its answer.
+//! [`serve`] owns a connection and handles its requests one after another. `request` reads a request, `query` submits it
+//! and `response` writes the answer.
 
 mod query;
 mod request;
--- a/src/net/front/clickhouse/query.rs
+++ b/src/net/front/clickhouse/query.rs
@@ -1,4 +1,4 @@
-//! Answers what this front answers itself, and submits queries.
+//! Routing of HTTP requests: health checks and errors are answered directly, queries are submitted to the reducer.
 
 use super::request::Request;
 use super::response::{Exception, QueryResponse, Session};
@@ -10,12 +10,12 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Longest name of a query, in bytes.
+/// Maximum length of a query id, in bytes.
 const MAX_NAME_BYTES: usize = 256;
-/// Bytes of a digest that make an idempotency key.
-const STABLE_KEY_BYTES: usize = 16;
+/// Length of the digest prefix that is used as an idempotency key, in bytes.
+const DERIVED_KEY_BYTES: usize = 16;
 
-/// Handles a request: submits the query, or answers at once. Returns the id of a query that was submitted.
+/// Submits the query of a request, or answers the request directly. Returns the id of a submitted query.
 pub(super) async fn handle(
     mut request: Request,
     session: &Rc<Session>,
@@ -38,7 +38,8 @@
     None
 }
 
-/// Answers the health check of a load balancer, which avoids a gateway that is about to end.
+/// Answers the health check of a load balancer. It fails during a shutdown and until the first endpoint list is received,
+/// so that the load balancer chooses other gateways.
 fn answer_ping(session: &Session, frontend: &FrontendState) {
     if frontend.shutdown_phase().reports_unhealthy() {
         session.send_text(503, "Ending.\n");
@@ -49,7 +50,8 @@
     }
 }
 
-/// Submits a query. With a query in the target, the body is its data; otherwise the body is the query.
+/// Submits a query to the reducer. If the target has the parameter `query`, the body is its data; otherwise the body is
+/// the query.
 async fn submit(
     mut request: Request,
     query: Option<String>,
@@ -57,7 +59,7 @@
     frontend: &Rc<FrontendState>,
     rules: &ClassRules,
 ) -> Option<RequestId> {
-    let arrived = frontend.arrival_time(&session.connection);
+    let arrived_at = frontend.arrival_time(&session.connection);
     let body = std::mem::take(&mut request.body);
     let (text, data) = match query {
         Some(query) => (query.into_bytes(), body),
@@ -65,16 +67,16 @@
     };
     let class_id = rules.class(&text, request.param("user"));
     let class = &frontend.settings.classes[class_id.0];
-    let limit = take_limit(&mut request, class);
+    let max_wait = take_max_wait(&mut request, class);
     let key = take_key(&mut request, class, &text, &data);
     let id = frontend.allocate_request_id();
     let name = request.take_param("query_id").unwrap_or_else(|| format!("{:016x}", fastrand::u64(..)));
-    if !is_plain(&name) {
+    if !is_valid_name(&name) {
         session.send_exception(Exception::BAD_REQUEST, "The query id cannot be used", &[]);
         return None;
     }
     if frontend.open_request_named(&name).is_some() {
-        session.send_exception(Exception::SAME_NAME, "A query with this id is already running", &[]);
+        session.send_exception(Exception::DUPLICATE_QUERY_ID, "A query with this id is already running", &[]);
         return None;
     }
     make_get_read_only(&mut request);
@@ -91,11 +93,11 @@
     let received = ReceivedRequest {
         class: class_id,
         tenant: None,
-        arrived,
-        limit,
+        arrived_at,
+        max_wait,
         work: None,
         memory_mb: None,
-        // The interface has no mark for a client's retry.
+        // The interface has no field that marks a client's retry.
         is_retry: false,
         statement,
     };
@@ -105,29 +107,30 @@
     Some(id)
 }
 
-/// How long the client waits: its own limit in seconds, but no longer than requests of the class may take.
-fn take_limit(request: &mut Request, class: &Class) -> Milliseconds {
+/// Takes the time for which the client waits: `max_execution_time` in seconds, limited to the client timeout of the class.
+fn take_max_wait(request: &mut Request, class: &Class) -> Milliseconds {
     let seconds = request.param("max_execution_time").parse::<f64>().ok().filter(|seconds| *seconds > 0.0);
     request.take_param("max_execution_time");
     seconds.map_or(class.client_timeout, |seconds| (seconds * 1000.0).min(class.client_timeout))
 }
 
-/// The idempotency key, where the class has one: the client's token, or a key of what is executed.
+/// Takes the idempotency key if the class requires one: the client's token, or a key derived from the query and its data.
 fn take_key(request: &mut Request, class: &Class, text: &[u8], data: &[u8]) -> Option<String> {
     let token = request.take_param("insert_deduplication_token");
     if !matches!(class.idempotency, Idempotency::Keyed { .. }) {
         return None;
     }
-    Some(token.unwrap_or_else(|| stable_key(request.param("database"), text, data)))
+    Some(token.unwrap_or_else(|| derived_key(request.param("database"), text, data)))
 }
 
-/// Whether a name can stand in a header or a field without ending it.
-fn is_plain(name: &str) -> bool {
+/// Returns whether a name can be used in a header and in a field of an engine's command, in which `,` and `=` are
+/// separators.
+fn is_valid_name(name: &str) -> bool {
     let ends_field = |character: char| character.is_control() || character == ',' || character == '=';
     name.len() <= MAX_NAME_BYTES && !name.contains(ends_field)
 }
 
-/// As in ClickHouse, a query that comes by GET may only read.
+/// Makes a query that is sent by GET read-only, as ClickHouse does.
 fn make_get_read_only(request: &mut Request) {
     if request.method == "GET" && !matches!(request.param("readonly"), "1" | "2") {
         request.take_param("readonly");
@@ -135,12 +138,12 @@
     }
 }
 
-/// An idempotency key that is the same for the same load, whichever gateway receives it.
-fn stable_key(database: &str, text: &[u8], data: &[u8]) -> String {
+/// Derives an idempotency key from a query, its data and its database, so that all gateways assign it the same key.
+fn derived_key(database: &str, text: &[u8], data: &[u8]) -> String {
     let mut hash = Sha256::new();
     for part in [database.as_bytes(), text, data] {
         hash.update((part.len() as u64).to_be_bytes());
         hash.update(part);
     }
-    hash.finalize().iter().take(STABLE_KEY_BYTES).map(|byte| format!("{byte:02x}")).collect()
+    hash.finalize().iter().take(DERIVED_KEY_BYTES).map(|byte| format!("{byte:02x}")).collect()
 }
--- a/src/net/front/clickhouse/request.rs
+++ b/src/net/front/clickhouse/request.rs
@@ -1,4 +1,4 @@
-//! Reads HTTP requests: the head, then the body.
+//! Reading of HTTP requests: the head, then the body.
 
 use super::response::{Exception, Session};
 use crate::net::connection::frame::Frame;
@@ -6,8 +6,8 @@
 use crate::net::http::{self, Head, Length, Read};
 use tokio::net::TcpStream;
 
-/// Headers that stand for a parameter: the name of the header and of the parameter. A parameter of the target goes before
-/// its header.
+/// Headers that set a parameter, as pairs of the header's and the parameter's name. A parameter in the target takes
+/// precedence over the header.
 const PARAMETER_HEADERS: [(&str, &str); 5] = [
     ("X-ClickHouse-User", "user"),
     ("X-ClickHouse-Key", "password"),
@@ -16,24 +16,24 @@
     ("Authorization", "Authorization"),
 ];
 
-/// A request, body included.
+/// An HTTP request with its body.
 pub(super) struct Request {
-    /// The method.
+    /// HTTP method.
     pub(super) method: String,
-    /// The path of the target.
+    /// Path of the request target.
     pub(super) path: String,
-    /// Parameters of the target and of headers.
+    /// Parameters from the request target and the headers.
     pub(super) params: Vec<(String, String)>,
-    /// Whether the client may send a further request on the connection.
+    /// Whether the client may send another request on the connection.
     pub(super) keep_alive: bool,
-    /// Whether the response may be streamed. HTTP/1.0 has no way to show that a result is cut.
+    /// Whether the response may be streamed. It may not be in HTTP/1.0, which cannot indicate that a result is truncated.
     pub(super) may_stream: bool,
-    /// The body.
+    /// Body of the request.
     pub(super) body: Vec<u8>,
 }
 
 impl Request {
-    /// The request of that head, without its body.
+    /// Creates a request from its head, without the body.
     fn new(head: &Head<'_>) -> Self {
         let (path, mut params) = http::target(head.second);
         for (header, name) in PARAMETER_HEADERS {
@@ -53,43 +53,43 @@
         }
     }
 
-    /// Removes a parameter; none where it is missing or empty.
+    /// Removes a parameter and returns its value; `None` if it is missing or empty.
     pub(super) fn take_param(&mut self, name: &str) -> Option<String> {
         let index = self.params.iter().position(|(known, _)| known == name)?;
         Some(self.params.remove(index).1).filter(|value| !value.is_empty())
     }
 
-    /// The value of a parameter; empty where it is missing.
+    /// Returns the value of a parameter, or an empty string if it is missing.
     pub(super) fn param(&self, name: &str) -> &str {
         self.params.iter().find(|(known, _)| known == name).map_or("", |(_, value)| value)
     }
 }
 
-/// Why no request was read.
+/// Reason for which no request was read.
 pub(super) enum ReadError {
-    /// The connection is over or is to be closed.
+    /// The connection has ended or has to be closed.
     Closed,
-    /// The request is invalid: the exception that answers it, and its message.
+    /// The request is invalid: the exception to answer with, and its message.
     Invalid(Exception, &'static str),
 }
 
 const BODY_TOO_LARGE: ReadError = ReadError::Invalid(Exception::TOO_LARGE, "The body is too large");
 
-/// Reads the requests of one connection.
+/// Reader of the requests of one connection.
 pub(super) struct RequestReader<'a> {
     stream: &'a TcpStream,
     session: &'a Session,
-    /// What was read and is not consumed yet.
+    /// Bytes that were read and are not consumed yet.
     pub(super) buffer: ReadBuffer,
 }
 
 impl<'a> RequestReader<'a> {
-    /// A reader that has read nothing yet.
+    /// Creates a reader with an empty or partly filled buffer.
     pub(super) fn new(stream: &'a TcpStream, session: &'a Session, buffer: ReadBuffer) -> Self {
         Self { stream, session, buffer }
     }
 
-    /// Reads a request.
+    /// Reads the next request with its body.
     pub(super) async fn read(&mut self) -> Result<Request, ReadError> {
         let (mut request, length) = self.read_head().await?;
         request.body = match length {
--- a/src/net/front/clickhouse/response.rs
+++ b/src/net/front/clickhouse/response.rs
@@ -1,4 +1,4 @@
-//! Responses, and the exceptions of ClickHouse that this front answers with itself.
+//! Encoding of HTTP responses, and of the ClickHouse exceptions that the gateway itself answers with.
 
 use crate::core::{Answer, EngineError, ResultRows};
 use crate::interface::{ClassId, Milliseconds};
@@ -13,16 +13,16 @@
 
 const EXCEPTION_CODE_HEADER: &str = "X-ClickHouse-Exception-Code";
 const QUERY_ID_HEADER: &str = "X-ClickHouse-Query-Id";
-const TEXT: (&str, &str) = ("Content-Type", "text/plain; charset=UTF-8");
+const PLAIN_TEXT: (&str, &str) = ("Content-Type", "text/plain; charset=UTF-8");
 
-/// An exception of ClickHouse.
+/// A ClickHouse exception.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Exception {
-    /// The status of the response.
+    /// HTTP status of the response.
     status: u16,
-    /// ClickHouse's code for it.
+    /// ClickHouse error code.
     code: u32,
-    /// ClickHouse's name for it.
+    /// ClickHouse error name.
     name: &'static str,
 }
 
@@ -31,14 +31,14 @@
     pub(super) const NOT_FOUND: Self = Self { status: 404, code: 36, name: "BAD_ARGUMENTS" };
     pub(super) const BAD_METHOD: Self = Self { status: 501, code: 48, name: "NOT_IMPLEMENTED" };
     pub(super) const TOO_LARGE: Self = Self { status: 413, code: 307, name: "TOO_MANY_BYTES" };
-    const TOO_MANY: Self = Self { status: 503, code: 202, name: "TOO_MANY_SIMULTANEOUS_QUERIES" };
-    pub(super) const SAME_NAME: Self =
+    const TOO_MANY_QUERIES: Self = Self { status: 503, code: 202, name: "TOO_MANY_SIMULTANEOUS_QUERIES" };
+    pub(super) const DUPLICATE_QUERY_ID: Self =
         Self { status: 500, code: 216, name: "QUERY_WITH_SAME_ID_IS_ALREADY_RUNNING" };
     const TIMEOUT: Self = Self { status: 408, code: 159, name: "TIMEOUT_EXCEEDED" };
     const NETWORK: Self = Self { status: 502, code: 210, name: "NETWORK_ERROR" };
 }
 
-/// A header of a response: its name and its value.
+/// Name and value of a response header.
 pub(super) type Header<'a> = (&'a str, &'a str);
 
 fn reason_phrase(status: u16) -> &'static str {
@@ -56,22 +56,22 @@
     }
 }
 
-/// State of one connection, which has one open request at most.
+/// State of one connection, which has at most one open request.
 pub(super) struct Session {
-    /// The connection.
+    /// Connection of the client.
     pub(super) connection: Rc<ClientConnection>,
-    /// The limits of the program.
+    /// Resource limits and timeouts of the gateway.
     pub(super) limits: Rc<Limits>,
-    /// Notified when the open request is answered.
+    /// Notified when the open request has been answered.
     pub(super) answered: Notify,
-    /// Whether a further request is read. Cleared by an answer that cannot be followed by another.
+    /// Whether another request is read after this one. Cleared if the connection has to close after the current answer.
     pub(super) keep_alive: Cell<bool>,
-    /// What the next response is counted as.
+    /// Metric under which the next response is counted.
     tally: Cell<Option<Tally>>,
 }
 
 impl Session {
-    /// State of a connection on which nothing was read yet.
+    /// Creates the state of a connection from which nothing has been read.
     pub(super) fn new(connection: Rc<ClientConnection>, limits: Rc<Limits>) -> Self {
         Self {
             connection,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The head of a response; without a length its body is sent in chunks.
+    /// Encodes the head of a response. Without a length, the body is sent in chunks.
     fn head(&self, status: u16, headers: &[Header<'_>], length: Option<usize>) -> Vec<u8> {
         let mut out = format!("HTTP/1.1 {status} {}\r\n", reason_phrase(status));
         for (name, value) in headers {
@@ -92,7 +92,7 @@
             Some(length) => format!("Content-Length: {length}\r\n"),
             None => "Transfer-Encoding: chunked\r\n".to_owned(),
         };
-        // The next request is for the process that takes over.
+        // While the process shuts down, the client must send its next request on a new connection.
         if self.connection.closes_after_answer() {
             self.keep_alive.set(false);
         }
@@ -101,66 +101,67 @@
         out.into_bytes()
     }
 
-    /// Sends a frame.
+    /// Queues a frame to the client.
     pub(super) fn send(&self, frame: Frame) {
         self.connection.send(frame, &self.limits);
     }
 
-    /// Sends a whole response.
+    /// Sends a complete response.
     pub(super) fn send_response(&self, status: u16, headers: &[Header<'_>], body: Vec<Vec<u8>>) {
         let head = self.head(status, headers, Some(body.iter().map(Vec::len).sum()));
         let frame = Frame::from_parts(std::iter::once(head).chain(body).collect());
         self.send(Frame { tally: self.tally.take(), ..frame });
     }
 
-    /// Sends a response of one line of text.
+    /// Sends a plain-text response.
     pub(super) fn send_text(&self, status: u16, text: &str) {
-        self.send_response(status, &[TEXT], vec![text.as_bytes().to_vec()]);
+        self.send_response(status, &[PLAIN_TEXT], vec![text.as_bytes().to_vec()]);
     }
 
-    /// Sends an exception, with further headers.
-    pub(super) fn send_exception(&self, exception: Exception, message: &str, more: &[Header<'_>]) {
+    /// Sends an exception with additional headers.
+    pub(super) fn send_exception(&self, exception: Exception, message: &str, extra_headers: &[Header<'_>]) {
         let Exception { status, code, name } = exception;
         let text = format!("Code: {code}. DB::Exception: {message}. ({name})\n");
         let code = code.to_string();
-        let headers = [TEXT, (EXCEPTION_CODE_HEADER, &*code)];
-        self.send_response(status, &[&headers, more].concat(), vec![text.into_bytes()]);
+        let headers = [PLAIN_TEXT, (EXCEPTION_CODE_HEADER, &*code)];
+        self.send_response(status, &[&headers, extra_headers].concat(), vec![text.into_bytes()]);
     }
 }
 
-/// Writes the response to one query.
+/// Writer of the response to one query.
 pub(super) struct QueryResponse {
-    /// The connection of the client.
+    /// Session of the client's connection.
     pub(super) session: Rc<Session>,
-    /// The client's name for the query.
+    /// Query id, as given by the client or generated.
     pub(super) name: String,
-    /// The class of the query.
+    /// Class of the query.
     pub(super) class: ClassId,
 }
 
 impl QueryResponse {
-    /// The headers of the engine's response, under the name that the client gave the query.
+    /// Returns the headers of the engine's response, with the query id of the client instead of the engine's.
     fn headers<'a>(&'a self, rows: &'a ResultRows) -> Vec<Header<'a>> {
-        let of_engine = rows.headers.iter().map(|(name, value)| (name.as_str(), value.as_str()));
+        let engine_headers = rows.headers.iter().map(|(name, value)| (name.as_str(), value.as_str()));
         let mut headers: Vec<Header<'_>> =
-            of_engine.filter(|(name, _)| !name.eq_ignore_ascii_case(QUERY_ID_HEADER)).collect();
+            engine_headers.filter(|(name, _)| !name.eq_ignore_ascii_case(QUERY_ID_HEADER)).collect();
         headers.push((QUERY_ID_HEADER, &self.name));
         headers
     }
 
-    /// Sends the exception of a query that was rejected. The header has whole seconds; without advice there is none.
+    /// Sends the exception of a rejected query. `Retry-After` is rounded up to full seconds, and omitted if the time is 0.
     fn send_rejection(&self, retry_after: Milliseconds) {
         let seconds = (retry_after / 1000.0).ceil().to_string();
-        let advice = (retry_after > 0.0).then_some(("Retry-After", &*seconds));
-        let headers: Vec<_> = advice.into_iter().chain([(QUERY_ID_HEADER, &*self.name)]).collect();
-        self.session.send_exception(Exception::TOO_MANY, "Too many simultaneous queries", &headers);
+        let retry_after_header = (retry_after > 0.0).then_some(("Retry-After", &*seconds));
+        let headers: Vec<_> =
+            retry_after_header.into_iter().chain([(QUERY_ID_HEADER, &*self.name)]).collect();
+        self.session.send_exception(Exception::TOO_MANY_QUERIES, "Too many simultaneous queries", &headers);
     }
 
-    /// Passes on the error of an engine.
+    /// Forwards the error of an engine.
     fn send_engine_error(&self, error: EngineError) {
         let EngineError { status, code, text } = error;
         let code = code.to_string();
-        let headers = [TEXT, (EXCEPTION_CODE_HEADER, &*code), (QUERY_ID_HEADER, &*self.name)];
+        let headers = [PLAIN_TEXT, (EXCEPTION_CODE_HEADER, &*code), (QUERY_ID_HEADER, &*self.name)];
         self.session.send_response(status, &headers, vec![text]);
     }
 }
@@ -189,7 +190,7 @@
         match answer {
             Answer::Served(rows) => session.send_response(200, &self.headers(&rows), rows.parts.clone()),
             Answer::Streamed => session.send(Frame::plain(b"0\r\n\r\n".to_vec()).counted(tally)),
-            // Without the last chunk the client sees that the result is cut.
+            // The last chunk is omitted, so that the client detects the truncated result.
             Answer::Aborted => {
                 session.keep_alive.set(false);
                 session.connection.write_queue.shared().metrics.add(tally);
--- a/src/net/front/clickhouse/session.rs
+++ b/src/net/front/clickhouse/session.rs
@@ -1,4 +1,4 @@
-//! Serves one connection: one request after the other, until the connection ends.
+//! Session of one client connection, which handles requests one after another until the connection ends.
 
 use super::query;
 use super::request::{ReadError, RequestReader};
@@ -15,11 +15,11 @@
 use tokio::io::Interest;
 use tokio::net::TcpStream;
 
-/// Time between checks whether a client has disconnected whose further bytes are not read yet. The reducer is notified of
-/// a client that has within a tenth of a second.
+/// Interval of checks whether a client has disconnected while its pipelined bytes are not read. It is short enough for the
+/// reducer to be notified of a disconnect within 100 ms.
 const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Serves one client until its connection ends, then withdraws the query that is open on it.
+/// Serves one client until its connection ends, then withdraws the query that is still open.
 pub async fn serve(
     stream: TcpStream,
     connection: Rc<ClientConnection>,
@@ -34,7 +34,7 @@
         written = connection.write_queue.write_all(&stream, &limits) => written.is_err(),
         () = handle_requests(&stream, &session, &frontend, &rules, &open_query) => connection.is_disconnected(),
     };
-    // Also in the middle of its result.
+    // The query is withdrawn even if a part of its result has been sent.
     if let Some(id) = open_query.take() {
         frontend.withdraw(id).await;
     }
@@ -59,7 +59,9 @@
             Err(ReadError::Closed) => continue,
             Err(ReadError::Invalid(exception, message)) => {
                 session.keep_alive.set(false);
-                log::warn_rate_limited("an invalid HTTP request was rejected");
+                log::warn_rate_limited(
+                    "a client sent an invalid HTTP request; closing the connection after an error answer",
+                );
                 session.send_exception(exception, message, &[]);
                 continue;
             }
@@ -74,10 +76,10 @@
     }
 }
 
-/// Waits until the open query is answered. Break: the client has disconnected.
+/// Waits until the open query is answered. Returns `Break` if the client has disconnected.
 async fn wait_for_answer(stream: &TcpStream, session: &Session, buffer: &mut ReadBuffer) -> ControlFlow<()> {
     loop {
-        // No more than one message is read ahead.
+        // At most `read_chunk_bytes` of pipelined requests are read ahead.
         let may_read = buffer.unread().len() < session.limits.read_chunk_bytes;
         tokio::select! {
             () = session.answered.notified() => return ControlFlow::Continue(()),
@@ -87,7 +89,7 @@
                     return ControlFlow::Break(());
                 }
             }
-            // A disconnect is noticed behind bytes that are not read yet.
+            // A disconnect is detected even while unread bytes precede it.
             () = read_closed(stream), if !may_read => {
                 session.connection.set_disconnected();
                 return ControlFlow::Break(());
@@ -96,7 +98,7 @@
     }
 }
 
-/// Waits until the client has closed the connection, whatever of it is still to be read.
+/// Waits until the client has closed the connection, even if bytes of it are still unread.
 async fn read_closed(stream: &TcpStream) {
     while stream.ready(Interest::READABLE).await.is_ok_and(|ready| !ready.is_read_closed()) {
         tokio::time::sleep(DISCONNECT_CHECK_INTERVAL).await;
--- a/src/net/front/client_connection.rs
+++ b/src/net/front/client_connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection: its open requests, and when it is closed.
+//! A client's connection: its open requests and the conditions under which it is closed.
 
 use crate::limits::Limits;
 use crate::net::connection::frame::Frame;
@@ -11,45 +11,45 @@
 use tokio::net::TcpStream;
 use tokio::time::{timeout_at, Instant};
 
-/// A client's connection. The front that serves it owns its socket; [`FrontendState`](super::FrontendState) lists it until
-/// the front is done.
+/// A client's connection. The task that serves it owns the socket; [`FrontendState`](super::FrontendState) lists the
+/// connection until that task has ended.
 pub struct ClientConnection {
-    /// Its write queue.
+    /// Queue of responses to the client.
     pub write_queue: Rc<WriteQueue>,
     shutdown_phase: Rc<Cell<ShutdownPhase>>,
-    /// An answer was sent since this process began to close connections.
+    /// Whether an answer was sent since the shutdown phase requires connections to close after an answer.
     answered_in_shutdown: Cell<bool>,
     opened: Instant,
-    /// When the connection arrived, at the earliest, until the bytes that came with it are read. It may have waited to be
-    /// accepted.
+    /// Earliest time at which the client may have connected; it may have waited to be accepted. Cleared once the bytes that
+    /// were sent in that wait are read.
     arrived_at: Cell<Option<Instant>>,
-    /// It was read from.
+    /// Whether the connection was read from.
     was_read: Cell<bool>,
-    /// Its slot is needed for another client.
+    /// Whether eviction was requested, as another client needs the slot, and is not decided yet.
     eviction_requested: Cell<bool>,
-    /// Its client closed the connection, or it broke.
+    /// Whether the client closed the connection, or the connection failed.
     disconnected: Cell<bool>,
     open_requests: Cell<usize>,
     was_answered: Cell<bool>,
-    /// When it was opened, or a request on it was last received or answered.
+    /// Time at which the connection was opened, or a request on it was last received or answered.
     last_active: Cell<Instant>,
 }
 
-/// Why this side closes a connection.
+/// Reason for which the gateway closes a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CloseReason {
-    /// This process shuts down.
+    /// The process shuts down.
     Shutdown,
-    /// Its slot is needed for another client.
+    /// Another client needs the slot of the connection.
     Evicted,
-    /// It was never answered, or a message on it is incomplete, and its client sends nothing.
+    /// The client stopped sending, before the first answer or inside a message.
     Silent,
-    /// It has had no request for long.
+    /// No request was received or answered within the idle timeout.
     Idle,
 }
 
 impl ClientConnection {
-    /// A connection that was accepted now.
+    /// Creates the state of a connection that was just accepted.
     pub fn new(write_queue: Rc<WriteQueue>, shutdown_phase: Rc<Cell<ShutdownPhase>>) -> Self {
         let opened = Instant::now();
         Self {
@@ -67,40 +67,41 @@
         }
     }
 
-    /// Requests the eviction of the connection. It checks first whether a request has arrived.
+    /// Requests the eviction of the connection. The reading task first checks whether a request has arrived.
     pub fn request_eviction(&self) {
         self.eviction_requested.set(true);
         self.write_queue.request_recheck();
     }
 
-    /// Whether its eviction was requested, and is not decided yet.
+    /// Returns whether eviction was requested and is not decided yet.
     pub fn is_eviction_requested(&self) -> bool {
         self.eviction_requested.get()
     }
 
-    /// When the bytes that are read now arrived, at the earliest, if they may have come with the connection.
+    /// Returns the earliest time at which the bytes that are read now may have arrived, if they may have been sent before the
+    /// connection was accepted.
     pub fn earliest_arrival(&self) -> Option<Instant> {
         self.arrived_at.get()
     }
 
-    /// Sets when the connection arrived, at the earliest.
+    /// Sets the earliest time at which the client may have connected.
     pub fn set_arrived_at(&self, at: Instant) {
         self.arrived_at.set(Some(at));
     }
 
-    /// Counts a request that was received on it.
+    /// Counts a received request as open.
     pub fn request_opened(&self) {
         self.open_requests.set(self.open_requests.get() + 1);
         self.last_active.set(Instant::now());
     }
 
-    /// Counts a request that was received on it as ended.
+    /// Removes an ended request from the count of open ones.
     pub fn request_closed(&self) {
         self.open_requests.set(self.open_requests.get().saturating_sub(1));
         self.last_active.set(Instant::now());
     }
 
-    /// Sends a message to the client.
+    /// Queues a message to the client.
     pub fn send(&self, frame: Frame, limits: &Limits) {
         self.was_answered.set(true);
         self.answered_in_shutdown.set(self.closes_after_answer());
@@ -108,12 +109,12 @@
         self.write_queue.push(frame, limits);
     }
 
-    /// Reads from the client. False: the connection is over, or is to be closed. A client that sends nothing, stops inside
-    /// a message, or sends nothing that has an answer, loses its connection soon.
+    /// Reads from the client. Returns false if the connection has ended or has to be closed. The connection of a client that
+    /// sends nothing, stops inside a message, or only sends messages without an answer, is closed after a short timeout.
     pub async fn read(&self, read_buffer: &mut ReadBuffer, stream: &TcpStream, limits: &Limits) -> bool {
-        // Only what arrived before the first read may have come with the connection.
+        // Only bytes that arrived before the first read may have been sent before the connection was accepted.
         let is_first = !self.was_read.replace(true);
-        if !is_first || self.facts(read_buffer, stream).unread == 0 {
+        if !is_first || self.close_conditions(read_buffer, stream).unread == 0 {
             self.arrived_at.set(None);
         }
         loop {
@@ -137,7 +138,8 @@
         }
     }
 
-    /// Whether the connection goes on, and when to check again if nothing arrives.
+    /// Checks whether the connection stays open. Returns the time of the next check if nothing arrives, or the reason to
+    /// close.
     fn check(
         &self,
         read_buffer: &ReadBuffer,
@@ -150,7 +152,7 @@
         if self.closes_for_eviction(read_buffer, stream) {
             return Err(CloseReason::Evicted);
         }
-        // Open requests are answered, whatever else the client does.
+        // A connection with open requests stays open until they are answered, even if the client sends nothing.
         if self.open_requests.get() > 0 {
             return Ok(Instant::now() + limits.client_silence_timeout);
         }
@@ -159,16 +161,16 @@
         if deadline > Instant::now() {
             return Ok(deadline);
         }
-        match may_close_mid_message(&self.facts_apart_from_writes(read_buffer, stream)) {
+        match may_close_mid_message(&self.close_conditions_ignoring_writes(read_buffer, stream)) {
             Ok(()) if silence_deadline.is_some() => Err(CloseReason::Silent),
             Ok(()) => Err(CloseReason::Idle),
-            // What has arrived may be the rest of a request, or a whole one.
+            // Bytes that are not read yet may complete a request, or be one.
             Err(_) => Ok(Instant::now() + limits.min_idle_before_eviction),
         }
     }
 
-    /// By when the client has to continue an incomplete message, or send its first one. A message may arrive in pieces,
-    /// and takes a bounded time in all.
+    /// Returns the deadline for the rest of an incomplete message, or for the first request. A message may arrive in
+    /// pieces, with a timeout for the next piece and one for the complete message. `None` if neither is awaited.
     fn silence_deadline(&self, read_buffer: &ReadBuffer, limits: &Limits) -> Option<Instant> {
         if let Some(incomplete_since) = read_buffer.incomplete_since() {
             let next_piece = read_buffer.last_filled() + limits.client_silence_timeout;
@@ -177,73 +179,80 @@
         (!self.was_answered.get()).then(|| self.opened + limits.client_silence_timeout)
     }
 
-    /// How long the connection is read after it was closed from this side.
+    /// Returns the time for which incoming bytes are read and discarded after the gateway closed the connection.
     pub fn close_linger(&self, limits: &Limits) -> Duration {
         match self.write_queue.close_mode() {
-            // Another client waits for the slot, and nothing was written here that a reset could destroy.
+            // Another client waits for the slot, and no answer was written that a reset could discard.
             Some(CloseMode::Immediately) if !self.was_answered.get() => Duration::ZERO,
             Some(CloseMode::Immediately) => limits.min_idle_before_eviction,
             _ => limits.close_linger,
         }
     }
 
-    /// Records that the client closed the connection, or that it broke.
+    /// Records that the client closed the connection, or that the connection failed.
     pub fn set_disconnected(&self) {
         self.disconnected.set(true);
     }
 
-    /// Whether the client closed the connection, or it broke.
+    /// Returns whether the client closed the connection, or the connection failed.
     pub fn is_disconnected(&self) -> bool {
         self.disconnected.get()
     }
 
-    /// Whether the connection closes after its next answer, as another process serves what its client requests next.
+    /// Returns whether the connection is closed after its next answer, because this process is shutting down.
     pub fn closes_after_answer(&self) -> bool {
         !self.shutdown_phase.get().keeps_connections()
     }
 
-    /// Whether it closes now, as this process shuts down. What has just arrived is answered first: a request that meets a
-    /// closed connection has to be sent again.
+    /// Returns whether the connection closes now because of a shutdown. Requests that have already arrived are answered
+    /// first, as the client would otherwise have to send them again.
     fn closes_for_shutdown(&self, read_buffer: &ReadBuffer, stream: &TcpStream) -> bool {
         let due = match self.shutdown_phase.get() {
             ShutdownPhase::Serving | ShutdownPhase::Draining => false,
             ShutdownPhase::HandingOver => self.answered_in_shutdown.get(),
             ShutdownPhase::ClosingIdle | ShutdownPhase::Stopping => true,
         };
-        due && !self.write_queue.is_closing() && may_close(&self.facts(read_buffer, stream)).is_ok()
+        due && !self.write_queue.is_closing()
+            && may_close(&self.close_conditions(read_buffer, stream)).is_ok()
     }
 
-    /// Whether it closes now, as its slot is needed for another client. One at which something has arrived does not.
+    /// Returns whether the connection closes now because another client needs the slot. A connection on which bytes have
+    /// arrived is not evicted.
     fn closes_for_eviction(&self, read_buffer: &ReadBuffer, stream: &TcpStream) -> bool {
         if !self.eviction_requested.take() {
             return false;
         }
-        let closes = may_close(&self.facts(read_buffer, stream)).is_ok();
+        let closes = may_close(&self.close_conditions(read_buffer, stream)).is_ok();
         if closes {
             self.write_queue.close(CloseMode::Immediately);
         } else {
-            // It is in use: others are chosen before it from now on.
+            // The connection is in use: connections that have been idle for longer are evicted before it.
             self.last_active.set(Instant::now());
         }
         closes
     }
 
-    fn facts(&self, read_buffer: &ReadBuffer, stream: &TcpStream) -> CloseConditions {
+    fn close_conditions(&self, read_buffer: &ReadBuffer, stream: &TcpStream) -> CloseConditions {
         CloseConditions {
             open_requests: self.open_requests.get(),
             unwritten: self.write_queue.queued_bytes(),
             incomplete: read_buffer.unread().len(),
-            // If the system call fails, something may have arrived.
+            // If the system call fails, unread bytes are assumed.
             unread: rustix::io::ioctl_fionread(stream).map_or(1, |bytes| bytes as usize),
         }
     }
 
-    /// The facts where queued bytes do not keep the connection open: they are written as it closes.
-    fn facts_apart_from_writes(&self, read_buffer: &ReadBuffer, stream: &TcpStream) -> CloseConditions {
-        CloseConditions { unwritten: 0, ..self.facts(read_buffer, stream) }
+    /// Returns the close conditions without the queued bytes, which are written as the connection closes.
+    fn close_conditions_ignoring_writes(
+        &self,
+        read_buffer: &ReadBuffer,
+        stream: &TcpStream,
+    ) -> CloseConditions {
+        CloseConditions { unwritten: 0, ..self.close_conditions(read_buffer, stream) }
     }
 
-    /// Since when it has had no open request and no queued bytes; none where it has some, or is closing.
+    /// Returns the time of the last activity of an idle connection; `None` if it has open requests or queued bytes, or is
+    /// closing.
     pub fn idle_since(&self) -> Option<Instant> {
         let is_idle = self.open_requests.get() == 0
             && self.write_queue.queued_bytes() == 0
--- a/src/net/front/client_connection/tests.rs
+++ b/src/net/front/client_connection/tests.rs
@@ -8,18 +8,18 @@
 }
 
 fn limits() -> Limits {
-    Limits::read(&Fields::new("settings", BTreeMap::new())).expect("the defaults")
+    Limits::read(&Fields::new("settings", BTreeMap::new())).expect("default limits are valid")
 }
 
 #[test]
-fn connection_that_was_never_answered_gives_its_slot_up_at_once() {
+fn connection_evicted_before_its_first_answer_does_not_linger() {
     let connection = connection();
     connection.write_queue.close(CloseMode::Immediately);
     assert_eq!(connection.close_linger(&limits()), Duration::ZERO);
 }
 
 #[test]
-fn connection_that_was_answered_is_read_for_a_moment_so_that_no_answer_is_lost() {
+fn answered_connection_lingers_so_that_no_answer_is_lost() {
     let (connection, limits) = (connection(), limits());
     connection.send(Frame::plain(b"answer".to_vec()), &limits);
     assert_eq!(connection.close_linger(&limits), limits.close_linger);
--- a/src/net/front/mod.rs
+++ b/src/net/front/mod.rs
@@ -1,7 +1,8 @@
-//! Fronts: they read requests from clients, and write final answers back to them.
+//! Client-facing side of the gateway: reads requests from clients and writes the final answers back.
 //!
-//! [`FrontendState`] is what all fronts share: requests are submitted to it and answers are handed out by it. Each client
-//! has a [`ClientConnection`], which [`thrift`] or [`clickhouse`] serves. [`rules`] assigns statements to classes.
+//! [`FrontendState`] is shared by all client protocols: it submits requests to the reducer and passes answers to the
+//! response writers. Each client has a [`ClientConnection`], served by [`thrift`] or [`clickhouse`]. [`rules`] assigns
+//! statements to classes.
 
 pub mod clickhouse;
 mod client_connection;
--- a/src/net/front/requests.rs
+++ b/src/net/front/requests.rs
@@ -1,4 +1,4 @@
-//! A request as a front reads it from a client, and how the client is answered.
+//! Requests received from clients, and the interface through which their responses are written.
 
 use crate::core::{Answer, ResultRows, Statement};
 use crate::interface::{ClassId, Milliseconds, TenantId};
@@ -6,35 +6,35 @@
 
 /// Writes the response to one request, in the protocol of its client.
 pub trait ResponseWriter {
-    /// Writes the first part of a streamed response.
+    /// Writes the start of a streamed response and the rows collected so far.
     fn start(&self, rows: ResultRows);
-    /// Writes a further part of a streamed response.
+    /// Writes the next chunk of a streamed response.
     fn send_chunk(&self, bytes: Vec<u8>);
-    /// Writes the final answer.
+    /// Writes the final answer and ends the response.
     fn finish(self: Box<Self>, answer: Answer);
 }
 
-/// A request that a front has read from a client.
+/// A request that was read from a client and is not submitted yet.
 pub struct ReceivedRequest {
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// Its tenant, where the settings name it.
+    /// Tenant of the request; `None` if the client names no tenant, or one that is not in the settings.
     pub tenant: Option<TenantId>,
-    /// When its last byte arrived.
-    pub arrived: Milliseconds,
-    /// How long the client waits for the answer.
-    pub limit: Milliseconds,
-    /// The client's estimate of its work.
+    /// Earliest time at which the last byte of the request may have arrived.
+    pub arrived_at: Milliseconds,
+    /// Maximum time for which the client waits for the answer.
+    pub max_wait: Milliseconds,
+    /// Client's estimate of the work of the request.
     pub work: Option<Milliseconds>,
-    /// The client's estimate of its memory.
+    /// Client's estimate of the memory of the request, in MB.
     pub memory_mb: Option<f64>,
-    /// The client marks it as a retry of its own.
+    /// Whether the client marks the request as a retry.
     pub is_retry: bool,
-    /// What is to be executed.
+    /// Statement to execute.
     pub statement: Statement,
 }
 
-/// The metric under which an answer is counted.
+/// Returns the metric under which an answer is counted.
 pub(super) fn count_of_answer(answer: &Answer) -> Count {
     match answer {
         Answer::Served(_) | Answer::Streamed => Count::Answered,
--- a/src/net/front/rules.rs
+++ b/src/net/front/rules.rs
@@ -1,16 +1,16 @@
-//! Assigns statements to classes, by the operator's rules.
+//! Assignment of statements to classes by the operator's rules.
 
 use crate::interface::{ClassId, Settings};
 use crate::net::sql::first_word;
 use crate::simulator::{Fields, LineError};
 
-/// One rule: everything that it names must match.
+/// One rule. A statement matches if both its first word and its user match.
 #[derive(Debug, Clone, PartialEq)]
 struct Rule {
     class: ClassId,
-    /// First words of statements, in lower case; empty: all match.
+    /// First words of matching statements, in lower case; if empty, every statement matches.
     verbs: Vec<String>,
-    /// Users; empty: all match.
+    /// Matching users; if empty, every user matches.
     users: Vec<String>,
 }
 
@@ -30,8 +30,9 @@
     }
 
     fn matches(&self, verb: &str, user: &str) -> bool {
-        let names = |list: &[String], item: &str| list.is_empty() || list.iter().any(|known| known == item);
-        names(&self.verbs, verb) && names(&self.users, user)
+        let list_matches =
+            |list: &[String], item: &str| list.is_empty() || list.iter().any(|known| known == item);
+        list_matches(&self.verbs, verb) && list_matches(&self.users, user)
     }
 
     fn matches_all(&self) -> bool {
@@ -39,15 +40,15 @@
     }
 }
 
-/// Rules in their order: the first that matches decides. The last one matches all statements.
+/// Rules in the order of the settings. The first matching rule determines the class; the last one matches all statements.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClassRules(Vec<Rule>);
 
 impl ClassRules {
-    /// Reads `clickhouse.rules`.
+    /// Reads the rules from the fields `clickhouse.rules.*`.
     ///
     /// # Errors
-    /// A rule names no class of the settings, or the last rule does not match all statements.
+    /// The class of a rule is missing or not in the settings, or the last rule does not match all statements.
     pub fn read(fields: &Fields, settings: &Settings) -> Result<Self, LineError> {
         let count = fields.number_or("clickhouse.rules.count", 0.0)? as usize;
         let rules = (0..count).map(|index| Rule::read(fields, index, settings));
@@ -58,7 +59,7 @@
         Ok(Self(rules))
     }
 
-    /// The class of a statement of that user.
+    /// Returns the class of a statement that is sent by `user`.
     pub fn class(&self, statement: &[u8], user: &str) -> ClassId {
         let verb = first_word(statement).unwrap_or_default();
         self.0.iter().find(|rule| rule.matches(&verb, user)).map_or(ClassId(0), |rule| rule.class)
--- a/src/net/front/shutdown_phase.rs
+++ b/src/net/front/shutdown_phase.rs
@@ -1,40 +1,40 @@
-//! The phases of a shutdown, as clients' connections meet them.
+//! Phases of the shutdown of this process, and their effect on client connections.
 
-/// How far the shutdown of this process is. A process that nobody takes over from goes from `Serving` by `Draining` to
-/// `Stopping`; one that is replaced goes by `HandingOver` to `ClosingIdle`.
+/// Phase of the shutdown of this process. In a shutdown without a hot restart the phases are `Serving`, `Draining`,
+/// `Stopping`; in a hot restart they are `Serving`, `HandingOver`, `ClosingIdle`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum ShutdownPhase {
-    /// No shutdown was requested.
+    /// No shutdown has been requested.
     #[default]
     Serving,
-    /// The shutdown was requested and no other process takes over: it serves on until its window is over.
+    /// Shutdown was requested and no other process has taken over: requests are served until the drain ends.
     Draining,
-    /// Another process takes over: each connection closes after its next answer.
+    /// Another process takes over: each connection is closed after its next answer.
     HandingOver,
-    /// Another process takes over: connections that are idle close as well.
+    /// Another process takes over: idle connections are closed as well.
     ClosingIdle,
-    /// The window is over and no other process takes over: it accepts no connection, and closes those that are idle.
+    /// The drain has ended and no other process takes over: no connections are accepted, and idle ones are closed.
     Stopping,
 }
 
 impl ShutdownPhase {
-    /// Whether connections are accepted, and stay open after an answer.
+    /// Returns whether connections are accepted and stay open after an answer.
     pub fn keeps_connections(self) -> bool {
         matches!(self, Self::Serving | Self::Draining)
     }
 
-    /// Whether idle connections are closed.
+    /// Returns whether idle connections are closed.
     pub fn closes_idle(self) -> bool {
         matches!(self, Self::ClosingIdle | Self::Stopping)
     }
 
-    /// Whether another process takes over.
+    /// Returns whether another process takes over.
     pub fn is_hot_restart(self) -> bool {
         matches!(self, Self::HandingOver | Self::ClosingIdle)
     }
 
-    /// Whether health checks of load balancers are to fail. While another process takes over they need not: it listens at
-    /// the same address.
+    /// Returns whether health checks of load balancers fail. In a hot restart they succeed, as the other process listens
+    /// on the same address.
     pub fn reports_unhealthy(self) -> bool {
         matches!(self, Self::Draining | Self::Stopping)
     }
--- a/src/net/front/state.rs
+++ b/src/net/front/state.rs
@@ -1,4 +1,4 @@
-//! The state that all fronts share: pending requests, clients' connections and the phase of a shutdown.
+//! State shared by all client protocols: pending requests, client connections and the shutdown phase.
 
 use crate::core::{Answer, ClientRequest, Event, ResultRows, Statement};
 use crate::interface::{DataSet, Milliseconds, RequestDetails, RequestId, Settings};
@@ -18,48 +18,49 @@
 use tokio::sync::{watch, Notify, Semaphore};
 use tokio::time::{timeout_at, Instant};
 
-/// A request without a final answer: how its client is answered, and its statement.
+/// A request that has no final answer yet.
 struct PendingRequest {
     response_writer: Box<dyn ResponseWriter>,
     statement: Rc<Statement>,
 }
 
-/// What all fronts share. It owns the pending requests and the list of clients' connections.
+/// State shared by all client protocols. Owns the pending requests and the list of client connections.
 pub struct FrontendState {
-    /// The settings of the decision module.
+    /// Settings of the decision module.
     pub settings: Rc<Settings>,
-    /// The limits of the program.
+    /// Resource limits and timeouts of the gateway.
     pub limits: Rc<Limits>,
-    /// The clock of the gateway.
+    /// Clock of the gateway, in which arrival times and deadlines are given.
     pub clock: Clock,
-    /// Pauses of the process.
+    /// Detects pauses of the process, which arrival times take into account.
     pub pauses: PauseDetector,
-    /// The queue of events for the reducer.
+    /// Queue of events for the reducer.
     pub events: Sender<Event>,
-    /// The state that all connections share.
+    /// State shared by all connections, of clients and to engines.
     pub shared: Rc<SharedState>,
     shutdown_phase: Rc<Cell<ShutdownPhase>>,
-    /// No request can be served before the first endpoint list is received.
+    /// Whether the first endpoint list is still awaited. Until then no request can be served, and health checks fail.
     pub awaits_endpoint_list: Cell<bool>,
-    /// True once listeners are to stop accepting.
+    /// True once listeners must stop accepting connections.
     pub stop_accepting: watch::Sender<bool>,
     pending: RefCell<HashMap<RequestId, PendingRequest>>,
-    /// Pending requests by their clients' names for them, over all connections.
+    /// Ids of the pending requests of all connections, by the names that the clients gave them.
     ids_by_name: RefCell<HashMap<String, RequestId>>,
     connections: RefCell<Vec<Rc<ClientConnection>>>,
     listener_guard: ListenerGuard,
-    /// Slots for accepted connections that wait to be served, over all listeners.
+    /// Slots for accepted connections that are not served yet, for all listeners together.
     pub waiting_slots: Arc<Semaphore>,
-    /// Notified when a connection has ended.
+    /// Notified when a client connection has been released.
     connection_released: Notify,
     next_request_id: Cell<u64>,
 }
 
-/// Held by everything that may still bring a connection: listeners, and accepted connections that wait for a slot.
+/// Reference held by everything that may still add a client connection: listeners, and accepted connections that wait
+/// for a slot.
 pub type ListenerGuard = Rc<()>;
 
 impl FrontendState {
-    /// A state without requests or connections. Request ids start at 1.
+    /// Creates a state without requests or connections. Request ids start at 1.
     pub fn new(settings: Rc<Settings>, limits: Rc<Limits>, events: Sender<Event>) -> Rc<Self> {
         Rc::new(Self {
             shared: SharedState::with_retry_budget(settings.classes.len(), settings.retry_budget),
@@ -81,9 +82,9 @@
         })
     }
 
-    /// Takes a slot for a client's new connection. If all slots are taken, the connection that has been idle longest is
-    /// evicted: a new one is likely to bring a request whose client waits for the answer. None: no slot was released in
-    /// the time for which the client may be kept waiting.
+    /// Registers a client's new connection. If all slots are in use, the connection that has been idle longest is evicted,
+    /// because a new one is likely to send a request whose client waits for the answer. Returns `None` if no slot is
+    /// released within `max_wait_for_slot`.
     pub async fn accept_connection(&self) -> Option<Rc<ClientConnection>> {
         let deadline = Instant::now() + self.limits.max_wait_for_slot;
         while !self.has_free_slot() {
@@ -103,23 +104,23 @@
         self.connections.borrow().len() < self.shared.process_share(self.limits.max_client_connections)
     }
 
-    /// Requests the eviction of the connection that has been idle longest, once it has been idle long enough. Returns
-    /// when to check again.
+    /// Requests the eviction of the connection that has been idle longest, if it has been idle for at least
+    /// `min_idle_before_eviction`. Returns the time of the next check.
     fn request_eviction(&self) -> Instant {
         let min_idle = self.limits.min_idle_before_eviction;
         match self.longest_idle() {
             Some((idle_since, connection)) if idle_since.elapsed() >= min_idle => {
-                // It checks first whether a request has arrived; if so, the next check chooses another one.
+                // The connection first checks whether a request has arrived; if so, the next check chooses another connection.
                 connection.request_eviction();
                 Instant::now() + min_idle
             }
             Some((idle_since, _)) => idle_since + min_idle,
-            // One may become idle meanwhile.
+            // A connection may become idle within this time.
             None => Instant::now() + min_idle,
         }
     }
 
-    /// The connection that has been idle longest, among those that are not being evicted.
+    /// Returns the connection that has been idle longest, among those whose eviction has not been requested.
     fn longest_idle(&self) -> Option<(Instant, Rc<ClientConnection>)> {
         let connections = self.connections.borrow();
         let candidates = connections.iter().filter(|connection| !connection.is_eviction_requested());
@@ -127,13 +128,13 @@
         idle.min_by_key(|(idle_since, _)| *idle_since)
     }
 
-    /// Gives up the slot of a client's connection that has ended.
+    /// Releases the slot of a client connection that has ended.
     pub fn release_connection(&self, ended: &Rc<ClientConnection>) {
         self.connections.borrow_mut().retain(|connection| !Rc::ptr_eq(connection, ended));
         self.connection_released.notify_one();
     }
 
-    /// Goes on to a further phase of the shutdown. All connections check whether they close.
+    /// Enters a later phase of the shutdown. All connections check whether they have to close.
     pub fn enter_shutdown_phase(&self, phase: ShutdownPhase) {
         let previous = self.shutdown_phase.replace(phase);
         tracing::info!(?previous, ?phase, "shutdown phase changed");
@@ -145,46 +146,47 @@
         }
     }
 
-    /// The phase of the shutdown.
+    /// Returns the current phase of the shutdown.
     pub fn shutdown_phase(&self) -> ShutdownPhase {
         self.shutdown_phase.get()
     }
 
-    /// A guard for something that may bring a connection.
+    /// Returns a guard for an object that may still add a client connection.
     pub fn listener_guard(&self) -> ListenerGuard {
         self.listener_guard.clone()
     }
 
-    /// Whether no client is connected, and none can connect any more.
+    /// Returns whether no client is connected and none can connect any more.
     pub fn has_no_connections(&self) -> bool {
         self.connections.borrow().is_empty() && Rc::strong_count(&self.listener_guard) == 1
     }
 
-    /// The number of requests that have no final answer yet.
+    /// Returns the number of requests that have no final answer yet.
     pub fn pending_requests(&self) -> usize {
         self.pending.borrow().len()
     }
 
-    /// When something that is noticed now happened, at the earliest: the process may have been paused since.
+    /// Returns the earliest time at which an event that is observed now may have happened: the process may have been paused
+    /// since.
     pub fn earliest_arrival(&self) -> Milliseconds {
         self.clock.at(self.pauses.earliest_arrival(Instant::now()))
     }
 
-    /// When the bytes that are read now from a connection arrived, at the earliest: they may have arrived while the
+    /// Returns the earliest time at which the bytes that are read now from a connection may have arrived: possibly while the
     /// process was paused, or while the connection waited to be accepted.
     pub fn arrival_time(&self, connection: &ClientConnection) -> Milliseconds {
         let now = Instant::now();
         self.clock.at(self.pauses.earliest_arrival(now).min(connection.earliest_arrival().unwrap_or(now)))
     }
 
-    /// An id for a request that is about to be submitted.
+    /// Returns a new id for a request that is about to be submitted.
     pub fn allocate_request_id(&self) -> RequestId {
         let id = self.next_request_id.get();
         self.next_request_id.set(id + 1);
         RequestId(id)
     }
 
-    /// Submits a request to the reducer.
+    /// Submits a request to the reducer and records it as pending.
     pub async fn submit(
         &self,
         id: RequestId,
@@ -196,14 +198,14 @@
             class: received.class,
             tenant: received.tenant,
             key: None,
-            deadline: received.arrived + received.limit,
+            deadline: received.arrived_at + received.max_wait,
             work: received.work.filter(|work| *work > 0.0),
             memory_mb: received.memory_mb.filter(|memory| *memory > 0.0),
             data: sql::table_group(&received.statement.text).map(DataSet),
             is_retry: received.is_retry,
         };
         let statement = Rc::new(received.statement);
-        // Nothing is awaited after this: a connection that ends meanwhile leaves no request that is submitted in part.
+        // Nothing is awaited from here on, so that a connection that ends cannot leave a partly submitted request.
         let Ok(event) = self.events.reserve().await else { return };
         self.shared.count_request();
         self.ids_by_name.borrow_mut().insert(statement.name.clone(), id);
@@ -212,7 +214,8 @@
         event.send(Event::RequestReceived(ClientRequest { details, statement }));
     }
 
-    /// The pending request of that name. Two requests of one name could not be told apart at their engines.
+    /// Returns the pending request with this name. Names must be unique among the pending requests, as engines identify an
+    /// attempt by the name of its request.
     pub fn open_request_named(&self, name: &str) -> Option<RequestId> {
         self.ids_by_name.borrow().get(name).copied()
     }
@@ -223,7 +226,7 @@
         Some(removed.response_writer)
     }
 
-    /// Records that the clients of these requests have disconnected or cancelled them: no attempt of theirs may begin any more.
+    /// Records that the clients of these requests have disconnected or cancelled them: no attempt of them may be sent any more.
     pub fn abandon(&self, ids: &[RequestId]) {
         let pending = self.pending.borrow();
         for request in ids.iter().filter_map(|id| pending.get(id)) {
@@ -231,31 +234,32 @@
         }
     }
 
-    /// Withdraws a request whose client disconnected or cancelled it.
+    /// Withdraws a request whose client has disconnected or cancelled it, and notifies the reducer.
     pub async fn withdraw(&self, id: RequestId) {
         self.abandon(&[id]);
-        // The reducer is notified even if the connection ends while this waits: the request stays pending until then.
+        // The request stays pending until the event can be sent, so that the reducer is notified even if the connection ends
+        // during this wait.
         let Ok(event) = self.events.reserve().await else { return };
         if self.remove_pending(id).is_some() {
             event.send(Event::ClientDisconnected(id));
         }
     }
 
-    /// Writes the first part of a streamed response.
+    /// Writes the start of a streamed response and the rows collected so far.
     pub fn start_response(&self, id: RequestId, rows: ResultRows) {
         if let Some(pending) = self.pending.borrow().get(&id) {
             pending.response_writer.start(rows);
         }
     }
 
-    /// Writes a further part of a streamed response.
+    /// Writes the next chunk of a streamed response.
     pub fn send_chunk(&self, id: RequestId, bytes: Vec<u8>) {
         if let Some(pending) = self.pending.borrow().get(&id) {
             pending.response_writer.send_chunk(bytes);
         }
     }
 
-    /// Writes the final answer. The request is pending no longer.
+    /// Writes the final answer and removes the request from the pending ones.
     pub fn finish_response(&self, id: RequestId, answer: Answer) {
         if let Some(response_writer) = self.remove_pending(id) {
             response_writer.finish(answer);
--- a/src/net/front/thrift/call.rs
+++ b/src/net/front/thrift/call.rs
@@ -1,4 +1,4 @@
-//! The fields of a call: what they must hold for the call to become a request.
+//! Validation of the fields of a call, and their conversion to a request.
 
 use crate::core::Statement;
 use crate::interface::{ClassId, Idempotency, TenantId};
@@ -6,51 +6,52 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// No time, work or memory is more: weeks in milliseconds, petabytes in megabytes.
+/// Largest valid time, work (ms) or memory (MB): about 16 weeks, or 10 PB.
 const MAX_NUMBER: f64 = 1e10;
-/// The one value of `second` that marks a client's retry.
+/// Value of the field `second` that marks a client's retry.
 const RETRY_MARK: &str = "1";
-/// Longest name or key, in bytes.
+/// Maximum length of a request name or an idempotency key, in bytes.
 const MAX_NAME_BYTES: usize = 256;
-/// A client may wait for so many times as long as its class times out.
-const MAX_LIMIT_IN_TIMEOUTS: f64 = 10.0;
+/// Maximum time for which a client may wait, as a multiple of the client timeout of the class.
+const MAX_WAIT_IN_CLIENT_TIMEOUTS: f64 = 10.0;
 
-/// The fields of a call by name.
+/// Fields of a call, by name.
 pub(super) type Fields<'a> = BTreeMap<&'a str, &'a str>;
 
-/// Why a call cannot become a request. The texts are sent to the client.
+/// Reason for which a call is rejected as invalid. The texts are sent to the client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub(super) enum InvalidCall {
-    /// A number cannot be read or is out of range: the request would not do what was meant.
+    /// A number cannot be parsed or is out of range. The call is rejected, as it would not be executed as the client
+    /// intended.
     #[error("a figure cannot be used")]
     Number,
-    /// The class is missing.
+    /// The field `verb`, which names the class, is missing.
     #[error("verb is missing")]
     ClassMissing,
-    /// The settings do not name the class.
+    /// The class is not in the settings.
     #[error("verb is no class")]
     UnknownClass,
-    /// The name of the request is missing.
+    /// The field `txn`, which names the request, is missing.
     #[error("txn is missing")]
     NameMissing,
-    /// The name or the idempotency key is missing, too long, or not alphanumeric.
+    /// The name or the idempotency key is missing, empty, too long, or not alphanumeric.
     #[error("txn or unique is missing or cannot be used")]
     NameOrKey,
-    /// The time that the client waits is missing.
+    /// The field `limit`, the time for which the client waits, is missing.
     #[error("limit is missing")]
     LimitMissing,
-    /// The client waits for longer than any request of its class may take.
+    /// The client's limit is longer than any request of its class may take.
     #[error("limit is longer than any request of its class may take")]
     LimitTooLong,
 }
 
-/// The class that a call names, if the settings have it.
+/// Returns the class that a call names, if it is in the settings.
 pub(super) fn class_of(fields: &Fields<'_>, frontend: &FrontendState) -> Option<ClassId> {
     let verb = fields.get("verb")?;
     frontend.settings.classes.iter().position(|class| class.name == *verb).map(ClassId)
 }
 
-/// The value of a field that is a number; none where the field is missing.
+/// Parses a field as a number; `None` if the field is missing.
 fn number(fields: &Fields<'_>, name: &str) -> Result<Option<f64>, InvalidCall> {
     match fields.get(name).map(|value| value.parse::<f64>()) {
         None => Ok(None),
@@ -59,37 +60,37 @@
     }
 }
 
-/// Whether a text can stand in a field of an engine's command without ending that field.
-fn is_plain(text: &str) -> bool {
+/// Returns whether a text can be used as a name or key in an engine's command, in which punctuation separates the fields.
+fn is_valid_name(text: &str) -> bool {
     (1..=MAX_NAME_BYTES).contains(&text.len()) && text.bytes().all(|byte| byte.is_ascii_alphanumeric())
 }
 
-/// Reads the request of a call that is received now.
+/// Validates the fields of a call that was just received, and builds its request.
 pub(super) fn read_request(
     fields: &Fields<'_>,
     body: &[u8],
     connection: &ClientConnection,
     frontend: &FrontendState,
 ) -> Result<ReceivedRequest, InvalidCall> {
-    let arrived = frontend.arrival_time(connection);
+    let arrived_at = frontend.arrival_time(connection);
     let verb = *fields.get("verb").ok_or(InvalidCall::ClassMissing)?;
     let class_id = class_of(fields, frontend).ok_or(InvalidCall::UnknownClass)?;
     let class = &frontend.settings.classes[class_id.0];
     let name = *fields.get("txn").ok_or(InvalidCall::NameMissing)?;
     let is_keyed = matches!(class.idempotency, Idempotency::Keyed { .. });
     let key = fields.get("unique").copied().filter(|_| is_keyed);
-    if !is_plain(name) || is_keyed && !key.is_some_and(is_plain) {
+    if !is_valid_name(name) || is_keyed && !key.is_some_and(is_valid_name) {
         return Err(InvalidCall::NameOrKey);
     }
-    let limit = number(fields, "limit")?.ok_or(InvalidCall::LimitMissing)?;
-    if limit > MAX_LIMIT_IN_TIMEOUTS * class.client_timeout {
+    let max_wait = number(fields, "limit")?.ok_or(InvalidCall::LimitMissing)?;
+    if max_wait > MAX_WAIT_IN_CLIENT_TIMEOUTS * class.client_timeout {
         return Err(InvalidCall::LimitTooLong);
     }
     Ok(ReceivedRequest {
         class: class_id,
         tenant: tenant_of(fields, frontend),
-        arrived,
-        limit,
+        arrived_at,
+        max_wait,
         work: number(fields, "cpu")?,
         memory_mb: number(fields, "mem")?,
         // Any other value is ignored: the mark is a hint, and the request is valid without it.
@@ -104,7 +105,7 @@
     })
 }
 
-/// The tenant that a call names. One that the settings do not name has no quota that it could be held to.
+/// Returns the tenant that a call names. A tenant that is not in the settings has no quota, and is ignored.
 fn tenant_of(fields: &Fields<'_>, frontend: &FrontendState) -> Option<TenantId> {
     let team = fields.get("team")?;
     frontend.settings.tenants.iter().position(|tenant| tenant.name == *team).map(TenantId)
--- a/src/net/front/thrift/decode.rs
+++ b/src/net/front/thrift/decode.rs
@@ -1,4 +1,4 @@
-//! Reads messages of clients in place.
+//! Parser of client messages. It borrows from the read buffer.
 
 use super::protocol::*;
 use std::collections::BTreeMap;
@@ -7,35 +7,35 @@
 use winnow::prelude::*;
 use winnow::token::take;
 
-/// Length of the field that precedes each frame and holds its length.
+/// Length of the header of a frame, which contains the length of the frame.
 pub(super) const FRAME_HEADER_BYTES: usize = 4;
 
-/// Deepest nesting of fields that are skipped.
+/// Maximum nesting depth of unknown fields, which are skipped recursively.
 const MAX_DEPTH: usize = 16;
 
-/// A message, its parts still in the buffer.
+/// A message that borrows from the read buffer.
 #[derive(Debug, PartialEq)]
 pub enum Message<'a> {
-    /// `call`: the fields and the statement.
+    /// The method `call`, which submits a statement.
     Call {
-        /// Its sequence number.
+        /// Sequence number of the call.
         seqid: i32,
-        /// Its fields by name.
+        /// Fields of the call, by name.
         fields: BTreeMap<&'a str, &'a str>,
-        /// The statement.
+        /// Statement to execute.
         body: &'a [u8],
     },
-    /// `cancel` of the call with this sequence number.
+    /// The method `cancel`, with the sequence number of the call to cancel.
     Cancel(i32),
-    /// `health`, with its sequence number.
+    /// The method `health`, with the sequence number of the message.
     Health(i32),
-    /// A method that is not served, or arguments that cannot be read: the sequence number and the method's name.
+    /// An unsupported method, or arguments that cannot be decoded: the sequence number and the name of the method.
     Unknown(i32, &'a [u8]),
 }
 
 type ParseResult<T> = Result<T, EmptyError>;
 
-/// Length of the first frame, header included, once the header is there.
+/// Returns the length of the first frame including its header, or `None` if the header is incomplete.
 pub fn frame_len(bytes: &[u8]) -> Option<usize> {
     let mut rest = bytes;
     let length: ParseResult<u32> = be_u32.parse_next(&mut rest);
@@ -67,7 +67,7 @@
     Ok(map)
 }
 
-/// Skips the value of a field that is not used.
+/// Skips the value of an unknown field, with a maximum nesting of `depth` levels.
 fn skip(input: &mut &[u8], field_type: u8, depth: usize) -> ParseResult<()> {
     if depth == 0 {
         return Err(EmptyError);
@@ -132,8 +132,8 @@
     }
 }
 
-/// Reads the message in a frame, without the frame's header. None: it is no message of this protocol, or a `cancel` that
-/// cannot be read, which has no answer.
+/// Parses the message in a frame without its header. Returns `None` if it is not a message of this protocol, or is a
+/// `cancel` with invalid arguments, which cannot be answered with an exception because it is one-way.
 pub fn message(frame: &[u8]) -> Option<Message<'_>> {
     let mut input = frame;
     let head: ParseResult<_> = (be_u32, binary, be_i32).parse_next(&mut input);
--- a/src/net/front/thrift/encode.rs
+++ b/src/net/front/thrift/encode.rs
@@ -1,4 +1,4 @@
-//! Writes answers as frames.
+//! Encoding of answers as frames.
 
 use super::protocol::*;
 use crate::core::ResultRows;
@@ -6,14 +6,14 @@
 use crate::net::connection::frame::Frame;
 use crate::net::front::thrift::decode::FRAME_HEADER_BYTES;
 
-/// Field of a result that holds the answer.
+/// Field id of the answer in the result of a method.
 const ANSWER_FIELD: i16 = 0;
-/// Field of a result that holds the exception `Overloaded`.
+/// Field id of the exception `Overloaded` in the result of `call`.
 const OVERLOADED_FIELD: i16 = 1;
-/// Field of a result that holds the exception `Internal`.
+/// Field id of the exception `Internal` in the result of `call`.
 const INTERNAL_FIELD: i16 = 2;
 
-/// The start of a message, with room for the frame's header.
+/// Encodes the start of a message, with zeros in place of the frame's header.
 fn message_head(message_type: u8, method: &str, seqid: i32) -> Vec<u8> {
     let mut out = vec![0; FRAME_HEADER_BYTES];
     out.extend((VERSION | u32::from(message_type)).to_be_bytes());
@@ -41,15 +41,15 @@
     }
 }
 
-/// Fills in the frame's header.
+/// Sets the header of a frame to the length of its parts.
 fn frame(mut parts: Vec<Vec<u8>>) -> Frame {
     let length = parts.iter().map(Vec::len).sum::<usize>() - FRAME_HEADER_BYTES;
     parts[0][..FRAME_HEADER_BYTES].copy_from_slice(&(length as u32).to_be_bytes());
     Frame::from_parts(parts)
 }
 
-/// An `Answer`: a result, whose parts are sent as they arrived, and whether the gateway is well.
-pub(super) fn answer(method: &str, seqid: i32, rows: ResultRows, is_well: bool) -> Frame {
+/// Encodes an `Answer`: a result, whose parts are not copied, and whether the gateway is healthy.
+pub(super) fn answer(method: &str, seqid: i32, rows: ResultRows, is_healthy: bool) -> Frame {
     let mut head = message_head(REPLY, method, seqid);
     write_field_head(&mut head, STRUCT, ANSWER_FIELD);
     write_field_head(&mut head, STRING, 1);
@@ -58,11 +58,11 @@
     write_field_head(&mut tail, MAP, 2);
     write_text_map(&mut tail, &[]);
     write_field_head(&mut tail, BOOL, 3);
-    tail.extend([u8::from(is_well), STOP, STOP]);
+    tail.extend([u8::from(is_healthy), STOP, STOP]);
     frame(std::iter::once(head).chain(rows.parts).chain([tail]).collect())
 }
 
-/// A declared exception in that field of the result of `call`.
+/// Encodes a declared exception, in the given field of the result of `call`.
 fn declared_exception(seqid: i32, field: i16, pairs: &[(&str, &str)]) -> Frame {
     let mut out = message_head(REPLY, "call", seqid);
     write_field_head(&mut out, STRUCT, field);
@@ -72,17 +72,17 @@
     frame(vec![out])
 }
 
-/// `Overloaded`: the call was rejected; the client may retry after that time.
+/// Encodes the exception `Overloaded`: the call was rejected, and the client may retry after `retry_after`.
 pub(super) fn overloaded(seqid: i32, retry_after: Milliseconds) -> Frame {
     declared_exception(seqid, OVERLOADED_FIELD, &[("later", &format!("{:.0}", retry_after.max(0.0)))])
 }
 
-/// `Internal`: the call failed.
+/// Encodes the exception `Internal`: the call failed.
 pub(super) fn internal(seqid: i32, reason: &str) -> Frame {
     declared_exception(seqid, INTERNAL_FIELD, &[("why", reason)])
 }
 
-/// The method is not served, or its arguments cannot be read.
+/// Encodes the exception for an unsupported method, or for arguments that cannot be decoded.
 pub(super) fn exception(seqid: i32, method: &[u8]) -> Frame {
     let method = String::from_utf8_lossy(method);
     let (text, code): (&[u8], i32) = match &*method {
--- a/src/net/front/thrift/mod.rs
+++ b/src/net/front/thrift/mod.rs
@@ -1,7 +1,7 @@
-//! The platform's protocol: framed Thrift in the strict binary encoding.
+//! The platform's client protocol: framed Thrift in the strict binary encoding.
 //!
-//! [`serve`] owns a connection: it reads frames, has `decode` read the messages in place, and handles them. `call` checks
-//! the fields of a call; `encode` writes answers, whose results are passed on as they arrived.
+//! [`serve`] owns a connection: it reads frames and handles the messages that `decode` parses in place. `call` validates
+//! the fields of a call; `encode` writes answers and leaves the bytes of results unchanged.
 
 mod call;
 mod decode;
--- a/src/net/front/thrift/protocol.rs
+++ b/src/net/front/thrift/protocol.rs
@@ -1,11 +1,11 @@
-//! Numbers of the Thrift binary protocol.
+//! Constants of the Thrift binary protocol.
 
 /// Version of the strict encoding, in the upper half of the first word of a message.
 pub(super) const VERSION: u32 = 0x8001_0000;
-/// Bits of the first word of a message that hold the version.
+/// Mask of the version bits in the first word of a message.
 pub(super) const VERSION_MASK: u32 = 0xffff_0000;
 
-/// Message type: a call that is answered.
+/// Message type: a call that expects an answer.
 pub(super) const CALL: u8 = 1;
 /// Message type: the answer to a call.
 pub(super) const REPLY: u8 = 2;
@@ -14,7 +14,7 @@
 /// Message type: a call without an answer.
 pub(super) const ONEWAY: u8 = 4;
 
-/// Ends the fields of a struct.
+/// Field type that marks the end of a struct.
 pub(super) const STOP: u8 = 0;
 /// Field type: a Boolean.
 pub(super) const BOOL: u8 = 2;
@@ -39,7 +39,7 @@
 /// Field type: a list.
 pub(super) const LIST: u8 = 15;
 
-/// Exception code: the method is not served.
+/// Exception code: the method is not supported.
 pub(super) const UNKNOWN_METHOD: i32 = 1;
-/// Exception code: the arguments cannot be read.
+/// Exception code: the arguments cannot be decoded.
 pub(super) const PROTOCOL_ERROR: i32 = 7;
--- a/src/net/front/thrift/session.rs
+++ b/src/net/front/thrift/session.rs
@@ -1,4 +1,4 @@
-//! Serves one connection of a client: reads its messages, submits its calls and sends their answers.
+//! Session of one client connection: reads messages, submits calls and sends their answers.
 
 use super::call::{class_of, read_request, Fields};
 use super::decode::{frame_len, message, Message, FRAME_HEADER_BYTES};
@@ -17,21 +17,22 @@
 use std::rc::Rc;
 use tokio::net::TcpStream;
 
-/// State of one connection.
+/// State of the session on one connection.
 struct Session {
     connection: Rc<ClientConnection>,
     limits: Rc<Limits>,
-    /// Open calls by their sequence numbers.
+    /// Request ids of the open calls, by sequence number.
     open_calls: RefCell<HashMap<i32, RequestId>>,
-    /// Sequence number of the last call, or of a health check in sequence; 0 before the first, as sequences start at 1.
+    /// Sequence number of the last call, or of the last health check that continued the sequence; initially 0, as
+    /// sequences start at 1.
     last_seqid: Cell<i32>,
 }
 
-/// The client used a sequence number out of order, or the name of a request that is open on its connection: the answers
-/// could not be told apart.
+/// Error of a client that sent a sequence number out of order, or the name of a request that is still open on its
+/// connection. The connection is closed, because answers could not be matched to calls.
 struct ProtocolViolation;
 
-/// Writes the answer to one call.
+/// Writer of the answer to one call.
 struct CallResponse {
     session: Rc<Session>,
     seqid: i32,
@@ -39,7 +40,7 @@
 }
 
 impl ResponseWriter for CallResponse {
-    // Answers of this protocol are not streamed: its statements have no flow control.
+    // Answers of this protocol are not streamed, because its statements have no flow control.
     fn start(&self, _: ResultRows) {}
     fn send_chunk(&self, _: Vec<u8>) {}
 
@@ -56,7 +57,7 @@
     }
 }
 
-/// Serves one client until its connection ends, then withdraws the calls that are open on it.
+/// Serves one client until its connection ends, then withdraws the calls that are still open.
 pub async fn serve(stream: TcpStream, connection: Rc<ClientConnection>, frontend: Rc<FrontendState>) {
     let limits = frontend.limits.clone();
     let session = Rc::new(Session {
@@ -82,24 +83,24 @@
     }
 }
 
-/// Reads and handles messages until the connection is over or is to be closed.
+/// Reads and handles messages until the connection has ended or has to be closed.
 async fn read_messages(stream: &TcpStream, session: &Rc<Session>, frontend: &Rc<FrontendState>) {
     let limits = &session.limits;
     let mut read_buffer = ReadBuffer::new(frontend.shared.clone());
     loop {
         while let Some(length) = frame_len(read_buffer.unread()) {
             if length > limits.max_message_bytes {
-                return log::warn_rate_limited("a client's frame is too long; the connection was closed");
+                return log::warn_rate_limited(
+                    "a client frame exceeds the maximum message size; closing the connection",
+                );
             }
             let Some(frame) = read_buffer.unread().get(FRAME_HEADER_BYTES..length) else { break };
             let Some(message) = message(frame) else {
-                return log::warn_rate_limited(
-                    "a client's message cannot be read; the connection was closed",
-                );
+                return log::warn_rate_limited("a client message cannot be decoded; closing the connection");
             };
             if let Err(ProtocolViolation) = session.handle_message(message, frontend).await {
                 return log::warn_rate_limited(
-                    "a client sent a sequence number out of order, or a name twice; the connection was closed",
+                    "a client sent an out-of-order sequence number or duplicate name; closing the connection",
                 );
             }
             read_buffer.consume(length);
@@ -115,8 +116,8 @@
         self.connection.send(frame, &self.limits);
     }
 
-    /// Sends an answer that this front gives itself, counted if its class is known.
-    fn send_own_answer(&self, frame: Frame, class: Option<ClassId>, count: Count) {
+    /// Sends an answer to a call that is not submitted to the reducer, counted if the class of the call is known.
+    fn send_direct_answer(&self, frame: Frame, class: Option<ClassId>, count: Count) {
         self.send(match class {
             Some(class) => frame.counted((class.0, count)),
             None => frame,
@@ -149,20 +150,21 @@
         if self.last_seqid.get().checked_add(1) == Some(seqid) {
             self.last_seqid.set(seqid);
         }
-        let is_well = !frontend.shutdown_phase().reports_unhealthy() && !frontend.awaits_endpoint_list.get();
-        self.send(encode::answer("health", seqid, ResultRows::default(), is_well));
+        let is_healthy =
+            !frontend.shutdown_phase().reports_unhealthy() && !frontend.awaits_endpoint_list.get();
+        self.send(encode::answer("health", seqid, ResultRows::default(), is_healthy));
     }
 
     async fn cancel(&self, seqid: i32, frontend: &FrontendState) {
         let id = self.open_calls.borrow().get(&seqid).copied();
         if let Some(id) = id {
-            // It stays open until the reducer is notified: the connection may end while this waits.
+            // The call stays open until the reducer is notified, as the connection may end during this wait.
             frontend.withdraw(id).await;
             self.close_call(seqid);
         }
     }
 
-    /// Submits a call, or answers it where it cannot become a request.
+    /// Submits a call to the reducer, or answers it directly if it is rejected or invalid.
     async fn handle_call(
         self: &Rc<Self>,
         seqid: i32,
@@ -173,7 +175,7 @@
         self.check_sequence(seqid)?;
         if self.open_calls.borrow().len() >= self.limits.max_open_per_connection {
             let frame = encode::overloaded(seqid, frontend.settings.max_retry_after);
-            self.send_own_answer(frame, class_of(fields, frontend), Count::Deferred);
+            self.send_direct_answer(frame, class_of(fields, frontend), Count::Deferred);
             return Ok(());
         }
         let same_name = fields.get("txn").and_then(|name| frontend.open_request_named(name));
@@ -184,13 +186,13 @@
             Ok(request) => request,
             Err(invalid) => {
                 let frame = encode::internal(seqid, &invalid.to_string());
-                self.send_own_answer(frame, class_of(fields, frontend), Count::Errored);
+                self.send_direct_answer(frame, class_of(fields, frontend), Count::Errored);
                 return Ok(());
             }
         };
         if same_name.is_some() {
             let frame = encode::internal(seqid, "txn is that of another open request");
-            self.send_own_answer(frame, Some(request.class), Count::Errored);
+            self.send_direct_answer(frame, Some(request.class), Count::Errored);
             return Ok(());
         }
         let id = frontend.allocate_request_id();
@@ -201,8 +203,8 @@
         Ok(())
     }
 
-    /// Sequence numbers start at 1 and increase on each connection. A client that begins elsewhere is not valid: what it
-    /// sends earns no retries, and must not spend those of other clients.
+    /// Checks that the sequence numbers of a connection start at 1 and increase. A client that starts with another number is
+    /// rejected: its calls add nothing to the retry budget, and must not use up the retries of other clients.
     fn check_sequence(&self, seqid: i32) -> Result<(), ProtocolViolation> {
         let last = self.last_seqid.get();
         if seqid <= last || last == 0 && seqid != 1 {
