--- a/src/net/engine/clickhouse/connection.rs
+++ b/src/net/engine/clickhouse/connection.rs
@@ -1,4 +1,4 @@
-//! State of one connection to an engine, and the job that it carries.
+//! State of one connection to a ClickHouse engine, and the job that it carries.
 
 use crate::core::{AttemptId, FlowControl};
 use crate::limits::Limits;
@@ -10,34 +10,34 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// What the next response on a connection belongs to.
+/// Request that is in flight on a connection, to which the next response belongs.
 #[derive(Clone)]
 pub(super) enum Job {
-    /// An attempt; with the flow control of its client where its result may be streamed.
+    /// An attempt, with the flow control of its client if the result may be streamed.
     Attempt(AttemptId, Option<Rc<dyn FlowControl>>),
-    /// A health check.
+    /// A health check, with its tag.
     HealthCheck(u64),
 }
 
-/// One connection to an engine.
+/// One connection to a ClickHouse engine.
 pub(super) struct Connection {
-    /// The address that it is opened to.
+    /// Address that the connection is opened to.
     pub(super) address: SocketAddr,
-    /// Its write queue.
+    /// Queue of requests to the engine.
     pub(super) write_queue: WriteQueue,
     job: RefCell<Option<Job>>,
-    /// Notified when it gets a job.
+    /// Notified when a job is assigned to the connection.
     pub(super) job_assigned: Notify,
-    /// It has ended; the pool forgets it at the next maintenance tick.
+    /// Whether the connection has ended. The pool removes it at the next maintenance.
     pub(super) closed: Cell<bool>,
-    /// It takes no new jobs, and is closed once it has none.
+    /// Whether the connection is retired: it accepts no new jobs, and is closed once it has none.
     pub(super) retired: Cell<bool>,
-    /// When it last got a job or a response.
+    /// Time at which a job was last assigned or a response last received.
     pub(super) last_used: Cell<Instant>,
 }
 
 impl Connection {
-    /// A connection that is about to be opened.
+    /// Creates the state of a connection that is about to be opened.
     pub(super) fn new(address: SocketAddr, shared: Rc<SharedState>) -> Self {
         Self {
             address,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Gives it a job, whose request is `frame`.
+    /// Assigns a job to the connection and queues its request.
     pub(super) fn assign(&self, job: Job, frame: Frame, limits: &Limits) {
         *self.job.borrow_mut() = Some(job);
         self.last_used.set(Instant::now());
@@ -58,32 +58,32 @@
         self.job_assigned.notify_one();
     }
 
-    /// Its job. An attempt may be aborted at any time: nobody holds a job over a wait.
+    /// Returns the current job. It must be read again after each await, as an attempt may be aborted at any time.
     pub(super) fn job(&self) -> Option<Job> {
         self.job.borrow().clone()
     }
 
-    /// Ends its job.
+    /// Removes the current job and returns it.
     pub(super) fn end_job(&self) -> Option<Job> {
         self.job.borrow_mut().take()
     }
 
-    /// Whether it has no job.
+    /// Returns whether the connection has no job.
     pub(super) fn has_no_job(&self) -> bool {
         self.job.borrow().is_none()
     }
 
-    /// Whether it can take a job.
+    /// Returns whether a job can be assigned to the connection.
     pub(super) fn is_free(&self) -> bool {
         self.has_no_job() && !self.closed.get() && !self.retired.get() && !self.write_queue.is_closing()
     }
 
-    /// Whether its job is this attempt.
+    /// Returns whether the job of the connection is this attempt.
     pub(super) fn carries(&self, id: AttemptId) -> bool {
         matches!(&*self.job.borrow(), Some(Job::Attempt(carried, _)) if *carried == id)
     }
 
-    /// Whether its job is a health check.
+    /// Returns whether the job of the connection is a health check.
     pub(super) fn carries_health_check(&self) -> bool {
         matches!(&*self.job.borrow(), Some(Job::HealthCheck(_)))
     }
--- a/src/net/engine/clickhouse/driver.rs
+++ b/src/net/engine/clickhouse/driver.rs
@@ -1,4 +1,4 @@
-//! Drives one connection: opens it, writes and reads until it ends, and reports its job as ended.
+//! Driver of one connection: opens it, writes and reads until it ends, and reports the end of its job.
 
 use super::connection::{Connection, Job};
 use super::response::ResponseReader;
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use tokio::sync::mpsc::Sender;
 
-/// Opens a connection, then writes and reads until it ends, and reports the end of its job.
+/// Opens a connection, writes and reads until it ends, and reports the end of its job.
 pub(super) async fn run(connection: Rc<Connection>, limits: Rc<Limits>, events: Sender<Event>) {
     let stream = tokio::select! {
         stream = connect(connection.address, &limits) => stream,
@@ -43,7 +43,7 @@
     let _ = events.send(event).await;
 }
 
-/// Reports attempts that were dropped unwritten, as it was too late to write them.
+/// Reports attempts that were discarded from the write queue because they must no longer be written.
 async fn report_expired_attempts(connection: &Connection, events: &Sender<Event>) {
     loop {
         let id = connection.write_queue.next_expired_attempt().await;
--- a/src/net/engine/clickhouse/mod.rs
+++ b/src/net/engine/clickhouse/mod.rs
@@ -1,7 +1,7 @@
-//! Engines that speak the ClickHouse HTTP interface. A connection carries one attempt at a time and is used again. An
-//! attempt that is aborted ends its connection, as that is how such an engine is notified.
+//! Engines with the ClickHouse HTTP interface. A connection carries one attempt at a time and is reused. An attempt is
+//! aborted by closing its connection, which is how such an engine is notified.
 //!
-//! [`HttpEngines`] chooses a connection, `request` writes the request of an attempt, `driver` owns the socket, and
+//! [`HttpEngines`] chooses a connection, `request` encodes the request of an attempt, `driver` owns the socket, and
 //! `response` reads the response.
 
 mod connection;
@@ -22,7 +22,7 @@
 use std::rc::Rc;
 use tokio::sync::mpsc::Sender;
 
-/// All connections to engines of this kind. It owns the pools; each connection is driven by a task of its own.
+/// Connections to all engines with this interface, in pools by engine id. A separate task drives each connection.
 pub struct HttpEngines {
     pools: BTreeMap<EngineId, Vec<Rc<Connection>>>,
     limits: Rc<Limits>,
@@ -31,12 +31,12 @@
 }
 
 impl HttpEngines {
-    /// Pools without a connection.
+    /// Creates empty pools.
     pub fn new(limits: Rc<Limits>, shared: Rc<SharedState>, events: Sender<Event>) -> Self {
         Self { pools: BTreeMap::new(), limits, shared, events }
     }
 
-    /// Hands a job to a connection. False: none is free, and none can be opened.
+    /// Assigns a job to a free or new connection. Returns false if no connection is free and none can be opened.
     fn assign(&mut self, engine: &EngineId, address: SocketAddr, job: Job, frame: Frame) -> bool {
         self.retire_other_addresses(engine, address);
         let connection = match self.free_connection(engine) {
@@ -48,7 +48,7 @@
         true
     }
 
-    /// Retires the connections to addresses that the engine had before. The engine has a pool from here on.
+    /// Retires connections to previous addresses of an engine. Creates the pool of the engine if it has none.
     fn retire_other_addresses(&mut self, engine: &EngineId, address: SocketAddr) {
         let pool = self.pools.entry(engine.clone()).or_default();
         for connection in pool.iter().filter(|connection| connection.address != address) {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The free connection that was used last.
+    /// Returns the free connection that was used most recently.
     fn free_connection(&self, engine: &EngineId) -> Option<Rc<Connection>> {
         let free = self.pools.get(engine)?.iter().filter(|connection| connection.is_free());
         free.max_by_key(|connection| connection.last_used.get()).cloned()
@@ -66,7 +66,7 @@
         self.pools.values().flatten().filter(|connection| !connection.closed.get()).count()
     }
 
-    /// Connections that this process may have open at once.
+    /// Returns the maximum number of connections that this process may have open.
     fn max_connections(&self) -> usize {
         self.shared.process_share(self.limits.max_engine_connections)
     }
@@ -79,12 +79,13 @@
         connection
     }
 
-    /// The connection that carries an attempt.
+    /// Returns the connection that carries an attempt.
     fn connection_of(&self, id: AttemptId) -> Option<&Rc<Connection>> {
         self.pools.values().flatten().find(|connection| connection.carries(id))
     }
 
-    /// Closes connections on which a health check has had no response for too long: they would stay open for ever.
+    /// Closes connections on which a health check has had no response within the timeout; they would otherwise stay open
+    /// indefinitely.
     fn close_silent_health_checks(&self) {
         for connection in self.pools.values().flatten().filter(|connection| connection.carries_health_check())
         {
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Closes connections without a job that are retired or have been idle for long.
+    /// Closes connections without a job that are retired or have been idle for the idle timeout.
     fn close_unused(&self) {
         let connections = self.pools.values().flatten();
         for connection in connections.filter(|connection| !connection.closed.get() && connection.has_no_job())
@@ -121,7 +122,10 @@
         let job = Job::Attempt(send.id, send.statement.flow.clone());
         let (id, engine, address) = (send.id, send.engine.clone(), send.address);
         if !self.assign(&engine, address, job, Frame::for_attempt(send, request::encode)) {
-            log::error_rate_limited("no connection is left for an attempt on an engine", &engine.0);
+            log::error_rate_limited(
+                "connection limit reached; reporting the attempt as not executed, engine",
+                &engine.0,
+            );
             events.push(Event::AttemptEnded(id, AttemptEnd::from_outcome(Outcome::NotExecuted)));
         }
     }
@@ -134,7 +138,7 @@
         }
     }
 
-    // The interface has no way to change the priority of a query that is running.
+    // The interface cannot change the priority of a running query.
     fn set_priority(&mut self, _: AttemptId, _: u8) {}
 
     fn check_health(&mut self, tag: u64, engine: &EngineId, address: SocketAddr, events: &mut Vec<Event>) {
--- a/src/net/engine/clickhouse/request.rs
+++ b/src/net/engine/clickhouse/request.rs
@@ -1,4 +1,5 @@
-//! Writes the request of an attempt: its terms and its key as settings of the interface, credentials as headers.
+//! Encoding of the HTTP request of an attempt: its limits and its idempotency key are sent as ClickHouse settings, and
+//! credentials as headers.
 
 use crate::core::{Send, Statement};
 use crate::interface::Milliseconds;
@@ -6,19 +7,19 @@
 use crate::net::http;
 use std::fmt::Write;
 
-/// The shortest execution time that an engine is given, in seconds; 0 would stand for no limit.
+/// Minimum execution time that is sent to an engine, in seconds; 0 would mean no limit.
 const MIN_EXECUTION_SECONDS: f64 = 0.001;
-/// By how much the execution time may be rounded up to a whole second, in seconds.
+/// Maximum amount by which the execution time is rounded up to a full second, in seconds.
 const MAX_ROUNDING_SECONDS: f64 = 0.05;
-/// The interface's number for the lowest priority that is sent; 1 is the highest, and 0 is none.
+/// ClickHouse value of the lowest priority that is sent; 1 is the highest, and 0 means no priority.
 const LOWEST_PRIORITY: u8 = 4;
-/// The highest priority of an attempt.
+/// Highest priority of an attempt in the reducer.
 const MAX_ATTEMPT_PRIORITY: u8 = 3;
 
-/// The request of an attempt.
+/// Encodes the request of an attempt.
 pub(super) fn encode(send: &Send) -> Vec<Segment> {
     let statement = &send.statement;
-    let mut target = target_with_terms(send);
+    let mut target = target_with_limits(send);
     let headers = encode_params(statement, &mut target);
     let (body, length) = if statement.data.is_empty() {
         (Segment::StatementText(statement.clone()), statement.text.len())
@@ -34,8 +35,8 @@
     vec![Segment::Owned(head.into_bytes()), body]
 }
 
-/// The target, with the terms of the attempt and its key.
-fn target_with_terms(send: &Send) -> String {
+/// Encodes the request target with the limits, the priority and the idempotency key of the attempt.
+fn target_with_limits(send: &Send) -> String {
     let statement = &send.statement;
     let mut target = format!("/?query_id={}", http::encode(&query_id(send)));
     let _ = write!(target, "&max_execution_time={}", execution_time(send.budget));
@@ -43,7 +44,7 @@
     let _ = write!(target, "&priority={priority}");
     target += "&cancel_http_readonly_queries_on_client_close=1";
     if send.memory_mb >= 1.0 {
-        // Beyond its grant a query spills to disk.
+        // A query that exceeds its granted memory spills to disk.
         let bytes = send.memory_mb.round() as u64 * 1024 * 1024;
         let _ = write!(target, "&max_bytes_before_external_group_by={bytes}");
         let _ = write!(target, "&max_bytes_before_external_sort={bytes}");
@@ -54,7 +55,7 @@
     target
 }
 
-/// The name of an attempt: a further attempt must not have the name of the first, which may still be running.
+/// Returns the query id of an attempt. Further attempts of a request have their own ids, as the first may still be running.
 fn query_id(send: &Send) -> String {
     match send.id.number {
         0 => send.statement.name.clone(),
@@ -62,11 +63,11 @@
     }
 }
 
-/// Appends the parameters of a statement to the target; returns the headers for those that are sent as headers.
+/// Appends the parameters of a statement to the target, and returns the headers of those that are sent as headers.
 fn encode_params(statement: &Statement, target: &mut String) -> String {
     let mut headers = String::new();
     for (name, value) in &statement.params {
-        // A line end in a value would begin another header.
+        // A line end in a value would start another header: values with control characters are sent in the target.
         match header_of(name).filter(|_| !value.contains(char::is_control)) {
             Some(header) => {
                 let _ = write!(headers, "{header}: {value}\r\n");
@@ -79,7 +80,7 @@
     headers
 }
 
-/// The header that a parameter is sent as, if it is sent as one.
+/// Returns the header in which a parameter is sent, if it is sent in a header.
 fn header_of(parameter: &str) -> Option<&'static str> {
     match parameter {
         "user" => Some("X-ClickHouse-User"),
@@ -90,8 +91,8 @@
     }
 }
 
-/// The time that is left, in seconds: rounded up to a whole second that is close, otherwise with milliseconds, as the
-/// engine must not be given more time than the client has left.
+/// Formats the remaining time in seconds: rounded up to a full second if it is within `MAX_ROUNDING_SECONDS` of it,
+/// otherwise with milliseconds, as the engine must not be given more time than the client has left.
 fn execution_time(budget: Milliseconds) -> String {
     let seconds = (budget / 1000.0).max(MIN_EXECUTION_SECONDS);
     if seconds.ceil() - seconds <= MAX_ROUNDING_SECONDS {
--- a/src/net/engine/clickhouse/response.rs
+++ b/src/net/engine/clickhouse/response.rs
@@ -1,4 +1,4 @@
-//! Reads responses: the head, then the body, which is passed on in parts where the client's protocol streams results.
+//! Reading of responses: the head, then the body, which is forwarded in chunks if the client's protocol streams results.
 
 use super::connection::{Connection, Job};
 use crate::core::{AttemptEnd, EngineError, Event, ResultRows};
@@ -11,26 +11,26 @@
 use tokio::sync::mpsc::Sender;
 use tokio::time::Instant;
 
-/// ClickHouse's code of an exception: the engine rejected the query before it ran.
+/// ClickHouse error code of a query that the engine rejected before executing it.
 const TOO_MANY_SIMULTANEOUS_QUERIES: u32 = 202;
-/// The status of a response that only tells that the request is awaited.
+/// HTTP status of an interim response, which the final response follows.
 const CONTINUE: u16 = 100;
-/// The status of a response with a result.
+/// HTTP status of a response with a result.
 const OK: u16 = 200;
-/// The header of a response that holds the code of an exception.
+/// Response header that contains the code of an exception.
 const EXCEPTION_CODE_HEADER: &str = "x-clickhouse-exception-code";
-/// What the names of ClickHouse's own headers begin with.
-const OWN_HEADER_PREFIX: &str = "x-clickhouse-";
-/// A chunk of a body may be so many times as long as a message.
+/// Prefix of the names of ClickHouse-specific headers.
+const CLICKHOUSE_HEADER_PREFIX: &str = "x-clickhouse-";
+/// Maximum length of a chunk of a body, as a multiple of the maximum message size.
 const MAX_CHUNK_IN_MESSAGES: usize = 4;
 
-/// The connection is over, or what was read on it cannot be used.
+/// Error for a connection that has ended, or on which an invalid response arrived.
 struct ConnectionFailed;
 
-/// The head of a response.
+/// Head of a response.
 struct ResponseHead {
     status: u16,
-    /// The headers that are passed on to the client.
+    /// Headers that are forwarded to the client.
     headers: Vec<(String, String)>,
     length: Length,
     keep_alive: bool,
@@ -39,34 +39,35 @@
 impl ResponseHead {
     fn new(head: &Head<'_>) -> Result<Self, ConnectionFailed> {
         let status = http::status(head).ok_or(ConnectionFailed)?;
-        let passed_on = head.headers.iter().filter(|(name, _)| is_passed_on(name));
+        let forwarded = head.headers.iter().filter(|(name, _)| is_forwarded(name));
         Ok(Self {
             status,
-            headers: passed_on.map(|(name, value)| ((*name).to_owned(), (*value).to_owned())).collect(),
+            headers: forwarded.map(|(name, value)| ((*name).to_owned(), (*value).to_owned())).collect(),
             length: head.body(Length::Stream).ok_or(ConnectionFailed)?,
             keep_alive: head.keeps_alive(head.first),
         })
     }
 }
 
-fn is_passed_on(header: &str) -> bool {
-    let prefix = OWN_HEADER_PREFIX.len();
-    let is_own = header.len() > prefix && header[..prefix].eq_ignore_ascii_case(OWN_HEADER_PREFIX);
-    is_own || header.eq_ignore_ascii_case("content-type")
+fn is_forwarded(header: &str) -> bool {
+    let prefix = CLICKHOUSE_HEADER_PREFIX.len();
+    let is_clickhouse_header =
+        header.len() > prefix && header[..prefix].eq_ignore_ascii_case(CLICKHOUSE_HEADER_PREFIX);
+    is_clickhouse_header || header.eq_ignore_ascii_case("content-type")
 }
 
-/// The part of a response that was read so far.
+/// Part of a response that has been read.
 struct PartialResponse {
     status: u16,
-    /// What is not passed on yet.
+    /// Headers and rows that are not forwarded yet.
     rows: ResultRows,
-    /// Bytes of the body that were read.
+    /// Number of bytes of the body that were read.
     bytes: usize,
-    /// Parts of the body are passed on as they arrive.
+    /// Whether chunks of the body are forwarded as they arrive.
     is_streaming: bool,
 }
 
-/// Reads the responses on one connection.
+/// Reader of the responses on one connection.
 pub(super) struct ResponseReader<'a> {
     connection: &'a Connection,
     stream: &'a TcpStream,
@@ -76,7 +77,7 @@
 }
 
 impl<'a> ResponseReader<'a> {
-    /// A reader that has read nothing yet.
+    /// Creates a reader with an empty buffer.
     pub(super) fn new(
         connection: &'a Connection,
         stream: &'a TcpStream,
@@ -104,7 +105,7 @@
         while self.connection.has_no_job() {
             tokio::select! {
                 () = self.connection.job_assigned.notified() => {}
-                // The engine closed an idle connection, or sent what was not requested.
+                // The engine closed an idle connection, or sent bytes without a request.
                 _ = self.buffer.fill(self.stream, self.limits) => return Err(ConnectionFailed),
             }
         }
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Reads one response and reports the end of the job. Returns whether the connection can be used again.
+    /// Reads one response and reports the end of the job. Returns whether the connection can be reused.
     async fn read_response(&mut self) -> Result<bool, ConnectionFailed> {
         let head = self.read_head().await?;
         let mut remaining = head.length;
@@ -129,9 +130,9 @@
             is_streaming: false,
         };
         while let Some(part) = self.next_part(&mut remaining, head.status).await? {
-            self.pass_on(part, &mut response).await?;
+            self.forward(part, &mut response).await?;
         }
-        // The slot of the event is reserved before the job ends: this future may be dropped while it waits.
+        // The slot for the event is reserved before the job is removed, as this future may be dropped while it waits.
         let slot = self.events.reserve().await.map_err(|_| ConnectionFailed)?;
         let job = self.connection.end_job().ok_or(ConnectionFailed)?;
         slot.send(match job {
@@ -162,7 +163,7 @@
         }
     }
 
-    /// The next part of the body, as far as it has arrived; none at its end.
+    /// Returns the next available part of the body, or `None` at its end.
     async fn next_part(
         &mut self,
         remaining: &mut Length,
@@ -188,14 +189,14 @@
             }
             match self.fill().await {
                 Ok(()) => {}
-                // Without a length, the end of the stream is the end of the body, complete or not.
+                // Without a length, the body ends with the stream, and may be truncated. This is accepted for errors only.
                 Err(_) if *remaining == Length::Stream && status != OK => return Ok(None),
                 Err(failed) => return Err(failed),
             }
         }
     }
 
-    /// Takes what has arrived, `max` bytes at most.
+    /// Takes at most `max` bytes from the bytes that have arrived.
     fn take_unread(&mut self, max: usize) -> Vec<u8> {
         let unread = self.buffer.unread();
         let part = unread[..unread.len().min(max)].to_vec();
@@ -203,7 +204,7 @@
         part
     }
 
-    /// Takes a chunk; none where it is incomplete. An empty chunk ends the body.
+    /// Takes a chunk, or returns `None` if it is incomplete. An empty chunk ends the body.
     fn take_chunk(&mut self) -> Result<Option<Vec<u8>>, ConnectionFailed> {
         let max_bytes = MAX_CHUNK_IN_MESSAGES * self.limits.max_message_bytes;
         match http::read_chunk(self.buffer.unread(), max_bytes) {
@@ -217,9 +218,9 @@
         }
     }
 
-    /// Passes on a part of the body where the result is streamed, or collects it. The job is looked up after each wait, as
-    /// an attempt may be aborted at any time.
-    async fn pass_on(
+    /// Forwards a part of the body if the result is streamed, and otherwise collects it. The job is read again after each
+    /// await, as an attempt may be aborted at any time.
+    async fn forward(
         &mut self,
         part: Vec<u8>,
         response: &mut PartialResponse,
@@ -227,7 +228,7 @@
         response.bytes += part.len();
         let job = self.connection.job().ok_or(ConnectionFailed)?;
         if let (Job::Attempt(_, Some(flow)), true) = (&job, response.is_streaming) {
-            // The engine is read no faster than the client reads.
+            // Applies backpressure: the engine's response is not read faster than the client reads its own.
             flow.wait_for_capacity(self.limits.max_result_bytes).await;
         }
         let slot = self.events.reserve().await.map_err(|_| ConnectionFailed)?;
@@ -244,7 +245,9 @@
             response.is_streaming = true;
             slot.send(Event::ResponseStarted(id, std::mem::take(&mut response.rows)));
         } else if response.bytes > self.limits.max_message_bytes {
-            log::warn_rate_limited("a result that is too large cannot be passed on whole");
+            log::warn_rate_limited(
+                "a result exceeds the maximum message size and cannot be streamed; the attempt fails",
+            );
             self.connection.end_job();
             slot.send(Event::AttemptEnded(id, AttemptEnd::from_outcome(Outcome::Error)));
             return Err(ConnectionFailed);
@@ -253,7 +256,7 @@
     }
 }
 
-/// The end of an attempt that has a complete response.
+/// Returns the end of an attempt with a complete response.
 fn attempt_end(status: u16, rows: ResultRows) -> AttemptEnd {
     let code = rows.headers.iter().find(|(name, _)| name.eq_ignore_ascii_case(EXCEPTION_CODE_HEADER));
     let code = code.and_then(|(_, value)| value.parse().ok());
@@ -262,7 +265,7 @@
     }
     let outcome = match (status, code) {
         (_, Some(TOO_MANY_SIMULTANEOUS_QUERIES)) => Outcome::Full,
-        // The statement itself is at fault: the engine works, and another one would answer the same.
+        // The statement is invalid: the engine works, and another engine would give the same answer.
         (400..=404 | 413 | 422, _) => Outcome::Ok,
         _ => Outcome::Error,
     };
--- a/src/net/engine/connect.rs
+++ b/src/net/engine/connect.rs
@@ -1,4 +1,5 @@
-//! Opens connections to engines. A local lack of descriptors, ports or memory is waited out, and is no fault of the engine.
+//! Opening of connections to engines. A local shortage of descriptors, ports or memory leads to retries until the connect
+//! timeout, and is not counted as a failure of the engine.
 
 use crate::interface::Outcome;
 use crate::limits::Limits;
@@ -9,25 +10,25 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// Why there is no connection. Nothing was sent in either case.
+/// Reason for which no connection was established. No bytes were sent in any of these cases.
 #[derive(Debug, Error)]
 pub(super) enum ConnectError {
-    /// The connection failed at the engine or on the way there.
+    /// The engine or the network refused the connection.
     #[error("{0}")]
     Refused(io::Error),
-    /// It was not established in time.
-    #[error("not established in time")]
+    /// The connection was not established within the connect timeout.
+    #[error("not established within the connect timeout")]
     TimedOut,
-    /// It was closed by this side before it was established.
-    #[error("closed before it was established")]
+    /// The gateway aborted the connection before it was established.
+    #[error("aborted by the gateway before it was established")]
     Aborted,
-    /// This process or its system lacked descriptors, ports, memory or a route.
-    #[error("local resources lack: {0}")]
+    /// Descriptors, ports, memory or a route were not available on this machine until the connect timeout.
+    #[error("local resources not available: {0}")]
     Local(io::Error),
 }
 
 impl ConnectError {
-    /// The end of an attempt that waited for the connection.
+    /// Returns the outcome of an attempt that was queued for the connection.
     pub(super) fn outcome(&self) -> Outcome {
         match self {
             Self::Refused(_) | Self::TimedOut | Self::Aborted => Outcome::ConnectFailed,
@@ -36,10 +37,10 @@
     }
 }
 
-/// Opens a connection within the timeout of the settings.
+/// Opens a connection within the connect timeout.
 ///
 /// # Errors
-/// The connection failed, or was not established in time.
+/// The connection failed, or was not established within the connect timeout.
 pub(super) async fn connect(address: SocketAddr, limits: &Limits) -> Result<TcpStream, ConnectError> {
     let deadline = Instant::now() + limits.connect_timeout;
     let mut backoff = Backoff::default();
--- a/src/net/engine/connection.rs
+++ b/src/net/engine/connection.rs
@@ -1,4 +1,4 @@
-//! State of one connection to an engine of the platform: what is in flight on it, and when it was last active.
+//! State of one connection to an engine of the platform: attempts and health checks in flight, and times of activity.
 
 use crate::core::{AttemptEnd, AttemptId, Event};
 use crate::interface::Outcome;
@@ -13,24 +13,24 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// An attempt that was handed to a connection and has not ended.
+/// An attempt that was queued on a connection and has not ended.
 #[derive(Debug)]
 pub(super) struct InFlight {
-    /// The reducer's id of the attempt.
+    /// Id of the attempt in the reducer.
     pub id: AttemptId,
-    /// When it was handed to the connection.
+    /// Time at which the attempt was queued on the connection.
     pub sent_at: Instant,
-    /// The pages of its result, once the first of them has arrived.
+    /// Pages of the result, once the first of them has arrived.
     pub result: Option<PartialResult>,
 }
 
 impl InFlight {
-    /// An attempt that is sent now.
+    /// Creates the record of an attempt that is queued now.
     pub(super) fn new(id: AttemptId) -> Self {
         Self { id, sent_at: Instant::now(), result: None }
     }
 
-    /// Whether its result has begun to arrive and then stopped.
+    /// Returns whether a part of the result has arrived, and no page within the stall timeout.
     fn is_stalled(&self, limits: &Limits) -> bool {
         self.result
             .as_ref()
@@ -40,31 +40,31 @@
 
 /// One connection to an engine.
 pub(super) struct Connection {
-    /// The address that it was opened to.
+    /// Address that the connection is opened to.
     pub address: SocketAddr,
-    /// Its write queue.
+    /// Queue of commands to the engine.
     pub write_queue: WriteQueue,
-    /// When it was established; none: it is being opened.
+    /// Time at which the connection was established; `None` while it is being opened.
     pub connected_at: Cell<Option<Instant>>,
-    /// It has ended; the pool forgets it at the next maintenance tick.
+    /// Whether the connection has ended. The pool removes it at the next maintenance.
     pub closed: Cell<bool>,
-    /// It takes no new attempts, and is closed once nothing is open on it.
+    /// Whether the connection is retired: it accepts no new attempts, and is closed once nothing is in flight on it.
     pub retired: Cell<bool>,
-    /// Attempts in flight, by the names of their statements.
+    /// Attempts in flight, by the names of their requests.
     pub in_flight: RefCell<HashMap<String, InFlight>>,
-    /// Names of attempts that were cancelled on this connection. None of them is sent here again: a late reply to the
-    /// cancelled attempt would be taken for a reply to the new one.
+    /// Names of attempts that were cancelled or failed on this connection. Attempts with these names are not sent on it
+    /// again, as a late reply to the earlier attempt would be taken for a reply to the new one.
     pub retired_names: RefCell<BTreeSet<String>>,
-    /// Health checks without a reply, and when they were sent.
+    /// Health checks without a reply: the times at which they were queued, by tag.
     pub health_checks: RefCell<BTreeMap<u64, Instant>>,
-    /// When something was last sent or ended on it.
+    /// Time at which an attempt was last queued or ended, or a health check last answered.
     pub last_used: Cell<Instant>,
-    /// When bytes last arrived.
+    /// Time at which bytes last arrived.
     pub last_received: Cell<Instant>,
 }
 
 impl Connection {
-    /// A connection that is about to be opened.
+    /// Creates the state of a connection that is about to be opened.
     pub(super) fn new(address: SocketAddr, shared: Rc<SharedState>) -> Self {
         Self {
             address,
@@ -80,12 +80,12 @@
         }
     }
 
-    /// Whether nothing is open on it.
+    /// Returns whether neither an attempt nor a health check is in flight.
     pub(super) fn is_idle(&self) -> bool {
         self.in_flight.borrow().is_empty() && self.health_checks.borrow().is_empty()
     }
 
-    /// Whether it can take an attempt of that name.
+    /// Returns whether an attempt with this name may be sent on the connection.
     pub(super) fn accepts(&self, limits: &Limits, name: &str) -> bool {
         !self.closed.get()
             && !self.retired.get()
@@ -95,24 +95,24 @@
             && !self.retired_names.borrow().contains(name)
     }
 
-    /// How many attempts are in flight.
+    /// Returns the number of attempts in flight.
     pub(super) fn in_flight_count(&self) -> usize {
         self.in_flight.borrow().len()
     }
 
-    /// Whether the attempt of that name that is in flight here is this one.
+    /// Returns whether the attempt `id` is in flight on this connection under this name.
     pub(super) fn has_in_flight(&self, id: AttemptId, name: &str) -> bool {
         self.in_flight.borrow().get(name).is_some_and(|attempt| attempt.id == id)
     }
 
-    /// Removes an attempt that ends.
+    /// Removes an attempt that has ended, and returns it.
     pub(super) fn end_attempt(&self, name: &str) -> Option<InFlight> {
         self.last_used.set(Instant::now());
         self.in_flight.borrow_mut().remove(name)
     }
 
-    /// Lets no further attempt of that name use this connection: a late or repeated reply to the one that has ended would
-    /// pass for a reply to the next. A connection that has collected very many such names takes no more attempts.
+    /// Prevents further attempts with this name on the connection, as a late or duplicate reply to the ended attempt would be
+    /// taken for a reply to the next one. A connection with more than `event_queue_capacity` such names is retired.
     pub(super) fn retire_name(&self, name: String, limits: &Limits) {
         let mut retired_names = self.retired_names.borrow_mut();
         retired_names.insert(name);
@@ -126,7 +126,7 @@
         self.in_flight.borrow_mut().retain(|_, attempt| attempt.id != id);
     }
 
-    /// Withdraws the attempts none of whose bytes has left, and returns their ids.
+    /// Withdraws the attempts of which no byte has been written, and returns their ids.
     pub(super) fn withdraw_unsent(&self) -> Vec<AttemptId> {
         let mut withdrawn = self.write_queue.unsent_attempts();
         withdrawn.retain(|id| self.write_queue.withdraw(*id));
@@ -134,7 +134,7 @@
         withdrawn
     }
 
-    /// Ends attempts whose results have stopped arriving. They were executed, and the rest of their results is lost.
+    /// Ends attempts whose results have stopped arriving, with an error, as they were executed.
     pub(super) fn end_stalled_results(&self, limits: &Limits, events: &mut Vec<Event>) {
         for name in self.stalled_names(limits) {
             let Some(attempt) = self.end_attempt(&name) else { continue };
@@ -150,7 +150,7 @@
         stalled.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Ends the wait for health checks that have had no reply for too long.
+    /// Removes health checks that have had no reply within the timeout, and retires the connection if it is silent.
     pub(super) fn expire_health_checks(&self, limits: &Limits) {
         self.health_checks.borrow_mut().retain(|_, sent_at| {
             let expired = sent_at.elapsed() >= limits.health_check_connection_timeout;
@@ -161,8 +161,9 @@
         });
     }
 
-    /// Retires the connection if no byte has arrived since a message was sent, for at least `silence`: it may be dead
-    /// although its engine answers on others. The time before the connection was established does not count.
+    /// Retires the connection if no byte has arrived since a message was sent, and this was at least `silence` ago: the
+    /// connection may have failed although the engine responds on others. Time before the connection was established is
+    /// not counted.
     pub(super) fn retire_if_silent(&self, sent_at: Instant, silence: Duration) {
         let Some(connected_at) = self.connected_at.get() else { return };
         let silent_since = connected_at.max(sent_at);
--- a/src/net/engine/driver.rs
+++ b/src/net/engine/driver.rs
@@ -1,4 +1,4 @@
-//! Drives one connection: opens it, writes and reads until it ends, and reports what was open on it as ended.
+//! Driver of one connection: opens it, writes and reads until it ends, and reports the end of everything in flight on it.
 
 use crate::core::{AttemptEnd, AttemptId, Event};
 use crate::interface::Outcome;
@@ -15,15 +15,15 @@
 use tokio::sync::mpsc::Sender;
 use tokio::time::{sleep_until, Instant};
 
-/// A reply that is longer than so many whole results is not waited for.
+/// Maximum length of a reply, as a multiple of the maximum size of a result.
 const MAX_REPLY_IN_RESULTS: usize = 2;
 
-/// Opens a connection, then writes and reads until it ends, and reports the end of everything that was open on it.
+/// Opens a connection, writes and reads until it ends, and reports the end of everything that was in flight on it.
 pub(super) async fn run(connection: Rc<Connection>, limits: Rc<Limits>, events: Sender<Event>) {
     let stream = connect(connection.address, &limits).await;
     match &stream {
         Ok(stream) => exchange(&connection, stream, &limits, &events).await,
-        Err(error) => tracing::debug!(address = %connection.address, %error, "connection not opened"),
+        Err(error) => tracing::debug!(address = %connection.address, %error, "connecting to engine failed"),
     }
     let connect_failure = stream.as_ref().err().map(ConnectError::outcome);
     connection.closed.set(true);
@@ -33,10 +33,10 @@
     report_failed_health_checks(&connection, &events).await;
 }
 
-/// Writes and reads until the connection ends.
+/// Writes commands and reads replies until the connection ends.
 async fn exchange(connection: &Connection, stream: &TcpStream, limits: &Limits, events: &Sender<Event>) {
     connection.connected_at.set(Some(Instant::now()));
-    tracing::trace!(address = %connection.address, "connection opened");
+    tracing::trace!(address = %connection.address, "connected to engine");
     let _ = stream.set_nodelay(true);
     tokio::select! {
         written = connection.write_queue.write_all(stream, limits) => drop(written),
@@ -45,17 +45,17 @@
     }
 }
 
-/// Reports attempts that were dropped unwritten, as it was too late to write them.
+/// Reports attempts that were discarded from the write queue because they must no longer be written.
 async fn report_expired_attempts(connection: &Connection, events: &Sender<Event>) {
     loop {
         let id = connection.write_queue.next_expired_attempt().await;
-        // It stays in flight until it is reported: if the connection ends meanwhile, its end is reported with it.
+        // The attempt stays in flight until it is reported: if the connection ends first, `report_ended_attempts` reports it.
         let _ = events.send(Event::AttemptEnded(id, AttemptEnd::from_outcome(Outcome::NotExecuted))).await;
         connection.remove_attempt(id);
     }
 }
 
-/// Reads until the engine closes the connection, or sends what cannot be used.
+/// Reads replies until the engine closes the connection or sends an invalid reply.
 async fn read_replies(connection: &Connection, stream: &TcpStream, limits: &Limits, events: &Sender<Event>) {
     let mut read_buffer = ReadBuffer::new(connection.write_queue.shared());
     loop {
@@ -68,7 +68,7 @@
     }
 }
 
-/// Handles all whole replies in the read buffer. Break: the connection is to be closed.
+/// Handles all complete replies in the read buffer. Returns `Break` if the connection has to be closed.
 async fn handle_buffered_replies(
     connection: &Connection,
     read_buffer: &mut ReadBuffer,
@@ -77,7 +77,7 @@
 ) -> ControlFlow<()> {
     let max_reply_bytes = MAX_REPLY_IN_RESULTS * limits.max_result_bytes;
     loop {
-        // The slot of its event is reserved before a reply changes anything: this future may be dropped while it waits.
+        // The slot for the event is reserved before the reply changes any state, as this future may be dropped while it waits.
         let Ok(slot) = events.reserve().await else { return ControlFlow::Break(()) };
         let (effect, used) = match resp::read(read_buffer.unread(), limits.max_result_bytes) {
             Read::Reply(reply, used) => (handle_reply(connection, &reply, limits), used),
@@ -88,16 +88,17 @@
         match effect {
             ReplyEffect::Ignored => {}
             ReplyEffect::Event(event) => slot.send(event),
-            // It is not known which attempts the replies after this one belong to.
+            // After an invalid reply, later replies cannot be assigned to attempts.
             ReplyEffect::ProtocolError => {
-                log::warn_rate_limited("an invalid reply of an engine; the connection was closed");
+                log::warn_rate_limited("an engine sent an invalid reply; closing the connection");
                 return ControlFlow::Break(());
             }
         }
     }
 }
 
-/// Waits for more bytes; not for ever where a reply is incomplete. Break: the connection is to be closed.
+/// Waits for more bytes, at most for the stall timeout if a reply is incomplete. Returns `Break` if the connection has to
+/// be closed.
 async fn receive(
     connection: &Connection,
     read_buffer: &mut ReadBuffer,
@@ -114,13 +115,15 @@
             ControlFlow::Continue(())
         }
         () = sleep_until_deadline(complete_by) => {
-            log::warn_rate_limited("an engine stopped inside a reply; the connection was closed");
+            log::warn_rate_limited(
+                "an engine did not complete a reply within the stall timeout; closing the connection",
+            );
             ControlFlow::Break(())
         }
     }
 }
 
-/// Waits until a deadline; without one, for ever.
+/// Waits until a deadline, or indefinitely without one.
 async fn sleep_until_deadline(deadline: Option<Instant>) {
     match deadline {
         Some(deadline) => sleep_until(deadline).await,
@@ -128,7 +131,8 @@
     }
 }
 
-/// Reports the attempts that were in flight as the connection ended; with the outcome of the connect failure where it was never established.
+/// Reports the attempts that were in flight when the connection ended, with the outcome of the connect failure if it was
+/// never established.
 async fn report_ended_attempts(
     connection: &Connection,
     connect_failure: Option<Outcome>,
@@ -146,7 +150,7 @@
     }
 }
 
-/// Reports the health checks that had no reply as the connection ended.
+/// Reports the health checks that had no reply when the connection ended as failed.
 async fn report_failed_health_checks(connection: &Connection, events: &Sender<Event>) {
     let health_checks = std::mem::take(&mut *connection.health_checks.borrow_mut());
     for (tag, _) in health_checks {
--- a/src/net/engine/partial_result.rs
+++ b/src/net/engine/partial_result.rs
@@ -1,4 +1,4 @@
-//! A result while its pages arrive.
+//! A result of which not all pages have arrived.
 
 use crate::core::{AttemptEnd, ResultRows};
 use crate::interface::Outcome;
@@ -6,10 +6,10 @@
 use crate::net::engine::resp::Reply;
 use tokio::time::Instant;
 
-/// Separators between the three columns of a row.
+/// Number of separators between the three columns of a row.
 const SEPARATORS_PER_ROW: usize = 2;
 
-/// The pages of a result that have arrived, and its measures.
+/// Pages of a result that have arrived, and the work and load report that the first reply contained.
 #[derive(Debug)]
 pub(super) struct PartialResult {
     pages: Vec<Option<Vec<u8>>>,
@@ -18,21 +18,21 @@
     last_page_at: Instant,
 }
 
-/// What a page does to a result.
+/// Effect of a page on its result.
 pub(super) enum PageEffect {
-    /// The page has been received before.
+    /// The page was received before.
     Duplicate,
-    /// Further pages are awaited.
+    /// Other pages are still missing.
     Incomplete,
-    /// It is the last page that was awaited.
+    /// All pages have arrived.
     Complete,
-    /// The result has no such page, or the page is malformed or too long.
+    /// The result has no page with this number, or the page is malformed or too long.
     Invalid,
 }
 
 impl PartialResult {
-    /// A result whose first reply has arrived. None: the reply does not contain the number of pages, or it is larger than
-    /// an engine sends.
+    /// Creates a result from its first reply. Returns `None` if the number of pages is missing, or not an integer from 1 to
+    /// `event_queue_capacity`.
     pub(super) fn begin(reply: &Reply<'_>, limits: &Limits) -> Option<Self> {
         let count = positive_integer(reply, "pages", limits.event_queue_capacity)?;
         let end = AttemptEnd {
@@ -44,17 +44,17 @@
         Some(Self { pages, bytes: 0, end, last_page_at: Instant::now() })
     }
 
-    /// The number of its pages.
+    /// Returns the total number of pages.
     pub(super) fn page_count(&self) -> usize {
         self.pages.len()
     }
 
-    /// When the last page arrived.
+    /// Returns the time at which the most recent page arrived.
     pub(super) fn last_page_at(&self) -> Instant {
         self.last_page_at
     }
 
-    /// Adds a page.
+    /// Adds the page with this number.
     pub(super) fn add(&mut self, number: usize, body: &[u8], limits: &Limits) -> PageEffect {
         match self.pages.get(number) {
             None => return PageEffect::Invalid,
@@ -73,21 +73,21 @@
         PageEffect::Complete
     }
 
-    /// The end of the attempt, once the result is complete.
+    /// Converts a complete result to the end of its attempt.
     pub(super) fn into_end(self) -> AttemptEnd {
         let rows = ResultRows { parts: self.pages.into_iter().flatten().collect(), headers: Vec::new() };
         AttemptEnd { rows, ..self.end }
     }
 }
 
-/// The value of a field that is an integer from 1 to `max`.
+/// Returns the value of a field if it is an integer from 1 to `max`.
 pub(super) fn positive_integer(reply: &Reply<'_>, field: &str, max: usize) -> Option<usize> {
     let value = reply.number(field)?;
     let is_valid = value.fract() == 0.0 && (1.0..=max as f64).contains(&value);
     is_valid.then_some(value as usize)
 }
 
-/// Whether a page of a result consists of complete rows of three columns of text.
+/// Returns whether a page consists of complete rows of three text columns.
 fn has_complete_rows(page: &[u8]) -> bool {
     let ends_with_row = page.is_empty() || page.ends_with(b"\n");
     let has_three_columns =
--- a/src/net/engine/pool.rs
+++ b/src/net/engine/pool.rs
@@ -1,5 +1,5 @@
-//! Connections to the platform's engines, in pools by the engine's id. An address does not identify an engine: a new
-//! engine may be given the address of one that was removed.
+//! Connections to the platform's engines, in one pool for each engine id. An address does not identify an engine, as a new
+//! engine may have the address of one that was removed.
 
 use crate::core::{AttemptEnd, AttemptId, Event, Send};
 use crate::interface::{EngineId, Outcome};
@@ -15,13 +15,13 @@
 use tokio::sync::mpsc::Sender;
 use tokio::time::Instant;
 
-/// The connection that an attempt was handed to, and the attempt's name there.
+/// Connection on which an attempt was queued, and the name of the attempt on it.
 struct Placement {
     connection: Rc<Connection>,
     name: String,
 }
 
-/// All connections to the platform's engines.
+/// Connections to all engines of the platform.
 pub struct RespEngines {
     pools: BTreeMap<EngineId, Vec<Rc<Connection>>>,
     placements: HashMap<AttemptId, Placement>,
@@ -31,13 +31,13 @@
 }
 
 impl RespEngines {
-    /// Pools without a connection.
+    /// Creates empty pools.
     pub fn new(limits: Rc<Limits>, shared: Rc<SharedState>, events: Sender<Event>) -> Self {
         Self { pools: BTreeMap::new(), placements: HashMap::new(), limits, shared, events }
     }
 
-    /// The connection for an attempt of that name: the least loaded one, or a new one if all are busy and the limits
-    /// allow it. None: no connection accepts it, and none can be opened.
+    /// Returns the connection for an attempt with this name: the least loaded one, or a new one if all are busy and the
+    /// limits allow it. Returns `None` if no connection accepts the attempt and no connection can be opened.
     fn choose_connection(
         &mut self,
         engine: &EngineId,
@@ -46,7 +46,7 @@
     ) -> Option<Rc<Connection>> {
         self.retire_other_addresses(engine, address);
         let available = self.least_loaded(engine, name);
-        if available.as_ref().is_some_and(|connection| !self.wants_another(engine, connection)) {
+        if available.as_ref().is_some_and(|connection| !self.should_open_another(engine, connection)) {
             return available;
         }
         if self.open_connections() >= self.max_connections() {
@@ -55,8 +55,8 @@
         Some(self.open_connection(engine, address))
     }
 
-    /// Retires the connections to addresses that the engine had before. The engine has a pool from here on, which counts
-    /// towards its share of the connections.
+    /// Retires connections to previous addresses of an engine. Creates the pool of the engine if it has none, so that the
+    /// engine is counted when the connections are divided between engines.
     fn retire_other_addresses(&mut self, engine: &EngineId, address: SocketAddr) {
         let pool = self.pools.entry(engine.clone()).or_default();
         for connection in pool.iter().filter(|connection| connection.address != address) {
@@ -64,7 +64,8 @@
         }
     }
 
-    /// The connection with the fewest attempts in flight, an established one before one that is being opened.
+    /// Returns the available connection with the fewest attempts in flight. Established connections are preferred to those
+    /// that are being opened.
     fn least_loaded(&self, engine: &EngineId, name: &str) -> Option<Rc<Connection>> {
         let pool = self.pools.get(engine)?;
         let available = pool.iter().filter(|connection| connection.accepts(&self.limits, name));
@@ -74,14 +75,15 @@
         available.min_by_key(load).cloned()
     }
 
-    /// Whether a connection is so busy that another one beside it is worth opening, within half of the engine's share.
-    fn wants_another(&self, engine: &EngineId, connection: &Connection) -> bool {
+    /// Returns whether another connection should be opened: the least loaded one is busy, and the engine has used less than
+    /// half of its share of the connections.
+    fn should_open_another(&self, engine: &EngineId, connection: &Connection) -> bool {
         let share = self.max_connections() / self.pools.len().max(1);
         let open = self.pools.get(engine).map_or(0, |pool| count_open(pool));
         connection.in_flight_count() >= self.limits.preferred_attempts_per_connection && open < share / 2
     }
 
-    /// Connections that this process may have open at once.
+    /// Returns the maximum number of connections that this process may have open.
     fn max_connections(&self) -> usize {
         self.shared.process_share(self.limits.max_engine_connections)
     }
@@ -98,7 +100,7 @@
         connection
     }
 
-    /// Closes connections that are retired or have been idle for long, once nothing is open on them.
+    /// Closes connections without anything in flight that are retired or have been idle for the idle timeout.
     fn close_unused(&self) {
         let connections = self.pools.values().flatten();
         for connection in connections.filter(|connection| !connection.closed.get() && connection.is_idle()) {
@@ -131,7 +133,10 @@
     fn send(&mut self, send: Send, events: &mut Vec<Event>) {
         let name = send.statement.name.clone();
         let Some(connection) = self.choose_connection(&send.engine, send.address, &name) else {
-            log::error_rate_limited("no connection is left for an attempt on an engine", &send.engine.0);
+            log::error_rate_limited(
+                "connection limit reached; reporting the attempt as not executed, engine",
+                &send.engine.0,
+            );
             return events.push(Event::AttemptEnded(send.id, AttemptEnd::from_outcome(Outcome::NotExecuted)));
         };
         connection.last_used.set(Instant::now());
@@ -150,8 +155,8 @@
         if connection.write_queue.withdraw(id) {
             return;
         }
-        // An attempt that is out of time has waited long enough, however short its time was. Any other proves the
-        // connection silent only after a silence that no live engine keeps.
+        // Silence during an attempt that timed out retires the connection, even if the timeout was short. For any other
+        // attempt the silence must have lasted for the stall timeout, which a working engine does not reach.
         let silence = if timed_out { Duration::ZERO } else { self.limits.engine_stall_timeout };
         connection.retire_if_silent(attempt.sent_at, silence);
         let word = if attempt.result.is_some() { "shut" } else { "never_mind" };
--- a/src/net/engine/replies.rs
+++ b/src/net/engine/replies.rs
@@ -1,4 +1,4 @@
-//! The meaning of a reply: the end of an attempt or of a health check, a page of a result, or a progress update.
+//! Interpretation of replies: the end of an attempt or of a health check, a page of a result, or a progress update.
 
 use crate::core::{AttemptEnd, Event};
 use crate::interface::Outcome;
@@ -9,21 +9,21 @@
 use crate::net::log;
 use tokio::time::Instant;
 
-/// The kind of a reply that brings the first page of a result.
+/// Kind of the reply that contains the first page of a result.
 const FIRST_PAGE: &[u8] = b"served";
 
-/// What a reply leads to.
+/// Effect of a reply.
 pub(super) enum ReplyEffect {
-    /// Nothing: the reply belongs to nothing that is open on the connection (cancelled, unknown, or a duplicate), or
-    /// the attempt goes on.
+    /// No event: the reply belongs to nothing in flight on the connection (cancelled, unknown or a duplicate), or the
+    /// attempt continues.
     Ignored,
-    /// An event for the reducer.
+    /// An event is sent to the reducer.
     Event(Event),
-    /// The reply breaks the protocol: the connection is closed.
+    /// The reply violates the protocol: the connection is closed.
     ProtocolError,
 }
 
-/// Applies a reply to the connection that it arrived on.
+/// Applies a reply to the state of the connection on which it arrived.
 pub(super) fn handle_reply(connection: &Connection, reply: &Reply<'_>, limits: &Limits) -> ReplyEffect {
     if let Some(tag) = health_check_tag(reply) {
         return handle_health_reply(connection, tag, reply);
@@ -38,7 +38,7 @@
     }
 }
 
-/// The tag of the health check that a reply answers, if it answers one.
+/// Returns the tag of the health check that a reply answers, if it answers one.
 fn health_check_tag(reply: &Reply<'_>) -> Option<u64> {
     reply.id.strip_prefix('p')?.parse().ok()
 }
@@ -55,7 +55,7 @@
     })
 }
 
-/// Ends an attempt that has no result.
+/// Ends an attempt that the engine reports as failed.
 fn handle_failure(
     connection: &Connection,
     reply: &Reply<'_>,
@@ -64,18 +64,18 @@
 ) -> ReplyEffect {
     let Some(attempt) = connection.end_attempt(reply.id) else { return ReplyEffect::Ignored };
     connection.retire_name(reply.id.to_owned(), limits);
-    // An attempt whose result has begun was executed, whatever the reply says.
+    // An attempt whose result has started to arrive was executed, even if the reply claims otherwise.
     let outcome = if attempt.result.is_some() { Outcome::Error } else { outcome };
     let end = AttemptEnd { report: reply.load_report(), ..AttemptEnd::from_outcome(outcome) };
     ReplyEffect::Event(Event::AttemptEnded(attempt.id, end))
 }
 
-/// Passes a progress update on to the reducer. An invalid one is dropped; the attempt and the others on its connection go
-/// on.
+/// Passes a progress update on to the reducer. An invalid one is discarded, without effect on its attempt or on others on
+/// the connection.
 fn handle_progress_update(connection: &Connection, reply: &Reply<'_>) -> ReplyEffect {
     let in_flight = connection.in_flight.borrow();
     let Some(attempt) = in_flight.get(reply.id) else { return ReplyEffect::Ignored };
-    // The query is over once its result has begun.
+    // The query has been executed once its result starts to arrive.
     if attempt.result.is_some() {
         return ReplyEffect::Ignored;
     }
@@ -83,14 +83,14 @@
         Ok(Some(update)) => ReplyEffect::Event(Event::ProgressUpdate(attempt.id, update)),
         Ok(None) => ReplyEffect::Ignored,
         Err(InvalidProgressUpdate) => {
-            log::warn_rate_limited("an invalid progress update of an engine was dropped");
+            log::warn_rate_limited("an engine sent an invalid progress update; discarding the update");
             ReplyEffect::Ignored
         }
     }
 }
 
-/// Applies a page to the result of its attempt. The first one also carries the measures of the result. The attempt
-/// succeeds once all pages have arrived; a page that is lost is an error of an attempt that was executed.
+/// Adds a page to the result of its attempt. The first page also contains the work and load report. The attempt succeeds
+/// once all pages have arrived; if a page is lost, it ends with an error, as it was executed.
 fn handle_page(connection: &Connection, reply: &Reply<'_>, limits: &Limits) -> ReplyEffect {
     let mut in_flight = connection.in_flight.borrow_mut();
     let Some(attempt) = in_flight.get_mut(reply.id) else { return ReplyEffect::Ignored };
@@ -114,14 +114,14 @@
     }
 }
 
-/// Requests all pages after the first.
+/// Requests all pages of a result after the first.
 fn request_further_pages(connection: &Connection, name: &str, count: usize, limits: &Limits) {
     for page in 1..count {
         connection.write_queue.push(resp::command(&["turn", name, &page.to_string()]), limits);
     }
 }
 
-/// Ends an attempt whose result is complete. An engine that sent several pages is told to release them.
+/// Ends an attempt whose result is complete. If the result has several pages, requests the engine to release them.
 fn end_with_result(connection: &Connection, name: &str, limits: &Limits) -> ReplyEffect {
     let Some(InFlight { id, result: Some(result), .. }) = connection.end_attempt(name) else {
         return ReplyEffect::Ignored;
--- a/src/net/engine/resp/command.rs
+++ b/src/net/engine/resp/command.rs
@@ -1,13 +1,13 @@
-//! Writes commands to engines.
+//! Encoding of commands to engines.
 
 use crate::core::Send;
 use crate::net::connection::frame::{Frame, Segment};
 use std::io::Write;
 
-/// Capacity that most commands fit into, in bytes.
+/// Initial capacity of the buffer of a command, in bytes. Most commands fit into it.
 const USUAL_COMMAND_BYTES: usize = 128;
 
-/// The bytes of a command. With `body_length`, a body of that length and an end of line are to follow.
+/// Encodes a command. With `body_length`, the caller appends a body of this length and an end of line.
 fn encode(parts: &[&[u8]], body_length: Option<usize>) -> Vec<u8> {
     let mut out = Vec::with_capacity(USUAL_COMMAND_BYTES);
     let _ = write!(out, "*{}\r\n", parts.len() + usize::from(body_length.is_some()));
@@ -22,18 +22,18 @@
     out
 }
 
-/// A command without a body.
+/// Encodes a command without a body.
 pub fn command(parts: &[&str]) -> Frame {
     let parts: Vec<&[u8]> = parts.iter().map(|part| part.as_bytes()).collect();
     Frame::plain(encode(&parts, None))
 }
 
-/// The command that transmits an attempt: `want`.
+/// Encodes the command `want`, which starts an attempt.
 pub fn attempt_command(send: Send) -> Frame {
     Frame::for_attempt(send, encode_attempt)
 }
 
-/// The statement is sent as it was received, shared by all attempts.
+/// Encodes an attempt. The statement is sent unchanged and is not copied; all attempts share it.
 fn encode_attempt(send: &Send) -> Vec<Segment> {
     let statement = &send.statement;
     let mut fields = format!("queue={},budget={:.0}", statement.class, send.budget.max(1.0));
--- a/src/net/engine/resp/mod.rs
+++ b/src/net/engine/resp/mod.rs
@@ -1,6 +1,6 @@
-//! The wire of the platform's engines: RESP arrays of bulk strings.
+//! Protocol of the platform's engines: RESP arrays of bulk strings.
 //!
-//! `reply` reads what an engine sends in place, `progress` the progress updates in it; `command` writes what it is sent.
+//! `reply` parses replies in place, `progress` parses the progress updates in replies, and `command` encodes commands.
 
 mod command;
 mod progress;
--- a/src/net/engine/resp/progress.rs
+++ b/src/net/engine/resp/progress.rs
@@ -1,4 +1,4 @@
-//! Reads progress updates in replies.
+//! Parser of progress updates in replies.
 
 use super::reply::Reply;
 use crate::interface::ProgressUpdate;
@@ -6,22 +6,22 @@
 
 /// Value of a progress update of kind `w`: the query waits for memory.
 const WAITS_FOR_MEMORY: f64 = 1.0;
-/// Value of a progress update of kind `w`: the query waits for other load.
+/// Value of a progress update of kind `w`: the query waits for a load that holds its data set.
 const WAITS_FOR_LOAD: f64 = 2.0;
 
-/// Megabytes that a query can be short of; no machine has more (a petabyte).
+/// Maximum amount of memory that a query can be short of, in MB (1 PB): no machine has more.
 const MAX_MISSING_MB: f64 = 1e9;
 
-/// A progress update whose kind is unknown, or whose value is missing, unreadable or out of range.
+/// Error for a progress update whose kind is unknown, or whose value is missing, unreadable or out of range.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("a progress update is invalid")]
+#[error("unknown kind of progress update, or its value is missing or invalid")]
 pub struct InvalidProgressUpdate;
 
 impl Reply<'_> {
-    /// The progress update in `detail` and `v`, if there is one.
+    /// Parses the progress update in the fields `detail` and `v`, if there is one.
     ///
     /// # Errors
-    /// There is one, and it is invalid.
+    /// The reply contains a progress update that is invalid.
     pub fn progress_update(&self) -> Result<Option<ProgressUpdate>, InvalidProgressUpdate> {
         let Some(kind) = self.field("detail").filter(|kind| !kind.is_empty()) else {
             let has_value = self.field("v").is_some_and(|value| !value.is_empty());
--- a/src/net/engine/resp/reply.rs
+++ b/src/net/engine/resp/reply.rs
@@ -1,4 +1,4 @@
-//! Reads replies of engines in place.
+//! Parser of engine replies. It borrows from the read buffer.
 
 use crate::interface::LoadReport;
 use winnow::ascii::{crlf, dec_uint};
@@ -11,30 +11,30 @@
 type Input<'a> = Partial<&'a [u8]>;
 type ParseResult<T> = Result<T, ErrMode<EmptyError>>;
 
-/// Stands for the fields of a reply that has none.
+/// Value of [`Reply::fields`] in a reply without fields.
 const NO_FIELDS: &str = "-";
 
-/// A reply of an engine, still in the buffer.
+/// A reply of an engine that borrows from the read buffer.
 #[derive(Debug, PartialEq)]
 pub struct Reply<'a> {
-    /// The name of the attempt, or the tag of the health check, that it answers.
+    /// Name of the attempt that the reply belongs to, or `p` and the tag of the health check.
     pub id: &'a str,
-    /// Its kind.
+    /// Kind of the reply, such as `served` or `overload`.
     pub kind: &'a [u8],
-    /// Its fields, `name=value` separated by commas.
+    /// Fields of the reply, as `name=value` separated by commas.
     pub fields: &'a str,
-    /// Its body.
+    /// Body of the reply; empty if it has none.
     pub body: &'a [u8],
 }
 
-/// The result of reading the start of a buffer.
+/// Result of parsing the start of a buffer.
 #[derive(Debug, PartialEq)]
 pub enum Read<'a> {
-    /// A reply, and its length in bytes.
+    /// A complete reply, and its length in bytes.
     Reply(Reply<'a>, usize),
-    /// The reply is incomplete.
+    /// The reply is incomplete; more bytes are required.
     More,
-    /// This is no reply.
+    /// The bytes are not a valid reply.
     Bad,
 }
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// Reads one reply, no part of which is longer than `limit` bytes.
+/// Parses one reply. A part longer than `limit` bytes is invalid.
 pub fn read(bytes: &[u8], limit: usize) -> Read<'_> {
     let mut input = Partial::new(bytes);
     match reply_array(limit).parse_next(&mut input) {
@@ -76,24 +76,24 @@
 }
 
 impl<'a> Reply<'a> {
-    /// The value of a field.
+    /// Returns the value of a field, if the reply has it.
     pub fn field(&self, name: &str) -> Option<&'a str> {
         let mut pairs = self.fields.split(',').filter_map(|pair| pair.split_once('='));
         pairs.find(|(known, _)| *known == name).map(|(_, value)| value)
     }
 
-    /// The value of a field that is a finite number.
+    /// Returns the value of a field, if it is a finite number.
     pub fn number(&self, name: &str) -> Option<f64> {
         self.field(name).and_then(|value| value.parse().ok()).filter(|value: &f64| value.is_finite())
     }
 
-    /// The load report in `use`, if there is one.
+    /// Parses the load report in the field `use`, if there is one.
     pub fn load_report(&self) -> Option<LoadReport> {
         self.field("use").map(parse_load_report)
     }
 }
 
-/// Reads a load report, like `inflight:7;util:0.61`, by the platform's names or the simulator's.
+/// Parses a load report such as `inflight:7;util:0.61`. Accepts the names of the platform and those of the simulator.
 pub fn parse_load_report(text: &str) -> LoadReport {
     let mut report = LoadReport::default();
     for (name, value) in text.split(';').filter_map(|pair| pair.split_once(':')) {
