--- a/src/net/connection/close.rs
+++ b/src/net/connection/close.rs
@@ -1,4 +1,4 @@
-//! The orderly close of a connection: flush, half-close, read and discard within a bound, close.
+//! Orderly close of a connection: flush, half-close, read and discard within limits, close.
 
 use crate::limits::Limits;
 use crate::net::connection::socket_retry::SocketRetry;
@@ -9,9 +9,9 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Closes a connection from this side: writes what is queued, shuts down the sending half, then reads and discards until the
-/// peer closes as well. A connection that is closed over unread bytes is reset, and the peer may then lose what was written
-/// to it. Time (`linger`) and bytes are bounded: a peer that exceeds them is disconnected.
+/// Closes a connection: writes the queued frames, shuts down the sending half, then reads and discards incoming bytes until
+/// the peer closes as well. Closing a socket with unread bytes would reset the connection, and the peer could lose the
+/// last frames. The time (`linger`) and the number of discarded bytes are limited; a peer that exceeds them is disconnected.
 pub async fn close_orderly(
     mut stream: TcpStream,
     write_queue: &WriteQueue,
@@ -29,7 +29,7 @@
     let _: Result<io::Result<()>, _> = timeout(linger, close).await;
 }
 
-/// Reads and discards until the peer closes, or has sent more than one message may have.
+/// Reads and discards until the peer closes, or has sent more than `max_message_bytes`.
 async fn discard_incoming(stream: &TcpStream, limits: &Limits) -> io::Result<()> {
     let mut discarded = vec![0; limits.read_chunk_bytes];
     let mut remaining = limits.max_message_bytes;
--- a/src/net/connection/frame.rs
+++ b/src/net/connection/frame.rs
@@ -1,4 +1,4 @@
-//! Messages in a write queue, and what is checked before the first byte of one is written.
+//! Messages in a write queue, and the checks before the first byte of a message is written.
 
 use crate::core::{AttemptId, Send, Statement};
 use crate::interface::Milliseconds;
@@ -8,20 +8,20 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// An attempt that has been queued for longer is encoded again before it is written, so that the engine is given the time
-/// that is left now.
+/// Age of the encoding of a queued attempt from which on it is encoded again before it is written, so that the engine
+/// receives the current remaining time.
 const ENCODE_AGAIN_AFTER: Duration = Duration::from_millis(5);
-/// No deadline is further away (a day): a longer time may not fit into an `Instant`.
+/// Maximum time until a deadline (1 day), as a longer time may overflow an `Instant`.
 const MAX_DEADLINE_MS: Milliseconds = 86_400_000.0;
 
-/// A segment of a frame: bytes of its own, or a part of a statement that is shared with its owner.
+/// A segment of a frame: owned bytes, or a part of a shared statement.
 #[derive(Debug, Clone)]
 pub enum Segment {
-    /// Bytes of its own.
+    /// Bytes owned by the segment.
     Owned(Vec<u8>),
-    /// The text of a statement.
+    /// Text of a statement.
     StatementText(Rc<Statement>),
-    /// The data of a statement.
+    /// Data of a statement.
     StatementData(Rc<Statement>),
 }
 
@@ -35,48 +35,48 @@
     }
 }
 
-/// A message to be written whole, unless it is withdrawn before its first byte is written.
+/// A message in a write queue. Once its first byte is written, it is written completely; before, it can be withdrawn.
 #[derive(Debug)]
 pub struct Frame {
-    /// The attempt that it transmits, if any.
+    /// Attempt that the message transmits, if any.
     pub attempt: Option<AttemptId>,
-    /// Its bytes.
+    /// Bytes of the message.
     pub segments: Vec<Segment>,
-    /// What is counted once its last byte is written.
+    /// Metric that is incremented once the last byte is written.
     pub tally: Option<Tally>,
-    /// Its first byte is written before this time, or never.
+    /// Deadline for the write of the first byte, after which the message is discarded.
     pub transmit_before: Option<Instant>,
-    /// Encodes the attempt again where the message gives the engine the time that is left.
+    /// Attempt that the message transmits, with the data to check it and to encode it again before it is written.
     pub queued_attempt: Option<QueuedAttempt>,
 }
 
-/// An attempt in a write queue, with what is needed to encode it again.
+/// An attempt in a write queue, with the data to encode it again.
 #[derive(Debug)]
 pub struct QueuedAttempt {
     send: Send,
     encode: fn(&Send) -> Vec<Segment>,
     deadline: Instant,
-    /// When it was queued. By the clock of the reducer this is [`Send::at`].
+    /// Time at which the attempt was queued. In the clock of the reducer this is [`Send::at`].
     queued_at: Instant,
     encoded_at: Instant,
-    /// It counts towards the retry budget already.
-    admitted: bool,
+    /// Whether the attempt has passed the check of the retry budget. A retry is counted in the budget only once.
+    retry_budget_checked: bool,
 }
 
 impl QueuedAttempt {
-    /// The current time by the clock of the reducer.
+    /// Returns the current time in the clock of the reducer.
     fn now(&self) -> Milliseconds {
         self.send.at + self.queued_at.elapsed().as_secs_f64() * 1000.0
     }
 }
 
 impl Frame {
-    /// A message of one segment that transmits no attempt.
+    /// Creates a message of one segment that transmits no attempt.
     pub fn plain(bytes: Vec<u8>) -> Self {
         Self::from_parts(vec![bytes])
     }
 
-    /// A message of several segments that transmits no attempt.
+    /// Creates a message of several segments that transmits no attempt.
     pub fn from_parts(parts: Vec<Vec<u8>>) -> Self {
         Self {
             attempt: None,
@@ -87,7 +87,8 @@
         }
     }
 
-    /// The message that transmits an attempt, before the attempt's deadline and before its engine may forget its key.
+    /// Creates the message that transmits an attempt. It must be written before the deadline of the attempt and, for an attempt
+    /// with an idempotency key, before the engine may have removed the key.
     pub fn for_attempt(send: Send, encode: fn(&Send) -> Vec<Segment>) -> Self {
         let now = Instant::now();
         let after = |ms: Milliseconds| now + Duration::from_secs_f64(ms.clamp(0.0, MAX_DEADLINE_MS) / 1000.0);
@@ -103,15 +104,15 @@
                 deadline,
                 queued_at: now,
                 encoded_at: now,
-                admitted: false,
+                retry_budget_checked: false,
             }),
         }
     }
 
-    /// Checks whether the first byte may be written now. A retry takes from the retry budget, once.
+    /// Checks whether the first byte may be written now. The first successful check of a retry is counted in the retry budget.
     ///
     /// # Errors
-    /// The reason for which the message must not be written.
+    /// Returns the reason for which the message must not be written.
     pub fn check_transmit(
         &mut self,
         take_from_retry_budget: impl FnOnce() -> bool,
@@ -124,14 +125,14 @@
             return Err(SendRefusal::RequestFinished);
         }
         queued.send.permit.check(queued.now())?;
-        if queued.send.is_retry && !queued.admitted && !take_from_retry_budget() {
+        if queued.send.is_retry && !queued.retry_budget_checked && !take_from_retry_budget() {
             return Err(SendRefusal::RetryBudgetExhausted);
         }
-        queued.admitted = true;
+        queued.retry_budget_checked = true;
         Ok(())
     }
 
-    /// Encodes an attempt again that has been queued for long: its engine is given the time that is left now.
+    /// Encodes an attempt again if its encoding is older than `ENCODE_AGAIN_AFTER`, with the current remaining time.
     pub fn encode_again_if_stale(&mut self) {
         let Some(queued) = &mut self.queued_attempt else { return };
         if queued.encoded_at.elapsed() < ENCODE_AGAIN_AFTER {
@@ -143,18 +144,18 @@
         self.segments = (queued.encode)(&queued.send);
     }
 
-    /// Its bytes by segments, in order.
+    /// Returns the bytes of the message by segment, in order.
     pub fn bytes(&self) -> impl Iterator<Item = &[u8]> {
         self.segments.iter().map(Segment::bytes)
     }
 
-    /// The same message, counted under `tally` once it is written.
+    /// Returns the same message, counted under `tally` once it is written.
     #[must_use]
     pub fn counted(self, tally: Tally) -> Self {
         Self { tally: Some(tally), ..self }
     }
 
-    /// Its length in bytes.
+    /// Returns the length of the message in bytes.
     #[allow(clippy::len_without_is_empty)]
     pub fn len(&self) -> usize {
         self.segments.iter().map(|segment| segment.bytes().len()).sum()
--- a/src/net/connection/mod.rs
+++ b/src/net/connection/mod.rs
@@ -1,7 +1,7 @@
-//! One connection, of a client or to an engine: its read buffer, its write queue and its close.
+//! Parts of a connection, of a client or to an engine: read buffer, write queue and orderly close.
 //!
-//! Bytes to be written pass through [`frame`] into the write queue, which one task writes to the socket; bytes that
-//! arrive collect in the read buffer. Both count towards sums that all connections share.
+//! Outgoing messages are [`frame::Frame`]s in the write queue, which one task writes to the socket; incoming bytes are
+//! collected in the read buffer. Both are counted in the number of buffered bytes that all connections share.
 
 mod close;
 pub mod frame;
--- a/src/net/connection/read_barrier.rs
+++ b/src/net/connection/read_barrier.rs
@@ -1,47 +1,50 @@
-//! A barrier between reading from clients and writing attempts: an attempt begins only once what its client has sent, a
-//! disconnect or a cancellation among it, has been read.
+//! Barrier between reading from clients and writing attempts: an attempt is written only after the disconnects and
+//! cancellations that have arrived from clients were read.
 //!
-//! The process may be paused at any point, and clients may leave meanwhile. As it goes on, tasks that write to engines may run before
-//! those that read from clients. A writer therefore asks whether clients were read recently enough, and if not, lets all tasks
-//! read what has arrived first.
+//! The process may be paused at any point, and clients may disconnect during the pause. Afterwards, tasks that write to
+//! engines may run before those that read from clients. A writer therefore checks whether client sockets were read recently
+//! enough, and otherwise first lets all tasks read the bytes that have arrived.
 
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::task::yield_now;
 use tokio::time::Instant;
 
-/// How old the last look at clients' sockets may be as an attempt begins: a part of the 100 ms in which a disconnect has to take effect.
+/// Maximum time between the last read of client sockets and the write of an attempt: a fraction of the 100 ms within which
+/// a disconnect has to take effect.
 const MAX_READ_AGE: Duration = Duration::from_millis(25);
-/// Polls of the sockets in one pass: the first wakes the tasks that read, and the others let them go on after they gave way.
+/// Number of polls of the sockets in one pass: the first wakes the reading tasks, and the others let those continue that
+/// have yielded.
 const POLLS_PER_PASS: usize = 3;
 
-/// When clients' sockets were last read, for all writers of a process.
+/// Time of the last read of client sockets, shared by all writers of a process.
 #[derive(Debug)]
 pub struct ReadBarrier {
-    /// Everything that had arrived by then has been read.
+    /// All bytes that arrived before this time have been read.
     read_until: Cell<Instant>,
 }
 
 impl ReadBarrier {
-    /// A barrier of a process that starts now and has no clients.
+    /// Creates the barrier of a process that has no clients yet.
     pub(super) fn new() -> Self {
         Self { read_until: Cell::new(Instant::now()) }
     }
 
-    /// Whether clients were read recently enough for an attempt to begin now.
+    /// Returns whether client sockets were read recently enough for an attempt to be written now.
     pub fn is_fresh(&self) -> bool {
         self.read_until.get().elapsed() <= MAX_READ_AGE
     }
 
-    /// Lets all tasks read what has arrived, until that was recent enough. A pause within a pass makes another one necessary.
+    /// Lets all tasks read the bytes that have arrived. Repeated until the barrier is fresh, as the process may be paused
+    /// during a pass.
     pub async fn pass(&self) {
         while !self.is_fresh() {
-            let begun = Instant::now();
+            let started_at = Instant::now();
             for _ in 0..POLLS_PER_PASS {
-                // The runtime polls all sockets before it resumes a task that yields, and wakes those that wait for them first.
+                // Before the runtime resumes a task that has yielded, it polls all sockets and wakes the tasks that wait for them.
                 yield_now().await;
             }
-            self.read_until.set(begun.max(self.read_until.get()));
+            self.read_until.set(started_at.max(self.read_until.get()));
         }
     }
 }
--- a/src/net/connection/read_buffer.rs
+++ b/src/net/connection/read_buffer.rs
@@ -1,4 +1,4 @@
-//! The read buffer of a connection: bytes that have arrived and are not consumed yet.
+//! Read buffer of a connection: bytes that have arrived and are not consumed yet.
 
 use crate::limits::Limits;
 use crate::net::connection::shared_state::SharedState;
@@ -8,26 +8,26 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// While the sum over all connections is exceeded, a buffer of more than so many chunks fails.
+/// Maximum length of a buffer, in read chunks, while the limit of bytes buffered by all connections is exceeded.
 const MAX_CHUNKS_UNDER_PRESSURE: usize = 4;
 
-/// Bytes that were read and are not consumed yet. It grows only as bytes arrive. Its capacity counts towards
+/// Bytes that were read and are not consumed yet. The buffer grows only as bytes arrive. Its capacity is counted in
 /// [`SharedState::buffered_bytes`] until it is dropped.
 #[derive(Debug)]
 pub struct ReadBuffer {
     bytes: Vec<u8>,
-    /// Bytes at the front that are consumed.
+    /// Number of consumed bytes at the front.
     consumed: usize,
-    /// Its part of the sum over all connections.
+    /// Capacity of this buffer that is counted in [`SharedState::buffered_bytes`].
     counted_bytes: usize,
     shared: Rc<SharedState>,
-    /// When the first of the bytes that are not consumed arrived.
+    /// Time at which the first of the unconsumed bytes arrived.
     incomplete_since: Option<Instant>,
     last_filled: Instant,
 }
 
 impl ReadBuffer {
-    /// An empty buffer.
+    /// Creates an empty buffer.
     pub fn new(shared: Rc<SharedState>) -> Self {
         Self {
             bytes: Vec::new(),
@@ -39,31 +39,31 @@
         }
     }
 
-    /// Since when an incomplete message has been in the buffer; none where it is empty.
+    /// Returns the time at which the incomplete message in the buffer started to arrive, or `None` if the buffer is empty.
     pub fn incomplete_since(&self) -> Option<Instant> {
         self.incomplete_since.filter(|_| !self.unread().is_empty())
     }
 
-    /// When bytes last arrived.
+    /// Returns the time at which bytes last arrived.
     pub fn last_filled(&self) -> Instant {
         self.last_filled
     }
 
-    /// The bytes that are not consumed yet.
+    /// Returns the bytes that are not consumed yet.
     pub fn unread(&self) -> &[u8] {
         &self.bytes[self.consumed..]
     }
 
-    /// Removes bytes from the front.
+    /// Marks bytes at the front as consumed.
     pub fn consume(&mut self, count: usize) {
         self.consumed = (self.consumed + count).min(self.bytes.len());
         self.incomplete_since = None;
     }
 
-    /// Waits for bytes and reads them; false at the end of the stream.
+    /// Waits for bytes and reads them. Returns false at the end of the stream.
     ///
     /// # Errors
-    /// The connection failed, or the buffer is long while all connections together exceed their memory.
+    /// The connection failed, or the buffer is too long while all connections together exceed the limit of buffered bytes.
     pub async fn fill(&mut self, stream: &TcpStream, limits: &Limits) -> io::Result<bool> {
         self.release_consumed();
         loop {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Gives up what is consumed. Most connections are idle most of the time: none keeps memory while it waits.
+    /// Removes consumed bytes. An empty buffer releases its memory, as most connections are idle most of the time.
     fn release_consumed(&mut self) {
         self.bytes.drain(..self.consumed);
         self.consumed = 0;
@@ -95,7 +95,8 @@
         }
     }
 
-    /// Whether this buffer has to give way: many long messages at once must not take the memory of all connections.
+    /// Returns whether the buffer is too long while the limit of bytes buffered by all connections is exceeded. This prevents
+    /// many concurrent long messages from using up the memory of all connections.
     fn is_too_long(&self, limits: &Limits) -> bool {
         let max_bytes = self.shared.process_share(limits.max_buffered_bytes);
         self.shared.buffered_bytes.get() > max_bytes
--- a/src/net/connection/shared_state.rs
+++ b/src/net/connection/shared_state.rs
@@ -1,4 +1,4 @@
-//! State that all connections of a process share: the sum of buffered bytes, counters and the retry budget.
+//! State shared by all connections of a process: number of buffered bytes, counters and retry budget.
 
 use crate::net::connection::read_barrier::ReadBarrier;
 use starlingplank_admin::metrics::Metrics;
@@ -9,31 +9,31 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// State that all connections share. The frontend state owns it; each connection holds a reference.
+/// State shared by all connections of a process, of clients and to engines.
 #[derive(Debug)]
 pub struct SharedState {
-    /// Bytes in all read buffers and write queues.
+    /// Total number of bytes in all read buffers and write queues.
     pub buffered_bytes: Cell<usize>,
-    /// Requests and attempts that were written, by class.
+    /// Numbers of answers and attempts that were written, by class.
     pub metrics: Metrics,
-    /// Processes of this gateway that run now. Together they stay within what one process may use.
+    /// Number of running processes of this gateway. Together they stay within the limits of one process.
     pub process_count: Cell<usize>,
-    /// Attempts that the rules refused.
+    /// Numbers of attempts that were withheld, by reason.
     pub rule_counters: Rc<RuleCounters>,
-    /// Counts requests as they are read, and retries as they are written.
+    /// Retry budget. Requests are counted when they are read, retries when they are written.
     retry_budget: RefCell<RetryBudget>,
     started: Instant,
-    /// Passed before an attempt is written.
+    /// Barrier that is passed before an attempt is written.
     pub read_barrier: ReadBarrier,
 }
 
 impl SharedState {
-    /// State of a process that runs alone, without a retry budget.
+    /// Creates the state of a single process without a retry budget.
     pub fn new(classes: usize) -> Rc<Self> {
         Self::with_retry_budget(classes, None)
     }
 
-    /// State of a process that runs alone, with a retry budget if there is one.
+    /// Creates the state of a single process, with an optional retry budget.
     pub fn with_retry_budget(classes: usize, retry_budget: Option<RetryBudgetSettings>) -> Rc<Self> {
         Rc::new(Self {
             buffered_bytes: Cell::new(0),
@@ -46,12 +46,12 @@
         })
     }
 
-    /// Time since the start, by the clock of the retry budget.
+    /// Returns the time since the state was created, which is the clock of the retry budget.
     fn elapsed(&self) -> Milliseconds {
         self.started.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Counts a request that was read: it earns its part of a retry.
+    /// Counts a request that was read, which adds a fraction of a retry to the retry budget.
     pub fn count_request(&self) {
         let now = self.elapsed();
         let mut budget = self.retry_budget.borrow_mut();
@@ -59,7 +59,7 @@
         budget.forget(now, 0.0);
     }
 
-    /// Whether a retry may be written now; if so it counts as written.
+    /// Returns whether a retry may be written now. If so, counts it as written.
     pub(super) fn take_from_retry_budget(&self) -> bool {
         let now = self.elapsed();
         let mut budget = self.retry_budget.borrow_mut();
@@ -70,7 +70,7 @@
         allowed
     }
 
-    /// This process's share of a limit that holds for all processes of the gateway together.
+    /// Returns this process's share of a limit for all processes of the gateway together.
     pub fn process_share(&self, limit: usize) -> usize {
         limit / self.process_count.get().max(1)
     }
--- a/src/net/connection/socket_retry.rs
+++ b/src/net/connection/socket_retry.rs
@@ -1,18 +1,18 @@
-//! Failures of calls on a socket after which the call is made again.
+//! Socket errors after which the call is retried.
 
 use std::io;
 
-/// When a failed call on a socket is made again.
+/// Condition for the retry of a failed socket call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SocketRetry {
-    /// The call would block: wait until the socket is ready.
+    /// The call would block: it is retried once the socket is ready.
     WhenReady,
-    /// A signal interrupted the call before it did anything: make it again.
+    /// A signal interrupted the call before it had an effect: it is retried immediately.
     Immediately,
 }
 
 impl SocketRetry {
-    /// Whether and when the call is made again; none where the connection has failed.
+    /// Returns when to retry the call after `error`, or `None` if the connection has failed.
     pub fn after(error: &io::Error) -> Option<Self> {
         match error.kind() {
             io::ErrorKind::WouldBlock => Some(Self::WhenReady),
--- a/src/net/connection/write_queue.rs
+++ b/src/net/connection/write_queue.rs
@@ -1,4 +1,4 @@
-//! The write queue of a connection: frames that are written in order, by gathered writes.
+//! Write queue of a connection: frames that are written in order, by vectored writes.
 
 use crate::core::{AttemptId, FlowControl};
 use crate::limits::Limits;
@@ -17,38 +17,38 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// How a connection is closed.
+/// Mode in which a connection is closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloseMode {
-    /// Once everything queued is written.
+    /// The connection is closed once all queued frames are written.
     AfterWrite,
-    /// At once; what is queued is dropped.
+    /// The connection is closed immediately, and queued frames are discarded.
     Immediately,
 }
 
-/// Frames that wait to be written to one peer. Their bytes count towards the limit of the queue and towards
-/// [`SharedState::buffered_bytes`]. One task owns the writing, by [`write_all`](Self::write_all).
+/// Frames that wait to be written to one peer. Their bytes are counted in the length of the queue, which is limited, and in
+/// [`SharedState::buffered_bytes`]. One task writes them, by [`write_all`](Self::write_all).
 #[derive(Debug)]
 pub struct WriteQueue {
     frames: RefCell<VecDeque<Frame>>,
-    /// Bytes of the first frame that are written.
+    /// Number of bytes of the first frame that are written.
     first_frame_written: Cell<usize>,
     bytes: Cell<usize>,
     shared: Rc<SharedState>,
     close_mode: Cell<Option<CloseMode>>,
-    /// Wakes the writing task: a frame was queued, or the close was requested.
+    /// Wakes the writing task after a frame was queued or a close was requested.
     changed: Notify,
     /// Wakes producers that wait for the queue to become shorter.
     drained: Notify,
-    /// Attempts that were dropped unwritten and are not reported yet.
+    /// Attempts that were discarded before they were written and are not reported yet.
     expired_attempts: RefCell<Vec<AttemptId>>,
     attempt_expired: Notify,
-    /// Wakes the reading task: all is written, or it should check again whether the connection goes on.
+    /// Wakes the reading task to check whether the connection stays open: all frames are written, or a check was requested.
     recheck: Notify,
 }
 
 impl WriteQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(shared: Rc<SharedState>) -> Self {
         Self {
             frames: RefCell::default(),
@@ -64,12 +64,12 @@
         }
     }
 
-    /// The state that all connections share.
+    /// Returns the state shared by all connections.
     pub fn shared(&self) -> Rc<SharedState> {
         self.shared.clone()
     }
 
-    /// Bytes that are queued and not written yet.
+    /// Returns the number of bytes that are queued and not written yet.
     pub fn queued_bytes(&self) -> usize {
         self.bytes.get()
     }
@@ -79,7 +79,8 @@
         self.shared.buffered_bytes.set(self.shared.buffered_bytes.get() + added - removed);
     }
 
-    /// Queues a message. A peer that lets too much pile up is disconnected, so that it stalls nobody else.
+    /// Queues a message. If the queue, or all buffers together, would exceed the limit, the connection is closed, so that a
+    /// slow peer does not block other connections.
     pub fn push(&self, frame: Frame, limits: &Limits) {
         if self.is_closing() {
             return;
@@ -89,7 +90,9 @@
         if self.bytes.get() + length > limits.max_write_queue_bytes
             || self.shared.buffered_bytes.get() + length > max_buffered_bytes
         {
-            log::warn_rate_limited("a connection was closed: its reader is too slow");
+            log::warn_rate_limited(
+                "write queue or buffer limit exceeded, as a peer reads too slowly; closing the connection",
+            );
             return self.close(CloseMode::Immediately);
         }
         self.count_bytes(length, 0);
@@ -97,7 +100,7 @@
         self.changed.notify_one();
     }
 
-    /// Requests the close of the connection; nothing more is queued from now on.
+    /// Requests the close of the connection. Frames that are pushed afterwards are discarded.
     pub fn close(&self, mode: CloseMode) {
         if self.close_mode.get() != Some(CloseMode::Immediately) {
             self.close_mode.set(Some(mode));
@@ -106,40 +109,40 @@
         self.changed.notify_one();
     }
 
-    /// Waits for a request to close immediately. For connections that nothing is written to yet, as it takes the
-    /// notifications of the writing task.
+    /// Waits for a request to close immediately. Must not be used while [`write_all`](Self::write_all) runs, as it consumes
+    /// the notifications of the writing task.
     pub async fn closed_immediately(&self) {
         while self.close_mode.get() != Some(CloseMode::Immediately) {
             self.changed.notified().await;
         }
     }
 
-    /// Has the reading task check again whether the connection goes on.
+    /// Wakes the reading task to check whether the connection stays open.
     pub fn request_recheck(&self) {
         self.recheck.notify_one();
     }
 
-    /// Waits until everything is written, or for [`request_recheck`](Self::request_recheck).
+    /// Waits until all frames are written, or for [`request_recheck`](Self::request_recheck).
     pub async fn recheck_requested(&self) {
         self.recheck.notified().await;
     }
 
-    /// How the connection is closed, if its close was requested.
+    /// Returns the close mode, if a close was requested.
     pub fn close_mode(&self) -> Option<CloseMode> {
         self.close_mode.get()
     }
 
-    /// Whether the close was requested.
+    /// Returns whether a close was requested.
     pub fn is_closing(&self) -> bool {
         self.close_mode.get().is_some()
     }
 
-    /// Frames at the front that cannot be withdrawn, as some of their bytes are written: 0 or 1.
+    /// Returns the number of frames at the front that are partly written and cannot be withdrawn: 0 or 1.
     fn partly_written_frames(&self) -> usize {
         usize::from(self.first_frame_written.get() > 0)
     }
 
-    /// Withdraws the message of an attempt if none of it is written. Returns whether it was withdrawn.
+    /// Withdraws the message of an attempt if no byte of it is written. Returns whether it was withdrawn.
     pub fn withdraw(&self, attempt: AttemptId) -> bool {
         let mut frames = self.frames.borrow_mut();
         let mut unwritten = self.partly_written_frames()..frames.len();
@@ -151,28 +154,28 @@
         true
     }
 
-    /// The attempts none of whose bytes are written, those that expired and are not reported yet among them.
+    /// Returns the attempts of which no byte is written, including discarded ones that are not reported yet.
     pub fn unsent_attempts(&self) -> Vec<AttemptId> {
         let frames = self.frames.borrow();
         let queued = frames.iter().skip(self.partly_written_frames()).filter_map(|frame| frame.attempt);
         queued.chain(self.expired_attempts.borrow().iter().copied()).collect()
     }
 
-    /// Whether the next write may begin an attempt.
+    /// Returns whether the next write may contain the first byte of an attempt.
     fn may_begin_attempt(&self, limits: &Limits) -> bool {
         let frames = self.frames.borrow();
         let next = frames.iter().take(limits.max_gathered_slices).skip(self.partly_written_frames());
         next.into_iter().any(|frame| frame.attempt.is_some())
     }
 
-    /// Checks each attempt that the next write may begin, and drops those that must not be written. Those that have
-    /// been queued for long are encoded again.
+    /// Checks each attempt that may begin in the next write, and discards those that must not be written. Attempts whose
+    /// encoding is stale are encoded again.
     fn check_next_frames(&self, limits: &Limits) {
         let mut index = self.partly_written_frames();
         while index < limits.max_gathered_slices.min(self.frames.borrow().len()) {
             match self.check_frame(index) {
                 Ok(()) => index += 1,
-                Err(refusal) => self.drop_refused(index, refusal),
+                Err(refusal) => self.discard_refused(index, refusal),
             }
         }
     }
@@ -189,7 +192,7 @@
         Ok(())
     }
 
-    fn drop_refused(&self, index: usize, refusal: SendRefusal) {
+    fn discard_refused(&self, index: usize, refusal: SendRefusal) {
         let Some(frame) = self.frames.borrow_mut().remove(index) else { return };
         self.count_bytes(0, frame.len());
         self.shared.rule_counters.count(refusal);
@@ -197,13 +200,16 @@
             tracing::debug!(request = request.0, attempt, reason = refusal.name(), "attempt not written");
         }
         if refusal.is_violation() {
-            log::error_rate_limited("an attempt was about to be written against the rules", refusal.name());
+            log::error_rate_limited(
+                "an attempt in the write queue violates a sending rule and is discarded",
+                refusal.name(),
+            );
         }
         self.expired_attempts.borrow_mut().extend(frame.attempt);
         self.attempt_expired.notify_one();
     }
 
-    /// Waits for an attempt that was dropped unwritten, as it must no longer be written.
+    /// Waits for an attempt that was discarded because it must no longer be written.
     pub async fn next_expired_attempt(&self) -> AttemptId {
         loop {
             if let Some(id) = self.expired_attempts.borrow_mut().pop() {
@@ -213,7 +219,7 @@
         }
     }
 
-    /// Removes the frames that are written, and counts them.
+    /// Removes frames that are completely written, and counts them in their metrics.
     fn advance(&self, written: usize) {
         self.count_bytes(0, written);
         let mut frames = self.frames.borrow_mut();
@@ -229,7 +235,7 @@
         self.drained.notify_one();
     }
 
-    /// Writes what is queued until the connection is to be closed.
+    /// Writes queued frames until the connection has to be closed.
     ///
     /// # Errors
     /// The connection failed.
@@ -252,14 +258,14 @@
                 self.changed.notified().await;
                 continue;
             }
-            // The process may have been paused since the check.
+            // The process may have been paused since the check of the barrier.
             if begins_attempt && !self.shared.read_barrier.is_fresh() {
                 continue;
             }
             match self.try_write(stream, limits) {
                 Ok(written) => self.advance(written),
                 Err(error) => match SocketRetry::after(&error) {
-                    // Other tasks run in between, however often it happens.
+                    // Yields, so that repeated interruptions do not block other tasks.
                     Some(SocketRetry::Immediately) => tokio::task::yield_now().await,
                     Some(SocketRetry::WhenReady) => tokio::select! {
                         ready = stream.ready(Interest::WRITABLE) => drop(ready?),
@@ -271,7 +277,7 @@
         }
     }
 
-    /// One gathered write of the first frames. Returns the bytes written.
+    /// Writes the first frames with one vectored write. Returns the number of bytes written.
     fn try_write(&self, stream: &TcpStream, limits: &Limits) -> io::Result<usize> {
         let frames = self.frames.borrow();
         let mut skip = self.first_frame_written.get();
