--- a/src/limits.rs
+++ b/src/limits.rs
@@ -1,4 +1,4 @@
-//! The limits of the program: every size, count and time, read once at the start and passed down.
+//! Limits of the program: sizes, counts and times. They are read from the settings once at the start.
 
 use crate::interface::Milliseconds;
 use crate::simulator::{Fields, LineError};
@@ -7,187 +7,193 @@
 use starlingplank_service_discovery::flows::MAX_FLOWS;
 use std::time::Duration;
 
-/// The limits of one gateway.
+/// Limits of one gateway.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limits {
-    /// Clients' connections at most.
+    /// Maximum number of client connections.
     pub max_client_connections: usize,
-    /// Connections to all engines at most.
+    /// Maximum number of connections to all engines together.
     pub max_engine_connections: usize,
-    /// Requests open on one client connection at most.
+    /// Maximum number of open requests on one client connection.
     pub max_open_per_connection: usize,
-    /// Requests held open in all.
+    /// Maximum number of open requests on all client connections together.
     pub max_open_requests: usize,
-    /// Bytes of one message, or of one HTTP body, at most.
+    /// Maximum size of one message or of one HTTP body, in bytes.
     pub max_message_bytes: usize,
-    /// Bytes of one HTTP head at most.
+    /// Maximum size of one HTTP head, in bytes.
     pub max_head_bytes: usize,
-    /// Bytes of a result that are held before any are passed on, or at most where it is passed on whole.
+    /// Number of bytes of a result that are buffered before the first are forwarded. Maximum size of a result that is forwarded
+    /// as a whole.
     pub max_result_bytes: usize,
-    /// Bytes that are queued for one peer; one that lets more pile up is disconnected.
+    /// Maximum number of bytes queued for one peer. A peer that reads so slowly that the queue exceeds this is disconnected.
     pub max_write_queue_bytes: usize,
-    /// Bytes of statements and results held in all.
+    /// Maximum number of bytes of statements and results that are buffered for all connections together.
     pub max_buffered_bytes: usize,
-    /// Read from a socket at a time.
+    /// Number of bytes that one read from a socket requests.
     pub read_chunk_bytes: usize,
-    /// Slices handed to one gathered write.
+    /// Maximum number of slices in one vectored write.
     pub max_gathered_slices: usize,
-    /// Events waiting for the reducer.
+    /// Maximum number of events queued for the reducer.
     pub event_queue_capacity: usize,
-    /// Attempts that one engine connection carries.
+    /// Maximum number of in-flight attempts on one engine connection.
     pub max_attempts_per_connection: usize,
-    /// Attempts on one engine connection from which a further connection is opened, if the limits allow it: an attempt
-    /// that breaks or resets its connection ends all others on it.
+    /// Number of in-flight attempts on one engine connection from which another connection is opened, if the limits allow it: an
+    /// attempt that breaks or resets its connection ends all others on it.
     pub preferred_attempts_per_connection: usize,
-    /// An engine that stops inside a reply, or does not send a page, is waited for no longer than this.
+    /// Timeout for the remainder of a reply that an engine has sent in part, and for the next page of a result.
     pub engine_stall_timeout: Duration,
-    /// How long listening at an address is retried while descriptors or memory lack.
+    /// Time for which binding a listener is retried while file descriptors or memory are exhausted.
     pub bind_retry: Duration,
-    /// How long a folder that takes no writes at the start is retried.
+    /// Time for which opening the folder of persisted state is retried at the start while it cannot be written.
     pub disk_retry: Duration,
-    /// A connection to an engine that is not established by then has failed.
+    /// Timeout for establishing a connection to an engine.
     pub connect_timeout: Duration,
-    /// Idle engine connections are closed after this: a little before the engine closes them.
+    /// Time after which an idle engine connection is closed. Shorter than the idle timeout of the engine, so that no attempt is sent
+    /// on a connection that the engine is closing.
     pub engine_idle_timeout: Duration,
-    /// A client connection without an open request is closed after this.
+    /// Time after which a client connection without open requests is closed.
     pub client_idle_timeout: Duration,
-    /// A client connection that was never answered and has no open request, or that stops inside a message, is closed after
-    /// this.
+    /// Time after which a client connection is closed if it has no open request and either received no answer yet, or stopped in
+    /// the middle of a message.
     pub client_silence_timeout: Duration,
-    /// A message that arrives in pieces must be complete so long after its first byte.
+    /// Maximum time between the first and the last byte of a message from a client.
     pub client_message_timeout: Duration,
-    /// No client connection is evicted before it has been idle this long.
+    /// Minimum time for which a client connection must have been idle before it may be evicted.
     pub min_idle_before_eviction: Duration,
-    /// A new client connection that gets no slot by then is closed.
+    /// Maximum time for which a new client connection waits for a slot; the connection is closed afterwards.
     pub max_wait_for_slot: Duration,
-    /// A connection that this side closes is read for so long, so that what was written is not lost by a reset.
+    /// Time for which a connection that this side closes is still read: unread bytes would cause a reset, which discards data that
+    /// was written but not yet delivered.
     pub close_linger: Duration,
-    /// Client connections that may wait for a slot at once; further ones wait to be accepted.
+    /// Maximum number of accepted client connections that wait for a slot. Further connections stay in the accept queue.
     pub max_waiting_connections: usize,
-    /// Time between maintenance ticks of the connections to engines.
+    /// Time between two maintenance ticks of the connections to engines.
     pub maintenance_interval: Duration,
-    /// A timer that is late by more than this is logged as a pause of the process.
+    /// Delay of a timer above which a pause of the process is logged.
     pub pause_threshold: Milliseconds,
-    /// A health check without a reply by then has failed ...
+    /// Time after which a health check without a reply has failed.
     pub health_check_timeout: Milliseconds,
-    /// ... and its connection is checked for silence.
+    /// Time after which a connection with an unanswered health check is retired or closed if it has received nothing.
     pub health_check_connection_timeout: Duration,
-    /// Time between two decision cycles where nothing waits for the second, or cycles take much time.
+    /// Minimum time between two decision cycles, unless the second is urgent and decision cycles have taken little time.
     pub decision_interval: Milliseconds,
-    /// Share of the time that decision cycles in between may take ...
+    /// Share of the elapsed time that urgent decision cycles may take.
     pub decision_time_share: f64,
-    /// ... and how much of it may accumulate.
+    /// Maximum time that may accumulate for urgent decision cycles.
     pub max_decision_credit: Milliseconds,
     /// Time before a deadline that is reserved for writing the answer.
     pub answer_margin: Milliseconds,
-    /// Time after which attempts on an engine that the name service removed are aborted.
+    /// Time between the removal of an engine from the endpoint list and the abort of the attempts on it.
     pub removed_engine_grace: Milliseconds,
-    /// The longest interval at which a name service that answers only some questions is polled.
+    /// Maximum interval between polls of a name service that answers only some of them.
     pub slowest_poll_interval: Milliseconds,
-    /// Flows to the name service at most.
+    /// Maximum number of flows (sockets) to the name service.
     pub max_discovery_flows: usize,
-    /// Bytes of a datagram of the name service at most.
+    /// Maximum size of a datagram from the name service, in bytes.
     pub max_datagram_bytes: usize,
-    /// After SIGTERM, new requests are accepted for at least this long.
+    /// Minimum time after SIGTERM for which new requests are accepted.
     pub shutdown_accept_window: Milliseconds,
-    /// After SIGTERM, open requests are answered by then.
+    /// Time after SIGTERM within which all open requests are answered.
     pub shutdown_answer_deadline: Milliseconds,
-    /// A record of a keyed send that is not durable by then has failed.
+    /// Time after which a record of an attempt with an idempotency key has failed if it is not durable.
     pub record_timeout: Milliseconds,
-    /// Time between maintenance ticks of the idempotency log.
+    /// Time between two maintenance ticks of the idempotency log.
     pub log_maintenance_interval: Duration,
-    /// Time for the last snapshot to be written.
+    /// Timeout for writing the last snapshot.
     pub final_snapshot_timeout: Duration,
-    /// Where another process takes over, idle client connections are closed so long after SIGTERM.
+    /// Time after SIGTERM at which idle client connections are closed, if another process takes over.
     pub hot_restart_idle_after: Duration,
-    /// Time for connections to be closed after the last answer.
+    /// Additional time after the deadline for answers in which connections are closed before the process exits.
     pub connection_close_wait: Duration,
-    /// Where another process takes over, open requests are answered by then after SIGTERM.
+    /// Time after SIGTERM within which all open requests are answered, if another process takes over.
     pub hot_restart_answer_deadline: Milliseconds,
-    /// Operators' connections at once; the one that has been incomplete longest is closed for the next.
+    /// Maximum number of operators' connections. At the limit, the connection whose call has been incomplete for the longest time
+    /// is closed in favour of a new one.
     pub max_admin_connections: usize,
-    /// A call of an operator that is incomplete by then is rejected.
+    /// Time after which an operator's call that is still incomplete is rejected.
     pub admin_call_timeout: Duration,
-    /// How long the rest of a rejected call is read and discarded, so that its answer is not lost by a reset.
+    /// Time for which the rest of a rejected call is read and discarded, so that a reset does not discard the answer.
     pub admin_discard_timeout: Duration,
-    /// Time between polls of the other processes of this gateway.
+    /// Time between two polls of the other processes of this gateway.
     pub peer_poll_interval: Duration,
-    /// A successor waits no longer than this for the learned state of its predecessor.
+    /// Maximum time for which a successor waits for the learned state of its predecessor.
     pub inherited_state_wait: Duration,
-    /// Bytes of learned state that are passed on to a successor at most.
+    /// Maximum size of the learned state that is passed on to a successor, in bytes.
     pub max_inherited_state_bytes: usize,
 }
 
-/// The share of the time from SIGTERM to SIGKILL that is left when open requests are answered: for the last answers, the close of
-/// connections, and a process that gets little time from its machine.
+/// Share of the time between SIGTERM and SIGKILL that is reserved after the deadline for answers. The last answers and the close of
+/// connections need it, also in a process that gets little CPU time.
 const SHUTDOWN_MARGIN_SHARE: f64 = 1.0 / 6.0;
-/// That time at least.
+/// Minimum time between the deadline for answers and SIGKILL.
 const MIN_SHUTDOWN_MARGIN: Milliseconds = 400.0;
-/// SIGKILL follows SIGTERM by the longest deadline and this time at the earliest.
+/// Minimum time that the platform adds to the longest deadline of a request: SIGKILL follows SIGTERM after their sum.
 const KILL_DELAY: Milliseconds = 700.0;
-/// The longest deadline that SIGKILL waits for.
+/// Maximum deadline of a request that the platform waits for before SIGKILL.
 const MAX_KILL_WAIT: Milliseconds = 3_000.0;
-/// The longest deadline that SIGKILL waits for where another process takes over.
+/// Maximum deadline of a request that the platform waits for before SIGKILL, if another process takes over.
 const MAX_HOT_RESTART_KILL_WAIT: Milliseconds = 5_000.0;
 
-/// Descriptors that are reserved, so that no number of clients or engines can take them: standard streams, the event queue,
-/// signals, listeners, two sockets of the name service, files of keys and of other processes.
+/// Number of file descriptors that connections to clients and engines cannot take. They are for the standard streams, the event
+/// queue, signals, listeners, two sockets of the name service, files of idempotency keys and files of other processes.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// Descriptors that are used for connections at least.
+/// Minimum number of file descriptors for connections.
 const MIN_SOCKETS: usize = 16;
-/// One further socket of the name service is used for so many descriptors that are not reserved.
+/// Number of unreserved file descriptors for each flow to the name service.
 const SOCKETS_PER_FLOW: usize = 10;
-/// Flows to the name service that every process may have.
+/// Minimum value of the limit of flows to the name service.
 const MIN_FLOWS: usize = 2;
-/// The largest payload of a datagram over IPv4, in bytes.
+/// Maximum payload of a UDP datagram over IPv4, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 65_507;
 
-/// Share of the memory that buffers may take.
+/// Share of the memory that buffered statements and results may take.
 const BUFFERED_SHARE: f64 = 0.4;
-/// Share of the time after which an engine closes an idle connection that this side keeps it open.
+/// Ratio of this side's idle timeout of engine connections to the engine's idle timeout.
 const IDLE_TIMEOUT_SHARE: f64 = 0.8;
-/// Most requests that may be open, whatever the settings say.
+/// Maximum number of open requests. Settings can only lower it.
 const MAX_OPEN_REQUESTS: f64 = 20_000.0;
-/// Longest time for a record of a keyed send to be durable, whatever the settings say.
+/// Maximum time for a record of an attempt with an idempotency key to become durable. Settings can only lower it.
 const MAX_RECORD_TIMEOUT: Milliseconds = 250.0;
 
-/// Descriptors of the machine where the settings do not name them.
+/// Number of file descriptors of the machine if the settings contain none.
 const DEFAULT_SOCKETS: f64 = 1024.0;
-/// Memory of the machine where the settings do not name it.
+/// Memory of the machine, in MiB, if the settings contain none.
 const DEFAULT_MEMORY_MB: f64 = 192.0;
-/// Attempts on one engine connection where the settings do not name them.
+/// Maximum number of in-flight attempts on one engine connection if the settings contain none.
 const DEFAULT_ATTEMPTS_PER_CONNECTION: f64 = 32.0;
-/// Timeout of connections to engines where the settings do not name it.
+/// Timeout for establishing a connection to an engine if the settings contain none.
 const DEFAULT_CONNECT_TIMEOUT: Milliseconds = 250.0;
-/// Time after which an engine closes an idle connection, where the settings do not name it.
-const DEFAULT_ENGINE_CLOSES_IDLE_AFTER: Milliseconds = 15_000.0;
-/// Tick of the decision module where the settings do not name it.
+/// Time after which an engine closes an idle connection if the settings contain none.
+const DEFAULT_ENGINE_SIDE_IDLE_TIMEOUT: Milliseconds = 15_000.0;
+/// Tick of the decision module if the settings contain none.
 const DEFAULT_TICK: Milliseconds = 1.0;
-/// Shortest time between two decision cycles.
+/// Lower bound of [`Limits::decision_interval`].
 const MIN_DECISION_INTERVAL: Milliseconds = 2.0;
-/// Longest time between two decision cycles.
+/// Upper bound of [`Limits::decision_interval`].
 const MAX_DECISION_INTERVAL: Milliseconds = 5.0;
 
-/// A duration of at least 1 ms and at most an hour.
+/// Converts milliseconds to a duration, clamped to the range from 1 ms to 1 h.
 fn duration(milliseconds: Milliseconds) -> Duration {
     Duration::from_secs_f64((milliseconds / 1000.0).clamp(0.001, 3600.0))
 }
 
-/// Descriptors for connections: those of the settings, as far as the system grants them, without the reserved ones.
+/// Returns the number of file descriptors for connections: the smaller of the configured number and the limit of the operating
+/// system (`RLIMIT_NOFILE`), less the reserved ones.
 fn usable_sockets(configured: f64) -> usize {
     let granted = getrlimit(Resource::Nofile).current.map_or(usize::MAX, |limit| limit as usize);
     (configured as usize).min(granted).saturating_sub(RESERVED_DESCRIPTORS).max(MIN_SOCKETS)
 }
 
-/// When open requests are answered after SIGTERM, which SIGKILL follows by that wait and [`KILL_DELAY`].
-fn answer_deadline(wait: Milliseconds) -> Milliseconds {
-    let kill_after = wait + KILL_DELAY;
+/// Returns the time after SIGTERM within which open requests are answered, if SIGKILL follows SIGTERM after `kill_wait` and
+/// [`KILL_DELAY`].
+fn answer_deadline(kill_wait: Milliseconds) -> Milliseconds {
+    let kill_after = kill_wait + KILL_DELAY;
     kill_after - (kill_after * SHUTDOWN_MARGIN_SHARE).max(MIN_SHUTDOWN_MARGIN)
 }
 
 impl Limits {
-    /// The same limits with the shutdown deadlines of a gateway whose longest deadline is `longest_deadline`. SIGKILL
-    /// follows SIGTERM by that time, bounded, and 0.7 s; open requests are answered before.
+    /// Returns these limits with shutdown deadlines for a gateway whose requests have deadlines of up to `longest_deadline`. SIGKILL
+    /// follows SIGTERM after that time, capped at a maximum, plus 0.7 s; open requests are answered earlier.
     #[must_use]
     pub fn with_shutdown_deadlines(self, longest_deadline: Milliseconds) -> Self {
         let answer_deadline = |max_wait: Milliseconds| answer_deadline(longest_deadline.min(max_wait));
@@ -198,17 +204,17 @@
         }
     }
 
-    /// The limits of the machine and of the settings; the others have their defaults.
+    /// Reads the limits that depend on the machine and the settings. All others have their defaults.
     ///
     /// # Errors
-    /// The first value that cannot be read.
+    /// Returns the first value that is not a finite number.
     pub fn read(fields: &Fields) -> Result<Self, LineError> {
         let sockets = usable_sockets(fields.number_or("machine.sockets", DEFAULT_SOCKETS)?);
         let memory_bytes = fields.number_or("machine.memory_mb", DEFAULT_MEMORY_MB)? * 1024.0 * 1024.0;
         let open_requests = fields.number_or("limits.max_open", MAX_OPEN_REQUESTS)?;
         let attempts = fields.number_or("limits.streams_per_conn", DEFAULT_ATTEMPTS_PER_CONNECTION)?;
         let connect_timeout = fields.number_or("limits.connect_timeout", DEFAULT_CONNECT_TIMEOUT)?;
-        let idle_close = fields.number_or("limits.idle_close", DEFAULT_ENGINE_CLOSES_IDLE_AFTER)?;
+        let idle_close = fields.number_or("limits.idle_close", DEFAULT_ENGINE_SIDE_IDLE_TIMEOUT)?;
         let tick = fields.number_or("tick", DEFAULT_TICK)?;
         let slowest_poll_interval =
             fields.number_or("pacing.list_slowest", poll_schedule::STEADY_INTERVAL)?;
@@ -225,7 +231,8 @@
         })
     }
 
-    /// The limits of a machine; those that settings may override have their defaults.
+    /// Returns the limits for a machine with these numbers of file descriptors and bytes of memory. Limits that the settings may
+    /// override have their defaults.
     fn of_machine(sockets: usize, memory_bytes: f64) -> Self {
         Self {
             max_client_connections: sockets * 60 / 100,
@@ -246,7 +253,7 @@
             bind_retry: duration(3_000.0),
             disk_retry: duration(3_000.0),
             connect_timeout: duration(DEFAULT_CONNECT_TIMEOUT),
-            engine_idle_timeout: duration(DEFAULT_ENGINE_CLOSES_IDLE_AFTER * IDLE_TIMEOUT_SHARE),
+            engine_idle_timeout: duration(DEFAULT_ENGINE_SIDE_IDLE_TIMEOUT * IDLE_TIMEOUT_SHARE),
             client_idle_timeout: duration(60_000.0),
             client_silence_timeout: duration(1_500.0),
             client_message_timeout: duration(6_000.0),
