--- a/src/config/consistency.rs
+++ b/src/config/consistency.rs
@@ -1,16 +1,16 @@
-//! Settings that contradict each other. Each value is valid by itself; here the values are compared, so that a gateway with
-//! contradictory settings ends at its start with an error that names the key.
+//! Checks settings for contradictions between values that are valid each by itself. A gateway with contradictory settings exits at
+//! its start with an error that names the key.
 
 use crate::simulator::{Fields, LineError};
 
-/// Lists with an entry for each kind of machine, in the order of `skus`.
-const LISTS_BY_KIND: [&str; 2] = ["specifics.cpu_of_kind", "specifics.memory_by_kind_mb"];
+/// Lists with one entry for each machine type, in the order of `skus`.
+const LISTS_BY_MACHINE_TYPE: [&str; 2] = ["specifics.cpu_of_kind", "specifics.memory_by_kind_mb"];
 
-/// Lists with an entry for each class, in the order of the classes.
+/// Lists with one entry for each class, in the order of `classes`.
 const LISTS_BY_CLASS: [&str; 3] = ["specifics.width_by_class", "specifics.is_load", "specifics.class_waits"];
 
-/// Times, prices and counts, which must not be negative.
-const NOT_NEGATIVE: [&str; 14] = [
+/// Keys of times, costs and counts, which must not be negative.
+const NON_NEGATIVE_KEYS: [&str; 14] = [
     "tick",
     "charges.probe",
     "limits.max_retry_after",
@@ -27,10 +27,10 @@
     "machine.sockets",
 ];
 
-/// Checks settings against each other.
+/// Checks the settings for contradictions.
 ///
 /// # Errors
-/// The first key that contradicts another, or itself.
+/// Returns the first key whose value contradicts another setting or is out of range.
 pub fn check(fields: &Fields) -> Result<(), LineError> {
     let classes = fields.number_or("classes.count", 0.0)? as usize;
     check_lists(fields, classes)?;
@@ -43,73 +43,75 @@
     Ok(())
 }
 
-/// A list that is present has an entry for each kind, or for each class.
+/// Checks that each list that is present has one entry for each machine type, or for each class.
 fn check_lists(fields: &Fields, classes: usize) -> Result<(), LineError> {
-    let kinds = fields.list("skus").len();
-    let other_length = |key: &&&str, length: usize| ![0, length].contains(&fields.list(key).len());
-    if let Some(key) = LISTS_BY_KIND.iter().find(|key| other_length(key, kinds)) {
-        return Err(fields.invalid(key, "must have an entry for each kind of skus"));
+    let machine_types = fields.list("skus").len();
+    let has_wrong_length = |key: &&&str, length: usize| ![0, length].contains(&fields.list(key).len());
+    if let Some(key) = LISTS_BY_MACHINE_TYPE.iter().find(|key| has_wrong_length(key, machine_types)) {
+        return Err(fields.invalid(key, "must have one entry for each entry of skus"));
     }
-    if let Some(key) = LISTS_BY_CLASS.iter().find(|key| other_length(key, classes)) {
-        return Err(fields.invalid(key, "must have an entry for each class"));
+    if let Some(key) = LISTS_BY_CLASS.iter().find(|key| has_wrong_length(key, classes)) {
+        return Err(fields.invalid(key, "must have one entry for each class"));
     }
     Ok(())
 }
 
-/// Names of a sort differ, and this gateway's zone is one of the zones.
+/// Checks that names of zones, machine types, classes and tenants are unique, and that this gateway's zone is one of the zones.
 fn check_names(fields: &Fields, classes: usize) -> Result<(), LineError> {
     for key in ["zones", "skus"] {
         check_distinct(fields, &fields.list(key), key)?;
     }
     let tenants = fields.number_or("tenants.count", 0.0)? as usize;
     for (sort, count) in [("classes", classes), ("tenants", tenants)] {
-        let named: Vec<&str> =
+        let names: Vec<&str> =
             (0..count).filter_map(|index| fields.opt(&format!("{sort}.{index}.name"))).collect();
-        if let Some(index) = (0..named.len()).find(|index| named[..*index].contains(&named[*index])) {
-            return Err(fields.invalid(&format!("{sort}.{index}.name"), "is the name of another one"));
+        if let Some(index) = (0..names.len()).find(|index| names[..*index].contains(&names[*index])) {
+            return Err(
+                fields.invalid(&format!("{sort}.{index}.name"), "is already the name of another entry")
+            );
         }
     }
     let zones = fields.list("zones");
     match fields.opt("locality").filter(|zone| !zone.is_empty() && !zones.is_empty()) {
-        Some(zone) if !zones.contains(&zone) => Err(fields.invalid("locality", "is none of zones")),
+        Some(zone) if !zones.contains(&zone) => Err(fields.invalid("locality", "is not in zones")),
         _ => Ok(()),
     }
 }
 
 fn check_distinct(fields: &Fields, list: &[&str], key: &str) -> Result<(), LineError> {
     match (0..list.len()).any(|index| list[..index].contains(&list[index])) {
-        true => Err(fields.invalid(key, "names one twice")),
+        true => Err(fields.invalid(key, "contains a name twice")),
         false => Ok(()),
     }
 }
 
 fn check_numbers(fields: &Fields) -> Result<(), LineError> {
-    for key in NOT_NEGATIVE {
+    for key in NON_NEGATIVE_KEYS {
         if fields.number_or(key, 0.0)? < 0.0 {
-            return Err(fields.invalid(key, "must not be below 0"));
+            return Err(fields.invalid(key, "must not be negative"));
         }
     }
     for key in ["machine.memory_mb", "machine.sockets"] {
         if fields.number_or(key, 1.0)? <= 0.0 {
-            return Err(fields.invalid(key, "must lie above 0"));
+            return Err(fields.invalid(key, "must be greater than 0"));
         }
     }
     let has_grants = matches!(fields.opt("specifics.grants_count"), Some("1" | "true"));
     let max_grant_share = fields.number_or("specifics.most_grant", 1.0)?;
     if !(0.0..=1.0).contains(&max_grant_share) || has_grants && max_grant_share == 0.0 {
-        return Err(fields.invalid("specifics.most_grant", "must lie above 0 and not past 1"));
+        return Err(fields.invalid("specifics.most_grant", "must be greater than 0 and at most 1"));
     }
     Ok(())
 }
 
-/// A retry budget is counted over a span of time.
+/// Checks that a retry budget has a time window (`rules.ratio_span`) over which retries are counted.
 fn check_retry_budget(fields: &Fields) -> Result<(), LineError> {
     let allowed =
         ["rules.extra_free", "rules.extra_per_request"].into_iter().find(|key| fields.opt(key).is_some());
     match (allowed, fields.opt("rules.ratio_span")) {
-        (Some(key), None) => Err(fields.invalid(key, "needs rules.ratio_span beside it")),
+        (Some(key), None) => Err(fields.invalid(key, "requires rules.ratio_span")),
         (Some(_), Some(_)) if fields.number_or("rules.ratio_span", 0.0)? <= 0.0 => {
-            Err(fields.invalid("rules.ratio_span", "must lie above 0"))
+            Err(fields.invalid("rules.ratio_span", "must be greater than 0"))
         }
         _ => Ok(()),
     }
@@ -120,21 +122,21 @@
         let (allowed, known) = (key(allowed), fields.list(all));
         let list = fields.list(&allowed);
         if fields.opt(&allowed).is_some() && list.is_empty() {
-            return Err(fields.invalid(&allowed, "names nothing: the class could run nowhere"));
+            return Err(fields.invalid(&allowed, "is empty: no engine could run the class"));
         }
         if list.iter().any(|name| !known.contains(name)) {
-            return Err(fields.invalid(&allowed, "names what the settings do not"));
+            return Err(fields.invalid(&allowed, "contains a name that the settings do not define"));
         }
     }
-    let keyed = fields.opt(&key("idempotency")) == Some("deduplicated");
-    if keyed && fields.number_or(&key("window"), 0.0)? <= 0.0 {
-        return Err(fields.invalid(&key("window"), "must lie above 0 where repeats are deduplicated"));
+    let is_keyed = fields.opt(&key("idempotency")) == Some("deduplicated");
+    if is_keyed && fields.number_or(&key("window"), 0.0)? <= 0.0 {
+        return Err(fields.invalid(&key("window"), "must be greater than 0 if idempotency is deduplicated"));
     }
     if fields.number_or(&key("worth"), 1.0)? < 0.0 {
-        return Err(fields.invalid(&key("worth"), "must not be below 0"));
+        return Err(fields.invalid(&key("worth"), "must not be negative"));
     }
     if !(0.0..=1.0).contains(&fields.number_or(&key("late_worth"), 0.0)?) {
-        return Err(fields.invalid(&key("late_worth"), "must lie between 0 and 1"));
+        return Err(fields.invalid(&key("late_worth"), "must be between 0 and 1"));
     }
     Ok(())
 }
--- a/src/config/files.rs
+++ b/src/config/files.rs
@@ -1,4 +1,4 @@
-//! Reads the configuration from its files, and what the environment adds to them.
+//! Reads the configuration from its files and from the environment.
 
 use super::{Config, ConfigError};
 use std::io;
@@ -6,41 +6,41 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// The variable of the environment that holds the address for operators, where no file names it.
+/// Environment variable with the address for operators' calls. It applies if no file contains the address.
 const OPERATOR_ADDRESS_VARIABLE: &str = "PROXY_OPERATOR";
 
-/// The files of a configuration.
+/// Paths of the files of a configuration.
 #[derive(Debug, Clone, Default)]
 pub struct ConfigFiles {
-    /// The platform's configuration, JSON.
+    /// The platform's configuration, in JSON.
     pub platform: Option<PathBuf>,
-    /// The operator's file, HCL.
+    /// The operator's file, in HCL.
     pub operator: Option<PathBuf>,
 }
 
-/// Why a configuration cannot be loaded.
+/// Reason why a configuration cannot be loaded.
 #[derive(Debug, Error)]
 pub enum LoadError {
     /// A file cannot be read.
     #[error("{}: {source}", .path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why not.
+        /// Error of the read.
         source: io::Error,
     },
-    /// The configuration cannot be used. Where the operator's file is at fault the text names it.
+    /// The configuration cannot be used. If the fault is in the operator's file, the message names that file.
     #[error(transparent)]
     Config(ConfigError),
-    /// The platform's configuration, or both files together, cannot be used.
+    /// The platform's configuration cannot be used, alone or together with the operator's file.
     #[error("{}: {error}", .path.display())]
     Platform {
-        /// The platform's file.
+        /// Path of the platform's configuration.
         path: PathBuf,
-        /// What is wrong.
+        /// The fault in the configuration.
         error: ConfigError,
     },
-    /// The address in the environment is invalid.
+    /// The address for operators' calls in the environment is invalid.
     #[error("PROXY_OPERATOR: {0:?} must be an address with a port")]
     OperatorAddress(String),
 }
@@ -49,7 +49,7 @@
     /// Loads the configuration.
     ///
     /// # Errors
-    /// A file cannot be read, or the configuration cannot be used.
+    /// Fails if a file cannot be read or the configuration cannot be used.
     pub fn load(&self) -> Result<Config, LoadError> {
         let platform = self.platform.as_deref().map(read_text).transpose()?;
         let operator = self.operator.as_deref().map(read_text).transpose()?;
@@ -60,7 +60,7 @@
                 (error @ ConfigError::Operator(_), _) | (error, None) => LoadError::Config(error),
                 (error, Some(path)) => LoadError::Platform { path: path.clone(), error },
             })?;
-        // A file goes before the environment.
+        // An address in a file takes precedence over the one in the environment.
         if config.operator.is_none() {
             config.operator = operator_address()?;
         }
@@ -72,7 +72,7 @@
     std::fs::read_to_string(path).map_err(|source| LoadError::Unreadable { path: path.to_owned(), source })
 }
 
-/// The address for operators in the environment, if there is one.
+/// Reads the address for operators' calls from the environment. Returns `None` if the variable is unset or empty.
 fn operator_address() -> Result<Option<SocketAddr>, LoadError> {
     let Some(text) = std::env::var(OPERATOR_ADDRESS_VARIABLE).ok().filter(|text| !text.is_empty()) else {
         return Ok(None);
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,7 +1,8 @@
-//! The configuration. The platform's JSON and the operator's HCL are both flattened to settings by their paths, which the
-//! [`simulator`]'s reader turns into [`Settings`]: one reader for the simulator's first message and for files.
+//! Configuration of the program. The platform's JSON and the operator's HCL are both flattened to settings by their paths. The
+//! reader of the [`simulator`] converts these to [`Settings`], so that files and the simulator's first message share one reader.
 //!
-//! `files` loads the texts; `platform` and [`operator`] read them into `raw`; [`consistency`] checks settings against each other.
+//! `files` loads the texts; `platform` and [`operator`] parse them into `raw`; [`consistency`] checks the settings for
+//! contradictions.
 
 pub mod consistency;
 mod error;
@@ -25,21 +26,21 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Bytes of a mebibyte.
+/// Number of bytes in a mebibyte.
 const MIB: f64 = 1024.0 * 1024.0;
-/// Time between two snapshots where the configuration does not set it.
+/// Time between two snapshots if the configuration does not set it.
 const DEFAULT_SNAPSHOT_INTERVAL: Milliseconds = 1_000.0;
-/// Largest snapshot where the configuration does not set it, in MiB.
+/// Maximum size of a snapshot if the configuration does not set it, in MiB.
 const DEFAULT_MAX_SNAPSHOT_MIB: f64 = 16.0;
-/// Number of idempotency keys where the configuration does not set it.
+/// Maximum number of idempotency keys if the configuration does not set it.
 const DEFAULT_MAX_KEYS: f64 = 100_000.0;
 
-/// How the log is written.
+/// Format and level of the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LogSettings {
-    /// JSON lines; otherwise text.
+    /// Whether the log is written as JSON lines. Otherwise it is plain text.
     pub json: bool,
-    /// Lines below this level are not written.
+    /// Minimum level of the lines that are written.
     pub level: tracing::Level,
 }
 
@@ -48,31 +49,31 @@
         let level = fields.opt("log.level").unwrap_or("info").parse();
         Ok(Self {
             json: fields.opt("log.form") == Some("json"),
-            level: level.map_err(|_| ConfigError::Key("log.level", "is no level"))?,
+            level: level.map_err(|_| ConfigError::Key("log.level", "is not a log level"))?,
         })
     }
 }
 
-/// Where learned state is persisted, and for how long it is valid.
+/// Settings of the persistence of learned state: its folder, its limits, and the time for which it is valid.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PersistenceSettings {
-    /// The folder; it is created if it does not exist.
+    /// Path of the folder. A missing folder is created.
     pub folder: PathBuf,
-    /// Whether the program ends at its start if the folder cannot be used.
+    /// Whether the program exits at its start if the folder cannot be used.
     pub required: bool,
     /// Time between two snapshots.
     pub snapshot_interval: Milliseconds,
-    /// Largest size of a snapshot, in bytes.
+    /// Maximum size of a snapshot, in bytes.
     pub max_snapshot_bytes: usize,
-    /// Whether idempotency keys are logged.
+    /// Whether idempotency keys are written to the idempotency log.
     pub logs_keys: bool,
-    /// Largest number of idempotency keys.
+    /// Maximum number of idempotency keys.
     pub max_keys: usize,
-    /// The shortest time in which an engine can restart: one that was not seen for longer may be cold.
+    /// Minimum time in which an engine can restart. An engine that was not observed for longer may have cold caches.
     pub min_restart_time: Milliseconds,
-    /// An older snapshot is ignored.
+    /// Age above which a snapshot is ignored.
     pub max_snapshot_age: Milliseconds,
-    /// How long state of engines that are not in the endpoint list is kept for them to appear there.
+    /// Time for which the state of engines that are missing from the endpoint list is retained, as they may still appear in it.
     pub unlisted_retention: Milliseconds,
 }
 
@@ -96,10 +97,10 @@
     }
 }
 
-/// The protocol of the engines.
+/// Protocol of the engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EngineWire {
-    /// The platform's commands.
+    /// The platform's commands, in RESP.
     Resp,
     /// The ClickHouse HTTP interface.
     ClickHouse,
@@ -115,68 +116,74 @@
     }
 }
 
-/// The listener for clients of the ClickHouse HTTP interface.
+/// Listener for clients of the ClickHouse HTTP interface.
 #[derive(Debug, Clone)]
 pub struct ClickHouseListener {
-    /// Where it listens.
+    /// Address at which the gateway accepts these clients.
     pub address: SocketAddr,
-    /// How statements are assigned to classes.
+    /// Rules that assign statements to classes.
     pub rules: ClassRules,
 }
 
-/// The configuration of the program.
+/// Configuration of the program.
 #[derive(Debug)]
 pub struct Config {
-    /// This gateway's name.
+    /// Name of this gateway.
     pub name: String,
-    /// Where clients of the platform's protocol connect.
+    /// Listening address for clients of the platform's protocol.
     pub listen: SocketAddr,
-    /// Where clients of the ClickHouse HTTP interface connect, if anywhere.
+    /// Listener for clients of the ClickHouse HTTP interface, if configured.
     pub clickhouse: Option<ClickHouseListener>,
-    /// The protocol of the engines.
+    /// Protocol of the engines.
     pub engine_wire: EngineWire,
-    /// The name service; without one, the endpoint list at the start stays.
+    /// Address of the name service. Without one, the endpoint list at the start does not change.
     pub name_service: Option<SocketAddr>,
-    /// The version of the endpoint list in `endpoints`.
+    /// Version of the endpoint list in `endpoints`.
     pub endpoints_version: u64,
-    /// The endpoint list at the start.
+    /// Endpoint list at the start.
     pub endpoints: Vec<Endpoint>,
-    /// The settings of the decision module.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// The limits of the program.
+    /// Limits of the program.
     pub limits: Limits,
-    /// How the log is written.
+    /// Format and level of the log.
     pub log: LogSettings,
-    /// Where learned state is persisted; without it, it ends with the program.
+    /// Settings of the persistence of learned state. Without them, learned state is lost when the program exits.
     pub knowledge: Option<PersistenceSettings>,
-    /// Where operators call, if anywhere; a new version may then take over in service as well.
+    /// Listening address for operators' calls, if configured. Hot restarts require it.
     pub operator: Option<SocketAddr>,
 }
 
 impl Config {
-    /// Reads the text of the platform's configuration.
+    /// Reads a configuration from the text of the platform's configuration.
     ///
     /// # Errors
-    /// A key is missing, or a value is invalid.
+    /// Fails if a key is missing or a value is invalid.
     pub fn read(text: &str) -> Result<Self, ConfigError> {
         Self::from_raw(platform::read(text)?)
     }
 
-    /// Reads the platform's configuration, the operator's file (its name and its text), or the second beside the first.
+    /// Reads a configuration from the platform's configuration, from the operator's file (its name and its text), or from both, in
+    /// which case the operator's file adds to the platform's configuration.
     ///
     /// # Errors
-    /// A key is missing, or a value is invalid; of the operator's file all faults, with lines.
+    /// Fails if a key is missing or a value is invalid. All faults of the operator's file are reported, with their lines.
     pub fn load(platform: Option<&str>, operator: Option<(&str, &str)>) -> Result<Self, ConfigError> {
         let platform = platform.map(platform::read).transpose()?;
         let Some((file, text)) = operator else {
-            let missing = || ConfigError::Key("configuration", "is missing: neither file was named");
+            let missing = || {
+                ConfigError::Key(
+                    "configuration",
+                    "is missing: neither a platform nor an operator file was given",
+                )
+            };
             return Self::from_raw(platform.ok_or_else(missing)?);
         };
         let operator = operator::read(file, text, platform.is_some()).map_err(ConfigError::Operator)?;
         match platform {
-            // The schema lets no key of the platform be in the operator's file.
+            // The files have no key in common: the schema rejects the platform's keys in the operator's file.
             Some(mut raw) => {
-                raw.pairs.extend(operator.pairs);
+                raw.values.extend(operator.values);
                 Self::from_raw(raw)
             }
             None => Self::from_raw(operator).map_err(|error| ConfigError::Contradiction {
@@ -187,11 +194,11 @@
     }
 
     fn from_raw(raw: RawConfig) -> Result<Self, ConfigError> {
-        let mut pairs = raw.pairs;
-        let seed = pairs.remove("gateway.seed").unwrap_or_else(|| "0".into());
+        let mut values = raw.values;
+        let seed = values.remove("gateway.seed").unwrap_or_else(|| "0".into());
         let seed = u64::from_str_radix(&seed, 16).map_err(|_| ConfigError::Key("seed", "must be hex"))?;
-        pairs.insert("entropy".into(), seed.to_string());
-        let fields = Fields::new("settings", pairs);
+        values.insert("entropy".into(), seed.to_string());
+        let fields = Fields::new("settings", values);
         let settings = simulator::settings(&fields)?;
         consistency::check(&fields)?;
         settings.check()?;
@@ -214,7 +221,7 @@
             clickhouse,
             engine_wire,
             name_service: name_service.map(|address| parse_address(address, "names")).transpose()?,
-            endpoints_version: raw.serial,
+            endpoints_version: raw.endpoints_version,
             endpoints: read_endpoints(&raw.engines, &settings)?,
             log,
             knowledge: PersistenceSettings::read(&fields)?,
--- a/src/config/operator/block.rs
+++ b/src/config/operator/block.rs
@@ -1,53 +1,53 @@
-//! A block of an operator's file whose keys were checked.
+//! Blocks of the operator's file after the check of their keys.
 
 use super::value::SettingValue;
 use crate::config::schema::Block;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A valid value, and where it is.
+/// A valid value with its line in the file.
 #[derive(Debug, Clone)]
 pub(super) struct LocatedValue {
-    /// The value.
+    /// Value in the form of a setting.
     pub(super) value: SettingValue,
-    /// Its line, from 1.
+    /// Line of the key in the file, from 1.
     pub(super) line: usize,
 }
 
-/// A block, or the whole file: its valid keys and its blocks.
+/// Valid keys and blocks of a block, or of the whole file.
 #[derive(Debug, Default)]
 pub(super) struct CheckedBlock {
-    /// Its line, from 1.
+    /// Line at which the block begins, from 1.
     pub(super) line: usize,
-    /// Its label; empty if it has none.
+    /// Label of the block, or an empty string.
     pub(super) label: String,
-    /// Its keys with valid values, by their names in the file.
+    /// Keys with valid values, by their names in the file.
     pub(super) keys: BTreeMap<&'static str, LocatedValue>,
-    /// The blocks in it, in their order.
+    /// Nested blocks with their schemas, in the order of the file.
     pub(super) blocks: Vec<(&'static Block, CheckedBlock)>,
 }
 
 impl CheckedBlock {
-    /// The blocks of that name in it.
+    /// Returns the nested blocks with this name.
     pub(super) fn blocks_named(&self, name: &'static str) -> impl Iterator<Item = &CheckedBlock> {
         self.blocks.iter().filter(move |(schema, _)| schema.name == name).map(|(_, block)| block)
     }
 
-    /// The labels of the blocks of that name in it.
+    /// Returns the labels of the nested blocks with this name.
     pub(super) fn labels_of(&self, name: &'static str) -> BTreeSet<String> {
         self.blocks_named(name).map(|block| block.label.clone()).collect()
     }
 
-    /// The text of a key, if it has the key.
+    /// Returns the value of a key as text. Returns `None` if the block does not contain the key.
     pub(super) fn text(&self, key: &str) -> Option<&str> {
         self.keys.get(key).map(|located| located.value.text.as_str())
     }
 
-    /// The items of a key that is a list; empty if it does not have the key.
+    /// Returns the items of a key whose value is a list. The slice is empty if the block does not contain the key.
     pub(super) fn list(&self, key: &str) -> &[String] {
         self.keys.get(key).map_or(&[], |located| &located.value.list)
     }
 
-    /// The number of a key, if it has the key.
+    /// Returns the value of a key as a number. Returns `None` if the block does not contain the key.
     pub(super) fn number(&self, key: &str) -> Option<f64> {
         self.text(key).and_then(|text| text.parse().ok())
     }
--- a/src/config/operator/checker.rs
+++ b/src/config/operator/checker.rs
@@ -1,22 +1,22 @@
-//! Checks each key and each block of an operator's file against the schema.
+//! Checks each key and each block of the operator's file against the schema.
 
 use super::block::{CheckedBlock, LocatedValue};
 use super::problem::{Fault, Problem};
 use super::value::{convert, is_word};
-use crate::config::schema::{Block, Key, BLOCKS, TOP_KEYS, TOP_KEYS_BESIDE_PLATFORM};
+use crate::config::schema::{Block, Key, BLOCKS, TOP_KEYS, TOP_KEYS_ALLOWED_WITH_PLATFORM};
 use hcl_edit::structure::{Attribute, Body, Structure};
 use hcl_edit::Span;
 
-/// A name that differs by so many edits at most is offered as a hint.
+/// Maximum edit distance at which a known name is suggested for an unknown one.
 const MAX_SIMILAR_DISTANCE: usize = 2;
 
-/// Where a body stands, and what the schema allows in it.
+/// Position of a body in the file, and the keys and blocks that the schema allows in it.
 struct Scope<'a> {
-    /// The blocks around it; empty for the whole file.
+    /// Path of the enclosing blocks, or an empty string for the whole file.
     path: &'a str,
     keys: &'static [Key],
     blocks: &'static [Block],
-    /// The line of the block.
+    /// Line at which the block begins.
     line: usize,
 }
 
@@ -25,7 +25,7 @@
         self.path.is_empty()
     }
 
-    /// The path of a name in this body.
+    /// Returns the path of a key or block with this name in this body.
     fn path_of(&self, name: &str) -> String {
         if self.is_top() {
             name.to_owned()
@@ -34,7 +34,7 @@
         }
     }
 
-    /// A known name that differs by little.
+    /// Returns the most similar known name, if it is similar enough to be suggested.
     fn similar(&self, name: &str) -> Option<&'static str> {
         let known = self.keys.iter().map(|key| key.name).chain(self.blocks.iter().map(|block| block.name));
         let distance = |other: &&'static str| strsim::damerau_levenshtein(name, other);
@@ -45,32 +45,32 @@
 /// Checks a file and collects its faults.
 pub(super) struct Checker<'a> {
     file: &'a str,
-    /// Where each line of the text begins.
+    /// Byte offsets at which the lines of the text begin.
     line_starts: Vec<usize>,
-    /// The file is read beside the platform's configuration.
-    beside_platform: bool,
+    /// Whether the file adds to the platform's configuration.
+    extends_platform: bool,
     problems: Vec<Problem>,
 }
 
 impl<'a> Checker<'a> {
-    /// A checker for a file.
-    pub(super) fn new(file: &'a str, text: &str, beside_platform: bool) -> Self {
+    /// Creates a checker for the file with this name and text.
+    pub(super) fn new(file: &'a str, text: &str, extends_platform: bool) -> Self {
         let line_ends = text.match_indices('\n').map(|(index, _)| index);
         let line_starts = std::iter::once(0).chain(line_ends.map(|index| index + 1)).collect();
-        Self { file, line_starts, beside_platform, problems: Vec::new() }
+        Self { file, line_starts, extends_platform, problems: Vec::new() }
     }
 
-    /// Whether the file is read beside the platform's configuration.
-    pub(super) fn is_beside_platform(&self) -> bool {
-        self.beside_platform
+    /// Returns whether the file adds to the platform's configuration.
+    pub(super) fn extends_platform(&self) -> bool {
+        self.extends_platform
     }
 
-    /// Adds a fault.
+    /// Records a fault.
     pub(super) fn report(&mut self, line: usize, key: String, fault: impl Into<Fault>) {
         self.problems.push(Problem { file: self.file.to_owned(), line, key, fault: fault.into() });
     }
 
-    /// All faults in the order of their lines.
+    /// Returns all faults in the order of their lines.
     pub(super) fn into_problems(mut self) -> Vec<Problem> {
         self.problems.sort_by_key(|problem| problem.line);
         self.problems
@@ -80,7 +80,7 @@
         item.span().map_or(1, |span| self.line_starts.partition_point(|start| *start <= span.start))
     }
 
-    /// Checks the whole file.
+    /// Checks the whole file. Returns the keys and blocks that are valid.
     pub(super) fn check_file(&mut self, body: &Body) -> CheckedBlock {
         self.check_body(body, &Scope { path: "", keys: TOP_KEYS, blocks: BLOCKS, line: 1 })
     }
@@ -107,7 +107,7 @@
             };
             return self.report(line, path, fault);
         };
-        if scope.is_top() && self.beside_platform && !TOP_KEYS_BESIDE_PLATFORM.contains(&name) {
+        if scope.is_top() && self.extends_platform && !TOP_KEYS_ALLOWED_WITH_PLATFORM.contains(&name) {
             return self.report(line, path, Fault::GivenByPlatform);
         }
         match convert(&attribute.value, key.form) {
@@ -137,7 +137,7 @@
             Some(label) => format!("{} {label:?}", scope.path_of(name)),
             None => scope.path_of(name),
         };
-        if self.beside_platform && !schema.beside_platform {
+        if self.extends_platform && !schema.allowed_with_platform {
             return self.report(line, path, Fault::GivenByPlatform);
         }
         if let Some(fault) = label_fault(schema, &labels) {
@@ -155,9 +155,9 @@
         found.blocks.push((schema, inner));
     }
 
-    /// Reports the required keys that are missing. Beside the platform's configuration no top key is required.
+    /// Reports the required keys that are missing. A file that adds to the platform's configuration needs no key at its top level.
     fn check_required(&mut self, body: &Body, scope: &Scope<'_>) {
-        if scope.is_top() && self.beside_platform {
+        if scope.is_top() && self.extends_platform {
             return;
         }
         for key in scope.keys.iter().filter(|key| key.required && !body.has_attribute(key.name)) {
--- a/src/config/operator/cross_checks.rs
+++ b/src/config/operator/cross_checks.rs
@@ -1,14 +1,14 @@
-//! Checks that concern several keys or blocks of an operator's file.
+//! Checks that concern several keys or blocks of the operator's file.
 
 use super::block::{CheckedBlock, LocatedValue};
 use super::checker::Checker;
 use super::problem::Fault;
 use std::collections::BTreeSet;
 
-/// Checks the file as a whole.
+/// Checks the keys and blocks of the file against each other.
 pub(super) fn check(checker: &mut Checker<'_>, file: &CheckedBlock) {
     check_snapshot_interval(checker, file);
-    if checker.is_beside_platform() {
+    if checker.extends_platform() {
         return;
     }
     let (kinds, classes) = (file.labels_of("kind"), file.labels_of("class"));
@@ -34,7 +34,7 @@
     }
 }
 
-/// Checks that zones, kinds and classes that are named are defined.
+/// Checks that all zones, machine types and classes that keys refer to are defined.
 fn check_references(
     checker: &mut Checker<'_>,
     file: &CheckedBlock,
@@ -58,22 +58,22 @@
     }
 }
 
-/// Checks that the names in a value are defined.
+/// Checks that the names in a value are defined. `category` is what they should be names of, for the error message.
 fn check_names(
     checker: &mut Checker<'_>,
     located: Option<&LocatedValue>,
     defined: &BTreeSet<String>,
-    sort: &'static str,
+    category: &'static str,
     key: String,
 ) {
     let Some(LocatedValue { value, line }) = located else { return };
     let names = if value.list.is_empty() { std::slice::from_ref(&value.text) } else { &value.list };
     for name in names.iter().filter(|name| !defined.contains(*name)) {
-        checker.report(*line, key.clone(), Fault::NotDefined { name: name.clone(), sort });
+        checker.report(*line, key.clone(), Fault::NotDefined { name: name.clone(), category });
     }
 }
 
-/// Checks that the last rule matches all statements.
+/// Checks that the last `rule` of each `clickhouse` block matches all statements.
 fn check_last_rules(checker: &mut Checker<'_>, file: &CheckedBlock) {
     for clickhouse in file.blocks_named("clickhouse") {
         let last = clickhouse.blocks_named("rule").last();
@@ -86,7 +86,7 @@
     }
 }
 
-/// Checks the latency objective of a class, and the keys about its idempotency.
+/// Checks the latency objective of a class and its keys for idempotency.
 fn check_class(checker: &mut Checker<'_>, class: &CheckedBlock) {
     let key = |name: &str| format!("class {:?}.{name}", class.label);
     let (objective, timeout) = (class.number("aim"), class.number("give_up"));
@@ -104,7 +104,7 @@
     }
 }
 
-/// Checks that a retry budget has a span over which it is counted.
+/// Checks that a retry budget has a time window (`ratio_span`) over which retries are counted.
 fn check_retry_budget(checker: &mut Checker<'_>, file: &CheckedBlock) {
     for rules in file.blocks_named("rules").filter(|rules| !rules.keys.contains_key("ratio_span")) {
         let budget_keys = ["extra_free", "extra_per_request"];
--- a/src/config/operator/mod.rs
+++ b/src/config/operator/mod.rs
@@ -1,7 +1,7 @@
-//! The operator's file: HCL, checked against the [`schema`](super::schema) and turned into the same settings as the
+//! Reads the operator's file: HCL that is checked against the [`schema`](super::schema) and converted to the same settings as the
 //! platform's JSON. All faults of a file are reported at once, each with its line and key.
 //!
-//! `checker` checks each block by itself, `cross_checks` the file as a whole; `settings` turns it into settings.
+//! `checker` checks each block by itself, `cross_checks` compares keys and blocks, and `settings` converts them to settings.
 
 mod block;
 mod checker;
@@ -17,16 +17,17 @@
 use checker::Checker;
 use starlingplank_pacing::poll_schedule;
 
-/// Reads an operator's file: a whole configuration, or one that is read beside the platform's.
+/// Reads the operator's file: a complete configuration or, if `extends_platform` is set, one that adds to the platform's
+/// configuration.
 ///
 /// # Errors
-/// All faults of the file, in the order of their lines.
-pub fn read(file: &str, text: &str, beside_platform: bool) -> Result<RawConfig, Vec<Problem>> {
+/// Returns all faults of the file, in the order of their lines.
+pub fn read(file: &str, text: &str, extends_platform: bool) -> Result<RawConfig, Vec<Problem>> {
     let body = hcl_edit::parser::parse_body(text).map_err(|error| {
         let fault = Fault::NotHcl(error.message().to_string());
         vec![Problem { file: file.into(), line: error.location().line(), key: String::new(), fault }]
     })?;
-    let mut checker = Checker::new(file, text, beside_platform);
+    let mut checker = Checker::new(file, text, extends_platform);
     let found = checker.check_file(&body);
     cross_checks::check(&mut checker, &found);
     let problems = checker.into_problems();
@@ -34,10 +35,11 @@
         return Err(problems);
     }
     let mut raw = settings::to_raw(&found);
-    // The platform's rules fix the pace at which its name service is polled; elsewhere a service may be spared.
-    if !beside_platform {
-        let slowest = || poll_schedule::DEFAULT_MAX_INTERVAL.to_string();
-        raw.pairs.entry("pacing.list_slowest".into()).or_insert_with(slowest);
+    // The platform's rules fix the poll interval of its name service. Without the platform, a longer interval may spare an overloaded
+    // name service.
+    if !extends_platform {
+        let max_interval = || poll_schedule::DEFAULT_MAX_INTERVAL.to_string();
+        raw.values.entry("pacing.list_slowest".into()).or_insert_with(max_interval);
     }
     Ok(raw)
 }
--- a/src/config/operator/problem.rs
+++ b/src/config/operator/problem.rs
@@ -1,19 +1,19 @@
-//! Faults of an operator's file.
+//! Faults of the operator's file.
 
 use super::value::InvalidValue;
 use std::fmt;
 use thiserror::Error;
 
-/// One fault of an operator's file.
+/// A fault of the operator's file, with its position.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Problem {
-    /// The file.
+    /// Path of the file.
     pub file: String,
-    /// The line, from 1.
+    /// Line of the fault, from 1.
     pub line: usize,
-    /// The key or block, with the blocks around it; empty where the text is not HCL.
+    /// Path of the key or block, including the enclosing blocks. Empty if the text is not HCL.
     pub key: String,
-    /// What is wrong.
+    /// Description of the fault.
     pub fault: Fault,
 }
 
@@ -27,72 +27,72 @@
     }
 }
 
-/// What is wrong with a key, a block or the whole text.
+/// Kinds of faults of a key, a block or the whole text.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum Fault {
     /// The text cannot be parsed.
     #[error("is not HCL: {0}")]
     NotHcl(String),
-    /// The block of that name is written as a key.
+    /// A block is written as a key. Contains the name of the block.
     #[error("is a block: write {0} {{ ... }}")]
     IsBlock(String),
-    /// The key of that name is written as a block.
+    /// A key is written as a block. Contains the name of the key.
     #[error("is a key: write {0} = ...")]
     IsKey(String),
-    /// The schema has no such name.
+    /// The schema does not contain the name at this place.
     #[error("is not known here{}", .similar.map(|name| format!("; {name} is")).unwrap_or_default())]
     Unknown {
-        /// A known name that differs by little.
+        /// A similar name that the schema contains, as a suggestion.
         similar: Option<&'static str>,
     },
-    /// The platform's configuration has it.
+    /// The key or block belongs in the platform's configuration.
     #[error("is the platform's to give; leave it out here")]
     GivenByPlatform,
-    /// The label is no word.
+    /// The label contains a space, a comma or a control character, or is empty.
     #[error("has a label with a space or comma in it")]
     InvalidLabel,
-    /// The block of that name needs one label.
+    /// The block must have exactly one label. Contains the name of the block.
     #[error("needs one label: {0} \"...\" {{")]
     LabelMissing(String),
-    /// The block may not have a label.
-    #[error("has no label")]
+    /// The block must not have a label.
+    #[error("must not have a label")]
     UnexpectedLabel,
-    /// The block may not be repeated.
+    /// The block must not be repeated. Contains the line of its first occurrence.
     #[error("stands already in line {0}")]
     Repeated(usize),
-    /// A required key is missing.
+    /// A required key is missing from its block or from the top level.
     #[error("is missing")]
     Missing,
-    /// The value is invalid.
+    /// The value does not have the form of its key.
     #[error(transparent)]
     Value(#[from] InvalidValue),
-    /// Snapshots would expire before the next is written.
-    #[error("is longer than keep_for: nothing would be kept")]
+    /// The snapshot interval is longer than the retention time: each snapshot would expire before the next is written.
+    #[error("is longer than keep_for: each snapshot would expire before the next is written")]
     LongerThanKeepFor,
-    /// There is no block of that name.
-    #[error("is missing: at least one {0} \"...\" block")]
+    /// The file contains no block with this name, but needs at least one.
+    #[error("is missing: at least one {0} \"...\" block is required")]
     BlockMissing(&'static str),
-    /// The file does not define what is named.
-    #[error("{name:?} is no {sort} of this file")]
+    /// The file refers to a name that it does not define.
+    #[error("{name:?} is no {category} of this file")]
     NotDefined {
-        /// The name.
+        /// Name that is not defined.
         name: String,
-        /// What it should be the name of.
-        sort: &'static str,
+        /// Word for the things that should have this name: zone, kind or class.
+        category: &'static str,
     },
     /// The last rule does not match all statements.
     #[error("must end with a rule that holds for all statements: one with neither verbs nor users")]
     NoRuleForAll,
-    /// The latency objective is longer than the timeout.
+    /// The latency objective (`aim`) is longer than the client timeout (`give_up`).
     #[error("lies past give_up")]
     PastTimeout,
-    /// The deduplication window is missing.
-    #[error("is missing: how long engines drop a repeat of a key")]
+    /// The deduplication window of a class with idempotency keys is missing.
+    #[error("is missing: the time for which engines drop repeats of an idempotency key")]
     WindowMissing,
-    /// The key has no meaning without idempotency keys.
-    #[error("is of use with repeat = \"keyed\" alone")]
+    /// The key applies only to classes with idempotency keys.
+    #[error("applies only with repeat = \"keyed\"")]
     OnlyWhereKeyed,
-    /// The span of the retry budget is missing.
+    /// The time window of the retry budget (`ratio_span`) is missing.
     #[error("needs ratio_span beside it")]
     SpanMissing,
 }
--- a/src/config/operator/value.rs
+++ b/src/config/operator/value.rs
@@ -1,4 +1,4 @@
-//! Values of an operator's file: each is checked against its form and turned into the text of a setting.
+//! Checks each value of the operator's file against its form and converts it to the text of a setting.
 
 use crate::config::schema::Form;
 use hcl_edit::expr::Expression;
@@ -6,23 +6,23 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Milliseconds of a second.
+/// Number of milliseconds in a second.
 const SECOND: f64 = 1_000.0;
-/// Milliseconds of a minute.
+/// Number of milliseconds in a minute.
 const MINUTE: f64 = 60.0 * SECOND;
-/// Milliseconds of an hour.
+/// Number of milliseconds in an hour.
 const HOUR: f64 = 60.0 * MINUTE;
 /// Units of durations, in milliseconds.
 const DURATION_UNITS: [(&str, f64); 4] = [("ms", 1.0), ("s", SECOND), ("m", MINUTE), ("h", HOUR)];
 /// Units of sizes, in MiB.
 const SIZE_UNITS: [(&str, f64); 3] = [("KiB", 1.0 / 1024.0), ("MiB", 1.0), ("GiB", 1024.0)];
 
-/// The value of a key in the form of a setting.
+/// Value of a key, converted to the form of a setting.
 #[derive(Debug, Clone)]
 pub(super) struct SettingValue {
-    /// The text of the setting.
+    /// Text of the setting.
     pub(super) text: String,
-    /// The items, if it is a list.
+    /// Items of a list, or empty if the value is not a list.
     pub(super) list: Vec<String>,
 }
 
@@ -32,10 +32,10 @@
     }
 }
 
-/// A value that does not have the form of its key.
+/// Error for a value that does not have the form of its key.
 #[derive(Debug, Clone, Copy, PartialEq, Error)]
 pub struct InvalidValue {
-    /// The form that it should have.
+    /// Form that the value should have.
     pub expected: Form,
 }
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// A duration in the largest unit that it reaches.
+/// Formats a duration in hours if it is at least 1 h, in seconds if it is at least 1 s, and otherwise in milliseconds.
 fn duration_text(milliseconds: f64) -> String {
     if milliseconds >= HOUR {
         format!("{}h", milliseconds / HOUR)
@@ -73,10 +73,10 @@
     }
 }
 
-/// Reads a value.
+/// Converts a value to the form of a setting.
 ///
 /// # Errors
-/// It does not have the form.
+/// Fails if the value does not have the expected form.
 pub(super) fn convert(value: &Expression, form: Form) -> Result<SettingValue, InvalidValue> {
     let setting = match form {
         Form::Words => words(value),
@@ -85,7 +85,7 @@
     setting.ok_or(InvalidValue { expected: form })
 }
 
-/// The text of a value that is no list.
+/// Returns the text of a scalar value, or `None` if the value does not have the expected form.
 fn scalar(value: &Expression, form: Form) -> Option<String> {
     let text = value.as_str();
     let number = || value.as_number().and_then(hcl_edit::Number::as_f64).filter(|number| number.is_finite());
@@ -102,8 +102,8 @@
         Form::Number(min, max) => {
             number().filter(|number| *number >= min && *number <= max).map(|number| number.to_string())
         }
-        Form::Duration(min, max) => quantity(text?, &DURATION_UNITS, min, max).map(|ms| ms.to_string()),
-        Form::Size(min, max) => quantity(text?, &SIZE_UNITS, min, max).map(|mib| mib.to_string()),
+        Form::Duration(min, max) => parse_quantity(text?, &DURATION_UNITS, min, max).map(|ms| ms.to_string()),
+        Form::Size(min, max) => parse_quantity(text?, &SIZE_UNITS, min, max).map(|mib| mib.to_string()),
         Form::Address => text?.parse::<SocketAddr>().ok().map(|address| address.to_string()),
         Form::Hex => text.filter(|text| u64::from_str_radix(text, 16).is_ok()).map(str::to_owned),
         Form::Words => None,
@@ -116,14 +116,14 @@
     Some(SettingValue { text: list.join(","), list })
 }
 
-/// Whether a text has neither space, comma nor control characters.
+/// Returns whether a text is not empty and contains no whitespace, comma or control character.
 pub(super) fn is_word(text: &str) -> bool {
     let ends_word = |character: char| character.is_whitespace() || character.is_control() || character == ',';
     !text.is_empty() && !text.contains(ends_word)
 }
 
-/// A number with a unit, in the base unit; none where it is out of range.
-fn quantity(text: &str, units: &[(&str, f64)], min: f64, max: f64) -> Option<f64> {
+/// Parses a number with a unit and converts it to the base unit. Returns `None` if the text is malformed or out of range.
+fn parse_quantity(text: &str, units: &[(&str, f64)], min: f64, max: f64) -> Option<f64> {
     let text = text.trim();
     let unit_start = text.find(|character: char| character.is_ascii_alphabetic())?;
     let (number, unit) = text.split_at(unit_start);
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -1,42 +1,42 @@
-//! Reads the platform's configuration, JSON, into settings by their paths.
+//! Reads the platform's configuration (JSON) into settings by their paths.
 
 use super::raw::{RawConfig, RawEngine};
 use super::ConfigError;
 use miniserde::json::{self, Number, Value};
 use std::collections::BTreeMap;
 
-/// Objects whose contents become settings: the key, and the prefix of the settings' paths.
+/// Objects outside `settings` whose contents become settings: the key of the object, and the prefix of the settings' paths.
 const SETTING_OBJECTS: [(&str, &str); 3] =
     [("limits", "machine"), ("clickhouse", "clickhouse"), ("engines", "engines")];
-/// Texts that become settings of the gateway itself.
+/// Keys of strings that become settings with the prefix `gateway`.
 const GATEWAY_KEYS: [&str; 5] = ["name", "listen", "names", "seed", "operator"];
 
-/// Reads a configuration.
+/// Reads the text of the platform's configuration.
 ///
 /// # Errors
-/// The text is not JSON, or lacks a part.
+/// Fails if the text is not JSON, `settings` is missing, or `known` is invalid.
 pub(super) fn read(text: &str) -> Result<RawConfig, ConfigError> {
     let Ok(Value::Object(root)) = json::from_str::<Value>(text) else { return Err(ConfigError::Json) };
-    let mut pairs = BTreeMap::new();
+    let mut values = BTreeMap::new();
     match root.get("settings") {
-        Some(settings @ Value::Object(_)) => flatten("", settings, &mut pairs),
+        Some(settings @ Value::Object(_)) => flatten("", settings, &mut values),
         _ => return Err(ConfigError::Key("settings", "must be an object")),
     }
     for (key, prefix) in SETTING_OBJECTS {
         if let Some(value) = root.get(key) {
-            flatten(prefix, value, &mut pairs);
+            flatten(prefix, value, &mut values);
         }
     }
     for key in GATEWAY_KEYS {
         if let Some(text) = text_of(&root, key) {
-            pairs.insert(format!("gateway.{key}"), text.to_owned());
+            values.insert(format!("gateway.{key}"), text.to_owned());
         }
     }
-    let (serial, engines) = match root.get("known") {
+    let (endpoints_version, engines) = match root.get("known") {
         None => (0, Vec::new()),
         Some(known) => read_endpoint_list(known)?,
     };
-    Ok(RawConfig { pairs, serial, engines })
+    Ok(RawConfig { values, endpoints_version, engines })
 }
 
 fn text_of<'a>(object: &'a json::Object, key: &str) -> Option<&'a str> {
@@ -55,7 +55,7 @@
     }
 }
 
-/// The text of a value that is no list or object, as the simulator writes it.
+/// Returns the text of a scalar value in the form that the simulator uses. Returns `None` for lists and objects.
 fn scalar_text(value: &Value) -> Option<String> {
     Some(match value {
         Value::Null => String::new(),
@@ -66,41 +66,41 @@
     })
 }
 
-/// Adds the settings in a value: paths are joined by dots, lists of scalars by commas; lists of objects are counted and
-/// numbered.
-fn flatten(path: &str, value: &Value, pairs: &mut BTreeMap<String, String>) {
+/// Adds the settings in a JSON value. Path components are joined by dots, and scalars of a list by commas. The objects of a list are
+/// numbered from 0, and the number of objects becomes the setting `count`.
+fn flatten(path: &str, value: &Value, values: &mut BTreeMap<String, String>) {
     let child = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
     match value {
         Value::Object(object) => {
             for (name, value) in object {
-                flatten(&child(name), value, pairs);
+                flatten(&child(name), value, values);
             }
         }
         Value::Array(list) => {
             if let Some(texts) = list.iter().map(scalar_text).collect::<Option<Vec<_>>>() {
-                pairs.insert(path.to_owned(), texts.join(","));
+                values.insert(path.to_owned(), texts.join(","));
             } else {
-                pairs.insert(child("count"), list.len().to_string());
+                values.insert(child("count"), list.len().to_string());
                 for (index, value) in list.iter().enumerate() {
-                    flatten(&child(&index.to_string()), value, pairs);
+                    flatten(&child(&index.to_string()), value, values);
                 }
             }
         }
-        // A key without a value counts as missing.
+        // A key whose value is null is treated as missing.
         Value::Null => {}
         scalar => {
             if let Some(text) = scalar_text(scalar) {
-                pairs.insert(path.to_owned(), text);
+                values.insert(path.to_owned(), text);
             }
         }
     }
 }
 
-/// The endpoint list and its version, from the events of the name service up to the start.
+/// Returns the version of the endpoint list and the list itself, which results from the events of the name service up to the start.
 fn read_endpoint_list(known: &Value) -> Result<(u64, Vec<RawEngine>), ConfigError> {
     let invalid = || ConfigError::Key("known", "must hold a cursor and events with their members");
     let Value::Object(known) = known else { return Err(invalid()) };
-    let serial = number_of(known, "cursor").unwrap_or(0.0) as u64;
+    let version = number_of(known, "cursor").unwrap_or(0.0) as u64;
     let mut list: BTreeMap<String, RawEngine> = BTreeMap::new();
     let Some(Value::Array(events)) = known.get("cmds") else { return Err(invalid()) };
     for event in events {
@@ -116,8 +116,8 @@
             list.insert(engine.id.clone(), engine);
         }
     }
-    list.retain(|_, engine| engine.phase != "gone");
-    Ok((serial, list.into_values().collect()))
+    list.retain(|_, engine| engine.state != "gone");
+    Ok((version, list.into_values().collect()))
 }
 
 fn read_member(member: &json::Object) -> Option<RawEngine> {
@@ -126,9 +126,9 @@
         id: text_of(member, "id")?.to_owned(),
         address: text_of(member, "host_port")?.to_owned(),
         zone: text("locality"),
-        kind: text("flavor"),
+        machine_type: text("flavor"),
         cell: number_of(member, "cell").unwrap_or(0.0) as u64,
-        phase: text_of(member, "phase")?.to_owned(),
+        state: text_of(member, "phase")?.to_owned(),
         started: number_of(member, "up_since_ms").unwrap_or(0.0),
     })
 }
--- a/src/config/schema.rs
+++ b/src/config/schema.rs
@@ -1,62 +1,62 @@
-//! The schema of an operator's file: every key with its form, its range and the setting that it becomes. A key that is
-//! not in this table is an error.
+//! Schema of the operator's file: each key with its form, its range, and the setting to which it is converted. A key that is not in
+//! the schema is an error.
 
-/// The form of a value. Bounds are inclusive.
+/// Form of a value. Bounds are inclusive.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Form {
     /// A name without space, comma or control character.
     Word,
-    /// Any text that is not empty.
+    /// A text that is not empty.
     Text,
-    /// One of these words.
+    /// One of the given words.
     OneOf(&'static [&'static str]),
     /// `true` or `false`.
     Flag,
-    /// A whole number from the first to the second.
+    /// A whole number between a minimum and a maximum.
     Count(u64, u64),
-    /// A number from the first to the second.
+    /// A number between a minimum and a maximum.
     Number(f64, f64),
-    /// Text of a number and `ms`, `s`, `m` or `h`; from the first to the second, in milliseconds.
+    /// A text of a number and `ms`, `s`, `m` or `h`, between a minimum and a maximum in milliseconds.
     Duration(f64, f64),
-    /// Text of a number and `KiB`, `MiB` or `GiB`; from the first to the second, in MiB.
+    /// A text of a number and `KiB`, `MiB` or `GiB`, between a minimum and a maximum in MiB.
     Size(f64, f64),
     /// An IP address with a port.
     Address,
-    /// A list of words, each without space or comma.
+    /// A list of names, each without space, comma or control character.
     Words,
-    /// Up to 16 hex digits.
+    /// A text of up to 16 hexadecimal digits.
     Hex,
 }
 
-/// A key of a block.
+/// Schema of a key.
 #[derive(Debug)]
 pub struct Key {
-    /// The key in the operator's file.
+    /// Name of the key in the operator's file.
     pub name: &'static str,
-    /// The setting that it becomes, under that of its block.
+    /// Path of the setting to which the key is converted, relative to the path of its block.
     pub setting: &'static str,
-    /// Its form.
+    /// Form of the value.
     pub form: Form,
-    /// Whether it must be present.
+    /// Whether the key must be present.
     pub required: bool,
 }
 
-/// A block, and the keys and blocks that it may have.
+/// Schema of a block: the keys and blocks that it may contain.
 #[derive(Debug)]
 pub struct Block {
-    /// The block's name in the operator's file.
+    /// Name of the block in the operator's file.
     pub name: &'static str,
-    /// The prefix of its settings; of a repeatable block, followed by its number.
+    /// Prefix of the paths of the block's settings. For a repeatable block, the number of the block follows.
     pub setting: &'static str,
-    /// The setting that its label becomes, if it has one.
+    /// Setting to which the label of the block is converted, if the block has a label.
     pub label: Option<&'static str>,
-    /// Whether there may be more than one.
+    /// Whether the block may occur more than once.
     pub repeatable: bool,
-    /// Whether it may be in a file that is read beside the platform's configuration.
-    pub beside_platform: bool,
-    /// Its keys.
+    /// Whether the block is allowed in a file that adds to the platform's configuration.
+    pub allowed_with_platform: bool,
+    /// Keys of the block.
     pub keys: &'static [Key],
-    /// Blocks inside it.
+    /// Blocks that the block may contain.
     pub blocks: &'static [Block],
 }
 
@@ -68,9 +68,9 @@
     Key { name, setting, form, required: false }
 }
 
-/// An hour in milliseconds.
+/// Number of milliseconds in an hour.
 const HOUR: f64 = 3_600_000.0;
-/// A day in milliseconds.
+/// Number of milliseconds in a day.
 const DAY: f64 = 24.0 * HOUR;
 
 /// Keys outside all blocks.
@@ -88,17 +88,17 @@
     optional("engines_speak", "engines", Form::OneOf(&["resp", "clickhouse"])),
 ];
 
-/// The keys of [`TOP_KEYS`] that may be in a file that is read beside the platform's configuration.
-pub const TOP_KEYS_BESIDE_PLATFORM: &[&str] = &["engines_speak", "operator"];
+/// Keys of [`TOP_KEYS`] that are allowed in a file that adds to the platform's configuration.
+pub const TOP_KEYS_ALLOWED_WITH_PLATFORM: &[&str] = &["engines_speak", "operator"];
 
-/// All blocks.
+/// Blocks at the top level of the file.
 pub const BLOCKS: &[Block] = &[
     Block {
         name: "machine",
         setting: "machine",
         label: None,
         repeatable: false,
-        beside_platform: false,
+        allowed_with_platform: false,
         keys: &[
             optional("cores", "cores", Form::Number(0.01, 1024.0)),
             optional("memory", "memory_mb", Form::Size(16.0, 1_048_576.0)),
@@ -111,14 +111,14 @@
         setting: "clickhouse",
         label: None,
         repeatable: false,
-        beside_platform: true,
+        allowed_with_platform: true,
         keys: &[required("listen", "listen", Form::Address)],
         blocks: &[Block {
             name: "rule",
             setting: "rules",
             label: None,
             repeatable: true,
-            beside_platform: true,
+            allowed_with_platform: true,
             keys: &[
                 required("class", "class", Form::Word),
                 optional("verbs", "verbs", Form::Words),
@@ -132,7 +132,7 @@
         setting: "engine",
         label: Some("id"),
         repeatable: true,
-        beside_platform: false,
+        allowed_with_platform: false,
         keys: &[
             required("address", "address", Form::Address),
             optional("zone", "zone", Form::Word),
@@ -147,7 +147,7 @@
         setting: "kind",
         label: Some("name"),
         repeatable: true,
-        beside_platform: false,
+        allowed_with_platform: false,
         keys: &[
             required("cores", "cores", Form::Number(0.1, 100_000.0)),
             required("memory", "memory_mb", Form::Size(1.0, 1e9)),
@@ -159,7 +159,7 @@
         setting: "classes",
         label: Some("name"),
         repeatable: true,
-        beside_platform: false,
+        allowed_with_platform: false,
         keys: &[
             required("aim", "on_time", Form::Duration(1.0, DAY)),
             optional("aim_stretch", "aim_stretch", Form::Number(0.0, 1_000.0)),
@@ -183,7 +183,7 @@
         setting: "tenants",
         label: Some("name"),
         repeatable: true,
-        beside_platform: false,
+        allowed_with_platform: false,
         keys: &[required("quota_per_s", "quota_per_s", Form::Number(0.0, 1e9))],
         blocks: &[],
     },
@@ -192,7 +192,7 @@
         setting: "limits",
         label: None,
         repeatable: false,
-        beside_platform: false,
+        allowed_with_platform: false,
         keys: &[
             optional("send_cap", "send_cap", Form::Count(1, 100)),
             optional("cancel", "cancelling", Form::Flag),
@@ -211,7 +211,7 @@
         setting: "specifics",
         label: None,
         repeatable: false,
-        beside_platform: false,
+        allowed_with_platform: false,
         keys: &[
             optional("grants", "grants_count", Form::Flag),
             optional("priorities", "takes_priority", Form::Flag),
@@ -225,7 +225,7 @@
         setting: "rules",
         label: None,
         repeatable: false,
-        beside_platform: false,
+        allowed_with_platform: false,
         keys: &[
             optional("answer_slack", "answer_slack", Form::Duration(0.0, 60_000.0)),
             optional("ask_within", "ask_within", Form::Duration(0.0, HOUR)),
@@ -246,7 +246,7 @@
         setting: "log",
         label: None,
         repeatable: false,
-        beside_platform: true,
+        allowed_with_platform: true,
         keys: &[
             optional("form", "form", Form::OneOf(&["text", "json"])),
             optional("level", "level", Form::OneOf(&["error", "warn", "info", "debug", "trace"])),
@@ -258,7 +258,7 @@
         setting: "pacing",
         label: None,
         repeatable: false,
-        beside_platform: true,
+        allowed_with_platform: true,
         keys: &[optional("list_slowest", "list_slowest", Form::Duration(200.0, 10_000.0))],
         blocks: &[],
     },
@@ -267,7 +267,7 @@
         setting: "knowledge",
         label: None,
         repeatable: false,
-        beside_platform: true,
+        allowed_with_platform: true,
         keys: &[
             required("folder", "folder", Form::Text),
             optional("required", "required", Form::Flag),
