--- a/src/simulator/encode.rs
+++ b/src/simulator/encode.rs
@@ -1,9 +1,9 @@
-//! Writes lines of output.
+//! Writes lines of the simulator's wire.
 
 use crate::interface::Action;
 use std::fmt::Write as _;
 
-/// Writes an action of a gateway as a line.
+/// Appends an action of a gateway to `out` as one line.
 pub fn write_action(out: &mut String, gateway: &str, action: &Action) {
     let written = match action {
         Action::Send { id, engine, timeout } => writeln!(
@@ -34,13 +34,13 @@
     debug_assert!(written.is_ok(), "writing to a string cannot fail");
 }
 
-/// Writes that the decision module of a gateway failed.
+/// Appends a `BAIL_OUT` line, which reports that the decision module of a gateway failed.
 pub fn write_bail_out(out: &mut String, gateway: &str, reason: &str) {
     let reason = reason.replace(['\t', '\n', '\r'], " ");
     out.push_str(&format!("BAIL_OUT\tfront_id={gateway}\tmsg={reason}\n"));
 }
 
-/// Writes the end of a reply.
+/// Appends the `YIELD` line that ends the reply to a turn.
 pub fn write_yield(out: &mut String, turn: u64) {
     out.push_str(&format!("YIELD\tturn={turn}\n"));
 }
--- a/src/simulator/event.rs
+++ b/src/simulator/event.rs
@@ -1,4 +1,4 @@
-//! Turns lines about a gateway into events of its decision module.
+//! Converts event lines to events of the decision module of a gateway.
 
 use super::fields::{Fields, LineError};
 use crate::interface::{
@@ -6,17 +6,17 @@
 };
 use base64::Engine as _;
 
-/// Units of the simulator's measure of work in a millisecond.
+/// Number of the simulator's work units in a millisecond.
 const WORK_UNITS_PER_MILLISECOND: u64 = 4096;
-/// Stands for a blob without bytes.
+/// Text of a `blob` field without bytes.
 const EMPTY_BLOB: &str = "-";
-/// The amount of a heartbeat on topic 3 that stands for waiting for other load.
+/// Value of `amount` in a heartbeat on topic 3 for a query that waits for other load. Any other value means that it waits for memory.
 const WAITS_FOR_LOAD: f64 = 2.0;
 
-/// An event line in the terms of one gateway's settings.
+/// Converts an event line to an event, and resolves the names in it to entries of the gateway's settings.
 ///
 /// # Errors
-/// The message is no event, or a field is missing or invalid.
+/// Fails if the message is not an event, or a field is missing or invalid.
 pub fn event(fields: &Fields, settings: &Settings) -> Result<Event, LineError> {
     Ok(match fields.message() {
         "INCOMING" => Event::Request(request(fields, settings)?),
@@ -98,7 +98,7 @@
         "reset" => Outcome::Reset,
         "cancelled" => Outcome::Cancelled,
         "moot" => Outcome::NotExecuted,
-        _ => return Err(fields.invalid("disposition", "is no completion code")),
+        _ => return Err(fields.invalid("disposition", "is not a completion code")),
     })
 }
 
--- a/src/simulator/fields.rs
+++ b/src/simulator/fields.rs
@@ -1,4 +1,4 @@
-//! The fields of a message: texts by their names, read as the types that a message needs.
+//! Fields of a message: texts by their names, with methods that parse them as the types that a message needs.
 
 use crate::interface::{EngineId, LoadReport};
 use std::collections::BTreeMap;
@@ -6,43 +6,43 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Why a line is invalid.
+/// Reason why a line or a configuration is invalid.
 #[derive(Debug, Error, PartialEq)]
 pub enum LineError {
-    /// The message is unknown.
+    /// The name of the message is unknown.
     #[error("unknown message {0:?}")]
     Unknown(String),
     /// A required field is missing.
     #[error("{message}: field {field} is missing")]
     Missing {
-        /// The message.
+        /// Name of the message.
         message: String,
-        /// The field.
+        /// Name of the field.
         field: String,
     },
     /// The value of a field is invalid.
-    #[error("{message}: field {field}={value:?} {why}")]
+    #[error("{message}: field {field}={value:?} {reason}")]
     Unreadable {
-        /// The message.
+        /// Name of the message.
         message: String,
-        /// The field.
+        /// Name of the field.
         field: String,
-        /// Its value.
+        /// Value of the field, or an empty string if the field is missing.
         value: String,
-        /// What is wrong with it.
-        why: &'static str,
+        /// Reason why the value is invalid.
+        reason: &'static str,
     },
-    /// A part without `=`.
+    /// A tab-separated part of a line contains no `=`.
     #[error("{message}: part {part:?} is not name=value")]
     NotAPair {
-        /// The message.
+        /// Name of the message.
         message: String,
-        /// The part.
+        /// Text of the part.
         part: String,
     },
 }
 
-/// A message and its fields.
+/// A message with its fields.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Fields {
     message: String,
@@ -50,12 +50,12 @@
 }
 
 impl Fields {
-    /// Fields that do not come from a line, such as those of a configuration. `message` names them in errors.
+    /// Creates fields that were not read from a line, such as those of a configuration. `message` identifies them in errors.
     pub fn new(message: &str, pairs: BTreeMap<String, String>) -> Self {
         Self { message: message.to_owned(), pairs }
     }
 
-    /// Splits a line.
+    /// Splits a line into the name of the message and its fields.
     pub(super) fn parse(line: &str) -> Result<Self, LineError> {
         let mut parts = line.split('\t');
         let message = parts.next().unwrap_or_default().to_owned();
@@ -69,46 +69,46 @@
         Ok(Self { message, pairs })
     }
 
-    /// The name of the message.
+    /// Returns the name of the message.
     pub(super) fn message(&self) -> &str {
         &self.message
     }
 
-    /// The error for a field whose value is invalid.
-    pub fn invalid(&self, field: &str, why: &'static str) -> LineError {
+    /// Returns the error for a field whose value is invalid. `reason` completes a sentence that begins with the field.
+    pub fn invalid(&self, field: &str, reason: &'static str) -> LineError {
         LineError::Unreadable {
             message: self.message.clone(),
             field: field.to_owned(),
             value: self.pairs.get(field).cloned().unwrap_or_default(),
-            why,
+            reason,
         }
     }
 
-    /// A required field.
+    /// Returns the text of a required field.
     ///
     /// # Errors
-    /// The field is missing.
+    /// Fails if the field is missing.
     pub fn text(&self, field: &str) -> Result<&str, LineError> {
         self.opt(field)
             .ok_or_else(|| LineError::Missing { message: self.message.clone(), field: field.to_owned() })
     }
 
-    /// An optional field.
+    /// Returns the text of an optional field.
     pub fn opt(&self, field: &str) -> Option<&str> {
         self.pairs.get(field).map(String::as_str)
     }
 
-    /// A required field of a type that is read from text.
+    /// Parses a required field.
     pub(super) fn get<T: FromStr>(&self, field: &str) -> Result<T, LineError> {
-        self.text(field)?.parse().map_err(|_| self.invalid(field, "is not a number of that form"))
+        self.text(field)?.parse().map_err(|_| self.invalid(field, "is not a number of the expected type"))
     }
 
-    /// An optional field of a type that is read from text.
+    /// Parses an optional field.
     pub(super) fn get_opt<T: FromStr>(&self, field: &str) -> Result<Option<T>, LineError> {
         self.opt(field).map(|_| self.get(field)).transpose()
     }
 
-    /// A required field that is a finite number.
+    /// Parses a required field as a finite number.
     pub(super) fn number(&self, field: &str) -> Result<f64, LineError> {
         let value: f64 = self.get(field)?;
         if value.is_finite() {
@@ -118,10 +118,10 @@
         }
     }
 
-    /// An optional field that is a finite number, or the default where it is missing.
+    /// Parses an optional field as a finite number. Returns the default if the field is missing.
     ///
     /// # Errors
-    /// The field is no such number.
+    /// Fails if the value is not a finite number.
     pub fn number_or(&self, field: &str, default: f64) -> Result<f64, LineError> {
         match self.opt(field) {
             Some(_) => self.number(field),
@@ -129,37 +129,37 @@
         }
     }
 
-    /// An optional flag; false where it is missing.
+    /// Parses an optional field as a flag. Returns false if the field is missing.
     pub(super) fn flag(&self, field: &str) -> Result<bool, LineError> {
         self.opt(field)
             .map_or(Some(false), parse_flag)
             .ok_or_else(|| self.invalid(field, "is neither 0 nor 1"))
     }
 
-    /// A list of flags.
+    /// Parses an optional field as a list of flags. The list is empty if the field is missing.
     pub(super) fn flags(&self, field: &str) -> Result<Vec<bool>, LineError> {
         let flags: Option<Vec<bool>> = self.list(field).into_iter().map(parse_flag).collect();
-        flags.ok_or_else(|| self.invalid(field, "holds what is neither 0 nor 1"))
+        flags.ok_or_else(|| self.invalid(field, "contains an item that is neither 0 nor 1"))
     }
 
-    /// A list of numbers.
+    /// Parses an optional field as a list of numbers. The list is empty if the field is missing.
     pub(super) fn numbers(&self, field: &str) -> Result<Vec<f64>, LineError> {
         let numbers = self.list(field).into_iter().map(str::parse);
         numbers.collect::<Result<_, _>>().map_err(|_| self.invalid(field, "is not a list of numbers"))
     }
 
-    /// The engine that the message is about.
+    /// Returns the engine that the message concerns (field `engine`).
     pub(super) fn engine(&self) -> Result<EngineId, LineError> {
         self.text("engine").map(|engine| EngineId(Arc::from(engine)))
     }
 
-    /// The items of a list, separated by commas; empty where the field is missing.
+    /// Splits a field at commas and returns the items that are not empty. The list is empty if the field is missing.
     pub fn list(&self, field: &str) -> Vec<&str> {
         let items = self.opt(field).map(|value| value.split(',').filter(|item| !item.is_empty()).collect());
         items.unwrap_or_default()
     }
 
-    /// The load report, if there is one.
+    /// Parses the load report (field `health_info`). Returns `None` if the message contains none.
     pub(super) fn load_report(&self) -> Result<Option<LoadReport>, LineError> {
         const FIELD: &str = "health_info";
         let Some(text) = self.opt(FIELD).filter(|text| !text.is_empty()) else {
@@ -170,7 +170,7 @@
             let (name, value) =
                 pair.split_once(':').ok_or_else(|| self.invalid(FIELD, "is not name:value pairs"))?;
             let value: f64 =
-                value.parse().map_err(|_| self.invalid(FIELD, "holds a value that is not a number"))?;
+                value.parse().map_err(|_| self.invalid(FIELD, "contains a value that is not a number"))?;
             match name {
                 "concurrent" => report.inflight = Some(value),
                 "depth" => report.queue = Some(value),
@@ -184,7 +184,7 @@
     }
 }
 
-/// A flag in either of the forms in which it is written.
+/// Parses a flag: `0` or `1` on the wire, `false` or `true` in configuration files.
 fn parse_flag(text: &str) -> Option<bool> {
     match text {
         "0" | "false" => Some(false),
--- a/src/simulator/line.rs
+++ b/src/simulator/line.rs
@@ -1,67 +1,67 @@
-//! Reads lines of input.
+//! Reads lines of the simulator's wire.
 
 use super::fields::{Fields, LineError};
 use super::settings::{settings, zone_of};
 use crate::interface::{Availability, EngineId, MachineTypeId, Member, Milliseconds, Settings};
 use std::sync::Arc;
 
-/// The largest number of a numbered endpoint list.
+/// Maximum number (`bank`) of a numbered endpoint list.
 const MAX_BANK: u8 = 15;
 
-/// Identifies a gateway on the wire, as text.
+/// Id of a gateway on the simulator's wire.
 pub type GatewayId = Arc<str>;
 
 /// One line of input.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Line {
-    /// A batch begins.
+    /// A turn begins: a batch of lines whose events are handled at the same time.
     Turn {
-        /// The time.
+        /// Time at which all events of the turn are handled.
         wall: Milliseconds,
-        /// The number of the batch.
+        /// Number of the turn.
         turn: u64,
     },
-    /// A batch ends, and its reply is awaited.
+    /// The turn ends, and the simulator waits for the reply.
     YourTurn,
-    /// A numbered endpoint list follows.
+    /// A numbered endpoint list begins. Its entries follow in `ENTRY` lines.
     Page {
-        /// Its number.
+        /// Number of the list.
         bank: u8,
-        /// The number of its entries.
+        /// Number of entries in the list.
         entries: usize,
     },
-    /// An entry of the endpoint list.
+    /// An entry of the endpoint list that is being read.
     Entry(Entry),
-    /// A gateway starts.
+    /// A gateway starts with these settings.
     Provision(GatewayId, Box<Settings>),
     /// A gateway was killed.
     PowerOff(GatewayId),
-    /// The endpoint list for a gateway.
+    /// The name service answers a gateway.
     Registry(GatewayId, Registry),
-    /// Any other event of a gateway; its names are resolved by [`event`](super::event()).
+    /// Any other event of a gateway. The names in its fields are resolved by [`event`](super::event()).
     Event(GatewayId, Fields),
 }
 
-/// An answer of the name service.
+/// Result of a call to the name service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Registry {
-    /// A numbered endpoint list.
+    /// The name service returned a numbered endpoint list.
     List {
-        /// Its number.
+        /// Number of the list.
         bank: u8,
-        /// Whether it is the complete list; otherwise it holds changes.
+        /// Whether the list contains all engines. Otherwise it contains only changes.
         complete: bool,
     },
-    /// A call to the name service failed.
+    /// The call to the name service failed.
     Failed,
 }
 
-/// An entry of an endpoint list, its names not resolved yet.
+/// An entry of an endpoint list. Its names are not yet resolved to entries of the settings.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Entry {
     engine: EngineId,
     zone: String,
-    kind: String,
+    machine_type: String,
     cell: u64,
     availability: Availability,
     started: Option<Milliseconds>,
@@ -72,23 +72,23 @@
         Ok(Self {
             engine: fields.engine()?,
             zone: fields.opt("locality").unwrap_or_default().to_owned(),
-            kind: fields.opt("shape").unwrap_or_default().to_owned(),
+            machine_type: fields.opt("shape").unwrap_or_default().to_owned(),
             cell: fields.get_opt("block")?.unwrap_or(0),
             availability: match fields.text("availability")? {
                 "live" => Availability::Live,
                 "quiescing" => Availability::Draining,
                 "dead" => Availability::Removed,
-                _ => return Err(fields.invalid("availability", "is no availability")),
+                _ => return Err(fields.invalid("availability", "is not an availability")),
             },
             started: Some(fields.number_or("came_up", 0.0)?).filter(|time| *time > 0.0),
         })
     }
 }
 
-/// Reads one line.
+/// Parses one line.
 ///
 /// # Errors
-/// The message is unknown, or a field is missing or invalid.
+/// Fails if the message is unknown, or a field is missing or invalid.
 pub fn parse(line: &str) -> Result<Line, LineError> {
     let fields = Fields::parse(line)?;
     Ok(match fields.message() {
@@ -115,7 +115,7 @@
 fn page(fields: &Fields) -> Result<Line, LineError> {
     let bank = fields.get("bank")?;
     if bank > MAX_BANK {
-        return Err(fields.invalid("bank", "is past 15"));
+        return Err(fields.invalid("bank", "is greater than 15"));
     }
     Ok(Line::Page { bank, entries: fields.get("members_list")? })
 }
@@ -125,11 +125,11 @@
         "failed" => Ok(Registry::Failed),
         "delta" => Ok(Registry::List { bank: fields.get("bank")?, complete: false }),
         "full" | "cached" => Ok(Registry::List { bank: fields.get("bank")?, complete: true }),
-        _ => Err(fields.invalid("kind", "is no kind of list")),
+        _ => Err(fields.invalid("kind", "is not a kind of list")),
     }
 }
 
-/// An entry in the terms of one gateway's settings.
+/// Converts an entry to a member of the endpoint list, with the zone and machine type resolved to entries of the gateway's settings.
 pub fn member(entry: &Entry, settings: &Settings) -> Member {
     Member {
         engine: entry.engine.clone(),
@@ -137,7 +137,7 @@
         machine_type: settings
             .machine_types
             .iter()
-            .position(|kind| kind.name == entry.kind)
+            .position(|known| known.name == entry.machine_type)
             .map(MachineTypeId),
         cell: entry.cell,
         availability: entry.availability,
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,8 +1,9 @@
-//! The simulator's wire: lines of a message name and `name=value` fields, separated by tabs. No decision is taken here.
+//! Encoding and decoding of the simulator's wire format. Each line consists of a message name and `name=value` fields, separated by
+//! tabs. This module takes no decisions.
 //!
-//! [`parse`] reads a line; [`event`] and [`member`] turn what it names into the terms of one gateway's settings, which
-//! [`settings`] reads. [`write_action`] and its companions write replies. [`Fields`] is also how configuration files are
-//! read.
+//! [`parse`] parses a line, and [`settings`] reads the settings of a gateway. [`event`] and [`member`] resolve the names in a line to
+//! entries of these settings. [`write_action`], [`write_bail_out`] and [`write_yield`] write replies. The settings of configuration
+//! files are read through [`Fields`] as well.
 
 mod encode;
 mod event;
--- a/src/simulator/settings.rs
+++ b/src/simulator/settings.rs
@@ -1,4 +1,4 @@
-//! Reads the settings of a gateway from fields.
+//! Reads the settings of a gateway from the fields of a message or of a configuration.
 
 use super::fields::{Fields, LineError};
 use crate::interface::{
@@ -6,21 +6,21 @@
     Tenant, ZoneId,
 };
 
-/// The settings in these fields.
+/// Reads the settings of a gateway.
 ///
 /// # Errors
-/// The first field that is missing or invalid.
+/// Returns the first field that is missing or invalid.
 pub fn settings(fields: &Fields) -> Result<Settings, LineError> {
     let zones: Vec<String> = fields.list("zones").iter().map(|&zone| zone.to_owned()).collect();
     let cores = fields.numbers("specifics.cpu_of_kind")?;
     let memory_mb = fields.numbers("specifics.memory_by_kind_mb")?;
     let class_lists = ClassLists::read(fields)?;
-    let machine_types = kinds(fields, &cores, &memory_mb);
+    let machine_types = machine_types(fields, &cores, &memory_mb);
     let classes = classes(fields, &class_lists, &machine_types, &zones)?;
     let tenants = tenants(fields)?;
     let retry_budget = retry_budget(fields)?;
     check_reporting(fields)?;
-    let gives_retry_after = fields.flag("limits.retry_after")?;
+    let sends_retry_after = fields.flag("limits.retry_after")?;
     Ok(Settings {
         seed: fields.get("entropy")?,
         gateways: fields.get_opt("balancers")?.unwrap_or(0),
@@ -35,7 +35,7 @@
         may_hedge: fields.flag("limits.may_duplicate")?,
         may_check_health: fields.flag("limits.probes")?,
         health_check_cost: fields.number_or("charges.probe", 0.0)?,
-        max_retry_after: max_retry_after(fields, gives_retry_after)?,
+        max_retry_after: max_retry_after(fields, sends_retry_after)?,
         max_attempts: fields.get_opt("limits.send_cap")?.unwrap_or(1),
         answer_grace: fields.number_or("rules.answer_slack", 0.0)?,
         max_poll_interval: fields.number_or("rules.ask_within", 0.0)?,
@@ -53,12 +53,12 @@
     })
 }
 
-/// The zone of that name, if the settings have it.
+/// Returns the zone with this name, or `None` if the settings do not contain it.
 pub fn zone_of(zones: &[String], name: &str) -> Option<ZoneId> {
     zones.iter().position(|zone| zone == name).map(ZoneId)
 }
 
-fn kinds(fields: &Fields, cores: &[f64], memory_mb: &[f64]) -> Vec<MachineType> {
+fn machine_types(fields: &Fields, cores: &[f64], memory_mb: &[f64]) -> Vec<MachineType> {
     let item = |list: &[f64], index: usize| list.get(index).copied().unwrap_or(0.0);
     let names = fields.list("skus").into_iter().enumerate();
     names
@@ -70,7 +70,7 @@
         .collect()
 }
 
-/// Lists with an entry for each class, in the order of the classes.
+/// Lists with one entry for each class, in the order of the classes.
 struct ClassLists {
     threads: Vec<f64>,
     is_load: Vec<bool>,
@@ -106,7 +106,8 @@
 ) -> Result<Class, LineError> {
     let path = |name: &str| format!("classes.{index}.{name}");
     let scope = deduplication_scope(fields, &path("dedup_scope"))?;
-    let kind_of = |name: &&str| machine_types.iter().position(|kind| kind.name == *name).map(MachineTypeId);
+    let machine_type_of =
+        |name: &&str| machine_types.iter().position(|known| known.name == *name).map(MachineTypeId);
     let allowed = |name: &str| fields.opt(&path(name)).map(|_| fields.list(&path(name)));
     Ok(Class {
         name: fields.text(&path("name"))?.to_owned(),
@@ -119,10 +120,10 @@
             "idempotent" => Idempotency::Idempotent,
             "deduplicated" => Idempotency::Keyed { scope, window: fields.number_or(&path("window"), 0.0)? },
             "at_most_once" => Idempotency::NotIdempotent,
-            _ => return Err(fields.invalid(&path("idempotency"), "is no idempotency")),
+            _ => return Err(fields.invalid(&path("idempotency"), "is not an idempotency")),
         },
         ordered: fields.flag(&path("serial_by_key"))?,
-        machine_types: allowed("allowed_on").map(|names| names.iter().filter_map(kind_of).collect()),
+        machine_types: allowed("allowed_on").map(|names| names.iter().filter_map(machine_type_of).collect()),
         zones: allowed("allowed_in")
             .map(|names| names.iter().filter_map(|name| zone_of(zones, name)).collect()),
         threads: lists.threads.get(index).copied().unwrap_or(1.0),
@@ -136,7 +137,7 @@
         None | Some("all") => Ok(Scope::All),
         Some("zone") => Ok(Scope::Zone),
         Some("cell") => Ok(Scope::Cell),
-        Some(_) => Err(fields.invalid(path, "is no scope")),
+        Some(_) => Err(fields.invalid(path, "is not a deduplication scope")),
     }
 }
 
@@ -151,7 +152,7 @@
     (0..count).map(tenant).collect()
 }
 
-/// The retry budget, if there is one: its span, and at least one of its amounts.
+/// Reads the retry budget. Returns `None` unless its time window and at least one of its amounts are set.
 fn retry_budget(fields: &Fields) -> Result<Option<RetryBudgetSettings>, LineError> {
     if fields.opt("rules.ratio_span").is_none() {
         return Ok(None);
@@ -174,18 +175,19 @@
     }
 }
 
-/// The longest retry-after; 0 where none is given.
-fn max_retry_after(fields: &Fields, gives_retry_after: bool) -> Result<Milliseconds, LineError> {
-    if !gives_retry_after {
+/// Returns the maximum retry-after, or 0 if the gateway sends none.
+fn max_retry_after(fields: &Fields, sends_retry_after: bool) -> Result<Milliseconds, LineError> {
+    if !sends_retry_after {
         return Ok(0.0);
     }
     fields.number_or("limits.max_retry_after", 0.0)
 }
 
-/// Checks how load reports reach the gateway. No decision depends on it: a report is used wherever it comes with.
+/// Checks that the setting for the way in which load reports reach the gateway is valid. No decision depends on the setting: a
+/// report is used in whichever message it arrives.
 fn check_reporting(fields: &Fields) -> Result<(), LineError> {
     match fields.opt("reporting.how") {
         None | Some("answers" | "probe" | "none") => Ok(()),
-        Some(_) => Err(fields.invalid("reporting.how", "is no way of reporting")),
+        Some(_) => Err(fields.invalid("reporting.how", "is not a way of reporting")),
     }
 }
