--- a/src/bin/starlingplank-wirehost.rs
+++ b/src/bin/starlingplank-wirehost.rs
@@ -1,4 +1,5 @@
-//! Hosts many independent gateways on the simulator's wire, on standard input and output.
+//! Runs the decision modules of many independent gateways for the simulator. Lines are read from standard input, replies are written
+//! to standard output.
 #![forbid(unsafe_code)]
 
 use starlingplank::decide::Balancer;
@@ -11,7 +12,7 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// Why the input cannot be handled further.
+/// Error that ends the program.
 #[derive(Debug, Error)]
 enum HostError {
     /// The input cannot be read.
@@ -20,34 +21,34 @@
     /// A line is invalid.
     #[error(transparent)]
     Line(#[from] LineError),
-    /// A list is incomplete.
-    #[error("list {bank}: {missing} more ENTRY lines are due")]
+    /// Another line arrives before the list that is being read is complete.
+    #[error("list {bank}: {missing} more ENTRY lines are expected")]
     ListIncomplete { bank: u8, missing: usize },
-    /// A line is not in a turn.
-    #[error("a line outside a turn")]
+    /// A line precedes the first turn or lies between two turns.
+    #[error("the line is outside a turn")]
     OutsideTurn,
-    /// A turn begins in another one.
+    /// A turn begins before the previous one has ended.
     #[error("TURN: the turn before was never closed")]
     TurnOpen,
-    /// An entry is not in a list.
+    /// An `ENTRY` line follows no `PAGE` line that expects entries.
     #[error("ENTRY: no PAGE is open")]
     NoListOpen,
-    /// The list of that number is not defined.
-    #[error("REGISTRY: bank={0} was never defined")]
+    /// No endpoint list with this number was received.
+    #[error("REGISTRY: bank={0} is not defined")]
     UnknownList(u8),
-    /// The gateway is not running.
+    /// The gateway of an event was not started or has been stopped.
     #[error("front_id={0} was not provisioned")]
     UnknownGateway(GatewayId),
 }
 
-/// A gateway.
+/// A hosted gateway.
 struct Instance {
     settings: Settings,
-    /// Its decision module; none after a failure.
+    /// Decision module of the gateway. `None` after a failure.
     balancer: Option<Balancer>,
-    /// Events of the open turn.
+    /// Events of the current turn.
     events: Vec<Event>,
-    /// Why its settings cannot be used, until that is reported.
+    /// Reason why the settings cannot be used. `None` once it is reported.
     failure: Option<String>,
 }
 
@@ -60,7 +61,7 @@
         Self { settings, balancer, events: Vec::new(), failure }
     }
 
-    /// Runs a decision cycle over the events of the turn, and writes its actions.
+    /// Runs a decision cycle for the events of the turn and appends its actions to `out`.
     fn run_turn(&mut self, id: &GatewayId, now: Milliseconds, actions: &mut Vec<Action>, out: &mut String) {
         let events = std::mem::take(&mut self.events);
         if let Some(reason) = self.failure.take() {
@@ -85,22 +86,22 @@
     owned.or_else(borrowed).unwrap_or_else(|| "panic".to_owned())
 }
 
-/// The turn that is open.
+/// The current turn.
 #[derive(Clone, Copy)]
 struct Turn {
     now: Milliseconds,
     number: u64,
 }
 
-/// The list whose entries are being read.
+/// The endpoint list whose entries are being read.
 #[derive(Clone, Copy)]
 struct OpenList {
     bank: u8,
-    /// Entries that are still to come.
+    /// Number of entries that are still expected.
     missing: usize,
 }
 
-/// All gateways, and what was read of the open turn.
+/// All hosted gateways and endpoint lists, and the state of the input.
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<GatewayId, Instance>,
@@ -110,7 +111,7 @@
 }
 
 impl Host {
-    /// Handles one line; returns the reply when it ends a turn.
+    /// Handles one line. Returns the reply if the line ends a turn.
     fn handle_line(&mut self, text: &str) -> Result<Option<String>, HostError> {
         let line = simulator::parse(text)?;
         if let Some(open_list) = self.open_list {
@@ -139,7 +140,7 @@
             }
             Line::Registry(id, registry) => self.add_registry_event(&id, registry)?,
             Line::Event(id, fields) => {
-                let instance = find(&mut self.instances, &id)?;
+                let instance = find_instance(&mut self.instances, &id)?;
                 instance.events.push(simulator::event(&fields, &instance.settings)?);
             }
         }
@@ -155,7 +156,7 @@
     }
 
     fn add_registry_event(&mut self, id: &GatewayId, registry: Registry) -> Result<(), HostError> {
-        let instance = find(&mut self.instances, id)?;
+        let instance = find_instance(&mut self.instances, id)?;
         let event = match registry {
             Registry::Failed => Event::EndpointPollFailed,
             Registry::List { bank, complete } => {
@@ -168,7 +169,7 @@
         Ok(())
     }
 
-    /// Runs a decision cycle of each gateway that has events.
+    /// Runs a decision cycle of each gateway with events, and returns the reply to the turn.
     fn reply(&mut self, turn: Turn) -> String {
         let mut out = String::new();
         let mut actions: Vec<Action> = Vec::new();
@@ -180,7 +181,7 @@
     }
 }
 
-fn find<'a>(
+fn find_instance<'a>(
     instances: &'a mut BTreeMap<GatewayId, Instance>,
     id: &GatewayId,
 ) -> Result<&'a mut Instance, HostError> {
@@ -198,7 +199,7 @@
         match handled {
             Ok(None) => {}
             Ok(Some(reply)) => {
-                // Whoever reads the replies has ended.
+                // A failed write means that the reader of the replies has exited.
                 if out.write_all(reply.as_bytes()).and_then(|()| out.flush()).is_err() {
                     return ExitCode::SUCCESS;
                 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! Workload-management decisions for gateways in front of analytic engines.
+//! A gateway in front of analytic query engines that decides which engine runs each query, and when.
 //!
-//! [`Balancer`](decide::Balancer) is fed [`Event`](interface::Event)s and answers with
-//! [`Action`](interface::Action)s. It does no I/O and reads no clock. [`core`] wraps it
-//! in a reducer that owns requests and attempts, and [`net`] holds the sockets around that.
+//! [`Balancer`](decide::Balancer) receives [`Event`](interface::Event)s and returns
+//! [`Action`](interface::Action)s. It performs no I/O and reads no clock. [`core`] wraps it in a
+//! reducer that owns requests and attempts. [`net`] owns the sockets and drives the reducer.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The gateway's command line.
+//! Command line of the gateway.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
@@ -13,8 +13,8 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// The exit code where there is nothing to show.
-const NOTHING_THERE: u8 = 2;
+/// Exit code if there is no intact snapshot to show, or no persisted state to verify.
+const EXIT_NOT_FOUND: u8 = 2;
 
 #[derive(Parser)]
 #[command(version, about)]
@@ -25,50 +25,50 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve until SIGTERM (the default)
+    /// Serve requests until SIGTERM (the default)
     Serve(Files),
-    /// Read the configuration, say whether it can be used, and end
+    /// Read the configuration, report whether it can be used, and exit
     CheckConfig(Files),
-    /// What is kept through restarts
+    /// Inspect the state that is persisted across restarts
     #[command(subcommand)]
     Knowledge(Knowledge),
-    /// Say which version this is
+    /// Print the version
     Version,
 }
 
 #[derive(Subcommand)]
 enum Knowledge {
-    /// Every figure of the last snapshot, with its age and what it would be worth now
+    /// Print each figure of the last snapshot, with its age and the weight that it would retain now
     Show {
-        /// The folder
+        /// Folder of the persisted state
         folder: PathBuf,
-        /// As JSON
+        /// Print JSON instead of text
         #[arg(long)]
         json: bool,
-        /// The operator's file, for the times by which it is judged
+        /// The operator's file, which sets the times for which persisted state is valid
         #[arg(long)]
         operator: Option<PathBuf>,
     },
-    /// Whether the last snapshot and the log of keys are whole: ends with 0, with 1 and a line for each fault, or
-    /// with 2 where there is nothing
+    /// Check that the last snapshot, the idempotency log and the cached endpoint list are intact: exits with 0 if so, with
+    /// 1 and a line for each fault otherwise, and with 2 if there is no persisted state
     Verify {
-        /// The folder
+        /// Folder of the persisted state
         folder: PathBuf,
     },
 }
 
 #[derive(clap::Args, Default)]
 struct Files {
-    /// The platform's configuration, JSON
+    /// The platform's configuration, in JSON
     #[arg(long, env = "PROXY_CONFIG")]
     config: Option<PathBuf>,
-    /// The operator's file, HCL: a whole configuration, or what stands beside the platform's
+    /// The operator's file, in HCL: a complete configuration, or additions to the platform's
     #[arg(long, env = "STARLINGPLANK_OPERATOR")]
     operator: Option<PathBuf>,
 }
 
 impl Files {
-    /// The files that the environment names.
+    /// Returns the files whose paths are in the environment.
     fn from_environment() -> Self {
         let file = |name| std::env::var_os(name).filter(|path| !path.is_empty()).map(PathBuf::from);
         Self { config: file("PROXY_CONFIG"), operator: file("STARLINGPLANK_OPERATOR") }
@@ -81,7 +81,7 @@
     }
 }
 
-/// Why a command failed.
+/// Reason why a command failed.
 #[derive(Debug, Error)]
 enum CommandError {
     /// The configuration cannot be used.
@@ -105,12 +105,12 @@
 }
 
 fn main() -> ExitCode {
-    // Without a command it serves: the platform's run line names the program alone.
+    // The program serves by default, as the platform starts it without a command.
     let command = Cli::parse().command.unwrap_or_else(|| Command::Serve(Files::from_environment()));
     match run(command) {
         Ok(code) => code,
         Err(error) => {
-            // It ends with its code whether or not this can be written.
+            // The exit code is the same whether or not the message can be written.
             let _ = writeln!(io::stderr(), "starlingplank: {error}");
             ExitCode::FAILURE
         }
@@ -133,13 +133,13 @@
 }
 
 fn serve(files: &ConfigFiles) -> Result<ExitCode, CommandError> {
-    let threads = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    // Before the configuration is read, which may take long: a signal without a handler would end the program.
-    let signals = threads.block_on(Signals::register())?;
+    let tokio_runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    // Registered before the configuration is read, which may take long: a signal without a handler would end the program.
+    let signals = tokio_runtime.block_on(Signals::register())?;
     let config = files.load()?;
     log::start(&config.log);
     let serve = runtime::serve(config, signals, || files.load());
-    tokio::task::LocalSet::new().block_on(&threads, serve)?;
+    tokio::task::LocalSet::new().block_on(&tokio_runtime, serve)?;
     Ok(ExitCode::SUCCESS)
 }
 
@@ -150,7 +150,7 @@
 }
 
 fn show_knowledge(folder: &Path, json: bool, operator: Option<PathBuf>) -> Result<ExitCode, CommandError> {
-    let rules = match operator {
+    let recovery_settings = match operator {
         Some(_) => {
             let config = ConfigFiles { platform: None, operator }.load()?;
             let overload_collapse_after = config.settings.overload_collapse_after;
@@ -161,29 +161,33 @@
         None => None,
     };
     let now = Clock::start().now();
-    let shown = inspection::show(folder, now, &rules.unwrap_or(recovery::DEFAULT))
+    let snapshot = inspection::show(folder, now, &recovery_settings.unwrap_or(recovery::DEFAULT))
         .map_err(|error| CommandError::folder(folder, error))?;
-    let Some(shown) = shown else {
-        writeln!(io::stderr(), "{}: there is no whole snapshot", folder.display())?;
-        return Ok(ExitCode::from(NOTHING_THERE));
+    let Some(snapshot) = snapshot else {
+        writeln!(io::stderr(), "{}: no intact snapshot found", folder.display())?;
+        return Ok(ExitCode::from(EXIT_NOT_FOUND));
     };
-    let text = if json { format!("{shown:#}\n") } else { inspection::text(&shown) };
+    let text = if json { format!("{snapshot:#}\n") } else { inspection::text(&snapshot) };
     write!(io::stdout(), "{text}")?;
     Ok(ExitCode::SUCCESS)
 }
 
 fn verify_knowledge(folder: &Path) -> Result<ExitCode, CommandError> {
-    let verdict = inspection::verify(folder).map_err(|error| CommandError::folder(folder, error))?;
+    let result = inspection::verify(folder).map_err(|error| CommandError::folder(folder, error))?;
     let mut out = io::stdout();
-    for fault in &verdict.faults {
+    for fault in &result.faults {
         writeln!(out, "{}/{fault}", folder.display())?;
     }
-    let (folder, code) = (folder.display(), verdict.code());
+    let (folder, code) = (folder.display(), result.code());
     match code {
         0 => {
-            writeln!(out, "{folder}: whole; {} bytes at the log's end never came to be", verdict.torn_bytes)?;
+            writeln!(
+                out,
+                "{folder}: intact; {} bytes of an incomplete write at the end of the log",
+                result.torn_bytes
+            )?;
         }
-        NOTHING_THERE => writeln!(out, "{folder}: there is nothing")?,
+        EXIT_NOT_FOUND => writeln!(out, "{folder}: no persisted state found")?,
         _ => {}
     }
     Ok(ExitCode::from(code))
