--- a/crates/experiments/src/fleet.rs
+++ b/crates/experiments/src/fleet.rs
@@ -1,5 +1,5 @@
-//! Runs of many gateways: the real program, as many processes as the scenario wants, between test doubles on loopback, with
-//! faults by script. The result is read from what the doubles and the clients recorded, never from what gateways log.
+//! Runs of many gateways: processes of the real program between test doubles on loopback, with faults scheduled by a scenario. The
+//! result is computed from what the test doubles and the clients recorded, never from what gateways log.
 
 mod clients;
 mod evaluation;
@@ -21,20 +21,20 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 use tokio::time::{sleep_until, timeout};
 
-/// The time after a run in which open requests get their answers.
+/// Maximum time after a run for which in-flight requests of clients may wait for their answers.
 const DRAIN_TIME: Duration = Duration::from_secs(25);
 
-/// Opens the clients' connections to each process as it listens, unless the gateway has been restarted since.
+/// Directs the clients of each gateway to the address of its process once it listens, unless the gateway has been restarted since.
 async fn open_connections(gateways: Gateways, mut listening: UnboundedReceiver<Listening>) {
     while let Some(Listening { gateway, incarnation, address }) = listening.recv().await {
-        gateways.borrow()[gateway].listens(incarnation, address);
+        gateways.borrow()[gateway].connect_clients(incarnation, address);
     }
 }
 
 /// Runs a scenario with the real program.
 ///
 /// # Errors
-/// A process, a port or a file cannot be had.
+/// A process cannot be started or signalled, a port is not available, or a file cannot be written.
 pub async fn run_scenario(options: &FleetOptions<'_>, scenario: &Scenario) -> Result<FleetResult, Failure> {
     let (listening, events) = unbounded_channel();
     let mut run = setup::set_up(options, scenario, listening).await?;
--- a/crates/experiments/src/fleet/gateway.rs
+++ b/crates/experiments/src/fleet/gateway.rs
@@ -1,4 +1,4 @@
-//! One gateway of a fleet: its file, its process, its path to the name service and its clients' connections.
+//! One gateway of a fleet: its operator's file, its process, its path to the name service and the connections of its clients.
 
 use crate::harness::clients::ConnectionPool;
 use crate::harness::gateway::{listening_address, serve_command};
@@ -11,36 +11,36 @@
 use std::process::Child;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// The stack of the thread that reads a process's log.
+/// Stack size of the thread that reads the log of a process. A run has one thread for each gateway, so stacks are small.
 const READER_STACK_BYTES: usize = 256 << 10;
 
-/// A process listens.
+/// Notification that a process of a gateway listens.
 pub(super) struct Listening {
-    /// The number of its gateway.
+    /// Index of the gateway.
     pub(super) gateway: usize,
-    /// The number of the process among those of its gateway.
+    /// Number of the process among those of its gateway, from 1.
     pub(super) incarnation: u32,
     pub(super) address: SocketAddr,
 }
 
-/// A span of time, in seconds of the run.
+/// A span of time, in seconds since the start of the run.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Span {
     pub(super) from: f64,
     pub(super) to: f64,
 }
 
-/// A gateway. Its process is killed when it is dropped.
+/// A gateway and its current process, which is killed when the gateway is dropped.
 pub(super) struct Gateway {
     operator_file: PathBuf,
-    /// The path to the name service.
+    /// Relay between the gateway and the name service.
     pub(super) path: Relay,
     child: Option<Child>,
     pub(super) pool: ConnectionPool,
     incarnation: u32,
-    /// The number of flows to the name service that its earlier processes had.
+    /// Number of flows (source addresses) on which earlier processes of the gateway polled the name service.
     earlier_flows: usize,
-    /// When it was killed or paused: its clients may lose their open requests.
+    /// Spans during and after kills and pauses, in which clients of the gateway may lose their in-flight requests.
     pub(super) disruptions: Vec<Span>,
 }
 
@@ -56,7 +56,7 @@
         Self { operator_file, path, child, pool, incarnation: 0, earlier_flows: 0, disruptions }
     }
 
-    /// Starts a process, which reports where it listens.
+    /// Starts a process. Each address on which it listens is sent to `listening`.
     pub(super) fn start(
         &mut self,
         number: usize,
@@ -69,9 +69,9 @@
         self.incarnation += 1;
         self.earlier_flows = self.path.relay_addresses().len();
         let (incarnation, listening) = (self.incarnation, listening.clone());
-        let log = child.stdout.take().ok_or("it has no output")?;
+        let log = child.stdout.take().ok_or("the standard output of the gateway is not captured")?;
         self.child = Some(child);
-        // The whole log is read as it is written, so that the process never waits for a reader.
+        // The whole log is read as it is written, so that the process never blocks on a full pipe.
         let read_log = move || {
             for line in BufReader::new(log).lines().map_while(Result::ok) {
                 if let Some(address) = listening_address(&line) {
@@ -83,8 +83,8 @@
         Ok(())
     }
 
-    /// Opens the clients' connections, if that process is the present one.
-    pub(super) fn listens(&self, incarnation: u32, address: SocketAddr) {
+    /// Directs the clients to the address of a process, if it is the current process of the gateway.
+    pub(super) fn connect_clients(&self, incarnation: u32, address: SocketAddr) {
         if self.incarnation == incarnation {
             self.pool.open(address);
         }
@@ -92,7 +92,7 @@
 
     pub(super) fn signal(&self, signal: Signal) -> Result<(), Failure> {
         let Some(child) = &self.child else { return Ok(()) };
-        let id = Pid::from_raw(child.id() as i32).ok_or("it has no number")?;
+        let id = Pid::from_raw(child.id() as i32).ok_or("the gateway has no valid process id")?;
         Ok(kill_process(id, signal)?)
     }
 
@@ -108,17 +108,17 @@
         }
     }
 
-    /// The addresses from which the name service was polled.
+    /// Returns the addresses from which all processes of the gateway polled the name service.
     pub(super) fn flow_addresses(&self) -> Vec<SocketAddr> {
         self.path.relay_addresses()
     }
 
-    /// The same, for the present process.
-    pub(super) fn present_flow_addresses(&self) -> Vec<SocketAddr> {
+    /// Returns the addresses from which the current process polled the name service.
+    pub(super) fn current_flow_addresses(&self) -> Vec<SocketAddr> {
         self.flow_addresses().split_off(self.earlier_flows)
     }
 
-    /// Whether a request of a client between these times may have been lost by a disruption.
+    /// Returns whether a disruption overlaps the time of a client's request, which may have been lost by it.
     pub(super) fn is_disrupted(&self, sent: f64, ended: f64) -> bool {
         self.disruptions.iter().any(|disruption| sent < disruption.to && ended > disruption.from)
     }
--- a/crates/experiments/src/fleet/plan.rs
+++ b/crates/experiments/src/fleet/plan.rs
@@ -1,56 +1,57 @@
-//! The steps of a scenario, in their order.
+//! Plan of a scenario: its starts, stops and faults as steps in the order of time.
 
 use crate::scenario::{Fault, FaultKind, Scenario};
 
-/// Something that happens. Gateways and engines are given by their numbers.
+/// An action of a scenario on one gateway or engine. Gateways and engines are identified by their indices.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum Step {
     StartGateway(usize),
-    /// Kill the process and restart it at once.
+    /// Kills the process of a gateway and restarts it at once.
     KillGateway(usize),
     PauseGateway(usize),
     ResumeGateway(usize),
-    /// A fault of a gateway's path to the name service begins.
-    BreakPath {
+    /// Begins a fault of a gateway's path to the name service.
+    BeginPathFault {
         gateway: usize,
         kind: FaultKind,
         amount: f64,
     },
-    MendPath {
+    EndPathFault {
         gateway: usize,
         kind: FaultKind,
     },
-    /// The first engine drains.
+    /// Announces in the endpoint list that the first engine drains.
     Drain,
-    /// A fault of the path to an engine begins.
-    BreakEnginePath {
+    /// Begins a fault of the path to an engine.
+    BeginEnginePathFault {
         engine: usize,
         kind: FaultKind,
         amount: f64,
     },
-    MendEnginePath {
+    EndEnginePathFault {
         engine: usize,
         kind: FaultKind,
     },
     StopEngine(usize),
     StartEngine(usize),
-    /// The engine serves connections again.
-    HealEngine(usize),
+    /// Makes a refusing or unresponsive engine serve connections again.
+    EndEngineFault(usize),
 }
 
-/// A step, and when it is due, in seconds.
+/// A step, and the time at which it is due, in seconds since the start of the run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct PlannedStep {
     pub(super) at: f64,
     pub(super) step: Step,
 }
 
-/// The numbers of engines by what the scenario has them do, the first ones first.
+/// Numbers of engines that a scenario starts cold or faulty. Engines are assigned by index: the first ones are cold, and the first ones
+/// refuse connections, followed by those that do not respond.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct EngineCounts {
     pub(super) cold: usize,
     pub(super) refusing: usize,
-    /// Those that refuse, and those that do not respond.
+    /// Number of engines that refuse connections or do not respond.
     pub(super) faulty: usize,
 }
 
@@ -67,12 +68,13 @@
     (share * all as f64).round() as usize
 }
 
-/// When an engine comes up; 0 if it is up at the start.
+/// Returns the time at which an engine starts to serve connections; 0 if it does so from the start of the run.
 pub(super) fn engine_up_at(engine: usize, scenario: &Scenario) -> f64 {
     scenario.engines.up_from + engine as f64 * scenario.engines.start_interval
 }
 
-/// The steps within the length of the run. Those due at the same time stay in the order in which they are listed here.
+/// Returns the steps that are due before the end of the run, by time. Steps due at the same time keep the order in which they are
+/// generated: gateway starts, engine steps, faults.
 pub(super) fn plan(gateways: usize, engines: usize, scenario: &Scenario) -> Vec<PlannedStep> {
     let mut steps = gateway_starts(gateways, scenario);
     steps.extend(engine_steps(engines, scenario));
@@ -84,7 +86,7 @@
     steps
 }
 
-/// One step for each of the first numbers.
+/// Returns one step for each of the first `count` indices, all due at the same time.
 fn for_first(count: usize, at: f64, step: impl Fn(usize) -> Step) -> impl Iterator<Item = PlannedStep> {
     (0..count).map(move |number| PlannedStep { at, step: step(number) })
 }
@@ -107,7 +109,7 @@
     let settings = &scenario.engines;
     if settings.faulty_until > 0.0 {
         let faulty = EngineCounts::new(engines, scenario).faulty;
-        steps.extend(for_first(faulty, settings.faulty_until, Step::HealEngine));
+        steps.extend(for_first(faulty, settings.faulty_until, Step::EndEngineFault));
     }
     if settings.stopped_to > settings.stopped_from {
         steps.extend(for_first(engines, settings.stopped_from, Step::StopEngine));
@@ -129,18 +131,19 @@
             pauses.chain(for_first(gateways, to, Step::ResumeGateway)).collect()
         }
         FaultKind::Kill => {
-            let again = if to > from { gateways } else { 0 };
+            let second_kills = if to > from { gateways } else { 0 };
             let kills = for_first(gateways, from, Step::KillGateway);
-            kills.chain(for_first(again, to, Step::KillGateway)).collect()
+            kills.chain(for_first(second_kills, to, Step::KillGateway)).collect()
         }
         kind if kind.affects_engine_paths() => {
             let engines = count_of_share(share, engines);
-            let breaks = for_first(engines, from, |engine| Step::BreakEnginePath { engine, kind, amount });
-            breaks.chain(for_first(engines, to, |engine| Step::MendEnginePath { engine, kind })).collect()
+            let begins =
+                for_first(engines, from, |engine| Step::BeginEnginePathFault { engine, kind, amount });
+            begins.chain(for_first(engines, to, |engine| Step::EndEnginePathFault { engine, kind })).collect()
         }
         kind => {
-            let breaks = for_first(gateways, from, |gateway| Step::BreakPath { gateway, kind, amount });
-            breaks.chain(for_first(gateways, to, |gateway| Step::MendPath { gateway, kind })).collect()
+            let begins = for_first(gateways, from, |gateway| Step::BeginPathFault { gateway, kind, amount });
+            begins.chain(for_first(gateways, to, |gateway| Step::EndPathFault { gateway, kind })).collect()
         }
     }
 }
--- a/crates/experiments/src/fleet/run.rs
+++ b/crates/experiments/src/fleet/run.rs
@@ -1,4 +1,4 @@
-//! The options, the state and the result of a run.
+//! Options, state and result of a run of many gateways.
 
 use super::gateway::{Gateway, Listening};
 use crate::harness::engines::Engines;
@@ -13,75 +13,78 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::time::Instant;
 
-/// The options of a run.
+/// Options of a run of many gateways.
 pub struct FleetOptions<'a> {
-    /// The program.
+    /// Path of the gateway program.
     pub program: &'a Path,
-    /// A folder for its files.
+    /// Folder for the operator's files of the gateways.
     pub folder: &'a Path,
-    /// Arrivals, the gateways of clients and faults follow from it.
+    /// Seed from which arrivals, the gateways of clients, and losses of datagrams are drawn.
     pub seed: u64,
-    /// The number of gateways.
+    /// Number of gateways.
     pub gateways: usize,
 }
 
-/// A series over time, in seconds.
+/// A series of values over time.
 pub struct TimeSeries {
-    /// Its name.
+    /// Name of the series in tables and charts.
     pub name: &'static str,
-    /// Its points.
+    /// Points of the series: seconds since the start of the run, and the value.
     pub points: Vec<(f64, f64)>,
 }
 
-/// The result of a run.
+/// Result of a run of many gateways.
 pub struct FleetResult {
-    /// Figures, nested by what they are of.
+    /// Metrics of the run by key. Those of the name service are nested under `list`, of the engines under `engines`, and of the clients
+    /// under `clients`.
     pub json: Value,
-    /// Polls and connections in 100 ms, and the work that was served in cores.
+    /// Numbers of polls and of connections to engines in each 100 ms, and the served work in cores.
     pub series: Vec<TimeSeries>,
-    /// Violations of the rules, a line each.
+    /// Violations of the rules, one line of text for each.
     pub violations: Vec<String>,
 }
 
 pub(super) type Gateways = Rc<RefCell<Vec<Gateway>>>;
 
-/// When an engine was started, and the first version of the list that tells so.
+/// Time at which an engine was started, and the first version of the endpoint list with that start.
 #[derive(Clone, Copy)]
 pub(super) struct EngineStart {
     pub(super) version: u32,
     pub(super) at: f64,
 }
 
-/// The state of a run. It owns the gateways' processes and the doubles.
+/// State of a run. Owns the gateways' processes and the test doubles.
 pub(super) struct FleetRun<'a> {
     pub(super) options: &'a FleetOptions<'a>,
     pub(super) scenario: &'a Scenario,
     pub(super) engines: Engines,
-    /// The paths to the engines, where the scenario has faults on them.
+    /// Relays to the engines, by engine; empty if the scenario has no faults on these paths.
     pub(super) engine_paths: Vec<Relay>,
-    pub(super) listed: Vec<EndpointEntry>,
+    /// Latest content of the endpoint list.
+    pub(super) endpoint_list: Vec<EndpointEntry>,
     pub(super) name_service: NameService,
     pub(super) gateways: Gateways,
     pub(super) listening: UnboundedSender<Listening>,
-    pub(super) begun: Instant,
-    /// The clocks of the name service, in seconds, and of the engines, in milliseconds, as the run began.
-    pub(super) name_service_began_at: f64,
-    pub(super) engines_began_at: f64,
-    /// The version of the list.
+    /// Time at which the run started.
+    pub(super) started_at: Instant,
+    /// Readings of the clocks of the name service, in seconds, and of the engines, in milliseconds, at the start of the run.
+    pub(super) name_service_clock_at_start: f64,
+    pub(super) engine_clock_at_start: f64,
+    /// Latest version of the endpoint list.
     pub(super) version: u32,
-    /// The version with the drain.
-    pub(super) drained_in: Option<u32>,
+    /// First version of the endpoint list with the drain of the first engine.
+    pub(super) drain_version: Option<u32>,
     pub(super) engine_starts: Vec<EngineStart>,
-    /// The longest delay of a gateway's start.
-    pub(super) started_within: f64,
+    /// Maximum delay of a gateway's start after it was due, in seconds.
+    pub(super) max_start_delay: f64,
 }
 
 impl FleetRun<'_> {
     pub(super) fn instant(&self, at: f64) -> Instant {
-        self.begun + Duration::from_secs_f64(at)
+        self.started_at + Duration::from_secs_f64(at)
     }
 
     pub(super) fn now(&self) -> f64 {
-        self.begun.elapsed().as_secs_f64()
+        self.started_at.elapsed().as_secs_f64()
     }
 }
--- a/crates/experiments/src/fleet/setup.rs
+++ b/crates/experiments/src/fleet/setup.rs
@@ -1,4 +1,4 @@
-//! What a run begins with: engines, the name service, and gateways that are not started yet.
+//! Setup of a run: starts the engines and the name service, and creates the gateways without starting their processes.
 
 use super::gateway::{Gateway, Listening};
 use super::plan::{engine_up_at, EngineCounts};
@@ -21,22 +21,23 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::time::Instant;
 
-/// The version of the list at the start.
+/// Version of the endpoint list at the start of the run.
 const FIRST_VERSION: u32 = 2;
-/// Where a scenario gives no number of engines: the gateways for each, and the least number.
+/// Number of gateways for each engine, and minimum number of engines, if a scenario does not set the number of engines.
 const GATEWAYS_PER_ENGINE: usize = 12;
 const MIN_ENGINES: usize = 2;
-/// The polls a second of a gateway at the steady interval: the capacity of the name service is a share of it.
+/// Number of polls that a gateway sends in a second at the steady interval. The capacity of the name service is set as a share of the
+/// polls of all gateways.
 const POLLS_PER_SECOND: f64 = 5.0;
-/// The capacity of a name service that answers all polls.
+/// Capacity of a name service that answers all polls, in polls per second.
 const UNLIMITED_CAPACITY: f64 = 1e6;
 
-/// Milliseconds since the Unix epoch.
+/// Returns the current time in milliseconds since the Unix epoch.
 pub(super) fn unix_milliseconds() -> f64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |elapsed| elapsed.as_secs_f64() * 1000.0)
 }
 
-/// The behaviour of the name service.
+/// Returns the settings of the name service double for a scenario.
 pub(super) fn service_script(scenario: &Scenario, gateways: usize) -> ServiceScript {
     let service = &scenario.name_service;
     let capacity = if service.capacity > 0.0 {
@@ -55,7 +56,7 @@
     }
 }
 
-/// Sets up a run, which begins now.
+/// Sets up a run. The clock of the run starts when this returns.
 pub(super) async fn set_up<'a>(
     options: &'a FleetOptions<'a>,
     scenario: &'a Scenario,
@@ -64,9 +65,9 @@
     let engines = start_engines(options, scenario)?;
     let engine_paths = start_engine_paths(&engines.all, scenario).await?;
     let addresses = engine_addresses(&engines.all, &engine_paths);
-    let listed = listed_engines(&addresses, scenario);
+    let endpoint_list = endpoint_entries(&addresses, scenario);
     set_engine_states(&engines.all, scenario);
-    let first = ListVersion { from: 0.0, serial: FIRST_VERSION, engines: listed.clone() };
+    let first = ListVersion { from: 0.0, serial: FIRST_VERSION, engines: endpoint_list.clone() };
     let name_service = NameService::start(service_script(scenario, options.gateways), vec![first])?;
     let mut file = operator_file(&engines, options.seed, None);
     for (engine, address) in engines.all.iter().zip(&addresses) {
@@ -74,23 +75,23 @@
     }
     let gateways = set_up_gateways(options, scenario, &file, name_service.address).await?;
     let engine_starts = vec![EngineStart { version: FIRST_VERSION, at: 0.0 }; engines.all.len()];
-    let begun = Instant::now();
+    let started_at = Instant::now();
     Ok(FleetRun {
         options,
         scenario,
-        name_service_began_at: name_service.started_at.elapsed().as_secs_f64(),
-        engines_began_at: engines.fleet.now(),
+        name_service_clock_at_start: name_service.started_at.elapsed().as_secs_f64(),
+        engine_clock_at_start: engines.fleet.now(),
         engines,
         engine_paths,
-        listed,
+        endpoint_list,
         name_service,
         gateways: Rc::new(RefCell::new(gateways)),
         listening,
-        begun,
+        started_at,
         version: FIRST_VERSION,
-        drained_in: None,
+        drain_version: None,
         engine_starts,
-        started_within: 0.0,
+        max_start_delay: 0.0,
     })
 }
 
@@ -107,7 +108,7 @@
     Engines::start(vec![spec; count], options.seed)
 }
 
-/// Relays to the engines, if the scenario has faults on these paths.
+/// Starts a relay to each engine, if the scenario has faults on these paths.
 async fn start_engine_paths(engines: &[Engine], scenario: &Scenario) -> Result<Vec<Relay>, Failure> {
     let mut paths = Vec::new();
     if scenario.faults.values().any(|fault| fault.kind.affects_engine_paths()) {
@@ -118,7 +119,7 @@
     Ok(paths)
 }
 
-/// The addresses at which gateways reach the engines.
+/// Returns the addresses at which gateways connect to the engines: those of the relays, if there are any.
 fn engine_addresses(engines: &[Engine], paths: &[Relay]) -> Vec<SocketAddr> {
     if paths.is_empty() {
         return engines.iter().map(|engine| engine.address).collect();
@@ -126,15 +127,15 @@
     paths.iter().map(|path| path.address).collect()
 }
 
-fn listed_engines(addresses: &[SocketAddr], scenario: &Scenario) -> Vec<EndpointEntry> {
+fn endpoint_entries(addresses: &[SocketAddr], scenario: &Scenario) -> Vec<EndpointEntry> {
     let cold = EngineCounts::new(addresses.len(), scenario).cold;
-    let listed = addresses.iter().enumerate().map(|(number, address)| EndpointEntry {
+    let entries = addresses.iter().enumerate().map(|(number, address)| EndpointEntry {
         id: format!("s-{number}"),
         address: *address,
         is_draining: false,
         started: if number < cold { unix_milliseconds().floor() } else { 0.0 },
     });
-    listed.collect()
+    entries.collect()
 }
 
 fn set_engine_states(engines: &[Engine], scenario: &Scenario) {
@@ -169,7 +170,7 @@
     Ok(gateways)
 }
 
-/// The operator's file of one gateway.
+/// Returns the operator's file of one gateway, derived from the file that all gateways have in common.
 fn gateway_file(
     common_file: &str,
     scenario: &Scenario,
@@ -177,11 +178,11 @@
     configured_size: usize,
     name_service: SocketAddr,
 ) -> String {
-    let mut own_lines = format!("names = \"{name_service}\"\ngateways = {configured_size}\n");
+    let mut gateway_lines = format!("names = \"{name_service}\"\ngateways = {configured_size}\n");
     if scenario.has_indices && number < configured_size {
-        let _ = writeln!(own_lines, "rank = {number}");
+        let _ = writeln!(gateway_lines, "rank = {number}");
     }
-    let mut file = common_file.replacen("gateways = 1\n", &own_lines, 1);
+    let mut file = common_file.replacen("gateways = 1\n", &gateway_lines, 1);
     file = file.replacen("seed = \"", &format!("seed = \"{number:x}"), 1);
     if !scenario.knows_engines {
         let (from, to) = (file.find("engine \"").unwrap_or(0), file.find("class \"").unwrap_or(0));
--- a/crates/experiments/src/fleet/steps.rs
+++ b/crates/experiments/src/fleet/steps.rs
@@ -1,4 +1,4 @@
-//! How the steps of a scenario are performed.
+//! Execution of the planned steps of a scenario.
 
 use super::gateway::Span;
 use super::plan::{PlannedStep, Step};
@@ -11,7 +11,7 @@
 use starlingplank_test_doubles::relay::PathFault;
 use std::time::Duration;
 
-/// How long after a kill, and after the end of a pause, clients may lose their open requests, in seconds.
+/// Times after a kill, and after the end of a pause, within which clients may lose their in-flight requests, in seconds.
 const KILL_DISRUPTION: f64 = 1.0;
 const RESUME_DISRUPTION: f64 = 0.2;
 
@@ -21,25 +21,25 @@
         match planned.step {
             Step::StartGateway(gateway) => {
                 self.start_gateway(gateway)?;
-                self.started_within = self.started_within.max(now - planned.at);
+                self.max_start_delay = self.max_start_delay.max(now - planned.at);
             }
             Step::KillGateway(gateway) => self.kill_gateway(gateway, now)?,
             Step::PauseGateway(gateway) => self.pause_gateway(gateway, now)?,
             Step::ResumeGateway(gateway) => self.resume_gateway(gateway, now)?,
-            Step::BreakPath { gateway, kind, amount } => {
+            Step::BeginPathFault { gateway, kind, amount } => {
                 self.gateways.borrow()[gateway].path.set(|fault| begin_fault(fault, kind, amount));
             }
-            Step::MendPath { gateway, kind } => {
+            Step::EndPathFault { gateway, kind } => {
                 self.gateways.borrow()[gateway].path.set(|fault| end_fault(fault, kind));
             }
-            Step::BreakEnginePath { engine, kind: FaultKind::EngineReset, .. } => {
+            Step::BeginEnginePathFault { engine, kind: FaultKind::EngineReset, .. } => {
                 self.engine_paths[engine].reset();
             }
-            Step::BreakEnginePath { engine, kind, amount } => {
+            Step::BeginEnginePathFault { engine, kind, amount } => {
                 self.engine_paths[engine].set(|fault| begin_fault(fault, kind, amount));
             }
-            Step::MendEnginePath { kind: FaultKind::EngineReset, .. } => {}
-            Step::MendEnginePath { engine, kind } => {
+            Step::EndEnginePathFault { kind: FaultKind::EngineReset, .. } => {}
+            Step::EndEnginePathFault { engine, kind } => {
                 self.engine_paths[engine].set(|fault| end_fault(fault, kind));
             }
             Step::Drain => self.drain_first_engine(),
@@ -48,7 +48,7 @@
                 self.engines.all[engine].stop();
             }
             Step::StartEngine(engine) => self.start_engine(engine, now),
-            Step::HealEngine(engine) => self.engines.all[engine].set_listener_mode(ListenerMode::Serving),
+            Step::EndEngineFault(engine) => self.engines.all[engine].set_listener_mode(ListenerMode::Serving),
         }
         Ok(())
     }
@@ -83,23 +83,23 @@
     }
 
     fn drain_first_engine(&mut self) {
-        self.listed[0].is_draining = true;
+        self.endpoint_list[0].is_draining = true;
         self.publish();
-        self.drained_in = Some(self.version);
+        self.drain_version = Some(self.version);
     }
 
     fn start_engine(&mut self, engine: usize, now: f64) {
         self.engines.all[engine].restart();
         self.engines.all[engine].set_listener_mode(ListenerMode::Serving);
-        self.listed[engine].started = unix_milliseconds().floor();
+        self.endpoint_list[engine].started = unix_milliseconds().floor();
         self.engine_starts[engine] = EngineStart { version: self.version + 1, at: now };
         self.publish();
     }
 
-    /// Publishes the next version of the list.
+    /// Publishes the endpoint list as its next version.
     fn publish(&mut self) {
         self.version += 1;
-        self.name_service.publish(self.version, self.listed.clone());
+        self.name_service.publish(self.version, self.endpoint_list.clone());
     }
 }
 
--- a/crates/experiments/src/scenario.rs
+++ b/crates/experiments/src/scenario.rs
@@ -1,148 +1,148 @@
-//! What happens in a run of many gateways: a file, so that a failing run is reproduced from its file and its seed.
+//! Scenario files: settings and faults of a run of many gateways. A failing run is reproduced from its scenario file and its seed.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// The range of the length of a run, in seconds.
+/// Range of the duration of a run, in seconds.
 const MIN_SECONDS: f64 = 1.0;
 const MAX_SECONDS: f64 = 300.0;
 const MAX_WAVES: usize = 100;
 const MAX_LOAD: f64 = 4.0;
 const MAX_ENGINES: usize = 1_000;
 
-/// A scenario. Times are in seconds from the start of the first gateway, shares from 0 to 1.
+/// A scenario. Times are in seconds since the start of the run, shares range from 0 to 1.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// What it is about.
+    /// Description of the scenario, which is copied into its results.
     pub about: String,
-    /// The length of the run.
+    /// Duration of the run.
     pub seconds: f64,
-    /// When gateways are started: in as many waves, of equal size.
+    /// Start times of the gateways, which start in one wave at each time. The waves are of equal size.
     #[serde(default = "one_wave")]
     pub waves: Vec<f64>,
-    /// The fleet's size in the gateways' files, as a multiple of the real one.
+    /// Number of gateways in the operator's files, as a multiple of the actual number.
     #[serde(default = "one", rename = "size_told")]
     pub configured_size: f64,
-    /// Whether gateways are given their index.
+    /// Whether the operator's file of each gateway has the index of the gateway.
     #[serde(default = "yes", rename = "ranked")]
     pub has_indices: bool,
-    /// Whether the gateways' files list the engines.
+    /// Whether the operator's files list the engines.
     #[serde(default = "yes", rename = "known")]
     pub knows_engines: bool,
-    /// The name service.
+    /// Behaviour of the name service.
     #[serde(default, rename = "list")]
     pub name_service: NameServiceScenario,
-    /// The engines.
+    /// Behaviour of the engines.
     #[serde(default)]
     pub engines: EngineScenario,
-    /// The clients.
+    /// Behaviour of the clients.
     #[serde(default)]
     pub clients: ClientScenario,
-    /// Faults by name. The name only documents the file.
+    /// Faults by name. The name only documents the scenario file.
     #[serde(default, rename = "fault")]
     pub faults: BTreeMap<String, Fault>,
 }
 
-/// The name service.
+/// Behaviour of the name service in a scenario.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct NameServiceScenario {
-    /// It answers nothing before.
+    /// Time before which the name service answers no poll.
     pub up_from: f64,
-    /// It answers nothing from this time ...
+    /// Time at which the name service stops answering polls.
     pub silent_from: f64,
-    /// ... to this one.
+    /// Time at which the name service resumes answering polls.
     pub silent_to: f64,
-    /// The polls that it can answer in a second, as a share of five for each gateway; 0 for all.
+    /// Number of polls that the name service can answer in a second, as a share of five polls for each gateway; 0 for no limit.
     pub capacity: f64,
-    /// The longest time of a poll in its queue.
+    /// Maximum time that a poll waits in the queue of the name service.
     #[serde(rename = "line")]
     pub max_queueing: f64,
-    /// Whether it answers nothing while it receives more than it can answer.
+    /// Whether the name service answers no poll while it receives more polls than it can answer.
     #[serde(rename = "falls")]
     pub collapses: bool,
-    /// It answers with an outdated list before.
+    /// Time before which the name service answers with an outdated endpoint list.
     pub stale_until: f64,
 }
 
-/// The engines.
+/// Number, capacity and faults of the engines in a scenario.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EngineScenario {
-    /// How many; 0 for one for each twelve gateways, at least two.
+    /// Number of engines; 0 for one engine for each twelve gateways, with a minimum of two.
     pub count: usize,
-    /// The cores of each.
+    /// Number of cores of each engine.
     pub cores: f64,
-    /// The share of engines that have just started, and are cold.
+    /// Share of the engines that start with the run, and are cold.
     pub cold: f64,
-    /// Connections are refused before.
+    /// Time before which all engines refuse connections.
     pub up_from: f64,
-    /// From then on engines start one after another, with so much time between them.
+    /// Time between the starts of successive engines, after `up_from` and after `away_to`.
     #[serde(rename = "apart")]
     pub start_interval: f64,
-    /// All are stopped from this time ...
+    /// Time at which all engines are stopped.
     #[serde(rename = "away_from")]
     pub stopped_from: f64,
-    /// ... to this one, and are then started cold.
+    /// Time at which the stopped engines are started again, cold.
     #[serde(rename = "away_to")]
     pub stopped_to: f64,
-    /// The share that refuse connections until `faulty_until`.
+    /// Share of the engines that refuse connections until `faulty_until`.
     #[serde(rename = "refuse")]
     pub refusing: f64,
-    /// The share that accept connections and do not respond until then.
+    /// Share of the engines that accept connections and do not respond until `faulty_until`.
     #[serde(rename = "mute")]
     pub unresponsive: f64,
-    /// When these are healthy.
+    /// Time at which the refusing and the unresponsive engines become healthy.
     #[serde(rename = "ill_until")]
     pub faulty_until: f64,
 }
 
-/// The clients.
+/// Load and behaviour of the clients in a scenario.
 #[derive(Debug, Clone, PartialEq, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ClientScenario {
-    /// The work that arrives, as a share of the warm engines' cores.
+    /// Work that arrives, as a share of the capacity of the engines' cores when all engines are warm.
     pub load: f64,
-    /// Whether they retry at once, and ignore when they should.
+    /// Whether clients retry rejected requests after 10 ms, and ignore the retry-after time of the rejection.
     #[serde(rename = "impatient")]
     pub ignores_retry_after: bool,
 }
 
-/// A fault.
+/// A fault of gateways, of engines or of their network paths.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// Its kind.
+    /// Kind of the fault.
     #[serde(rename = "what")]
     pub kind: FaultKind,
-    /// The share of the gateways, or of the engines, that it affects: the first ones.
+    /// Share of the gateways, or of the engines, that the fault affects: those with the lowest indices.
     pub share: f64,
-    /// When it begins.
+    /// Time at which the fault begins.
     pub from: f64,
-    /// When it ends.
+    /// Time at which the fault ends.
     #[serde(default)]
     pub to: f64,
-    /// Of `lose`: the share of datagrams lost each way; of `slow` and `engine_slow`: the delay each way.
+    /// For `lose`, the share of datagrams lost in each direction; for `slow` and `engine_slow`, the delay in each direction, in seconds.
     #[serde(default, rename = "by")]
     pub amount: f64,
 }
 
-/// The kinds of faults.
+/// Kinds of faults.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// The process is paused until the end of the fault.
+    /// Gateway processes are paused until the end of the fault.
     #[serde(rename = "stop")]
     Pause,
-    /// The process is killed at the beginning, and at the end if that is later, and restarted at once.
+    /// Gateway processes are killed at the beginning of the fault, and again at its end if that is later, and are restarted at once.
     Kill,
-    /// The path to the name service is cut, both ways.
+    /// The path to the name service is cut in both directions.
     Cut,
-    /// The path to the name service is cut on the way there.
+    /// The path to the name service is cut for polls; answers are delivered.
     #[serde(rename = "cut_out")]
     CutToService,
-    /// The path to the name service is cut on the way back.
+    /// The path to the name service is cut for answers; polls are delivered.
     #[serde(rename = "cut_back")]
     CutFromService,
     /// The path to the name service loses datagrams.
@@ -151,9 +151,9 @@
     /// The path to the name service delays datagrams.
     #[serde(rename = "slow")]
     Delay,
-    /// The first engine drains at the beginning, by the name service alone.
+    /// The first engine drains from the beginning of the fault. Only the name service announces the drain.
     Drain,
-    /// The paths to engines are cut: connections stay open and silent.
+    /// The paths to engines are cut: connections stay open and deliver no data.
     EngineCut,
     /// The paths to engines delay all data.
     #[serde(rename = "engine_slow")]
@@ -163,7 +163,7 @@
 }
 
 impl FaultKind {
-    /// Whether it affects the paths to engines.
+    /// Returns whether the fault affects the paths to engines, and `share` counts engines.
     pub fn affects_engine_paths(self) -> bool {
         matches!(self, Self::EngineCut | Self::EngineDelay | Self::EngineReset)
     }
@@ -212,29 +212,29 @@
     }
 }
 
-/// Why a file is no scenario.
+/// Error of reading a scenario file.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
-    /// It is no HCL, a key is unknown or missing, or a value has another type.
-    #[error("{name}: {source}")]
+    /// The text is not valid HCL, a key is unknown or missing, or a value has the wrong type.
+    #[error("cannot read scenario {name}: {source}")]
     Syntax {
-        /// The name of the scenario.
+        /// Name of the scenario.
         name: String,
-        /// What is wrong, and where.
+        /// Error of the parser, with its position.
         source: hcl::Error,
     },
-    /// A share is not between 0 and 1, or a figure is out of its range.
-    #[error("{name}: a share is none, or a figure is out of its range")]
+    /// A share is not between 0 and 1, or another number is out of its range.
+    #[error("scenario {name}: a share is not between 0 and 1, or a number is out of its range")]
     OutOfRange {
-        /// The name of the scenario.
+        /// Name of the scenario.
         name: String,
     },
 }
 
-/// Reads a scenario.
+/// Parses the text of a scenario file and checks the ranges of its values.
 ///
 /// # Errors
-/// The text is no scenario.
+/// The text is not a valid scenario, or a value is out of its range.
 pub fn read(name: &str, text: &str) -> Result<Scenario, ScenarioError> {
     let scenario: Scenario =
         hcl::from_str(text).map_err(|source| ScenarioError::Syntax { name: name.to_owned(), source })?;
@@ -256,7 +256,7 @@
         && engines.count <= MAX_ENGINES
 }
 
-/// The built-in scenarios: name and text.
+/// Names and texts of the built-in scenarios.
 pub const ALL: [(&str, &str); 19] = [
     ("well", include_str!("../scenarios/well.hcl")),
     ("fifth", include_str!("../scenarios/fifth.hcl")),
--- a/crates/experiments/src/scenario/tests.rs
+++ b/crates/experiments/src/scenario/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
 #[test]
-fn scenarios_are_read_and_a_wrong_one_is_not() {
+fn built_in_scenarios_are_valid_and_invalid_ones_are_rejected() {
     for (name, text) in ALL {
-        let scenario = read(name, text).expect("it can be read");
+        let scenario = read(name, text).expect("a built-in scenario is valid");
         assert!(!scenario.about.is_empty());
     }
     assert!(read("x", "about = \"x\"\nseconds = 5\nengins { count = 1 }\n").is_err());
