--- a/crates/experiments/src/harness.rs
+++ b/crates/experiments/src/harness.rs
@@ -1,5 +1,5 @@
-//! What experiments share: fleets of engine doubles, the program as a process, arrivals that follow from a seed, and clients
-//! that send requests when they are due, whether or not earlier ones were answered.
+//! Parts shared by the experiments: fleets of engine doubles, gateway processes, a workload of arrivals drawn from a seed, and clients
+//! that send each request when it is due, regardless of whether earlier ones were answered.
 
 pub mod clients;
 pub mod configuration;
@@ -9,41 +9,41 @@
 
 use std::path::{Path, PathBuf};
 
-/// The error of an experiment: it is only printed.
+/// Error of an experiment. Errors are only printed, so they need no type of their own.
 pub type Failure = Box<dyn std::error::Error>;
 
-/// The options of a run. It owns the folder of the run's files, which is removed with it.
+/// Options of an experiment's run. Owns the folder of the run's files, which is removed when the options are dropped.
 pub struct RunOptions {
-    /// The program under test.
+    /// Path of the gateway program under test.
     pub program: PathBuf,
-    /// Arrivals, work and faults follow from it.
+    /// Seed from which arrivals, work and faults are drawn.
     pub seed: u64,
-    /// The number of kills, in `restart`.
+    /// Number of times the gateway is killed, in `restart`.
     pub kills: u32,
-    /// The number of queries of a closed loop, in `idle`.
+    /// Number of queries of each case on fast engines, in `idle`.
     pub queries: usize,
-    /// The number of gateways, in `cold-start` and `soak`.
+    /// Number of gateways, in `cold-start` and `soak`.
     pub gateways: usize,
-    /// The time in which faults begin, in `soak`.
+    /// Duration of the phase in which faults begin, in seconds, in `soak`.
     pub seconds: f64,
-    /// The faults to leave out, by their numbers in the schedule, in `soak`.
+    /// Faults to leave out, by their numbers in the schedule, in `soak`.
     pub without: Vec<usize>,
-    /// An earlier version of the program, in `cold-start`.
+    /// Path of an earlier version of the program, the baseline in `cold-start`.
     pub baseline: Option<PathBuf>,
-    /// The scenarios, in `cold-start`; all if it is empty.
+    /// Names or files of the scenarios to run, in `cold-start`; empty for all built-in scenarios.
     pub only: Vec<String>,
-    /// The folder of the run's files.
+    /// Folder of the run's files.
     pub folder: tempfile::TempDir,
 }
 
 impl RunOptions {
-    /// A folder of that name for the program.
+    /// Returns the path of a file or folder of the given name in the run's folder.
     pub fn subfolder(&self, name: &str) -> PathBuf {
         self.folder.path().join(name)
     }
 }
 
-/// The lines of a `knowledge` block of an operator's file.
+/// Returns the lines of the `knowledge` block of an operator's file, without the braces.
 pub fn knowledge_block(folder: &Path, further_lines: &str) -> String {
     format!("  folder = {folder:?}\n{further_lines}")
 }
--- a/crates/experiments/src/harness/clients.rs
+++ b/crates/experiments/src/harness/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that send requests to a gateway when they are due.
+//! Clients that send each request to a gateway when it is due, on a pool of connections.
 
 use super::workload::{Job, CLASSES};
 use rand::{Rng, SeedableRng};
@@ -12,19 +12,20 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// The connections of a pool.
+/// Number of connections from which a pool opens another one only if all have [`MAX_REQUESTS_PER_CONNECTION`].
 const MAX_CONNECTIONS: usize = 24;
-/// The requests on one connection before another is opened, and once there are [`MAX_CONNECTIONS`].
+/// Maximum numbers of in-flight requests on one connection: while the pool has fewer than [`MAX_CONNECTIONS`], and from then on.
 const PREFERRED_REQUESTS_PER_CONNECTION: usize = 4;
 const MAX_REQUESTS_PER_CONNECTION: usize = 32;
-/// The time after the client's timeout after which an answer is not waited for, in seconds.
-const OVERTIME: f64 = 2.0;
-/// An answer after the client's timeout is late: by the rules 50 ms later on sockets, and here as much again.
+/// Time for which a client waits for an answer after its timeout, so that late answers are recorded, in seconds.
+const WAIT_AFTER_TIMEOUT: f64 = 2.0;
+/// Tolerance after the client's timeout above which an answer is late, in milliseconds: the 50 ms for sockets that the rules allow,
+/// and another 50 ms for the machine that the experiments run on.
 const LATE_AFTER_MS: f64 = 100.0;
-/// The time in which a request may cross the close of an idle connection.
-const CLOSE_CROSSING: Duration = Duration::from_millis(50);
+/// Time within which a lost request counts as sent while the gateway was closing its idle connection.
+const IDLE_CLOSE_TIME: Duration = Duration::from_millis(50);
 
-/// The connections of clients to one gateway, whose address changes as the program is restarted. Clones are the same pool.
+/// Connections of clients to one gateway, whose address changes when the program is restarted. Clones share one pool.
 #[derive(Clone)]
 pub struct ConnectionPool(Rc<RefCell<Pool>>);
 
@@ -35,18 +36,18 @@
 }
 
 impl ConnectionPool {
-    /// A pool without an address. The names of requests follow from the seed.
+    /// Creates a pool without an address. The names of its requests are drawn from the seed.
     pub fn new(seed: u64) -> Self {
         let rng = Pcg64Mcg::seed_from_u64(seed);
         Self(Rc::new(RefCell::new(Pool { address: None, clients: Vec::new(), rng })))
     }
 
-    /// Connects to that address from now on. Open connections are closed.
+    /// Closes the open connections, and opens new ones to the given address from now on.
     pub fn open(&self, address: SocketAddr) {
         self.set_address(Some(address));
     }
 
-    /// Closes all connections, and connects no more.
+    /// Closes all connections, and opens no new ones.
     pub fn close(&self) {
         self.set_address(None);
     }
@@ -61,8 +62,12 @@
         format!("{:016x}", self.0.borrow_mut().rng.random::<u64>())
     }
 
-    /// Sends a request on a connection with capacity, or on a new one. None: no connection can be had.
-    async fn request(&self, fields: &[(&str, &str)], statement: &str) -> Option<oneshot::Receiver<Answer>> {
+    /// Sends a request on a connection with capacity, or else on a new one. Returns `None` if no connection can be established.
+    async fn send_request(
+        &self,
+        fields: &[(&str, &str)],
+        statement: &str,
+    ) -> Option<oneshot::Receiver<Answer>> {
         if let Some(answer) = self.request_on_open(fields, statement) {
             return Some(answer);
         }
@@ -78,7 +83,7 @@
 
     fn request_on_open(&self, fields: &[(&str, &str)], statement: &str) -> Option<oneshot::Receiver<Answer>> {
         let mut pool = self.0.borrow_mut();
-        // The program closes idle connections.
+        // The gateway closes idle connections.
         pool.clients.retain(|client| !client.ended());
         let is_full = pool.clients.len() >= MAX_CONNECTIONS;
         let max_requests =
@@ -87,9 +92,9 @@
         (client.open() < max_requests).then(|| client.send(fields, statement))
     }
 
-    /// Sends a request until it gets an answer. One that crosses the close of an idle connection is sent once more, on a new
-    /// connection. `connected` tells whether there was a connection.
-    async fn request_again(
+    /// Sends a request and waits for its answer. A request that is lost because the gateway closes the idle connection meanwhile is sent
+    /// once more, on a new connection. `connected` is set to whether the last attempt had a connection.
+    async fn request_with_retry(
         &self,
         fields: &[(&str, &str)],
         statement: &str,
@@ -97,19 +102,19 @@
     ) -> Answer {
         let mut answer = Answer::Lost;
         for _ in 0..2 {
-            let begun = Instant::now();
+            let sent = Instant::now();
             connected.set(false);
-            let Some(pending) = self.request(fields, statement).await else { return Answer::Lost };
+            let Some(pending) = self.send_request(fields, statement).await else { return Answer::Lost };
             connected.set(true);
             answer = pending.await.unwrap_or(Answer::Lost);
-            if answer != Answer::Lost || begun.elapsed() > CLOSE_CROSSING {
+            if answer != Answer::Lost || sent.elapsed() > IDLE_CLOSE_TIME {
                 break;
             }
         }
         answer
     }
 
-    /// Sends a job once and waits for its end.
+    /// Sends the request of a job and waits until it is answered, lost, or no longer waited for.
     pub async fn send(&self, job: Job, due: Instant) -> CompletedRequest {
         let class = &CLASSES[job.class];
         let sent = Instant::now();
@@ -126,14 +131,14 @@
         let (work, usual, threads) = (job.work, class.mean_work, class.threads);
         let statement = format!("select 1 /* work={work:.1} usual={usual:.1} threads={threads} */");
         let connected = Cell::new(false);
-        let max_wait = Duration::from_secs_f64(class.client_timeout / 1000.0 + OVERTIME);
-        let answer = timeout(max_wait, self.request_again(&fields, &statement, &connected)).await.ok();
+        let max_wait = Duration::from_secs_f64(class.client_timeout / 1000.0 + WAIT_AFTER_TIMEOUT);
+        let answer = timeout(max_wait, self.request_with_retry(&fields, &statement, &connected)).await.ok();
         let ended = Instant::now();
         let connected = connected.get();
         CompletedRequest { job, answer, name, connected, latency: milliseconds(ended - due), sent, ended }
     }
 
-    /// Sends all jobs when they are due and waits for their ends.
+    /// Sends the requests of all jobs when they are due, and waits until all have ended.
     pub async fn send_all(&self, jobs: Vec<Job>, from: Instant) -> Vec<CompletedRequest> {
         let mut tasks = tokio::task::JoinSet::new();
         for job in jobs {
@@ -150,32 +155,32 @@
     duration.as_secs_f64() * 1000.0
 }
 
-/// A request that has ended.
+/// A request that has been answered, was lost, or timed out.
 #[derive(Debug, Clone)]
 pub struct CompletedRequest {
-    /// What was sent.
+    /// Job whose request was sent.
     pub job: Job,
-    /// Its answer; none if there was none in time.
+    /// Answer from the gateway; `None` if the client stopped waiting before an answer arrived.
     pub answer: Option<Answer>,
-    /// The client's name for the request, another for each attempt of a client.
+    /// Client's name for the request. Each attempt of a client has a new name.
     pub name: String,
-    /// Whether the program accepted the connection.
+    /// Whether the gateway accepted the connection.
     pub connected: bool,
-    /// The time from when it was due to its end, in milliseconds.
+    /// Time from when the request was due to its end, in milliseconds.
     pub latency: f64,
-    /// When it was sent.
+    /// Time at which the request was sent.
     pub sent: Instant,
-    /// When it ended.
+    /// Time at which the request was answered, was lost, or timed out.
     pub ended: Instant,
 }
 
 impl CompletedRequest {
-    /// Whether it was answered after the client's timeout.
+    /// Returns whether the request ended after the client's timeout and the tolerance for late answers.
     pub fn is_late(&self) -> bool {
         milliseconds(self.ended - self.sent) > CLASSES[self.job.class].client_timeout + LATE_AFTER_MS
     }
 
-    /// Whether it was served within its latency objective.
+    /// Returns whether the request was served within the latency objective of its class.
     pub fn meets_objective(&self) -> bool {
         let class = &CLASSES[self.job.class];
         let objective = class.latency_objective + class.objective_stretch * self.job.work / class.threads;
--- a/crates/experiments/src/harness/configuration.rs
+++ b/crates/experiments/src/harness/configuration.rs
@@ -1,13 +1,14 @@
-//! The operator's files of the gateways.
+//! Operator's files for the gateways of the experiments.
 
 use super::engines::Engines;
 use super::workload::CLASSES;
 use std::fmt::Write as _;
 
-/// The cores of engines where there are none.
+/// Number of cores of the machine type in a file without engines.
 const DEFAULT_CORES: f64 = 12.0;
 
-/// An operator's file: a complete configuration for those engines.
+/// Returns an operator's file: a complete configuration of a gateway for the given engines, with `knowledge` as the lines of its
+/// `knowledge` block.
 pub fn operator_file(engines: &Engines, seed: u64, knowledge: Option<&str>) -> String {
     let cores =
         engines.all.first().map_or(DEFAULT_CORES, |engine| engine.with_model(|model| model.spec.cores));
@@ -23,16 +24,16 @@
          fall_multiple = 3\n  tip_after = \"2s\"\n  extra_free = 2\n  extra_per_request = 0.2\n  \
          ratio_span = \"10s\"\n}}\n",
     );
-    put_engines(&mut file, engines);
-    put_classes(&mut file);
+    append_engines(&mut file, engines);
+    append_classes(&mut file);
     if let Some(knowledge) = knowledge {
         let _ = writeln!(file, "knowledge {{\n{knowledge}\n}}");
     }
     file
 }
 
-/// The first half of the engines is in zone `a`, the gateway's own.
-fn put_engines(file: &mut String, engines: &Engines) {
+/// Appends the engines. The first half of them is in zone `a`, the gateway's own zone.
+fn append_engines(file: &mut String, engines: &Engines) {
     for (number, engine) in engines.all.iter().enumerate() {
         let zone = if number * 2 < engines.all.len() { "a" } else { "b" };
         let _ = writeln!(
@@ -43,7 +44,7 @@
     }
 }
 
-fn put_classes(file: &mut String) {
+fn append_classes(file: &mut String) {
     for class in &CLASSES {
         let repeat = match class.name {
             "load" => "\"keyed\"\n  scope = \"all\"\n  window = \"12s\"",
--- a/crates/experiments/src/harness/engines.rs
+++ b/crates/experiments/src/harness/engines.rs
@@ -1,23 +1,23 @@
-//! A fleet of engine doubles on a thread of its own.
+//! A fleet of engine doubles, run on a dedicated thread.
 
 use super::Failure;
 use starlingplank_test_doubles::capacity_model::EngineSpec;
 use starlingplank_test_doubles::engine::{Engine, EngineProtocol, Fleet};
 use std::sync::mpsc::{channel, Sender};
 
-/// How long engines drop repeats of a key, in milliseconds.
+/// Time within which engines discard requests that repeat an idempotency key, in milliseconds.
 const DEDUPLICATION_WINDOW: f64 = 12_000.0;
 
-/// The engines of one fleet. They run until the process ends.
+/// Engines of one fleet. They run until the process of the experiment ends.
 pub struct Engines {
-    /// Their common clock and record.
+    /// Clock and records that the engines share.
     pub fleet: Fleet,
-    /// The engines.
+    /// Engines in the order of their specifications.
     pub all: Vec<Engine>,
 }
 
 impl Engines {
-    /// Starts engines that speak the platform's commands.
+    /// Starts engines that accept the platform's commands, over the RESP wire protocol.
     ///
     /// # Errors
     /// No port is available.
@@ -25,7 +25,7 @@
         Self::start_with_protocol(EngineProtocol::Resp, specs, seed)
     }
 
-    /// Starts engines that speak that protocol.
+    /// Starts engines that speak the given wire protocol.
     ///
     /// # Errors
     /// No port is available.
@@ -35,7 +35,7 @@
         seed: u64,
     ) -> Result<Self, Failure> {
         let fleet = Fleet::new(DEDUPLICATION_WINDOW);
-        let (started, starts) = channel();
+        let (started, start_results) = channel();
         let shared = fleet.clone();
         std::thread::spawn(move || {
             let Ok(runtime) = tokio::runtime::Builder::new_current_thread().enable_all().build() else {
@@ -44,7 +44,7 @@
             let run = run_engines(protocol, specs, shared, seed, started);
             tokio::task::LocalSet::new().block_on(&runtime, run);
         });
-        Ok(Self { fleet, all: starts.recv()?? })
+        Ok(Self { fleet, all: start_results.recv()?? })
     }
 }
 
--- a/crates/experiments/src/harness/gateway.rs
+++ b/crates/experiments/src/harness/gateway.rs
@@ -1,4 +1,4 @@
-//! The program as a process.
+//! A process of the gateway program, and what it logs.
 
 use super::{Failure, RunOptions};
 use std::io::{BufRead, BufReader};
@@ -10,46 +10,47 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, timeout};
 
-/// The time in which the program listens.
+/// Maximum time until a started program listens.
 const MAX_START_TIME: Duration = Duration::from_secs(10);
-/// How often the end of the program, or a second address, is looked for, and how many times.
+/// Intervals at which the end of the program and the address of its ClickHouse HTTP frontend are polled, and the maximum number of polls.
 const END_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 const ADDRESS_CHECK_INTERVAL: Duration = Duration::from_millis(2);
 const MAX_CHECKS: usize = 1_000;
-/// Fields 14 and 15 of proc(5) after the name of the program: CPU time in user and system mode, in hundredths of a second.
+/// Fields 14 and 15 of `/proc/PID/stat`, see proc(5), as indices after the name of the program: CPU time in user and in system mode, in
+/// clock ticks of 10 ms.
 const USER_TIME_FIELD: usize = 11;
 const SYSTEM_TIME_FIELD: usize = 12;
 const MS_PER_CLOCK_TICK: f64 = 10.0;
-/// What the program logs before an address on which it listens.
+/// Text that the program logs before an address on which it listens.
 const LISTENS_AT: &str = " listens at ";
 
-/// The address in a line that logs on which address the program listens.
+/// Returns the address on which the program listens, if the line logs it.
 pub fn listening_address(line: &str) -> Option<SocketAddr> {
     let (_, address) = line.split_once(LISTENS_AT)?;
     address.trim().parse().ok()
 }
 
-/// A figure that the log of a process should hold.
+/// Error of a log in which a number is missing.
 #[derive(Debug, PartialEq, thiserror::Error)]
 #[error("no line of the log has a number after {text:?}")]
-pub struct MissingFigure {
-    /// The text before it.
+pub struct MissingNumber {
+    /// Text that precedes the number.
     text: String,
 }
 
-/// A process of the program. It is killed when this is dropped.
+/// A process of the gateway program. The process is killed when this is dropped.
 pub struct GatewayProcess {
     child: Child,
-    /// Where it listens.
+    /// First address on which the process listens.
     pub address: SocketAddr,
     lines: Arc<Mutex<Vec<String>>>,
 }
 
 impl GatewayProcess {
-    /// Starts the program with that operator's file and waits until it listens.
+    /// Starts the program with the given operator's file and waits until it listens.
     ///
     /// # Errors
-    /// It cannot be started, or does not listen in time.
+    /// The program cannot be started, or does not listen within 10 s.
     pub async fn start(options: &RunOptions, name: &str, operator_file: &str) -> Result<Self, Failure> {
         let file = options.subfolder(&format!("{name}.hcl"));
         std::fs::write(&file, operator_file)?;
@@ -66,16 +67,16 @@
         Ok(Self { child, address, lines })
     }
 
-    /// Kills it.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Sends SIGTERM and waits until it ends.
+    /// Sends SIGTERM to the process and waits until it ends.
     ///
     /// # Errors
-    /// It does not end in time.
+    /// The process does not end within 10 s.
     pub async fn terminate(&mut self) -> Result<(), Failure> {
         Command::new("kill").args(["-TERM", &self.child.id().to_string()]).status()?;
         for _ in 0..MAX_CHECKS {
@@ -84,31 +85,31 @@
             }
             sleep(END_CHECK_INTERVAL).await;
         }
-        Err("the program did not end".into())
+        Err("the gateway did not end within 10 s after SIGTERM".into())
     }
 
-    /// The number that follows that text in the last line that holds it.
+    /// Returns the number that follows the given text in the last line of the log that contains the text.
     ///
     /// # Errors
-    /// No line holds that text with a number behind it.
-    pub fn number_after(&self, text: &str) -> Result<f64, MissingFigure> {
-        number_after(&self.lines(), text).ok_or_else(|| MissingFigure { text: text.to_owned() })
+    /// No line contains the text, or no number follows it in the last one.
+    pub fn number_after(&self, text: &str) -> Result<f64, MissingNumber> {
+        number_after(&self.lines(), text).ok_or_else(|| MissingNumber { text: text.to_owned() })
     }
 
-    /// What follows that text in the last line that holds it.
+    /// Returns the rest of the last line of the log that contains the given text, from the end of the text.
     pub fn text_after(&self, text: &str) -> Option<String> {
         text_after(&self.lines(), text).map(str::to_owned)
     }
 
-    /// Whether a line holds that text.
+    /// Returns whether a line of the log contains the given text.
     pub fn has_logged(&self, text: &str) -> bool {
         self.lines().iter().any(|line| line.contains(text))
     }
 
-    /// The address of its ClickHouse HTTP interface, once it listens there.
+    /// Waits until the process listens for ClickHouse HTTP, and returns the address of that frontend.
     ///
     /// # Errors
-    /// It does not listen there in time.
+    /// The process does not listen for ClickHouse HTTP within 2 s.
     pub async fn clickhouse_address(&self) -> Result<SocketAddr, Failure> {
         for _ in 0..MAX_CHECKS {
             let line = self.text_after(LISTENS_AT);
@@ -118,19 +119,21 @@
             }
             sleep(ADDRESS_CHECK_INTERVAL).await;
         }
-        Err("there is no second front".into())
+        Err("the gateway did not listen for ClickHouse HTTP within 2 s".into())
     }
 
-    /// The CPU time that it has used, in milliseconds.
+    /// Returns the CPU time that the process has used, in milliseconds.
     ///
     /// # Errors
-    /// The process has ended.
+    /// The process has ended, or its CPU time cannot be read.
     pub fn cpu_ms(&self) -> Result<f64, Failure> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()))?;
         let after_name = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
         let fields: Vec<&str> = after_name.split_whitespace().collect();
         let ticks = |index: usize| -> Result<f64, Failure> {
-            let field = fields.get(index).ok_or("the process has no CPU time in proc(5)")?;
+            let field = fields
+                .get(index)
+                .ok_or("/proc/PID/stat of the gateway has too few fields for its CPU time")?;
             Ok(field.parse()?)
         };
         Ok((ticks(USER_TIME_FIELD)? + ticks(SYSTEM_TIME_FIELD)?) * MS_PER_CLOCK_TICK)
@@ -141,7 +144,7 @@
     }
 }
 
-/// What follows that text in the last line that holds it.
+/// Returns the rest of the last line that contains the given text, from the end of the text.
 fn text_after<'a>(lines: &'a [String], text: &str) -> Option<&'a str> {
     lines.iter().rev().find_map(|line| line.split_once(text).map(|(_, rest)| rest))
 }
@@ -158,7 +161,7 @@
     }
 }
 
-/// The command that serves with an operator's file, its log on standard output.
+/// Returns the command that runs a gateway with an operator's file, and logs to standard output.
 pub fn serve_command(program: &Path, operator_file: &Path) -> Command {
     let mut command = Command::new(program);
     command.args(["serve", "--operator"]).arg(operator_file).env_remove("PROXY_CONFIG");
@@ -166,7 +169,7 @@
     command
 }
 
-/// Collects the lines of the log, and reports the first address on which the program listens.
+/// Collects the lines of the log, and sends the first address on which the program listens to `listening`.
 fn read_lines(stdout: ChildStdout, lines: &Mutex<Vec<String>>, listening: oneshot::Sender<SocketAddr>) {
     let mut listening = Some(listening);
     for line in BufReader::new(stdout).lines().map_while(Result::ok) {
--- a/crates/experiments/src/harness/workload.rs
+++ b/crates/experiments/src/harness/workload.rs
@@ -1,4 +1,4 @@
-//! The requests of clients: their classes, and arrivals that follow from a seed.
+//! Workload of the clients: classes of requests, and arrivals drawn from a seed.
 
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp, LogNormal};
@@ -7,23 +7,23 @@
 /// A class of requests. Times are in milliseconds.
 #[derive(Debug, Clone, Copy)]
 pub struct WorkloadClass {
-    /// Its name.
+    /// Name of the class in the gateways' settings and in requests.
     pub name: &'static str,
-    /// Its share of the arrivals.
+    /// Share of the arrivals that belong to the class.
     pub arrival_share: f64,
-    /// The mean work, on one core.
+    /// Mean work of a request, on one core.
     pub mean_work: f64,
-    /// The threads that execute a request.
+    /// Number of threads that execute a request.
     pub threads: f64,
-    /// The latency objective without its part that grows with the work.
+    /// Constant part of the latency objective.
     pub latency_objective: f64,
-    /// The latency objective grows by so many times the time that the work takes on its threads.
+    /// Part of the latency objective that grows with the work, as a multiple of the time that the work takes on its threads.
     pub objective_stretch: f64,
-    /// How long clients wait.
+    /// Timeout of the clients.
     pub client_timeout: f64,
 }
 
-/// The classes of the experiments.
+/// Classes of the experiments.
 pub const CLASSES: [WorkloadClass; 3] = [
     WorkloadClass {
         name: "lookup",
@@ -54,42 +54,43 @@
     },
 ];
 
-/// The index of the class whose requests have an idempotency key.
+/// Index of the class whose requests have an idempotency key.
 pub const KEYED_CLASS: usize = 2;
-/// The parameters of the spread of work: its mean is 1.
+/// Parameters of the log-normal factor by which the work of requests varies. The mean of the factor is 1.
 const WORK_SPREAD_MU: f64 = -0.32;
 const WORK_SPREAD_SIGMA: f64 = 0.8;
-/// The bounds of the work of a request, in milliseconds.
+/// Bounds of the work of a request, in milliseconds on one core.
 const MIN_WORK: f64 = 1.0;
 const MAX_WORK: f64 = 60_000.0;
 
-/// A request that a client is to send.
+/// A request that a client sends when it is due.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// When it is due, in milliseconds from the start of the arrivals.
+    /// Time at which the request is due, in milliseconds after the start of the arrivals.
     pub at: f64,
-    /// The index of its class.
+    /// Index of the request's class in [`CLASSES`].
     pub class: usize,
-    /// Work in milliseconds on one core.
+    /// Work of the request, in milliseconds on one core.
     pub work: f64,
-    /// Its idempotency key.
+    /// Idempotency key of the request, if its class has keys.
     pub key: Option<String>,
 }
 
-/// The sum of the arrival shares of classes, and of their shares times their mean work.
+/// Returns the sum of the arrival shares of the classes, and the sum of their shares times their mean work.
 fn arrival_sums(classes: &[WorkloadClass]) -> (f64, f64) {
     let share = classes.iter().map(|class| class.arrival_share).sum();
     let work = classes.iter().map(|class| class.arrival_share * class.mean_work).sum();
     (share, work)
 }
 
-/// The mean work of a request over classes, in milliseconds on one core.
+/// Returns the mean work of a request over the given classes, in milliseconds on one core.
 pub fn mean_work(classes: &[WorkloadClass]) -> f64 {
     let (share, work) = arrival_sums(classes);
     work / share
 }
 
-/// Arrivals with so many cores' worth of work, over a span in milliseconds, of the first `classes` classes by their shares.
+/// Draws the arrivals over a span in milliseconds, of the first `classes` classes by their shares. Their work occupies `cores` cores on
+/// average.
 pub fn arrivals(seed: u64, cores: f64, span: f64, classes: usize) -> Vec<Job> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let classes = &CLASSES[..classes];
@@ -107,7 +108,7 @@
     jobs
 }
 
-/// The class of a draw between 0 and the sum of all shares.
+/// Returns the index of the class for a draw between 0 and the sum of all arrival shares.
 fn draw_class(classes: &[WorkloadClass], mut draw: f64) -> usize {
     for (index, class) in classes.iter().enumerate() {
         draw -= class.arrival_share;
