--- a/crates/experiments/src/experiments/cold_start.rs
+++ b/crates/experiments/src/experiments/cold_start.rs
@@ -1,5 +1,5 @@
-//! `cold-start`: many gateways that start together. Shows how often they poll the name service, how they connect to engines, and
-//! what clients get; the baseline is an earlier version of the program, where one is given.
+//! `cold-start`: many gateways that start together. Measures the rates of polls of the name service and of connections to engines, and
+//! the outcomes of clients' requests. The baseline is an earlier version of the program, if one is given.
 
 use crate::fleet::{run_scenario, FleetOptions};
 use crate::harness::{Failure, RunOptions};
@@ -12,7 +12,7 @@
     scenario: Scenario,
 }
 
-/// The scenarios of those names: built-in ones, or else files.
+/// Loads scenarios by name: built-in ones, or else files at the given paths. No names load all built-in scenarios.
 fn load(names: &[String]) -> Result<Vec<NamedScenario>, Failure> {
     let all = || scenario::ALL.iter().map(|(name, _)| (*name).to_owned()).collect();
     let names: Vec<String> = if names.is_empty() { all() } else { names.to_vec() };
@@ -29,7 +29,7 @@
     Ok(NamedScenario { name, scenario })
 }
 
-/// Runs each scenario with the program, and with the baseline.
+/// Runs each scenario with the program, and with the baseline if one is given.
 pub(super) async fn run(options: &RunOptions) -> Result<Figures, Failure> {
     let programs = [("now", Some(&options.program)), ("before", options.baseline.as_ref())];
     let (mut json, mut series) = (Map::new(), Vec::new());
@@ -45,14 +45,17 @@
                 eprintln!("{name}, {version}: {violation}");
             }
             json.insert(format!("{name}-{}-{version}", options.gateways), result.json);
-            for line in result.series {
-                let name = format!("{name}, {version}: {}", line.name);
-                series.push(Series { name, points: line.points });
+            for time_series in result.series {
+                let name = format!("{name}, {version}: {}", time_series.name);
+                series.push(Series { name, points: time_series.points });
             }
         }
     }
     let chart = Chart {
-        title: format!("{} gateways: questions, connections and cores' worth served", options.gateways),
+        title: format!(
+            "{} gateways: polls of the name service, connections to engines and served work in cores",
+            options.gateways
+        ),
         x_label: "s".into(),
         y_label: "in 100 ms".into(),
         series,
--- a/crates/experiments/src/experiments/cost.rs
+++ b/crates/experiments/src/experiments/cost.rs
@@ -1,5 +1,5 @@
-//! `cost`: what snapshots and the idempotency log cost under load; the baseline runs without them. Also the time to restore a
-//! snapshot of many engines. Slow disks are not covered.
+//! `cost`: measures the cost of snapshots and of the idempotency log under load, and the time to restore a snapshot of many engines. The
+//! baseline runs without snapshots and log. Slow disks are not covered.
 
 use super::seconds;
 use crate::harness::clients::ConnectionPool;
@@ -20,22 +20,23 @@
 
 const ENGINES: usize = 60;
 const REQUESTS_PER_SECOND: f64 = 200.0;
-/// The time that is measured, in seconds, and the wait before, in which the first keyed requests wait.
+/// Duration of the measured arrivals, and time from the start of the gateway until they begin, in seconds. A newly started gateway
+/// delays keyed requests in that time.
 const MEASURED_TIME: f64 = 60.0;
 const WARM_UP_TIME: f64 = 13.0;
-/// The range of latencies, in microseconds, and their significant digits.
+/// Maximum latency of the histogram, in microseconds, and its number of significant digits.
 const MAX_LATENCY_US: u64 = 120_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
-/// The engines and the bytes of the snapshot that is restored.
+/// Number of engines in the snapshot that is restored, and its maximum size.
 const RESTORED_ENGINES: usize = 1_000;
 const MAX_SNAPSHOT_BYTES: usize = 1 << 24;
-/// When that snapshot was taken, and how long before its restart, in milliseconds.
+/// Time at which that snapshot was taken, and time from then until it is restored, in milliseconds.
 const TAKEN_AT: f64 = 1e12;
 const DOWNTIME: f64 = 100.0;
 
-/// The figures of one run.
+/// Metrics of one run.
 struct Cost {
-    /// In microseconds.
+    /// Latencies of the served requests, in microseconds.
     latencies: Histogram<u64>,
     longest_cycle_ms: f64,
     greatest_delay_ms: f64,
@@ -59,9 +60,9 @@
     }
 }
 
-async fn run_once(options: &RunOptions, name: &str, keeps: bool) -> Result<Cost, Failure> {
+async fn run_once(options: &RunOptions, name: &str, is_persistent: bool) -> Result<Cost, Failure> {
     let engines = Engines::start(vec![EngineSpec::default(); ENGINES], options.seed)?;
-    let knowledge = keeps.then(|| knowledge_block(&options.subfolder(name), "  every = \"1s\""));
+    let knowledge = is_persistent.then(|| knowledge_block(&options.subfolder(name), "  every = \"1s\""));
     let file = operator_file(&engines, options.seed, knowledge.as_deref());
     let pool = ConnectionPool::new(options.seed);
     let mut gateway = GatewayProcess::start(options, name, &file).await?;
@@ -75,22 +76,22 @@
     let mut latencies = Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)?;
     let served = completed.iter().filter(|request| request.answer == Some(Answer::Served));
     for request in served.clone() {
-        // The time of the work itself is the same with and without.
+        // The execution time of the requests is part of the latency, and equal in both runs.
         latencies.record((request.latency * 1000.0) as u64)?;
     }
-    let persisted = |text: &str| if keeps { gateway.number_after(text) } else { Ok(0.0) };
+    let number_if_persistent = |text: &str| if is_persistent { gateway.number_after(text) } else { Ok(0.0) };
     Ok(Cost {
         longest_cycle_ms: gateway.number_after("loop: longest turn ")?,
         greatest_delay_ms: gateway.number_after(" ms, latest ")?,
-        snapshot_bytes: persisted(" snapshot_bytes=")?,
-        key_bytes: persisted(" key_bytes=")?,
+        snapshot_bytes: number_if_persistent(" snapshot_bytes=")?,
+        key_bytes: number_if_persistent(" key_bytes=")?,
         served: served.count(),
         requests: completed.len(),
         latencies,
     })
 }
 
-/// A snapshot of so many engines.
+/// Returns a snapshot with the given number of engines and with three classes.
 fn large_snapshot(engines: usize) -> Snapshot {
     let class = |number: u32| StoredClass {
         name: format!("class-{number}"),
@@ -127,31 +128,31 @@
     format!("engine-{number:05}")
 }
 
-/// The time to restore a snapshot.
+/// Time to restore a snapshot, and the size of the snapshot.
 struct RestoreTime {
     milliseconds: f64,
     bytes: usize,
 }
 
-/// Restores a snapshot of so many engines, all of which are members.
+/// Restores a snapshot with the given number of engines, all of which are in the endpoint list, and measures the time.
 fn restore(engines: usize) -> Result<RestoreTime, Failure> {
     let bytes = snapshot::encode(&large_snapshot(engines), MAX_SNAPSHOT_BYTES)?;
     let member = |number: usize| EndpointIdentity { id: engine_id(number), ..EndpointIdentity::default() };
     let members: Vec<_> = (0..engines).map(member).collect();
     let now = TAKEN_AT + DOWNTIME;
-    let begun = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     let snapshot = snapshot::decode(&bytes)?;
     let mut restored =
         RestoredState::new(&snapshot, now, recovery::DEFAULT).map_err(|error| error.to_string())?;
-    let learned = restored.restore(&members, now).ok_or("nothing was given back")?;
-    let milliseconds = begun.elapsed().as_secs_f64() * 1000.0;
+    let learned = restored.restore(&members, now).ok_or("the snapshot was not restored")?;
+    let milliseconds = started_at.elapsed().as_secs_f64() * 1000.0;
     if learned.engines.len() != engines {
-        return Err("engines are missing".into());
+        return Err("the number of restored engines differs from that of the snapshot".into());
     }
     Ok(RestoreTime { milliseconds, bytes: bytes.len() })
 }
 
-/// Runs the experiment and its baseline at once.
+/// Runs the experiment and its baseline concurrently, then restores a large snapshot.
 pub(super) async fn run(options: &RunOptions) -> Result<Figures, Failure> {
     let (on, off) = tokio::join!(run_once(options, "on", true), run_once(options, "off", false));
     let (on, off) = (on?, off?);
--- a/crates/experiments/src/experiments/idle.rs
+++ b/crates/experiments/src/experiments/idle.rs
@@ -1,5 +1,5 @@
-//! `idle`: closed loops on idle engines. Shows rejections, and what the gateway adds to the latency; the baseline is the same
-//! loop directly at the engines. Loaded engines are not covered.
+//! `idle`: closed loops on idle engines. Measures rejections, and the latency that the gateway adds. The baseline is the same loop with
+//! direct connections to the engines. Loaded engines are not covered.
 
 use crate::harness::configuration::operator_file;
 use crate::harness::engines::Engines;
@@ -15,32 +15,33 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// The work of a query on fast and on slow engines, in milliseconds on one core.
+/// Work of a query on fast and on slow engines, in milliseconds on one core.
 const FAST_WORK: f64 = 0.1;
 const SLOW_WORK: f64 = 300.0;
-/// Slow queries are fewer by this factor. One client alone would take hours: it sends its share of what the most send.
+/// Divisor of the number of queries on slow engines, and maximum number of clients. On slow engines each client sends the same number of
+/// queries in all cases, as one client that sends all of them would take hours.
 const SLOW_QUERIES_DIVISOR: usize = 200;
 const MAX_CLIENTS: usize = 16;
-/// The range of latencies, in nanoseconds, and their significant digits.
+/// Maximum latency of the histogram, in nanoseconds, and its number of significant digits.
 const MAX_LATENCY_NS: u64 = 120_000_000_000;
 const SIGNIFICANT_DIGITS: u8 = 4;
-/// What an operator's file needs for engines that speak ClickHouse HTTP, and for a front that does.
+/// Blocks of an operator's file for engines and a frontend that speak ClickHouse HTTP.
 const CLICKHOUSE_BLOCKS: &str = "engines_speak = \"clickhouse\"\nclickhouse {\n  listen = \"127.0.0.1:0\"\n  rule {\n    class = \"lookup\"\n  }\n}\n";
 
-/// How fast engines answer.
+/// Speed of the engines: fast ones answer at once, slow ones after the work of the query.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum EngineSpeed {
     Fast,
     Slow,
 }
 
-/// One run.
+/// Settings of one case: two closed loops of the same clients, directly to the engines and through a gateway.
 struct Case {
     protocol: EngineProtocol,
     engines: usize,
     speed: EngineSpeed,
     clients: usize,
-    /// The queries of all clients together.
+    /// Total number of queries of all clients.
     queries: usize,
 }
 
@@ -73,9 +74,9 @@
     cases
 }
 
-/// The queries of closed loops.
+/// Latencies and failures of the queries of closed loops.
 struct LoopResult {
-    /// In nanoseconds.
+    /// Latencies of the queries, in nanoseconds.
     latencies: Histogram<u64>,
     refused: u64,
     failed: u64,
@@ -99,7 +100,7 @@
     }
 }
 
-/// Runs the clients of a case, each on one connection, spread over those addresses.
+/// Runs the clients of a case, each on one connection. The connections are spread over the given addresses.
 async fn closed_loops(
     addresses: &[SocketAddr],
     protocol: ClientProtocol,
@@ -129,16 +130,16 @@
 ) -> std::io::Result<LoopResult> {
     let mut client = ClosedLoopClient::connect(address, protocol).await?;
     for query in 0..queries {
-        let begun = Instant::now();
+        let sent_at = Instant::now();
         let answer = client.query(&format!("{:016x}", (number << 32) + query), work).await?;
-        let _ = result.latencies.record(begun.elapsed().as_nanos() as u64);
+        let _ = result.latencies.record(sent_at.elapsed().as_nanos() as u64);
         result.refused += u64::from(matches!(answer, Answer::Refused(_)));
         result.failed += u64::from(matches!(answer, Answer::Failed | Answer::Lost));
     }
     Ok(result)
 }
 
-/// The result of a case.
+/// Metrics of a case.
 struct CaseResult {
     refused: u64,
     failed: u64,
@@ -161,7 +162,7 @@
         file.push_str(CLICKHOUSE_BLOCKS);
     }
     let mut gateway = GatewayProcess::start(options, "idle", &file).await?;
-    let (front, through_protocol, direct_protocol) = match case.protocol {
+    let (gateway_address, gateway_protocol, direct_protocol) = match case.protocol {
         EngineProtocol::Resp => (gateway.address, ClientProtocol::Thrift, ClientProtocol::Resp),
         EngineProtocol::ClickHouse => {
             (gateway.clickhouse_address().await?, ClientProtocol::Http, ClientProtocol::Http)
@@ -170,18 +171,18 @@
     let addresses: Vec<_> = engines.all.iter().map(|engine| engine.address).collect();
     let direct = closed_loops(&addresses, direct_protocol, case).await?;
     let cpu_before = gateway.cpu_ms()?;
-    let through = closed_loops(&[front], through_protocol, case).await?;
+    let through_gateway = closed_loops(&[gateway_address], gateway_protocol, case).await?;
     let cpu_ms = gateway.cpu_ms()? - cpu_before;
     gateway.terminate().await?;
-    let added = |quantile: f64| through.latency_us(quantile) - direct.latency_us(quantile);
+    let added = |quantile: f64| through_gateway.latency_us(quantile) - direct.latency_us(quantile);
     let row = json!({
         "front": if is_resp { "thrift" } else { "clickhouse" },
         "engines": case.engines,
         "speed": if case.speed == EngineSpeed::Fast { "fast" } else { "slow" },
         "clients": case.clients,
         "queries": case.queries,
-        "refused": through.refused,
-        "failed": through.failed,
+        "refused": through_gateway.refused,
+        "failed": through_gateway.failed,
         "direct_p50_us": direct.latency_us(0.5),
         "direct_p99_us": direct.latency_us(0.99),
         "added_p50_us": added(0.5),
@@ -190,15 +191,15 @@
         "why": gateway.text_after("refused for "),
     });
     Ok(CaseResult {
-        refused: through.refused,
-        failed: through.failed,
+        refused: through_gateway.refused,
+        failed: through_gateway.failed,
         added_p50_us: added(0.5),
         added_p99_us: added(0.99),
         row,
     })
 }
 
-/// Runs all cases, one after another.
+/// Runs all cases sequentially and combines their metrics.
 pub(super) async fn run(options: &RunOptions) -> Result<Figures, Failure> {
     let mut results = Vec::new();
     for case in cases(options.queries) {
--- a/crates/experiments/src/experiments/restart.rs
+++ b/crates/experiments/src/experiments/restart.rs
@@ -1,5 +1,5 @@
-//! `restart`: the program is killed at random moments under load. Shows torn files, keyed requests that were executed twice, and
-//! lost answers; the baseline runs without the idempotency log. Crashes of the machine are not covered.
+//! `restart`: the gateway is killed at random times under load. Counts torn files, keyed requests that were executed twice, and lost
+//! answers. The baseline runs without the idempotency log. Crashes of the machine are not covered.
 
 use super::seconds;
 use crate::harness::clients::{CompletedRequest, ConnectionPool};
@@ -24,63 +24,69 @@
 use tokio::time::{sleep, sleep_until, Instant};
 
 const ENGINES: usize = 4;
-/// The work that arrives, in cores.
+/// Work that arrives, in cores.
 const LOAD_CORES: f64 = 44.0;
-/// The time of the arrivals for each kill and besides, in milliseconds.
+/// Duration of the arrivals: the part for each kill, and the constant part, in milliseconds.
 const ARRIVALS_PER_KILL: f64 = 4_000.0;
-const FURTHER_ARRIVALS: f64 = 60_000.0;
-/// One arrival of so many becomes a keyed request, of at most so much work.
+const ADDITIONAL_ARRIVALS: f64 = 60_000.0;
+/// Interval, in arrivals, at which an arrival is turned into a keyed request, and maximum work of those requests, in milliseconds on one
+/// core.
 const KEYED_EVERY: usize = 4;
 const MAX_KEYED_WORK: f64 = 1_500.0;
-/// The bytes of a snapshot.
+/// Maximum size of a snapshot.
 const MAX_SNAPSHOT_BYTES: usize = 1 << 24;
-/// The attempts of a client, and the time from the first to the last, in seconds.
+/// Maximum number of attempts of a client, and maximum time from its first to its last attempt, in seconds.
 const MAX_CLIENT_ATTEMPTS: usize = 6;
 const LAST_CLIENT_ATTEMPT: f64 = 11.9;
-/// The share of a client's attempts that come at the last moment of the deduplication window.
-const LAST_MOMENT_SHARE: f64 = 0.25;
-/// The time in which the keyed requests of the first process wait, and in which open requests end, in seconds.
+/// Share of a client's retries that are sent just before the deduplication window of the engines ends.
+const WINDOW_END_SHARE: f64 = 0.25;
+/// Run time of the first process, which delays keyed requests after its start, and time for in-flight requests to end after the last
+/// start, in seconds.
 const FIRST_RUN_TIME: f64 = 14.0;
 const DRAIN_TIME: f64 = 21.0;
-/// A request that ends within this time of a kill may be lost by it, in seconds.
-const KILL_SLACK: f64 = 0.1;
-/// A request that ends sooner had no connection, in seconds.
+/// Time before a kill within which a request that ended may have been lost by the kill, in seconds.
+const KILL_TOLERANCE: f64 = 0.1;
+/// Duration up to which a lost request counts as one without a connection, in seconds.
 const NO_CONNECTION_TIME: f64 = 0.001;
 
-/// What a process found of its predecessors' knowledge.
+/// Numbers of starts of the gateway, by the state of the snapshot and the idempotency log that it found.
 #[derive(Debug, Default)]
 struct StartCounts {
+    /// Starts that restored the snapshot in the folder, with all engines.
     complete: u32,
+    /// Starts without a snapshot in the folder.
     empty: u32,
+    /// Starts that restored another state than the snapshot in the folder, or did not restore that snapshot.
     torn: u32,
-    /// Processes that reject keyed requests, as they have no reliable log of keys.
+    /// Starts after which the gateway rejects keyed requests, as its idempotency log is not reliable.
     without_log: u32,
 }
 
 impl StartCounts {
-    /// Compares what a process logs of its start with the snapshot that was there before.
+    /// Counts a start, by comparing what the process logs of its restored state with the snapshot that was in the folder before the start.
     fn count(&mut self, gateway: &GatewayProcess, before: Option<&(u64, Snapshot)>) {
         let is_restored = gateway.has_logged("snapshot restored ");
         match (is_restored, before) {
-            (true, Some((generation, snapshot))) if is_named(gateway, *generation, snapshot) => {
+            (true, Some((generation, snapshot))) if has_restored(gateway, *generation, snapshot) => {
                 self.complete += 1;
             }
             (false, None) => self.empty += 1,
-            // What was restored is not what was there, or a complete snapshot was not restored.
+            // The restored state is not the snapshot in the folder, or that snapshot was not restored.
             _ => self.torn += 1,
         }
         self.without_log += u32::from(gateway.has_logged("idempotency log not trusted"));
     }
 }
 
-/// Whether the process has restored that generation, and it holds the engines and no others.
-fn is_named(gateway: &GatewayProcess, generation: u64, snapshot: &Snapshot) -> bool {
+/// Returns whether the process has restored the given generation, and the snapshot has exactly the engines of this experiment.
+fn has_restored(gateway: &GatewayProcess, generation: u64, snapshot: &Snapshot) -> bool {
     let is_restored = gateway.has_logged(&format!("snapshot restored generation={generation} "));
     let engines = &snapshot.engines;
     is_restored && engines.len() == ENGINES && engines.iter().all(|engine| engine.id.starts_with("s-"))
 }
 
-/// Sends a job, and sends a keyed one again under its key where it was lost, rejected or failed: it may have been executed.
+/// Sends the request of a job. A keyed request that was lost, rejected or failed may have been executed, so it is retried under the same
+/// key.
 async fn send_with_retries(pool: ConnectionPool, job: Job, due: Instant, seed: u64) -> Vec<CompletedRequest> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let last = due + seconds(LAST_CLIENT_ATTEMPT);
@@ -91,7 +97,7 @@
             Some(Answer::Refused(retry_after)) => retry_after / 1000.0 + 0.05,
             _ => rng.random_range(0.1..6.0),
         };
-        let at = if rng.random_bool(LAST_MOMENT_SHARE) { last } else { Instant::now() + seconds(wait) };
+        let at = if rng.random_bool(WINDOW_END_SHARE) { last } else { Instant::now() + seconds(wait) };
         if at > last {
             break;
         }
@@ -101,9 +107,9 @@
     attempts
 }
 
-/// Arrivals with more keyed requests than usual, as they are what the experiment is about.
+/// Returns arrivals with a larger share of keyed requests than the workload has, as the experiment checks these.
 fn keyed_arrivals(options: &RunOptions) -> Vec<Job> {
-    let span = f64::from(options.kills) * ARRIVALS_PER_KILL + FURTHER_ARRIVALS;
+    let span = f64::from(options.kills) * ARRIVALS_PER_KILL + ADDITIONAL_ARRIVALS;
     let mut jobs = arrivals(options.seed, LOAD_CORES, span, CLASSES.len());
     for (number, job) in jobs.iter_mut().enumerate().step_by(KEYED_EVERY) {
         job.class = KEYED_CLASS;
@@ -113,17 +119,17 @@
     jobs
 }
 
-/// Sends the jobs when they are due until it is stopped, and returns the attempts of each.
+/// Sends the requests of the jobs when they are due until `is_stopped` is set, and returns the attempts of each.
 async fn send_jobs(
     pool: ConnectionPool,
     jobs: Vec<Job>,
-    begun: Instant,
+    started_at: Instant,
     is_stopped: Rc<Cell<bool>>,
     seed: u64,
 ) -> Vec<Vec<CompletedRequest>> {
     let mut tasks = tokio::task::JoinSet::new();
     for (number, job) in jobs.into_iter().enumerate() {
-        let due = begun + seconds(job.at / 1000.0);
+        let due = started_at + seconds(job.at / 1000.0);
         sleep_until(due).await;
         if is_stopped.get() {
             break;
@@ -133,7 +139,7 @@
     tasks.join_all().await
 }
 
-/// One series of restarts.
+/// State of one series of restarts.
 struct Restarts<'a> {
     options: &'a RunOptions,
     name: &'a str,
@@ -145,7 +151,7 @@
 }
 
 impl Restarts<'_> {
-    /// Starts the program as often as it is killed, and once more; the last process ends by itself.
+    /// Starts and kills the gateway `kills` times, then starts it once more and terminates it after [`DRAIN_TIME`].
     async fn run(&mut self, folder: &Path, is_stopped: &Cell<bool>) -> Result<(), Failure> {
         for process in 0..self.options.kills {
             let mut gateway = self.start(folder).await?;
@@ -163,7 +169,7 @@
     }
 
     async fn start(&mut self, folder: &Path) -> Result<GatewayProcess, Failure> {
-        // Read without the program, before it starts.
+        // The snapshot is read here independently, before the gateway starts.
         let loaded = snapshot_store::load(&Files::new(folder), MAX_SNAPSHOT_BYTES).ok();
         let before = loaded.and_then(|loaded| loaded.snapshot);
         let gateway = GatewayProcess::start(self.options, self.name, &self.operator_file).await?;
@@ -173,24 +179,26 @@
     }
 }
 
-/// Figures over the attempts of clients.
-struct ClientFigures<'a> {
+/// Metrics of the attempts of clients.
+struct ClientMetrics<'a> {
     attempts: Vec<&'a CompletedRequest>,
     kills: &'a [Instant],
 }
 
-impl ClientFigures<'_> {
-    fn is_killed(&self, attempt: &CompletedRequest) -> bool {
-        let until = attempt.ended + seconds(KILL_SLACK);
+impl ClientMetrics<'_> {
+    /// Returns whether an attempt may have been lost by a kill of the gateway.
+    fn may_be_lost_by_kill(&self, attempt: &CompletedRequest) -> bool {
+        let until = attempt.ended + seconds(KILL_TOLERANCE);
         self.kills.iter().any(|kill| *kill >= attempt.sent && *kill <= until)
     }
 
-    /// Attempts without an answer, but for those of clients whose process was killed or not there.
-    fn lost_beyond_kills(&self) -> usize {
+    /// Returns the number of attempts without an answer, except for those lost by a kill or without a connection.
+    fn lost_without_kill(&self) -> usize {
         let is_lost = |attempt: &&&CompletedRequest| match attempt.answer {
             None => true,
             Some(Answer::Lost) => {
-                !self.is_killed(attempt) && attempt.ended - attempt.sent > seconds(NO_CONNECTION_TIME)
+                !self.may_be_lost_by_kill(attempt)
+                    && attempt.ended - attempt.sent > seconds(NO_CONNECTION_TIME)
             }
             _ => false,
         };
@@ -216,24 +224,24 @@
         kills: Vec::new(),
         starts: StartCounts::default(),
     };
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let is_stopped = Rc::new(Cell::new(false));
     let jobs = keyed_arrivals(options);
-    let sending = send_jobs(restarts.pool.clone(), jobs, begun, is_stopped.clone(), options.seed);
+    let sending = send_jobs(restarts.pool.clone(), jobs, started_at, is_stopped.clone(), options.seed);
     let sending = tokio::task::spawn_local(sending);
     restarts.run(&folder, &is_stopped).await?;
     let requests = sending.await?;
-    Ok(series_figures(&engines, &restarts, &requests, begun.elapsed()))
+    Ok(series_metrics(&engines, &restarts, &requests, started_at.elapsed()))
 }
 
-fn series_figures(
+fn series_metrics(
     engines: &Engines,
     restarts: &Restarts<'_>,
     requests: &[Vec<CompletedRequest>],
     elapsed: Duration,
 ) -> Value {
     let executions = engines.fleet.executions();
-    let clients = ClientFigures { attempts: requests.iter().flatten().collect(), kills: &restarts.kills };
+    let clients = ClientMetrics { attempts: requests.iter().flatten().collect(), kills: &restarts.kills };
     json!({
         "kills": restarts.kills.len(),
         "starts_whole": restarts.starts.complete,
@@ -250,12 +258,12 @@
         "refused": clients.count(|answer| matches!(answer, Answer::Refused(_))),
         "failed": clients.count(|answer| *answer == Answer::Failed),
         "lost_by_kills": clients.count(|answer| *answer == Answer::Lost),
-        "lost_answers_beyond_kill": clients.lost_beyond_kills(),
+        "lost_answers_beyond_kill": clients.lost_without_kill(),
         "seconds": elapsed.as_secs_f64(),
     })
 }
 
-/// Runs both series at once.
+/// Runs the series with the idempotency log and the baseline without it concurrently.
 pub(super) async fn run(options: &RunOptions) -> Result<Figures, Failure> {
     let (with_log, without_log) =
         tokio::join!(run_series(options, "restart", true), run_series(options, "restart-off", false));
--- a/crates/experiments/src/experiments/turns.rs
+++ b/crates/experiments/src/experiments/turns.rs
@@ -1,5 +1,5 @@
-//! `turns`: what a decision and a step of the control period cost, by the number of engines, beside the smallest number. It runs
-//! the decision module alone, without sockets.
+//! `turns`: measures the time of a decision and of a step of the control period by the number of engines, relative to the smallest
+//! number. Only the decision module runs, without sockets.
 
 use crate::harness::Failure;
 use crate::report::Figures;
@@ -9,15 +9,15 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// The numbers of engines that are compared; the first is the baseline.
+/// Numbers of engines that are compared. The first is the baseline.
 const ENGINE_COUNTS: [usize; 4] = [8, 60, 240, 1_000];
-/// Gateways for each engine; 0 stands for one gateway alone, which uses all engines.
+/// Numbers of gateways for each engine. 0 means a single gateway, which uses all engines.
 const GATEWAYS_PER_ENGINE: [usize; 2] = [8, 0];
-/// Requests in flight at any time.
+/// Number of requests that are kept in flight.
 const MAX_IN_FLIGHT: usize = 2;
-/// The requests of a measurement.
+/// Number of requests, and of steps of the control period, in a measurement.
 const ROUNDS: usize = 4_000;
-/// The control period, in milliseconds: a step is due in each.
+/// Control period of the decision module, in milliseconds: one step is due in each period.
 const CONTROL_PERIOD: Milliseconds = 100.0;
 
 fn class(name: &str, latency_objective: Milliseconds, threads: f64) -> Class {
@@ -71,17 +71,17 @@
     }
 }
 
-/// A measurement.
+/// Result of measuring one number of engines and gateways.
 struct Measurement {
-    /// The median time of a cycle that receives a request, in microseconds.
+    /// Median time of a decision cycle that receives a request, in microseconds.
     decision_us: f64,
-    /// The median time of a cycle with a step of the control period, in microseconds.
+    /// Median time of a decision cycle with a step of the control period, in microseconds.
     step_us: f64,
-    /// Requests that were sent in their cycle. One that is not costs less.
+    /// Number of requests that were sent in the cycle that received them. A cycle that sends no request takes less time.
     sent: usize,
 }
 
-/// A gateway's decision module, and its requests in flight.
+/// Decision module of one gateway, and its in-flight requests with their engines.
 struct MeasuredBalancer {
     balancer: Balancer,
     in_flight: BTreeMap<u64, EngineId>,
@@ -98,14 +98,14 @@
         Ok(Self { balancer, in_flight: BTreeMap::new(), actions })
     }
 
-    /// Runs a cycle. Returns its time in microseconds.
-    fn cycle(&mut self, now: Milliseconds, events: &[Event]) -> f64 {
-        let begun = Instant::now();
+    /// Runs a decision cycle and returns its time in microseconds.
+    fn run_timed_cycle(&mut self, now: Milliseconds, events: &[Event]) -> f64 {
+        let started_at = Instant::now();
         self.balancer.run_cycle(now, events, &mut self.actions);
-        begun.elapsed().as_secs_f64() * 1e6
+        started_at.elapsed().as_secs_f64() * 1e6
     }
 
-    /// The end of the oldest request, if there are enough in flight.
+    /// Removes the oldest in-flight request and returns its outcome, if [`MAX_IN_FLIGHT`] requests are in flight.
     fn next_outcome(&mut self) -> Option<Event> {
         if self.in_flight.len() < MAX_IN_FLIGHT {
             return None;
@@ -123,8 +123,8 @@
         })
     }
 
-    /// Takes the requests that the last cycle has sent. Returns how many.
-    fn take_sent(&mut self) -> usize {
+    /// Records the requests that the last cycle has sent as in flight, and returns their number.
+    fn record_sent(&mut self) -> usize {
         let mut sent = 0;
         for action in self.actions.drain(..) {
             if let Action::Send { id, engine, .. } = action {
@@ -172,19 +172,19 @@
     let (mut decisions, mut steps) = (Vec::new(), Vec::new());
     for id in 0..ROUNDS as u64 {
         now += CONTROL_PERIOD;
-        steps.push(measured.cycle(now, &[Event::Timer(0)]));
+        steps.push(measured.run_timed_cycle(now, &[Event::Timer(0)]));
         measured.actions.clear();
         let outcome = measured.next_outcome();
-        measured.cycle(now + 1.0, outcome.as_slice());
+        measured.run_timed_cycle(now + 1.0, outcome.as_slice());
         measured.actions.clear();
         let event = Event::Request(request(id, now));
-        decisions.push(measured.cycle(now + 2.0, &[event]));
-        sent += measured.take_sent();
+        decisions.push(measured.run_timed_cycle(now + 2.0, &[event]));
+        sent += measured.record_sent();
     }
     Ok(Measurement { decision_us: median(decisions), step_us: median(steps), sent })
 }
 
-/// Measures all numbers of engines, as one of many gateways and as the only one.
+/// Measures all numbers of engines, each for one of many gateways and for a single gateway.
 pub(super) fn run(seed: u64) -> Result<Figures, Failure> {
     let mut rows = Vec::new();
     for gateways_per_engine in GATEWAYS_PER_ENGINE {
--- a/crates/experiments/src/experiments/warm_start.rs
+++ b/crates/experiments/src/experiments/warm_start.rs
@@ -1,5 +1,5 @@
-//! `warm-start`: a restart before engines of which some are slow, failing or busy. Shows the share of requests within their
-//! latency objective; the baseline starts without knowledge.
+//! `warm-start`: a restart of the gateway while some engines are slow, failing or busy. Measures the share of requests within their
+//! latency objective. The baseline restarts without a snapshot.
 
 use super::seconds;
 use crate::harness::clients::{CompletedRequest, ConnectionPool};
@@ -15,21 +15,21 @@
 use std::collections::BTreeMap;
 use tokio::time::{sleep, Instant};
 
-/// The classes that arrive: those without keys.
+/// Number of classes that arrive: those without idempotency keys.
 const CLASS_COUNT: usize = 2;
-/// The work that arrives, in cores, and for how long before and after the restart, in milliseconds.
+/// Work that arrives, in cores, and duration of the arrivals before and after the restart, in milliseconds.
 const CORES: f64 = 38.0;
 const SPAN_BEFORE: f64 = 20_000.0;
 const SPAN_AFTER: f64 = 60_000.0;
-/// The time between the kill and the restart, in seconds.
+/// Time between the kill and the restart of the gateway, in seconds.
 const DOWNTIME: f64 = 0.3;
-/// The first span after the start that is reported, in milliseconds.
+/// Length of the first span after the restart that is reported, in milliseconds.
 const FIRST_SPAN: f64 = 5_000.0;
-/// The points of the chart, and the time between them, in seconds.
+/// Number of points of the chart, and time between them, in seconds.
 const CHART_POINTS: u32 = 30;
 const CHART_STEP: f64 = 2.0;
 
-/// A slow engine, two healthy ones, a failing one, a busy one, and a healthy one.
+/// Returns the engines: a slow one, two healthy ones, a failing one, one that is busy with other work, and a healthy one.
 fn specs() -> Vec<EngineSpec> {
     let healthy = EngineSpec::default();
     vec![
@@ -42,10 +42,14 @@
     ]
 }
 
-/// The requests after the restart.
-async fn run_once(options: &RunOptions, name: &str, keeps: bool) -> Result<Vec<CompletedRequest>, Failure> {
+/// Runs one restart, with snapshots if `is_persistent`, and returns the requests after the restart.
+async fn run_once(
+    options: &RunOptions,
+    name: &str,
+    is_persistent: bool,
+) -> Result<Vec<CompletedRequest>, Failure> {
     let engines = Engines::start(specs(), options.seed)?;
-    let knowledge = keeps.then(|| knowledge_block(&options.subfolder(name), "  every = \"500ms\""));
+    let knowledge = is_persistent.then(|| knowledge_block(&options.subfolder(name), "  every = \"500ms\""));
     let file = operator_file(&engines, options.seed, knowledge.as_deref());
     let pool = ConnectionPool::new(options.seed);
     let mut gateway = GatewayProcess::start(options, name, &file).await?;
@@ -60,7 +64,7 @@
     Ok(pool.send_all(jobs, Instant::now()).await)
 }
 
-/// The share of the requests due in a span that met their latency objective.
+/// Returns the share of the requests due in a span that met their latency objective.
 fn share_in_objective<'a>(
     completed: impl IntoIterator<Item = &'a CompletedRequest>,
     from: f64,
@@ -75,13 +79,13 @@
 fn share_by_class(completed: &[CompletedRequest], until: f64) -> BTreeMap<&'static str, f64> {
     let classes = CLASSES[..CLASS_COUNT].iter().enumerate();
     let shares = classes.map(|(index, class)| {
-        let own = completed.iter().filter(|request| request.job.class == index);
-        (class.name, share_in_objective(own, 0.0, until))
+        let of_class = completed.iter().filter(|request| request.job.class == index);
+        (class.name, share_in_objective(of_class, 0.0, until))
     });
     shares.collect()
 }
 
-fn figures(completed: &[CompletedRequest]) -> Value {
+fn metrics(completed: &[CompletedRequest]) -> Value {
     let count = |is_counted: fn(Answer) -> bool| {
         completed.iter().filter(|request| request.answer.is_some_and(is_counted)).count()
     };
@@ -103,16 +107,16 @@
     Series { name: name.into(), points: points.collect() }
 }
 
-/// Runs the experiment and its baseline at once.
+/// Runs the experiment and its baseline concurrently.
 pub(super) async fn run(options: &RunOptions) -> Result<Figures, Failure> {
     let (with, without) = tokio::join!(run_once(options, "with", true), run_once(options, "without", false));
     let (with, without) = (with?, without?);
     let chart = Chart {
-        title: "Share of requests in their aim after a start".into(),
+        title: "Share of requests within their latency objective after a restart".into(),
         x_label: "seconds since the start".into(),
         y_label: "share in aim".into(),
         series: vec![series("with knowledge", &with), series("without", &without)],
     };
-    let json = json!({ "with_knowledge": figures(&with), "baseline_without": figures(&without) });
+    let json = json!({ "with_knowledge": metrics(&with), "baseline_without": metrics(&without) });
     Ok(Figures { json, chart: Some(chart) })
 }
--- a/crates/experiments/src/lib.rs
+++ b/crates/experiments/src/lib.rs
@@ -1,7 +1,7 @@
-//! Experiments with the real program between test doubles, many processes at once, and checks of what the doubles received.
+//! Experiments that run many processes of the real gateway program between test doubles, and check what the doubles received.
 //!
-//! The input: a seed, a scenario and a program. The output: figures, charts, and violations of the rules. Only the tests of this
-//! package use it.
+//! The input is a seed, a scenario and the path of a program. The output is metrics, charts, and violations of the rules. Only the
+//! program `starlingplank-experiments` and the tests of this package use this library.
 #![forbid(unsafe_code)]
 
 pub mod experiments;
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -1,6 +1,6 @@
-//! `starlingplank-experiments run NAME`: an experiment with the real program, between test doubles on loopback.
+//! `starlingplank-experiments run NAME`: runs an experiment with the real gateway program between test doubles on loopback.
 //!
-//! The input is a seed; the output are figures, as JSON and as rows and charts under `results/`.
+//! The input is a seed. The output is metrics, printed as text or JSON and written as tables and charts under `results/`.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
@@ -9,9 +9,9 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The gateways of a run.
+/// Maximum number of gateways of a run.
 const MAX_GATEWAYS: usize = 1_000;
-/// The time in which faults begin, in seconds.
+/// Range of the duration of the phase in which faults begin, in seconds.
 const MIN_SECONDS: f64 = 2.0;
 const MAX_SECONDS: f64 = 600.0;
 
@@ -26,48 +26,48 @@
 enum Command {
     /// Run an experiment
     Run(RunArguments),
-    /// Name the experiments
+    /// List the names and descriptions of the experiments
     List,
 }
 
 #[derive(clap::Args)]
 struct RunArguments {
-    /// Which: see `list`
+    /// Name of the experiment; `list` prints all names
     name: String,
-    /// Arrivals, work and faults follow from it
+    /// Seed from which arrivals, work and faults are drawn
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Kills, in `restart`
+    /// Number of times the gateway is killed, in `restart`
     #[arg(long, default_value_t = 50)]
     kills: u32,
-    /// Queries of a closed loop, in `idle`
+    /// Number of queries of each case on fast engines, in `idle`
     #[arg(long, default_value_t = 20_000)]
     queries: usize,
-    /// Print the figures as JSON
+    /// Print the metrics as JSON
     #[arg(long)]
     json: bool,
-    /// Where rows and charts are kept
+    /// Folder to which tables and charts are written
     #[arg(long, default_value = "results")]
     out: PathBuf,
-    /// Gateways, in `cold-start`
+    /// Number of gateways, in `cold-start`
     #[arg(long, default_value_t = 300)]
     gateways: usize,
-    /// Gateways, in `soak`
+    /// Number of gateways, in `soak`
     #[arg(long)]
     processes: Option<usize>,
-    /// Seconds in which troubles begin, in `soak`
+    /// Duration of the phase in which faults begin, in seconds, in `soak`
     #[arg(long, default_value_t = 14.0)]
     seconds: f64,
-    /// Troubles to leave out, by their numbers in the schedule, in `soak`
+    /// Faults to leave out, by their numbers in the schedule, in `soak`
     #[arg(long, value_delimiter = ',')]
     without: Vec<usize>,
-    /// Plays, in `cold-start`: names of scenarios, or files of one's own; all that are kept by default
+    /// Scenarios to run, in `cold-start`: names of built-in scenarios, or paths of scenario files; all built-in ones by default
     #[arg(long, value_delimiter = ',')]
     only: Vec<String>,
-    /// An earlier version of the program, played in the same run
+    /// Path of an earlier version of the program, which runs each scenario as the baseline, in `cold-start`
     #[arg(long)]
     baseline: Option<PathBuf>,
-    /// The program; the one beside this by default
+    /// Path of the gateway program; by default `starlingplank` in the folder of this program
     #[arg(long)]
     program: Option<PathBuf>,
 }
@@ -93,16 +93,16 @@
 fn run(arguments: &RunArguments) -> Result<(), Failure> {
     let experiment = experiments::ALL.iter().find(|experiment| experiment.name == arguments.name);
     let Some(experiment) = experiment else {
-        return Err("there is no such experiment; see list".into());
+        return Err("unknown experiment; `starlingplank-experiments list` prints all names".into());
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let options = options(arguments)?;
-    let figures = tokio::task::LocalSet::new().block_on(&runtime, (experiment.run)(&options))?;
-    report::keep(&arguments.out, experiment.name, arguments.seed, &figures)?;
+    let result = tokio::task::LocalSet::new().block_on(&runtime, (experiment.run)(&options))?;
+    report::save(&arguments.out, experiment.name, arguments.seed, &result)?;
     if arguments.json {
-        println!("{:#}", figures.json);
+        println!("{:#}", result.json);
     } else {
-        print!("{}", report::text(&figures.json));
+        print!("{}", report::format_metrics(&result.json));
     }
     Ok(())
 }
--- a/crates/experiments/src/report.rs
+++ b/crates/experiments/src/report.rs
@@ -1,4 +1,4 @@
-//! What is kept of a run: its figures as rows of a table, its series as a table and a chart.
+//! Result files of an experiment's run: its metrics as rows of a table, and its series as a table and a chart.
 
 use crate::harness::Failure;
 use plotters::prelude::*;
@@ -6,42 +6,43 @@
 use std::fs::OpenOptions;
 use std::path::Path;
 
-/// The size of a chart, in pixels.
+/// Width and height of a chart, in pixels.
 const CHART_SIZE: (u32, u32) = (900, 420);
-/// The space above the greatest value of an axis.
+/// Ratio of the end of an axis to the maximum value, so that there is space above the values.
 const AXIS_MARGIN: f64 = 1.05;
-/// The least range of an axis, for series without values.
+/// Minimum end of an axis before the margin, so that the axis of a series without values has a range.
 const MIN_AXIS_RANGE: f64 = 1e-9;
 
-/// A line of a chart.
+/// A series of values, drawn as one line of a chart.
 pub struct Series {
-    /// Its name.
+    /// Name of the series in the legend and in the table.
     pub name: String,
-    /// Its points.
+    /// Points of the series: horizontal and vertical coordinate.
     pub points: Vec<(f64, f64)>,
 }
 
 /// A chart of the series of a run.
 pub struct Chart {
-    /// Its title.
+    /// Title of the chart.
     pub title: String,
-    /// The name of the horizontal axis.
+    /// Label of the horizontal axis, and name of its column in the table.
     pub x_label: String,
-    /// The name of the vertical axis.
+    /// Label of the vertical axis, and name of its column in the table.
     pub y_label: String,
-    /// Its lines.
+    /// Series of the chart.
     pub series: Vec<Series>,
 }
 
-/// The result of an experiment.
+/// Result of an experiment's run.
 pub struct Figures {
-    /// Figures by name, nested by what they are of.
+    /// Metrics of the run as a JSON object, keyed by name. Metrics of one case, scenario, engine group or baseline are nested in an object
+    /// under its name.
     pub json: Value,
-    /// Its chart, if it has series.
+    /// Chart of the run's series, if the experiment has any.
     pub chart: Option<Chart>,
 }
 
-/// Figures by name; the names of nested ones are joined by dots.
+/// Appends the metrics of a JSON value to `rows` as pairs of name and value. The names of nested metrics are joined by dots.
 fn flatten(path: &str, value: &Value, rows: &mut Vec<(String, String)>) {
     match value {
         Value::Object(map) => {
@@ -61,34 +62,35 @@
     rows
 }
 
-/// The figures as text, a line each.
-pub fn text(json: &Value) -> String {
+/// Formats metrics as text, one line for each.
+pub fn format_metrics(json: &Value) -> String {
     rows(json).iter().map(|(name, value)| format!("{name:<40} {value}\n")).collect()
 }
 
-/// Adds the figures to `NAME.csv` in a folder, and writes the series of this seed beside it.
+/// Appends the metrics to `NAME.csv` in a folder, and writes the table and the chart of the series to `NAME-SEED-series.csv` and
+/// `NAME-SEED.svg`.
 ///
 /// # Errors
-/// A file cannot be written.
-pub fn keep(folder: &Path, name: &str, seed: u64, figures: &Figures) -> Result<(), Failure> {
+/// A file or the folder cannot be written.
+pub fn save(folder: &Path, name: &str, seed: u64, result: &Figures) -> Result<(), Failure> {
     std::fs::create_dir_all(folder)?;
-    append_figures(&folder.join(format!("{name}.csv")), seed, &figures.json)?;
-    if let Some(chart) = &figures.chart {
+    append_metrics(&folder.join(format!("{name}.csv")), seed, &result.json)?;
+    if let Some(chart) = &result.chart {
         write_series(&folder.join(format!("{name}-{seed}-series.csv")), chart)?;
         draw(&folder.join(format!("{name}-{seed}.svg")), chart)?;
     }
     Ok(())
 }
 
-fn append_figures(file: &Path, seed: u64, json: &Value) -> Result<(), Failure> {
+fn append_metrics(file: &Path, seed: u64, json: &Value) -> Result<(), Failure> {
     let is_new = !file.exists();
     let mut table = csv::Writer::from_writer(OpenOptions::new().create(true).append(true).open(file)?);
     if is_new {
         table.write_record(["seed", "figure", "value"])?;
     }
     let seed = seed.to_string();
-    for (figure, value) in rows(json) {
-        table.write_record([&seed, &figure, &value])?;
+    for (metric, value) in rows(json) {
+        table.write_record([&seed, &metric, &value])?;
     }
     table.flush()?;
     Ok(())
@@ -108,9 +110,9 @@
 
 fn draw(file: &Path, chart: &Chart) -> Result<(), Failure> {
     let points = || chart.series.iter().flat_map(|line| &line.points);
-    let range = |of: fn(&(f64, f64)) -> f64| {
-        let greatest = points().map(of).fold(MIN_AXIS_RANGE, f64::max);
-        0.0..greatest * AXIS_MARGIN
+    let range = |coordinate: fn(&(f64, f64)) -> f64| {
+        let max = points().map(coordinate).fold(MIN_AXIS_RANGE, f64::max);
+        0.0..max * AXIS_MARGIN
     };
     let area = SVGBackend::new(file, CHART_SIZE).into_drawing_area();
     area.fill(&WHITE)?;
