--- a/tests/clickhouse.rs
+++ b/tests/clickhouse.rs
@@ -1,4 +1,4 @@
-//! The ClickHouse HTTP interface against stand-in engines: the same core, limits and rules as the platform's.
+//! The ClickHouse HTTP interface with stub engines: it has the same core, limits and rules as the platform's interface.
 
 mod stand;
 
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
-fn rows(target: &str, body: &str) -> Option<String> {
+fn answer_query(target: &str, body: &str) -> Option<String> {
     let headers = "X-ClickHouse-Query-Id: engine\r\nX-ClickHouse-Format: TabSeparated\r\nX-Other: no\r\n";
     Some(match (target, body) {
         ("/ping", _) => web_answer("200 OK", "", "Ok.\n"),
@@ -28,19 +28,19 @@
 }
 
 #[test]
-fn query_goes_on_with_its_credentials_and_comes_back_under_its_name() {
-    let (at, log) = http_engine(rows);
-    let gateway = Gateway::start(&config(&[at], "clickhouse", 5000));
-    let mut web = gateway.web();
-    let get = "GET /?query=select%201&query_id=q7&database=d&max_execution_time=2 HTTP/1.1\r\nX-ClickHouse-User: u\r\n\r\n";
-    let (head, body) = ask(&mut web, get);
+fn query_is_forwarded_with_its_parameters_and_answered_under_its_query_id() {
+    let (address, log) = http_engine(answer_query);
+    let gateway = Gateway::start(&config(&[address], "clickhouse", 5000));
+    let mut http_client = gateway.web();
+    let get_request = "GET /?query=select%201&query_id=q7&database=d&max_execution_time=2 HTTP/1.1\r\nX-ClickHouse-User: u\r\n\r\n";
+    let (head, body) = ask(&mut http_client, get_request);
     assert!(head.starts_with("HTTP/1.1 200") && head.contains("X-ClickHouse-Query-Id: q7"), "{head}");
     assert!(head.contains("X-ClickHouse-Format: TabSeparated") && !head.contains("X-Other"), "{head}");
     assert_eq!(body, "1\t2\n");
-    // The connection is reused; a body may be chunked.
+    // The same connection serves further requests, and their bodies may be chunked.
     let chunked = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n7\r\nselect \r\n1\r\n2\r\n0\r\n\r\n";
-    assert_eq!(ask(&mut web, chunked).1, "1\t2\n");
-    assert_eq!(ask(&mut web, "GET /ping HTTP/1.1\r\n\r\n").1, "Ok.\n");
+    assert_eq!(ask(&mut http_client, chunked).1, "1\t2\n");
+    assert_eq!(ask(&mut http_client, "GET /ping HTTP/1.1\r\n\r\n").1, "Ok.\n");
     let log = log.lock().expect("log");
     let sent: Vec<_> = log.iter().filter(|line| line[0].starts_with("/?")).collect();
     assert!(
@@ -51,9 +51,9 @@
 }
 
 #[test]
-fn statement_at_fault_is_told_so_in_the_engine_s_words_and_not_tried_again() {
-    let (at, log) = http_engine(rows);
-    let gateway = Gateway::start(&config(&[at], "clickhouse", 5000));
+fn statement_error_of_the_engine_is_passed_on_and_not_retried() {
+    let (address, log) = http_engine(answer_query);
+    let gateway = Gateway::start(&config(&[address], "clickhouse", 5000));
     let (head, body) = ask(&mut gateway.web(), &post("/", "select bad"));
     assert!(head.starts_with("HTTP/1.1 400") && head.contains("X-ClickHouse-Exception-Code: 62"), "{head}");
     assert!(body.contains("SYNTAX_ERROR"));
@@ -61,9 +61,9 @@
 }
 
 #[test]
-fn refusal_is_503_with_a_time_to_come_back() {
-    let closed = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
-    let gateway = Gateway::start(&config(&[closed], "clickhouse", 5000));
+fn rejection_is_503_with_a_retry_after() {
+    let refusing_address = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
+    let gateway = Gateway::start(&config(&[refusing_address], "clickhouse", 5000));
     let (head, body) = ask(&mut gateway.web(), &post("/", "select 1"));
     assert!(head.starts_with("HTTP/1.1 503") && head.contains("Retry-After: 1"), "{head}");
     assert!(
@@ -72,53 +72,57 @@
 }
 
 #[test]
-fn deadline_is_the_lesser_of_the_client_s_and_the_class_s() {
-    let (at, log) =
-        http_engine(|target, _| if target == "/ping" { rows(target, "") } else { Some(String::new()) });
-    let gateway = Gateway::start(&config(&[at], "clickhouse", 20_000));
+fn deadline_is_the_shorter_of_the_client_and_class_deadlines() {
+    let (address, log) =
+        http_engine(
+            |target, _| if target == "/ping" { answer_query(target, "") } else { Some(String::new()) },
+        );
+    let gateway = Gateway::start(&config(&[address], "clickhouse", 20_000));
     let (head, _) = ask(&mut gateway.web(), &post("/?max_execution_time=0.3", "select 1"));
     assert!(head.starts_with("HTTP/1.1 503") || head.starts_with("HTTP/1.1 408"), "{head}");
     until(&log, |log| log.iter().any(|line| line[0] == "closed"));
 }
 
 #[test]
-fn load_resent_within_its_window_runs_once() {
-    let ran = Arc::new(AtomicUsize::new(0));
-    let (seen, count) = (Mutex::new(BTreeSet::new()), ran.clone());
-    // The engine drops a block whose token it knows, as ClickHouse does.
-    let (at, _) = http_engine(move |target, _| {
+fn load_repeated_within_its_deduplication_window_runs_once() {
+    let runs = Arc::new(AtomicUsize::new(0));
+    let (known_tokens, run_count) = (Mutex::new(BTreeSet::new()), runs.clone());
+    // Like ClickHouse, the engine discards an insert whose deduplication token it has already received.
+    let (address, _) = http_engine(move |target, _| {
         let token =
             target.split('&').find(|pair| pair.starts_with("insert_deduplication_token=")).map(str::to_owned);
-        if let Some(token) = token.filter(|token| seen.lock().expect("seen").insert(token.clone())) {
+        if let Some(token) = token.filter(|token| known_tokens.lock().expect("seen").insert(token.clone())) {
             assert!(token.len() > 30);
-            count.fetch_add(1, Ordering::SeqCst);
+            run_count.fetch_add(1, Ordering::SeqCst);
         }
-        rows(target, "")
+        answer_query(target, "")
     });
-    let gateway = Gateway::start(&config(&[at], "clickhouse", 5000));
+    let gateway = Gateway::start(&config(&[address], "clickhouse", 5000));
     let load = |data| post("/?query=insert%20into%20s_1.t%20format%20TSV&database=d", data);
     for data in ["1\n", "1\n", "2\n"] {
         assert!(ask(&mut gateway.web(), &load(data)).0.starts_with("HTTP/1.1 200"));
     }
-    assert_eq!(ran.load(Ordering::SeqCst), 2);
+    assert_eq!(runs.load(Ordering::SeqCst), 2);
 }
 
-/// The head and the first chunks of a result that never ends.
-fn endless() -> String {
+/// Returns the head and the first two chunks of a result without the final chunk.
+fn result_without_end() -> String {
     let chunk = format!("10000\r\n{}\r\n", "x".repeat(0x10000));
     format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}{chunk}")
 }
 
 #[test]
-fn client_gone_in_the_middle_of_its_result_cancels_its_attempt_once() {
-    let (at, log) =
-        http_engine(|target, _| if target == "/ping" { rows(target, "") } else { Some(endless()) });
-    let gateway = Gateway::start(&config(&[at], "clickhouse", 20_000));
-    let mut web = gateway.web();
-    web.write_all(post("/", "select 1").as_bytes()).expect("sent");
+fn client_disconnecting_in_the_middle_of_its_result_cancels_its_attempt_once() {
+    let (address, log) =
+        http_engine(
+            |target, _| if target == "/ping" { answer_query(target, "") } else { Some(result_without_end()) },
+        );
+    let gateway = Gateway::start(&config(&[address], "clickhouse", 20_000));
+    let mut http_client = gateway.web();
+    http_client.write_all(post("/", "select 1").as_bytes()).expect("sent");
     // The client disconnects after the first part of the result.
-    assert!(std::io::Read::read(&mut web, &mut [0; 64]).expect("a head") > 0);
-    drop(web);
+    assert!(std::io::Read::read(&mut http_client, &mut [0; 64]).expect("a head") > 0);
+    drop(http_client);
     until(&log, |log| log.iter().any(|line| line[0] == "closed"));
     let counts = gateway.counts();
     assert_eq!(
@@ -128,35 +132,38 @@
 }
 
 #[test]
-fn result_that_ends_early_is_visibly_cut() {
-    let (at, _) = http_engine(|target, body| match (target, body) {
-        ("/ping", _) => rows(target, body),
+fn result_truncated_by_the_engine_is_visibly_truncated_for_the_client() {
+    let (address, _) = http_engine(|target, body| match (target, body) {
+        ("/ping", _) => answer_query(target, body),
         (_, "") => None,
-        _ => Some(endless() + "not a chunk\r\n"),
+        _ => Some(result_without_end() + "not a chunk\r\n"),
     });
-    let gateway = Gateway::start(&config(&[at], "clickhouse", 20_000));
+    let gateway = Gateway::start(&config(&[address], "clickhouse", 20_000));
     let (head, body) = ask(&mut gateway.web(), &post("/", "select 1"));
     assert!(head.starts_with("HTTP/1.1 200") && body.ends_with("<cut>"), "{head}");
 }
 
 #[rstest]
-#[case::both_lengths("POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", "400")]
+#[case::length_and_chunked(
+    "POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
+    "400"
+)]
 #[case::too_large("POST / HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n", "413")]
-#[case::no_http("hello\r\n\r\n", "400")]
-#[case::path("GET /other HTTP/1.1\r\n\r\n", "404")]
-#[case::method("DELETE / HTTP/1.1\r\n\r\n", "501")]
-fn what_cannot_be_served_is_said_so(#[case] request: &str, #[case] status: &str) {
-    let (at, _) = http_engine(rows);
-    let gateway = Gateway::start(&config(&[at], "clickhouse", 5000));
+#[case::not_http("hello\r\n\r\n", "400")]
+#[case::unknown_path("GET /other HTTP/1.1\r\n\r\n", "404")]
+#[case::unsupported_method("DELETE / HTTP/1.1\r\n\r\n", "501")]
+fn invalid_request_is_answered_with_its_http_status(#[case] request: &str, #[case] status: &str) {
+    let (address, _) = http_engine(answer_query);
+    let gateway = Gateway::start(&config(&[address], "clickhouse", 5000));
     let (head, _) = ask(&mut gateway.web(), request);
     assert!(head.starts_with(&format!("HTTP/1.1 {status}")), "{head}");
 }
 
-/// One mix of requests, sent by Thrift, by HTTP, or by both in turn.
-fn counts_of(thrift: bool, http: bool) -> Vec<String> {
-    let (at, _) = http_engine(rows);
-    let gateway = Gateway::start(&config(&[at], "clickhouse", 5000));
-    let (mut client, mut web) = (gateway.client(), gateway.web());
+/// Sends one mix of requests over Thrift, over HTTP or over both alternately, and returns the gateway's request counts.
+fn request_counts(thrift: bool, http: bool) -> Vec<String> {
+    let (address, _) = http_engine(answer_query);
+    let gateway = Gateway::start(&config(&[address], "clickhouse", 5000));
+    let (mut thrift_client, mut http_client) = (gateway.client(), gateway.web());
     for (seq, statement) in
         [(1, "select 1"), (2, "insert into s_1.t values (1)"), (3, "select bad"), (4, "select 4")]
     {
@@ -164,13 +171,13 @@
         if thrift {
             let txn = format!("{seq:016x}");
             let fields = [("verb", class), ("txn", &txn), ("limit", "4000"), ("unique", &txn)];
-            client.write_all(&call(seq, &fields, statement)).expect("sent");
-            let (_, kind, _) = answer(&mut client);
+            thrift_client.write_all(&call(seq, &fields, statement)).expect("sent");
+            let (_, kind, _) = answer(&mut thrift_client);
             assert_eq!(kind, if statement == "select bad" { "internal" } else { "served" });
         }
         if http {
-            let mut reader = BufReader::new(web.try_clone().expect("cloned"));
-            web.write_all(post("/", statement).as_bytes()).expect("sent");
+            let mut reader = BufReader::new(http_client.try_clone().expect("cloned"));
+            http_client.write_all(post("/", statement).as_bytes()).expect("sent");
             assert!(web_message(&mut reader).is_some());
         }
     }
@@ -178,7 +185,7 @@
 }
 
 #[test]
-fn both_fronts_count_the_same_attempts_and_outcomes() {
+fn both_frontends_count_the_same_attempts_and_outcomes() {
     let expected = |n: u32| {
         [
             format!(
@@ -193,7 +200,7 @@
             ),
         ]
     };
-    assert_eq!(counts_of(true, false), expected(1));
-    assert_eq!(counts_of(false, true), expected(1));
-    assert_eq!(counts_of(true, true), expected(2));
+    assert_eq!(request_counts(true, false), expected(1));
+    assert_eq!(request_counts(false, true), expected(1));
+    assert_eq!(request_counts(true, true), expected(2));
 }
--- a/tests/clients_leaving_in_pauses.rs
+++ b/tests/clients_leaving_in_pauses.rs
@@ -1,7 +1,8 @@
-//! Clients that leave while the process is paused: nothing is sent for them once it goes on, wherever their requests wait.
+//! Clients that disconnect or cancel while the process is paused: once it resumes, nothing is sent for them, wherever their
+//! requests wait.
 //!
-//! The process is stopped while requests wait for their turn, for a connection and for their answers. All clients leave in the
-//! pause. An attempt of theirs that arrives at an engine after the pause began after its client had gone.
+//! The process is paused while requests wait in the queue, for a connection and for their answers. All clients leave during the
+//! pause. An attempt of theirs that arrives at an engine after the pause was sent although its client had left.
 
 mod stand;
 
@@ -17,21 +18,22 @@
 use std::time::Duration;
 
 const ENGINES: usize = 3;
-/// More than the engines serve at once.
+/// More clients than the engines serve concurrently.
 const CLIENTS: usize = 60;
 const PAUSES: usize = 10;
 const SERVICE_TIME: Duration = Duration::from_millis(50);
-/// The process runs for so long between two pauses.
+/// Time for which the process runs between two pauses.
 const RUN_TIME: Duration = Duration::from_millis(400);
-/// A pause lasts for so long before the clients leave, and after it.
+/// Length of a pause before the clients leave.
 const PAUSE_BEFORE: Duration = Duration::from_millis(50);
+/// Length of a pause after the clients have left.
 const PAUSE_AFTER: Duration = Duration::from_millis(250);
 
-/// An engine that has read an attempt records it within this time.
+/// Time within which an engine that has read an attempt records it.
 const RECORD_TIME: Duration = Duration::from_millis(50);
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Wire {
+enum Protocol {
     Thrift,
     Http,
 }
@@ -42,41 +44,41 @@
     Cancel,
 }
 
-/// The number of pauses that are over.
-type PausesOver = Arc<AtomicUsize>;
-/// The attempts that arrived at engines: the request's name, and how many pauses were over.
+/// Number of pauses that have ended.
+type PausesEnded = Arc<AtomicUsize>;
+/// Attempts that arrived at engines: the name of the request and the number of pauses that had ended.
 type Arrivals = Arc<Mutex<Vec<(String, usize)>>>;
 
-/// A request without an answer.
+/// Request that was sent and not yet answered.
 struct OpenRequest {
     name: String,
     sequence: i32,
     stream: TcpStream,
 }
 
-/// The open request of a client, which the test takes away as the client leaves.
+/// Open request of a client. The test takes it out when the client leaves.
 type Slot = Arc<Mutex<Option<OpenRequest>>>;
 
 struct EngineRecorder {
     arrivals: Arrivals,
-    pauses_over: PausesOver,
+    pauses_ended: PausesEnded,
 }
 
 impl EngineRecorder {
     fn record(&self, name: &str) {
-        let pauses_over = self.pauses_over.load(Ordering::SeqCst);
-        self.arrivals.lock().expect("arrivals").push((name.to_owned(), pauses_over));
+        let pauses_ended = self.pauses_ended.load(Ordering::SeqCst);
+        self.arrivals.lock().expect("arrivals").push((name.to_owned(), pauses_ended));
     }
 }
 
-fn start_engine(wire: Wire, recorder: EngineRecorder) -> SocketAddr {
-    match wire {
-        Wire::Thrift => start_resp_engine(recorder),
-        Wire::Http => start_http_engine(recorder),
+fn start_engine(protocol: Protocol, recorder: EngineRecorder) -> SocketAddr {
+    match protocol {
+        Protocol::Thrift => start_resp_engine(recorder),
+        Protocol::Http => start_http_engine(recorder),
     }
 }
 
-/// Serves each attempt after [`SERVICE_TIME`], whatever else is open on its connection.
+/// Starts an engine that serves each attempt after [`SERVICE_TIME`], concurrently with the others on its connection.
 fn start_resp_engine(recorder: EngineRecorder) -> SocketAddr {
     let (address, _) = resp_engine_that(move |parts, stream| {
         let answer = served(parts).unwrap_or_default();
@@ -107,26 +109,26 @@
 }
 
 struct Client {
-    wire: Wire,
+    protocol: Protocol,
     gateway: SocketAddr,
     slot: Slot,
     names: Arc<AtomicUsize>,
-    is_over: Arc<AtomicBool>,
+    has_test_ended: Arc<AtomicBool>,
 }
 
 impl Client {
-    /// Sends one request after the other, on a new connection once it has left.
+    /// Sends one request after another, on a new connection each time the client has left.
     fn run(self) {
-        while !self.is_over.load(Ordering::SeqCst) {
+        while !self.has_test_ended.load(Ordering::SeqCst) {
             let Ok(stream) = TcpStream::connect(self.gateway) else { continue };
             let mut sequence = 1;
-            while self.request(&stream, sequence) && !self.is_over.load(Ordering::SeqCst) {
+            while self.request(&stream, sequence) && !self.has_test_ended.load(Ordering::SeqCst) {
                 sequence += 1;
             }
         }
     }
 
-    /// Sends a request and waits for its answer. False: the client has left, or the connection is over.
+    /// Sends a request and waits for its answer. Returns false if the client has left or the connection has ended.
     fn request(&self, stream: &TcpStream, sequence: i32) -> bool {
         let name = name(self.names.fetch_add(1, Ordering::SeqCst));
         let open = OpenRequest { name, sequence, stream: stream.try_clone().expect("cloned") };
@@ -140,12 +142,12 @@
     }
 
     fn message(&self, open: &OpenRequest) -> Vec<u8> {
-        match self.wire {
-            Wire::Thrift => {
+        match self.protocol {
+            Protocol::Thrift => {
                 let fields = [("verb", "lookup"), ("txn", open.name.as_str()), ("limit", "20000")];
                 call(open.sequence, &fields, "select 1")
             }
-            Wire::Http => {
+            Protocol::Http => {
                 format!("POST /?query_id={} HTTP/1.1\r\nContent-Length: 8\r\n\r\nselect 1", open.name)
                     .into_bytes()
             }
@@ -153,9 +155,9 @@
     }
 
     fn receive(&self, mut stream: &TcpStream) -> bool {
-        match self.wire {
-            Wire::Thrift => receive_frame(&mut stream).is_ok(),
-            Wire::Http => web_message(&mut BufReader::new(stream)).is_some(),
+        match self.protocol {
+            Protocol::Thrift => receive_frame(&mut stream).is_ok(),
+            Protocol::Http => web_message(&mut BufReader::new(stream)).is_some(),
         }
     }
 }
@@ -166,48 +168,58 @@
     stream.read_exact(&mut vec![0; u32::from_be_bytes(length) as usize])
 }
 
-struct Bed {
+struct TestSetup {
     gateway: Gateway,
     engines: Vec<SocketAddr>,
     arrivals: Arrivals,
-    pauses_over: PausesOver,
+    pauses_ended: PausesEnded,
     slots: Vec<Slot>,
-    is_over: Arc<AtomicBool>,
+    has_test_ended: Arc<AtomicBool>,
     clients: Vec<JoinHandle<()>>,
-    /// Requests whose clients have left, and how many pauses were over then.
+    /// Requests whose clients have left, with the number of pauses that had ended at that time.
     abandoned: BTreeMap<String, usize>,
 }
 
-impl Bed {
-    fn start(wire: Wire) -> Self {
-        let (arrivals, pauses_over) = (Arrivals::default(), PausesOver::default());
-        let recorder = || EngineRecorder { arrivals: arrivals.clone(), pauses_over: pauses_over.clone() };
-        let engines: Vec<_> = (0..ENGINES).map(|_| start_engine(wire, recorder())).collect();
-        let wire_name = if wire == Wire::Thrift { "resp" } else { "clickhouse" };
-        let gateway = Gateway::start(&config(&engines, wire_name, 20_000));
-        let address = if wire == Wire::Thrift { gateway.thrift } else { gateway.http.expect("set up") };
+impl TestSetup {
+    fn start(protocol: Protocol) -> Self {
+        let (arrivals, pauses_ended) = (Arrivals::default(), PausesEnded::default());
+        let recorder = || EngineRecorder { arrivals: arrivals.clone(), pauses_ended: pauses_ended.clone() };
+        let engines: Vec<_> = (0..ENGINES).map(|_| start_engine(protocol, recorder())).collect();
+        let protocol_name = if protocol == Protocol::Thrift { "resp" } else { "clickhouse" };
+        let gateway = Gateway::start(&config(&engines, protocol_name, 20_000));
+        let address =
+            if protocol == Protocol::Thrift { gateway.thrift } else { gateway.http.expect("set up") };
         let slots: Vec<Slot> = (0..CLIENTS).map(|_| Slot::default()).collect();
-        let (names, is_over) = (Arc::<AtomicUsize>::default(), Arc::<AtomicBool>::default());
+        let (names, has_test_ended) = (Arc::<AtomicUsize>::default(), Arc::<AtomicBool>::default());
         let start_client = |slot: &Slot| {
-            let (names, is_over) = (names.clone(), is_over.clone());
-            let client = Client { wire, gateway: address, slot: slot.clone(), names, is_over };
+            let (names, has_test_ended) = (names.clone(), has_test_ended.clone());
+            let client = Client { protocol, gateway: address, slot: slot.clone(), names, has_test_ended };
             thread::spawn(move || client.run())
         };
         let clients = slots.iter().map(start_client).collect();
-        Self { gateway, engines, arrivals, pauses_over, slots, is_over, clients, abandoned: BTreeMap::new() }
+        Self {
+            gateway,
+            engines,
+            arrivals,
+            pauses_ended,
+            slots,
+            has_test_ended,
+            clients,
+            abandoned: BTreeMap::new(),
+        }
     }
 
-    /// Pauses the process for a while, in which all clients leave.
+    /// Pauses the process; all clients with an open request leave during the pause.
     fn pause(&mut self, departure: Departure) {
         self.gateway.stop();
         sleep(PAUSE_BEFORE);
         let left = self.leave(departure);
-        // The lengths of the pauses are what is tested.
+        // The length of the pause is part of the test, so that there is no event to wait for.
         sleep(PAUSE_AFTER);
-        // What was sent before the pause is no attempt after it, however late an engine gets to read it.
+        // An attempt that was sent before the pause must not count as one after it, however late an engine reads it.
         self.engines.iter().copied().for_each(until_read);
         sleep(RECORD_TIME);
-        self.pauses_over.fetch_add(1, Ordering::SeqCst);
+        self.pauses_ended.fetch_add(1, Ordering::SeqCst);
         self.gateway.resume();
         sleep(RUN_TIME);
         for stream in left {
@@ -215,9 +227,9 @@
         }
     }
 
-    /// All clients with an open request leave. Returns the connections of those that have cancelled it.
+    /// Makes all clients with an open request leave. Returns the connections of those that have cancelled it.
     fn leave(&mut self, departure: Departure) -> Vec<TcpStream> {
-        let pauses_over = self.pauses_over.load(Ordering::SeqCst);
+        let pauses_ended = self.pauses_ended.load(Ordering::SeqCst);
         let open: Vec<_> = self.slots.iter().filter_map(|slot| slot.lock().expect("slot").take()).collect();
         let mut cancelled = Vec::new();
         for mut request in open {
@@ -228,49 +240,61 @@
                     cancelled.push(request.stream);
                 }
             }
-            self.abandoned.insert(request.name, pauses_over);
+            self.abandoned.insert(request.name, pauses_ended);
         }
         cancelled
     }
 
     fn end(&mut self) {
-        self.is_over.store(true, Ordering::SeqCst);
+        self.has_test_ended.store(true, Ordering::SeqCst);
         self.leave(Departure::Close);
         ends_well(&mut self.gateway);
         for client in self.clients.drain(..) {
-            client.join().expect("it ends");
+            client.join().expect("the client thread ends");
         }
     }
 
-    /// The requests that had not arrived at an engine as their clients left.
-    fn waiting(&self) -> usize {
+    /// Returns the number of requests that had not arrived at an engine when their clients left.
+    fn waiting_requests(&self) -> usize {
         let arrivals = self.arrivals.lock().expect("arrivals");
-        let has_arrived =
-            |name: &String, pause: usize| arrivals.iter().any(|(n, at)| n == name && *at <= pause);
+        let has_arrived = |name: &String, pause: usize| {
+            arrivals.iter().any(|(arrived_name, pauses_ended)| arrived_name == name && *pauses_ended <= pause)
+        };
         self.abandoned.iter().filter(|(name, pause)| !has_arrived(name, **pause)).count()
     }
 
-    /// The requests with an attempt that arrived after the pause in which their clients left.
-    fn sent_for_nobody(&self) -> Vec<String> {
+    /// Returns the names of requests with an attempt that arrived after the pause in which their clients left.
+    fn sent_after_client_left(&self) -> Vec<String> {
         let arrivals = self.arrivals.lock().expect("arrivals");
-        let late =
-            arrivals.iter().filter(|(name, at)| self.abandoned.get(name).is_some_and(|pause| at > pause));
-        late.map(|(name, _)| name.clone()).collect()
+        let sent_after_pause = arrivals.iter().filter(|(name, pauses_ended)| {
+            self.abandoned.get(name).is_some_and(|pause| pauses_ended > pause)
+        });
+        sent_after_pause.map(|(name, _)| name.clone()).collect()
     }
 }
 
 #[rstest]
-#[case::close(Wire::Thrift, Departure::Close)]
-#[case::cancel(Wire::Thrift, Departure::Cancel)]
-#[case::close_http(Wire::Http, Departure::Close)]
-fn nothing_is_sent_for_clients_that_left_in_a_pause(#[case] wire: Wire, #[case] departure: Departure) {
-    let mut bed = Bed::start(wire);
+#[case::close(Protocol::Thrift, Departure::Close)]
+#[case::cancel(Protocol::Thrift, Departure::Cancel)]
+#[case::close_http(Protocol::Http, Departure::Close)]
+fn no_attempt_is_sent_for_clients_that_left_during_a_pause(
+    #[case] protocol: Protocol,
+    #[case] departure: Departure,
+) {
+    let mut setup = TestSetup::start(protocol);
     sleep(RUN_TIME);
     for _ in 0..PAUSES {
-        bed.pause(departure);
+        setup.pause(departure);
     }
-    let (waiting, sent) = (bed.waiting(), bed.sent_for_nobody());
-    bed.end();
-    assert!(waiting > PAUSES, "{waiting} requests waited in the gateway");
-    assert!(sent.is_empty(), "{} of {waiting} were sent after their clients had left: {sent:?}", sent.len());
+    let (waiting_requests, sent) = (setup.waiting_requests(), setup.sent_after_client_left());
+    setup.end();
+    assert!(
+        waiting_requests > PAUSES,
+        "only {waiting_requests} requests were waiting in the gateway when their clients left"
+    );
+    assert!(
+        sent.is_empty(),
+        "{} of {waiting_requests} were sent after their clients had left: {sent:?}",
+        sent.len()
+    );
 }
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -1,5 +1,5 @@
-//! Clients, processes and name services that end or pause: each test forces one order of events. `engine_endings` has those of
-//! attempts.
+//! Clients that disconnect, processes that shut down or pause, and name services that fall silent: each test forces one order of
+//! events. The tests of attempts are in `engine_endings`.
 
 mod stand;
 
@@ -15,102 +15,103 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Waits until the other side has closed or reset the connection, whatever is still to be read.
-fn until_closed(stream: &TcpStream) {
+/// Waits until the gateway has closed or reset the connection, without reading the data that is still unread.
+fn wait_until_closed(stream: &TcpStream) {
     for _ in 0..3_000 {
-        let mut fds = [PollFd::new(stream, PollFlags::RDHUP)];
-        let within = rustix::event::Timespec { tv_sec: 0, tv_nsec: 10_000_000 };
-        if poll(&mut fds, Some(&within)).is_ok_and(|n| n > 0) {
+        let mut poll_fds = [PollFd::new(stream, PollFlags::RDHUP)];
+        let timeout = rustix::event::Timespec { tv_sec: 0, tv_nsec: 10_000_000 };
+        if poll(&mut poll_fds, Some(&timeout)).is_ok_and(|n| n > 0) {
             return;
         }
     }
-    panic!("it is never closed");
+    panic!("the connection was not closed within 30 s");
 }
 
-/// The least time between SIGTERM and the end of a process that has nothing open.
-const WINDOW: Duration = Duration::from_millis(800);
+/// Shortest time between SIGTERM and the exit of a process that has no open request.
+const SHUTDOWN_WINDOW: Duration = Duration::from_millis(800);
 
-/// The name of a request that its engine keeps open while the process is told to end.
-const HELD: &str = "00000000000000f1";
+/// Name of the request that its engine leaves unanswered until the process has received SIGTERM and is paused.
+const HELD_REQUEST: &str = "00000000000000f1";
 
-fn engine_that_holds_one() -> (SocketAddr, Log, Arc<Barrier>) {
-    let answer = reply(&[HELD, "served", "pages=1,cost=5,need=8", "a\tb\tc\n"]);
-    resp_engine_that_holds(HELD, answer, served)
+fn engine_with_held_request() -> (SocketAddr, Log, Arc<Barrier>) {
+    let answer = reply(&[HELD_REQUEST, "served", "pages=1,cost=5,need=8", "a\tb\tc\n"]);
+    resp_engine_that_holds(HELD_REQUEST, answer, served)
 }
 
-/// Tells the process to end, and stops it over the end of its window. A request that is open keeps the process from
-/// ending before it is stopped; its answer lies there once the process goes on.
-fn stop_over_the_end_of_the_window(gateway: &Gateway, log: &Log, held: &Barrier) -> TcpStream {
+/// Sends SIGTERM and pauses the process until its shutdown window is over. An open request keeps the process from exiting before
+/// it is paused; the engine's answer to it has arrived when the process is resumed. Returns the connection of that request.
+fn pause_past_the_shutdown_window(gateway: &Gateway, log: &Log, answer_held: &Barrier) -> TcpStream {
     let mut client = gateway.client();
-    client.write_all(&lookup_within(HELD, 60_000)).expect("sent");
-    until(log, |l| l.iter().any(|p| p[0] == "want" && p[1] == HELD));
-    let mut balancer = gateway.web();
+    client.write_all(&lookup_within(HELD_REQUEST, 60_000)).expect("sent");
+    until(log, |log| log.iter().any(|parts| parts[0] == "want" && parts[1] == HELD_REQUEST));
+    let mut health_checker = gateway.web();
     gateway.terminate();
-    let begun = Instant::now();
-    while !ask(&mut balancer, "GET /ping HTTP/1.1\r\n\r\n").0.starts_with("HTTP/1.1 503") {}
+    let terminated_at = Instant::now();
+    while !ask(&mut health_checker, "GET /ping HTTP/1.1\r\n\r\n").0.starts_with("HTTP/1.1 503") {}
     gateway.stop();
-    held.wait();
-    held.wait();
-    // Nothing but time tells that the window is over.
-    thread::sleep((WINDOW + Duration::from_millis(100)).saturating_sub(begun.elapsed()));
+    answer_held.wait();
+    answer_held.wait();
+    // The process is paused, so only elapsed time shows that the window is over.
+    thread::sleep((SHUTDOWN_WINDOW + Duration::from_millis(100)).saturating_sub(terminated_at.elapsed()));
     client
 }
 
-/// A process stands still over the end of its window. What arrived meanwhile, on connections that rested and on such as
-/// wait to be accepted, was taken by the machine, and is answered.
+/// The process is paused until its shutdown window is over. Requests that arrive meanwhile, on idle connections and on those that
+/// wait to be accepted, have been received by the operating system and must be answered.
 #[test]
-fn requests_that_arrive_as_the_window_ends_are_answered() {
-    let (at, log, held) = engine_that_holds_one();
-    let mut gateway = Gateway::start(&never_late(&config(&[at], "resp", 60_000)));
-    let mut resting: Vec<_> = (0..8).map(|_| gateway.client()).collect();
-    for client in &mut resting {
+fn requests_that_arrive_as_the_shutdown_window_ends_are_answered() {
+    let (address, log, answer_held) = engine_with_held_request();
+    let mut gateway = Gateway::start(&never_late(&config(&[address], "resp", 60_000)));
+    let mut idle_clients: Vec<_> = (0..8).map(|_| gateway.client()).collect();
+    for client in &mut idle_clients {
         client.write_all(&health(1)).expect("sent");
         assert_eq!(answer(client).0, 1);
     }
-    let mut open = stop_over_the_end_of_the_window(&gateway, &log, &held);
-    let mut new: Vec<_> = (0..8).map(|_| gateway.client()).collect();
-    for (i, client) in resting.iter_mut().chain(&mut new).enumerate() {
+    let mut held_client = pause_past_the_shutdown_window(&gateway, &log, &answer_held);
+    let mut new_clients: Vec<_> = (0..8).map(|_| gateway.client()).collect();
+    for (i, client) in idle_clients.iter_mut().chain(&mut new_clients).enumerate() {
         let seq = if i < 8 { 2 } else { 1 };
         let fields = [("verb", "lookup"), ("txn", &*format!("{i:016x}")), ("limit", "5000")];
         client.write_all(&call(seq, &fields, "select 1")).expect("sent");
     }
     gateway.resume();
-    for client in resting.iter_mut().chain(&mut new).chain([&mut open]) {
+    for client in idle_clients.iter_mut().chain(&mut new_clients).chain([&mut held_client]) {
         let (_, kind, _) = answer(client);
         assert!(matches!(kind, "served" | "overloaded"), "{kind}");
     }
-    drop((resting, new, open));
-    assert!(gateway.child.wait().expect("it ends").success());
+    drop((idle_clients, new_clients, held_client));
+    assert!(gateway.child.wait().expect("the process exits").success());
 }
 
-/// The same for connections that wait to be accepted, where `accept` fails for a moment before each of them.
+/// Connections that wait to be accepted as the shutdown window ends are accepted and answered, although `accept` fails for a moment
+/// before each of them.
 #[test]
-fn connections_that_wait_as_the_window_ends_are_accepted_though_accept_fails_for_moments() {
-    let (at, log, held) = engine_that_holds_one();
+fn connections_pending_as_the_shutdown_window_ends_are_accepted_despite_accept_errors() {
+    let (address, log, answer_held) = engine_with_held_request();
     let faults = Faults::new("seed=9,accept=0.7");
-    let config = never_late(&config(&[at], "resp", 60_000));
+    let config = never_late(&config(&[address], "resp", 60_000));
     let mut gateway = Gateway::start_with_faults(&config, &faults);
-    let mut open = stop_over_the_end_of_the_window(&gateway, &log, &held);
-    let mut new: Vec<_> = (0..16).map(|_| gateway.client()).collect();
-    for (i, client) in new.iter_mut().enumerate() {
+    let mut held_client = pause_past_the_shutdown_window(&gateway, &log, &answer_held);
+    let mut new_clients: Vec<_> = (0..16).map(|_| gateway.client()).collect();
+    for (i, client) in new_clients.iter_mut().enumerate() {
         client.write_all(&lookup_within(&format!("{i:016x}"), 5000)).expect("sent");
     }
     faults.begin();
     gateway.resume();
-    for client in new.iter_mut().chain([&mut open]) {
+    for client in new_clients.iter_mut().chain([&mut held_client]) {
         let (_, kind, _) = answer(client);
         assert!(matches!(kind, "served" | "overloaded"), "{kind}");
     }
-    drop((new, open));
-    assert!(gateway.child.wait().expect("it ends").success());
+    drop((new_clients, held_client));
+    assert!(gateway.child.wait().expect("the process exits").success());
 }
 
-/// Some clients rest until the gateway ends their connections. What they say after that is read by nobody, and takes
-/// nothing that was said to them along.
+/// An idle client learns of the shutdown as its connection is half-closed. A request that it sends after that is discarded, and
+/// must not reset the connection, which would destroy what was sent to the client.
 #[test]
-fn resting_client_is_told_of_the_end_and_what_it_says_then_is_never_sent_on() {
-    let (at, log) = resp_engine(served);
-    let mut gateway = Gateway::start(&config(&[at], "resp", 5000));
+fn idle_client_is_closed_at_shutdown_and_its_later_request_is_never_forwarded() {
+    let (address, log) = resp_engine(served);
+    let mut gateway = Gateway::start(&config(&[address], "resp", 5000));
     let mut client = gateway.client();
     client.write_all(&lookup_within("00000000000000a1", 5000)).expect("sent");
     assert_eq!(answer(&mut client).1, "served");
@@ -120,110 +121,116 @@
         .write_all(&call(2, &[("verb", "lookup"), ("txn", "a2"), ("limit", "5000")], "select 2"))
         .expect("sent");
     drop(client);
-    assert!(gateway.child.wait().expect("it ends").success());
+    assert!(gateway.child.wait().expect("the process exits").success());
     assert_eq!(attempts_of(&log, "a2"), 0);
 }
 
-/// Closed over bytes that nobody has read, a connection is reset, and an answer that lies at the client's machine is lost.
+/// Closing a connection with unread bytes resets it, and the reset destroys an answer that the client has not read yet.
 #[rstest]
 #[case::thrift_frame_too_long(true)]
-#[case::http_that_cannot_be_read(false)]
-fn answer_is_not_lost_with_what_the_client_says_after_it(#[case] thrift: bool) {
-    let (at, _) = resp_engine(served);
-    let gateway = Gateway::start(&config(&[at], "resp", 5000));
+#[case::invalid_http(false)]
+fn answer_is_not_lost_to_invalid_bytes_that_follow_its_request(#[case] thrift: bool) {
+    let (address, _) = resp_engine(served);
+    let gateway = Gateway::start(&config(&[address], "resp", 5000));
     let mut client = if thrift { gateway.client() } else { gateway.web() };
     client.write_all(&if thrift { health(1) } else { b"GET /ping HTTP/1.1\r\n\r\n".to_vec() }).expect("sent");
-    // It lies there, and is not read.
+    // The answer has arrived; it stays unread until the connection is closed.
     assert!(client.peek(&mut [0; 1]).expect("answered") > 0);
-    let junk = if thrift { vec![0x7f; 200_000] } else { b"NO WAY\r\n".repeat(25_000) };
-    let _ = client.write_all(&junk);
-    until_closed(&client);
-    let mut all = Vec::new();
-    client.read_to_end(&mut all).expect("closed, not reset");
-    assert!(all.len() > 8, "{all:?}");
+    let invalid_bytes = if thrift { vec![0x7f; 200_000] } else { b"NO WAY\r\n".repeat(25_000) };
+    let _ = client.write_all(&invalid_bytes);
+    wait_until_closed(&client);
+    let mut received = Vec::new();
+    client.read_to_end(&mut received).expect("closed, not reset");
+    assert!(received.len() > 8, "{received:?}");
 }
 
-/// Bytes that are not read ahead must not hide that their client has gone.
+/// Pipelined requests that the gateway has not read must not hide that their client has disconnected.
 #[test]
-fn http_client_that_pipelines_much_and_goes_is_gone() {
-    let (at, log) = resp_engine(|parts| if parts[0] == "want" { Some(String::new()) } else { served(parts) });
-    let gateway = Gateway::start(&never_late(&config(&[at], "resp", 60_000)));
+fn disconnect_of_an_http_client_is_noticed_behind_pipelined_requests() {
+    let (address, log) =
+        resp_engine(|parts| if parts[0] == "want" { Some(String::new()) } else { served(parts) });
+    let gateway = Gateway::start(&never_late(&config(&[address], "resp", 60_000)));
     let mut client = gateway.web();
     client.write_all(b"POST / HTTP/1.1\r\nContent-Length: 8\r\n\r\nselect 1").expect("sent");
-    until(&log, |l| l.iter().any(|p| p[0] == "want"));
+    until(&log, |log| log.iter().any(|parts| parts[0] == "want"));
     client.write_all(&b"GET /ping HTTP/1.1\r\n\r\n".repeat(4_000)).expect("sent");
     drop(client);
-    until(&log, |l| l.iter().any(|p| p[0] == "never_mind"));
-    // It was given up as its client had gone, and not to go elsewhere.
+    until(&log, |log| log.iter().any(|parts| parts[0] == "never_mind"));
+    // The attempt was cancelled because its client had disconnected, not to be retried on another engine.
     let counts = gateway.counts();
     assert!(counts[0].contains("answered [0, 0, 0, 1]"), "{counts:?}");
 }
 
-/// The flow to the list service falls silent for good; the service is well. It is asked from a new socket, and what it
-/// tells there holds.
+/// The name service works, but its responses no longer reach the socket that polled it first. The gateway polls it from a new
+/// socket and applies the responses received there.
 #[test]
-fn flow_to_the_list_that_falls_silent_is_left_for_a_new_one() {
-    let names = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    let names_at = names.local_addr().expect("bound");
-    let (first, drained) = resp_engine(served);
-    let (second, _) = resp_engine(served);
-    let drains = Arc::new(AtomicBool::new(false));
-    let from_now = drains.clone();
+fn silent_flow_to_the_name_service_is_replaced_by_a_new_one() {
+    let name_service = UdpSocket::bind("127.0.0.1:0").expect("a port");
+    let name_service_address = name_service.local_addr().expect("bound");
+    let (first_engine, first_engine_log) = resp_engine(served);
+    let (second_engine, _) = resp_engine(served);
+    let drain_begun = Arc::new(AtomicBool::new(false));
+    let drain_begun_seen = drain_begun.clone();
     thread::spawn(move || {
-        let (mut bytes, mut silent) = ([0; 512], None);
-        while let Ok((len, from)) = names.recv_from(&mut bytes) {
-            let is_draining = from_now.load(Ordering::SeqCst);
-            // The flow that was answered first is dead once the drain begins.
-            let flow = *silent.get_or_insert(from);
-            if is_draining && from == flow {
+        let (mut bytes, mut dead_flow) = ([0; 512], None);
+        while let Ok((len, from)) = name_service.recv_from(&mut bytes) {
+            let has_drain_begun = drain_begun_seen.load(Ordering::SeqCst);
+            // The flow that was answered first receives no response once the drain begins.
+            let flow = *dead_flow.get_or_insert(from);
+            if has_drain_begun && from == flow {
                 continue;
             }
-            let list = [("s-0", first, is_draining), ("s-1", second, false)];
-            let _ =
-                names.send_to(&names_answer_of(&bytes[..len], if is_draining { 3 } else { 2 }, &list), from);
+            let list = [("s-0", first_engine, has_drain_begun), ("s-1", second_engine, false)];
+            let _ = name_service
+                .send_to(&names_answer_of(&bytes[..len], if has_drain_begun { 3 } else { 2 }, &list), from);
         }
     });
-    let text =
-        config(&[first, second], "resp", 5_000).replacen('{', &format!(r#"{{"names":"{names_at}","#), 1);
+    let text = config(&[first_engine, second_engine], "resp", 5_000).replacen(
+        '{',
+        &format!(r#"{{"names":"{name_service_address}","#),
+        1,
+    );
     let gateway = Gateway::start(&text);
     let mut client = gateway.client();
-    let mut ask = |seq: i32| {
+    let mut send_lookup = |seq: i32| {
         let fields = [("verb", "lookup"), ("txn", &*format!("{seq:016x}")), ("limit", "5000")];
         client.write_all(&call(seq, &fields, "select 1")).expect("sent");
         answer(&mut client)
     };
-    let sent = || drained.lock().expect("log").iter().filter(|p| p[0] == "want").count();
+    let attempts_sent =
+        || first_engine_log.lock().expect("log").iter().filter(|parts| parts[0] == "want").count();
     let mut seq = 0;
-    while sent() == 0 {
+    while attempts_sent() == 0 {
         seq += 1;
-        ask(seq);
-        assert!(seq < 10_000, "both are used");
+        send_lookup(seq);
+        assert!(seq < 10_000, "the first engine receives requests");
     }
-    drains.store(true, Ordering::SeqCst);
-    // Once the drain is heard a hundred in a row go elsewhere, where each of two takes about half.
-    let mut row = 0;
-    while row < 100 {
-        let before = sent();
+    drain_begun.store(true, Ordering::SeqCst);
+    // Without the drain each of the two engines receives about half of the requests, so a hundred in a row on the other engine
+    // show that the drain was received.
+    let mut consecutive = 0;
+    while consecutive < 100 {
+        let before = attempts_sent();
         seq += 1;
-        ask(seq);
-        row = if sent() > before { 0 } else { row + 1 };
-        assert!(seq < 200_000, "the drain is never heard");
+        send_lookup(seq);
+        consecutive = if attempts_sent() > before { 0 } else { consecutive + 1 };
+        assert!(seq < 200_000, "the drain was never received");
     }
 }
 
-/// Idle clients hold all that clients may hold, and more wait, while the list service is away. It comes back: the list is
-/// heard, new clients are served, the second address answers.
+/// Idle clients hold all connections that clients may hold, and more wait, while the name service does not answer. Once it answers,
+/// the list is received, new clients are served and the operators' address answers.
 #[test]
-fn crowd_of_idle_clients_while_the_list_is_away_keeps_nothing_from_coming_back() {
-    let names = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    let names_at = names.local_addr().expect("bound");
-    let (at, _) = resp_engine(served);
-    let more = format!(r#"{{"names":"{names_at}","operator":"127.0.0.1:0","#);
-    let text = never_late(&config(&[], "resp", 60_000)).replacen('{', &more, 1);
-    // The configuration promises more than the system gives.
+fn idle_clients_at_the_connection_limit_do_not_prevent_recovery_from_a_name_service_outage() {
+    let name_service = UdpSocket::bind("127.0.0.1:0").expect("a port");
+    let name_service_address = name_service.local_addr().expect("bound");
+    let (address, _) = resp_engine(served);
+    let extra_settings = format!(r#"{{"names":"{name_service_address}","operator":"127.0.0.1:0","#);
+    let text = never_late(&config(&[], "resp", 60_000)).replacen('{', &extra_settings, 1);
+    // The configuration allows more descriptors than the system does.
     let gateway = Gateway::start_after(&text, "ulimit -n 64");
     let operator = gateway.operator.expect("set up");
-    let crowd: Vec<_> = (0..150)
+    let idle_clients: Vec<_> = (0..150)
         .map(|_| {
             let client = gateway.client();
             let mut writer = client.try_clone().expect("cloned");
@@ -231,39 +238,40 @@
             client
         })
         .collect();
-    let (served_by, mut bytes) = (at, [0; 512]);
+    let (engine, mut bytes) = (address, [0; 512]);
     thread::spawn(move || {
-        while let Ok((len, from)) = names.recv_from(&mut bytes) {
-            let _ = names.send_to(&names_answer(&bytes[..len], 2, &[("s-0", served_by)]), from);
+        while let Ok((len, from)) = name_service.recv_from(&mut bytes) {
+            let _ = name_service.send_to(&names_answer(&bytes[..len], 2, &[("s-0", engine)]), from);
         }
     });
     let mut ready = false;
     for _ in 0..10_000 {
-        let mut staff = TcpStream::connect(operator).expect("it listens");
-        staff.set_read_timeout(Some(Duration::from_secs(30))).expect("set");
-        let (head, _) = ask(&mut staff, "GET /api/ready HTTP/1.1\r\n\r\n");
+        let mut operator_client = TcpStream::connect(operator).expect("the gateway listens");
+        operator_client.set_read_timeout(Some(Duration::from_secs(30))).expect("set");
+        let (head, _) = ask(&mut operator_client, "GET /api/ready HTTP/1.1\r\n\r\n");
         ready = head.starts_with("HTTP/1.1 200");
         if ready {
             break;
         }
     }
-    assert!(ready, "the list was heard and the second address answers");
+    assert!(ready, "the list was received and the operators' address answers");
     let mut client = gateway.client();
     client.write_all(&lookup_within("00000000000000a1", 5_000)).expect("sent");
     assert_eq!(answer(&mut client).1, "served");
-    drop(crowd);
+    drop(idle_clients);
 }
 
-/// A client sends much at once and goes: what it sent and its going are read together, and nothing of it is sent on.
+/// A client sends many requests and disconnects before the gateway reads them: the gateway reads the requests and the disconnect
+/// together and forwards none of the requests.
 #[test]
-fn client_that_sends_much_and_goes_has_sent_nothing() {
-    let (at, log) = resp_engine(served);
-    let gateway = Gateway::start(&never_late(&config(&[at], "resp", 60_000)));
+fn requests_read_together_with_a_disconnect_are_never_forwarded() {
+    let (address, log) = resp_engine(served);
+    let gateway = Gateway::start(&never_late(&config(&[address], "resp", 60_000)));
     let mut client = gateway.client();
     client.write_all(&health(1)).expect("sent");
     assert_eq!(answer(&mut client).0, 1);
     gateway.stop();
-    // Several reads' worth, and no more than a process that reads nothing is sent whole.
+    // Too much for one read, and little enough to be received in full by a process that reads nothing.
     let requests = (2..300).flat_map(|seq| {
         let fields = [("verb", "lookup"), ("txn", &*format!("{seq:016x}")), ("limit", "20000")];
         call(seq, &fields, "select 1")
@@ -273,57 +281,58 @@
     drop(client);
     gateway.until_stream_end_arrived(address);
     gateway.resume();
-    let mut after = gateway.client();
-    after.write_all(&lookup_within("00000000000000a1", 20_000)).expect("sent");
-    assert_eq!(answer(&mut after).1, "served");
-    let sent = log.lock().expect("log").iter().filter(|p| p[0] == "want").count();
+    let mut other_client = gateway.client();
+    other_client.write_all(&lookup_within("00000000000000a1", 20_000)).expect("sent");
+    assert_eq!(answer(&mut other_client).1, "served");
+    let sent = log.lock().expect("log").iter().filter(|parts| parts[0] == "want").count();
     assert_eq!(sent, 1);
 }
 
-/// Staff call as the process ends: they are told so, and are not met by a close.
+/// Operators' calls that arrive while the process shuts down are answered with 503 rather than closed without an answer.
 #[test]
-fn call_that_arrives_as_the_process_ends_is_answered() {
-    let (at, _) = resp_engine(served);
-    let text = config(&[at], "resp", 5_000).replacen('{', r#"{"operator":"127.0.0.1:0","#, 1);
+fn operator_call_that_arrives_during_shutdown_is_answered() {
+    let (address, _) = resp_engine(served);
+    let text = config(&[address], "resp", 5_000).replacen('{', r#"{"operator":"127.0.0.1:0","#, 1);
     let mut gateway = Gateway::start(&text);
     let operator = gateway.operator.expect("set up");
     gateway.terminate();
     gateway.stop();
     thread::sleep(Duration::from_millis(1_200));
-    let mut staff: Vec<_> = (0..4).map(|_| TcpStream::connect(operator).expect("it listens")).collect();
-    for caller in &mut staff {
+    let mut operator_clients: Vec<_> =
+        (0..4).map(|_| TcpStream::connect(operator).expect("the gateway listens")).collect();
+    for caller in &mut operator_clients {
         caller.set_read_timeout(Some(Duration::from_secs(30))).expect("set");
         caller.write_all(b"GET /api/ready HTTP/1.1\r\n\r\n").expect("sent");
     }
     gateway.resume();
-    for caller in staff {
+    for caller in operator_clients {
         let (head, _) = web_message(&mut std::io::BufReader::new(caller)).expect("an answer");
         assert!(head[0].starts_with("HTTP/1.1 503"), "{head:?}");
     }
-    assert!(gateway.child.wait().expect("it ends").success());
+    assert!(gateway.child.wait().expect("the process exits").success());
 }
 
-/// The process is told to end, and stands still until after its last moment; requests arrive on open connections meanwhile. They
-/// are answered once it goes on.
+/// The process receives SIGTERM and is paused until its shutdown deadline is over. Requests that arrive on open connections
+/// meanwhile are answered once it is resumed.
 #[test]
-fn what_arrives_in_a_pause_that_outlasts_the_end_is_answered() {
+fn requests_that_arrive_in_a_pause_past_the_shutdown_deadline_are_answered() {
     const CLIENTS: i32 = 8;
-    let (at, _) = resp_engine(served);
-    let mut gateway = Gateway::start(&config(&[at], "resp", 1_000));
+    let (address, _) = resp_engine(served);
+    let mut gateway = Gateway::start(&config(&[address], "resp", 1_000));
     let mut clients: Vec<_> = (0..CLIENTS).map(|_| gateway.client()).collect();
     for client in &mut clients {
         client.write_all(&health(1)).expect("sent");
         assert_eq!(answer(client).0, 1);
     }
     gateway.terminate();
-    // What is asked after the signal is answered after it was handled.
+    // Requests that are sent after the signal are answered after the signal was handled.
     let mut last = gateway.client();
     for seq in 1..=3 {
         let fields = [("verb", "lookup"), ("txn", &*format!("{:016x}", 100 + seq)), ("limit", "1000")];
         last.write_all(&call(seq, &fields, "select 1")).expect("sent");
         assert_eq!(answer(&mut last).1, "served");
     }
-    // Its last moment is 1.3 s after SIGTERM, where deadlines are a second away.
+    // The shutdown deadline is 1.3 s after SIGTERM where the longest request deadline is 1 s.
     gateway.stop();
     for (n, client) in clients.iter_mut().enumerate() {
         let fields = [("verb", "lookup"), ("txn", &*format!("{n:016x}")), ("limit", "1000")];
@@ -335,5 +344,5 @@
         let (seq, kind, _) = answer(client);
         assert_eq!(seq, 2, "{kind}");
     }
-    assert!(gateway.child.wait().expect("it ends").success());
+    assert!(gateway.child.wait().expect("the process exits").success());
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,36 +1,43 @@
-//! What a process may take of its machine, added up.
+//! Sums of the limits of one process, compared with what its machine allows.
 
 use rstest::rstest;
 use starlingplank::limits::Limits;
 use starlingplank::simulator::Fields;
 use std::collections::BTreeMap;
 
-/// Descriptors that a process needs whatever comes: some 20 were counted, two sockets of the name service among them.
-const OWN: usize = 24;
+/// Descriptors that a process needs for itself at any load: about 20 are in use, two sockets for the name service among them.
+const PROCESS_DESCRIPTORS: usize = 24;
 
-/// Clients, engines, staff and those that wait for room, all at their most, leave what the process itself needs.
+/// With the connections of clients, waiting clients, engines and operators all at their limits, the descriptors that the process
+/// itself needs stay free.
 #[rstest]
-fn descriptors_of_all_that_comes_leave_those_that_the_process_needs(
+fn connections_at_their_limits_leave_the_descriptors_that_the_process_needs(
     #[values(64, 65, 96, 256, 384, 544, 1024)] sockets: usize,
 ) {
-    let set = BTreeMap::from([("machine.sockets".to_owned(), sockets.to_string())]);
-    let l = Limits::read(&Fields::new("settings", set)).expect("a number");
-    let all = l.max_client_connections
-        + l.max_waiting_connections
-        + l.max_engine_connections
-        + l.max_admin_connections;
-    assert!(all + OWN <= sockets, "{all} and {OWN} of {sockets}");
-    assert!(all + OWN + sockets / 10 + 8 >= sockets, "and little is left over: {all} of {sockets}");
+    let settings = BTreeMap::from([("machine.sockets".to_owned(), sockets.to_string())]);
+    let limits = Limits::read(&Fields::new("settings", settings)).expect("a number");
+    let connections = limits.max_client_connections
+        + limits.max_waiting_connections
+        + limits.max_engine_connections
+        + limits.max_admin_connections;
+    assert!(
+        connections + PROCESS_DESCRIPTORS <= sockets,
+        "{connections} connections and {PROCESS_DESCRIPTORS} descriptors of the process exceed {sockets}"
+    );
+    assert!(
+        connections + PROCESS_DESCRIPTORS + sockets / 10 + 8 >= sockets,
+        "too many descriptors are unused: {connections} of {sockets} are connections"
+    );
 }
 
-/// SIGKILL follows SIGTERM by the longest deadline, 3 s at most, and 0.7 s: by then a process has answered and closed its connections, with
-/// time to spare.
+/// SIGKILL follows SIGTERM after the longest request deadline, capped at 3 s, plus 0.7 s. Before that the process must have answered
+/// its requests and closed its connections, with a margin.
 #[rstest]
 #[case::longest(9_000.0, 300.0)]
 #[case::three_seconds(3_000.0, 300.0)]
 #[case::short(1_000.0, 140.0)]
 #[case::shortest(100.0, 140.0)]
-fn process_ends_well_before_it_may_be_killed(#[case] longest_deadline: f64, #[case] margin: f64) {
+fn shutdown_ends_with_a_margin_before_sigkill(#[case] longest_deadline: f64, #[case] margin: f64) {
     let defaults = Limits::read(&Fields::new("settings", BTreeMap::new())).expect("the defaults");
     let limits = defaults.with_shutdown_deadlines(longest_deadline);
     let close_wait = limits.connection_close_wait.as_secs_f64() * 1000.0;
--- a/tests/notes.rs
+++ b/tests/notes.rs
@@ -1,4 +1,4 @@
-//! Progress updates of engines: the state of an attempt in flight, never an answer to it.
+//! Progress updates of engines: they report the state of an in-flight attempt and are never its answer.
 
 mod stand;
 
@@ -19,40 +19,40 @@
 #[rstest]
 #[case::progress("detail=p,v=0.25", Ok(Some(ProgressUpdate::Progress(0.25))))]
 #[case::spill("detail=s,v=120", Ok(Some(ProgressUpdate::Spill(120.0))))]
-#[case::memory("detail=w,v=1", Ok(Some(ProgressUpdate::WaitsForMemory)))]
-#[case::load("v=2,detail=w", Ok(Some(ProgressUpdate::WaitsForLoad)))]
-#[case::absent("-", Ok(None))]
-#[case::empty("detail=,v=", Ok(None))]
-#[case::others_alone("use=util:0.5", Ok(None))]
-#[case::cut("detail=p", Err(InvalidProgressUpdate))]
-#[case::no_kind("v=0.5", Err(InvalidProgressUpdate))]
+#[case::waits_for_memory("detail=w,v=1", Ok(Some(ProgressUpdate::WaitsForMemory)))]
+#[case::waits_for_load("v=2,detail=w", Ok(Some(ProgressUpdate::WaitsForLoad)))]
+#[case::no_fields("-", Ok(None))]
+#[case::empty_values("detail=,v=", Ok(None))]
+#[case::other_fields_only("use=util:0.5", Ok(None))]
+#[case::missing_value("detail=p", Err(InvalidProgressUpdate))]
+#[case::missing_kind("v=0.5", Err(InvalidProgressUpdate))]
 #[case::not_a_number("detail=p,v=half", Err(InvalidProgressUpdate))]
 #[case::not_finite("detail=s,v=inf", Err(InvalidProgressUpdate))]
-#[case::past_all("detail=p,v=1.5", Err(InvalidProgressUpdate))]
-#[case::below_nothing("detail=s,v=-1", Err(InvalidProgressUpdate))]
-#[case::absurd("detail=s,v=1e300", Err(InvalidProgressUpdate))]
+#[case::progress_above_one("detail=p,v=1.5", Err(InvalidProgressUpdate))]
+#[case::negative_spill("detail=s,v=-1", Err(InvalidProgressUpdate))]
+#[case::spill_out_of_range("detail=s,v=1e300", Err(InvalidProgressUpdate))]
 #[case::unknown_wait("detail=w,v=3", Err(InvalidProgressUpdate))]
 #[case::unknown_kind("detail=z,v=1", Err(InvalidProgressUpdate))]
-fn progress_updates_are_read(
+fn progress_updates_are_parsed(
     #[case] fields: &str,
     #[case] expected: Result<Option<ProgressUpdate>, InvalidProgressUpdate>,
 ) {
     let bytes = update(ID, fields);
-    let Read::Reply(read, _) = resp::read(bytes.as_bytes(), 1000) else { panic!("an answer") };
+    let Read::Reply(read, _) = resp::read(bytes.as_bytes(), 1000) else { panic!("no complete reply") };
     assert_eq!(read.progress_update(), expected);
 }
 
-/// An update was once taken for an invalid answer: its connection was closed with all requests on it.
+/// Guards against an update being taken for an invalid answer, which closes its connection and ends all requests on it.
 #[rstest]
 #[case::progress("detail=p,v=0.5")]
-#[case::waits("detail=w,v=2")]
-#[case::none("-")]
-#[case::cut("detail=p")]
-#[case::unusable("detail=p,v=much")]
-fn updates_before_an_answer_leave_its_request_and_their_neighbours_alone(#[case] fields: &'static str) {
-    let (at, log) = resp_engine(move |parts| {
+#[case::waits_for_load("detail=w,v=2")]
+#[case::no_fields("-")]
+#[case::missing_value("detail=p")]
+#[case::not_a_number("detail=p,v=much")]
+fn updates_before_an_answer_affect_neither_their_request_nor_later_ones(#[case] fields: &'static str) {
+    let (address, log) = resp_engine(move |parts| {
         Some(match parts[0].as_str() {
-            // Twice, then one for an unknown request, then the answer.
+            // Two updates, one update for an unknown request, then the answer.
             "want" => {
                 update(&parts[1], fields).repeat(2)
                     + &update("00000000000000ff", fields)
@@ -62,7 +62,7 @@
             _ => String::new(),
         })
     });
-    let gateway = Gateway::start(&config(&[at], "resp", 60_000));
+    let gateway = Gateway::start(&config(&[address], "resp", 60_000));
     let mut client = gateway.client();
     for seq in 1..=3 {
         let id = format!("00000000000000b{seq}");
@@ -75,10 +75,10 @@
     assert!(!log.iter().any(|parts| parts[0] == "closed"), "{log:?}");
 }
 
-/// Updates on a query whose result has begun change nothing in its pages.
+/// Updates that arrive between or after the pages of a result do not change the result.
 #[test]
-fn updates_between_and_after_pages_change_nothing() {
-    let (at, log) = resp_engine(|parts| {
+fn updates_between_and_after_pages_are_ignored() {
+    let (address, log) = resp_engine(|parts| {
         Some(match parts[0].as_str() {
             "want" => {
                 reply(&[&parts[1], "served", "pages=2,cost=5,need=8", "1\t\t\n"])
@@ -92,7 +92,7 @@
             _ => String::new(),
         })
     });
-    let gateway = Gateway::start(&config(&[at], "resp", 60_000));
+    let gateway = Gateway::start(&config(&[address], "resp", 60_000));
     let mut client = gateway.client();
     client.write_all(&call(1, &LOOKUP, "select 1")).expect("sent");
     assert_eq!(answer(&mut client), (1, "served", "1\t\t\n2\t\t\n".into()));
@@ -102,15 +102,15 @@
     assert!(!log.lock().expect("log").iter().any(|parts| parts[0] == "closed"));
 }
 
-/// An update for a cancelled query is no second answer.
+/// An update that arrives after its query was cancelled is not taken for an answer.
 #[test]
-fn update_for_a_query_that_was_given_up_changes_nothing() {
-    let first: Arc<Mutex<Option<String>>> = Arc::default();
-    let (at, log) = resp_engine(move |parts| {
-        let mut first = first.lock().expect("first");
+fn update_for_a_cancelled_query_is_ignored() {
+    let first_id: Arc<Mutex<Option<String>>> = Arc::default();
+    let (address, log) = resp_engine(move |parts| {
+        let mut first_id = first_id.lock().expect("first");
         Some(match parts[0].as_str() {
-            "want" if first.is_none() => {
-                *first = Some(parts[1].clone());
+            "want" if first_id.is_none() => {
+                *first_id = Some(parts[1].clone());
                 String::new()
             }
             "never_mind" => update(&parts[1], "detail=p,v=0.5"),
@@ -118,7 +118,7 @@
             _ => String::new(),
         })
     });
-    let gateway = Gateway::start(&config(&[at], "resp", 60_000));
+    let gateway = Gateway::start(&config(&[address], "resp", 60_000));
     let mut client = gateway.client();
     client.write_all(&call(1, &LOOKUP, "select 1")).expect("sent");
     until(&log, |log| log.iter().any(|parts| parts[0] == "want"));
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -1,5 +1,5 @@
-//! System calls that fail as Linux documents, in the real program: no request is lost or run twice by them, the process
-//! starts, serves, listens and ends.
+//! System calls of the real program that fail in ways documented for Linux: no request is lost or executed twice, and the process
+//! starts, serves, listens and exits as usual.
 
 mod stand;
 
@@ -12,19 +12,19 @@
 use std::process::{Child, Command, Stdio};
 use std::thread;
 
-/// An interrupted call has done nothing, and is made again.
+/// A system call that fails with EINTR has had no effect and is repeated.
 #[rstest]
 #[case::platform("resp")]
 #[case::clickhouse("clickhouse")]
-fn interrupted_reads_and_writes_lose_nothing_and_run_nothing_twice(#[case] wire: &str) {
+fn interrupted_reads_and_writes_lose_no_request_and_execute_none_twice(#[case] protocol: &str) {
     const CLIENTS: usize = 8;
     const REQUESTS: usize = 40;
-    let (at, log) = match wire {
+    let (address, log) = match protocol {
         "resp" => resp_engine(served),
         _ => http_engine(|_, _| Some(web_answer("200 OK", "", "a\tb\tc\n"))),
     };
     let faults = Faults::new("seed=3,interrupt=0.2,short=0.05");
-    let mut gateway = Gateway::start_with_faults(&never_late(&config(&[at], wire, 60_000)), &faults);
+    let mut gateway = Gateway::start_with_faults(&never_late(&config(&[address], protocol, 60_000)), &faults);
     faults.begin();
     let clients: Vec<_> = (0..CLIENTS).map(|_| gateway.client()).collect();
     let clients = clients.into_iter().enumerate().map(|(number, mut client)| {
@@ -41,7 +41,7 @@
     ends_well(&mut gateway);
     let queries =
         |log: &Log| log.lock().expect("log").iter().filter(|line| line[0].contains("query_id")).count();
-    match wire {
+    match protocol {
         "resp" => {
             let attempts = attempts(&log);
             assert_eq!(attempts.len(), CLIENTS * REQUESTS);
@@ -51,17 +51,17 @@
     }
 }
 
-/// Connections to an engine that fail for a moment are retried, and the engine is not ejected.
+/// Sockets and connects to an engine that fail for a moment are retried, and the engine is not ejected.
 #[test]
-fn engine_is_used_where_sockets_and_connects_fail_for_a_moment() {
+fn engine_is_not_ejected_when_sockets_and_connects_fail_for_a_moment() {
     const REQUESTS: usize = 30;
-    // It closes its connection after each answer, so that each request needs a new one.
-    let (at, log) = resp_engine_that(|parts, stream| {
+    // The engine closes its connection after each answer, so that each request needs a new one.
+    let (address, log) = resp_engine_that(|parts, stream| {
         let reply = served(parts).unwrap_or_default();
         stream.write_all(reply.as_bytes()).is_ok() && parts[0] != "want"
     });
     let faults = Faults::new("seed=5,socket=0.3,connect=0.3");
-    let mut gateway = Gateway::start_with_faults(&never_late(&config(&[at], "resp", 60_000)), &faults);
+    let mut gateway = Gateway::start_with_faults(&never_late(&config(&[address], "resp", 60_000)), &faults);
     faults.begin();
     for n in 1..=REQUESTS {
         is_served(gateway.client(), n);
@@ -70,44 +70,44 @@
     assert_eq!(attempts(&log).values().sum::<usize>(), REQUESTS);
 }
 
-/// There may be no descriptors for a moment at the start.
+/// The process retries when its first sockets cannot be opened, as when no descriptors are free for a moment.
 #[test]
-fn process_starts_where_its_first_sockets_fail() {
-    let (at, _) = resp_engine(served);
+fn process_starts_although_its_first_sockets_fail() {
+    let (address, _) = resp_engine(served);
     let faults = Faults::new("socket_first=3");
-    let gateway = Gateway::start_with_faults(&config(&[at], "resp", 20_000), &faults);
+    let gateway = Gateway::start_with_faults(&config(&[address], "resp", 20_000), &faults);
     is_served(gateway.client(), 1);
 }
 
-/// The file is a pipe: until the test writes it, the process waits for its configuration.
+/// The configuration file is a pipe, so that the process waits in the read of it until the test writes; SIGHUP arrives meanwhile.
 #[test]
-fn hangup_before_the_configuration_is_read_does_not_end_the_process() {
-    let (at, _) = resp_engine(served);
+fn sighup_before_the_configuration_is_read_does_not_end_the_process() {
+    let (address, _) = resp_engine(served);
     let folder = tempfile::tempdir().expect("a folder");
     let pipe = folder.path().join("config.json");
-    assert!(Command::new("mkfifo").arg(&pipe).status().expect("it runs").success());
+    assert!(Command::new("mkfifo").arg(&pipe).status().expect("mkfifo runs").success());
     let mut command = Command::new(env!("CARGO_BIN_EXE_starlingplank"));
     command.env("PROXY_CONFIG", &pipe).arg("serve").stdout(Stdio::piped());
-    let text = config(&[at], "resp", 20_000);
+    let text = config(&[address], "resp", 20_000);
     let mut child = command.spawn().expect("the program starts");
-    // Opening it waits for the reader.
-    let mut writer = File::options().write(true).open(&pipe).expect("it is read");
+    // Opening the pipe blocks until the process opens it for reading.
+    let mut writer = File::options().write(true).open(&pipe).expect("the process opens the pipe");
     let id = child.id().to_string();
     assert!(Command::new("kill").args(["-HUP", &id]).status().expect("kill runs").success());
     writer.write_all(text.as_bytes()).expect("written");
     drop(writer);
-    // It listens before it reloads.
-    let listens = first_line_with(&mut child, " listens at ");
+    // The process listens before it handles the reload.
+    let listens = output_contains(&mut child, " listens at ");
     drop((child.kill(), child.wait()));
-    assert!(listens, "it ended before it listened");
+    assert!(listens, "the process exited before it listened");
 }
 
-fn first_line_with(child: &mut Child, what: &str) -> bool {
-    let mut out = child.stdout.take().expect("piped");
-    let (mut all, mut bytes) = (String::new(), [0; 256]);
-    while let Ok(n @ 1..) = out.read(&mut bytes) {
-        all.push_str(&String::from_utf8_lossy(&bytes[..n]));
-        if all.contains(what) {
+fn output_contains(child: &mut Child, text: &str) -> bool {
+    let mut stdout = child.stdout.take().expect("piped");
+    let (mut output, mut bytes) = (String::new(), [0; 256]);
+    while let Ok(n @ 1..) = stdout.read(&mut bytes) {
+        output.push_str(&String::from_utf8_lossy(&bytes[..n]));
+        if output.contains(text) {
             return true;
         }
     }
