--- a/crates/experiments/src/soak/mod.rs
+++ b/crates/experiments/src/soak/mod.rs
@@ -48,21 +48,21 @@
         // The settings' 20 ms, 50 ms more on sockets, and what a busy machine adds here.
         answer_grace: 0.15,
         abandoned_slack: 0.1,
-        budget_slack: 0.15,
+        deadline_slack: 0.15,
         key_window: f64::from(KEY_WINDOW_MS) / 1000.0 + 0.05,
         drain_grace: 2.05,
         propagation_delay: 1.5,
         relocation_propagation_delay: 4.0,
         max_propagation_delay: 7.0,
-        retry_budget: RetryBudget { free: 2.0, per_request: 0.2, span: 10.0 },
+        retry_budget: RetryBudget { base_retries: 2.0, per_request: 0.2, span: 10.0 },
         slow_start: SlowStart {
             warm_budget: COLLAPSE_MULTIPLE * CORES * COLLAPSE_AFTER_MS / 1000.0 / engine::MEAN_SERVICE_TIME,
             span,
-            from_share: SLOW_START_FROM,
+            initial_share: SLOW_START_FROM,
             duration: SLOW_START_MS / 1000.0,
         },
-        ready_by: 10.0,
-        ended_by: 3.7,
+        max_start_time: 10.0,
+        max_shutdown_time: 3.7,
         max_log_lines: 40.0,
     }
 }
--- a/crates/experiments/src/soak/oracle.rs
+++ b/crates/experiments/src/soak/oracle.rs
@@ -1,4 +1,5 @@
-//! The rules, checked in what clients and engines recorded. Each check returns a line for each violation, with the transaction id.
+//! The oracle: checks the records of a run against every rule. Each check returns one line for each violation, which begins with the
+//! transaction id, or with the gateway or engine that the violation concerns.
 
 use super::ledger::{AttemptRecord, Class, Ledger, RecoveryCheck, RequestEnd, RequestRecord};
 use std::collections::BTreeMap;
@@ -15,17 +16,17 @@
 pub use processes::processes;
 pub use retry_budgets::retry_budgets;
 
-/// Two ends may be recorded in the other order on two connections.
+/// Slack in seconds when two attempts are compared: events on two connections may be recorded in reverse order.
 const REORDERING_SLACK: f64 = 0.03;
-/// How long after its client has gone an attempt may begin, in seconds.
+/// Maximum time, in seconds, from the moment a client abandons its request to the beginning of an attempt.
 const ABANDONED_SLACK: f64 = 0.1;
-/// The least share of the requests after the last fault that are served.
+/// Minimum share of the requests sent after the last fault that a gateway must serve.
 const MIN_RECOVERED_SHARE: f64 = 0.8;
 
-/// A check of one rule.
+/// Checks one rule and returns its violations.
 type Check = fn(&Ledger, &RuleParameters) -> Vec<String>;
 
-/// All rules by their names.
+/// All rules, each with its name in reports.
 const RULES: [(&str, Check); 11] = [
     ("answers", answers),
     ("single attempts", single_attempts),
@@ -40,7 +41,7 @@
     ("unknown requests", unknown_requests),
 ];
 
-/// All violations by the rules' names; rules without a violation are left out.
+/// Returns all violations by the name of their rule. Rules without a violation are omitted.
 pub fn violations_by_rule(
     ledger: &Ledger,
     parameters: &RuleParameters,
@@ -49,27 +50,31 @@
     checked.filter(|(_, violations)| !violations.is_empty()).collect()
 }
 
-/// All violations of all rules.
+/// Returns the violations of all rules in one list.
 pub fn violations(ledger: &Ledger, parameters: &RuleParameters) -> Vec<String> {
     violations_by_rule(ledger, parameters).into_values().flatten().collect()
 }
 
-/// Engines receive nothing that no client sent.
+/// Checks that engines receive only requests that a client sent.
 pub fn unknown_requests(ledger: &Ledger, _: &RuleParameters) -> Vec<String> {
     let unknown = ledger.attempts.iter().filter(|(txn, _)| !ledger.requests.contains_key(*txn));
-    unknown.map(|(txn, attempts)| format!("{txn}: sent though no client sent it: {attempts:?}")).collect()
+    unknown
+        .map(|(txn, attempts)| {
+            format!("{txn}: an engine received a request that no client sent: {attempts:?}")
+        })
+        .collect()
 }
 
-/// At most one attempt of a request is in flight.
+/// Checks that no more than one attempt of a request is in flight at any time.
 pub fn single_attempts(ledger: &Ledger, _: &RuleParameters) -> Vec<String> {
     let overlap = |pair: &[AttemptRecord]| {
         pair[0].end.is_none_or(|end| end.at.earliest > pair[1].arrived.latest + REORDERING_SLACK)
     };
     let violating = ledger.attempts.iter().filter(|(_, attempts)| attempts.windows(2).any(overlap));
-    violating.map(|(txn, attempts)| format!("{txn}: two attempts out at once: {attempts:?}")).collect()
+    violating.map(|(txn, attempts)| format!("{txn}: two attempts in flight at once: {attempts:?}")).collect()
 }
 
-/// What may have been executed is sent again only where its class allows it.
+/// Checks that a request that may have been executed is sent again only if its class allows this.
 pub fn repeats(ledger: &Ledger, parameters: &RuleParameters) -> Vec<String> {
     let violation = |(txn, attempts): (&String, &Vec<AttemptRecord>)| {
         let class = ledger.requests.get(txn)?.class;
@@ -81,13 +86,14 @@
             Class::NotIdempotent => !repeats.is_empty(),
             Class::Keyed => repeats.iter().any(|attempt| attempt.arrived.earliest > window_end),
         };
-        is_violation.then(|| format!("{txn}: sent again though it may have run: {attempts:?}"))
+        is_violation.then(|| format!("{txn}: sent again although it may have been executed: {attempts:?}"))
     };
     ledger.attempts.iter().filter_map(violation).collect()
 }
 
-/// No attempt begins over 0.1 s after its client has abandoned the request. Where the client did so in a pause of the process that went
-/// on for longer, none begins after the pause, however slow the machine is.
+/// Checks that no attempt begins more than `abandoned_slack` (0.1 s) after its client has abandoned the request. If the client abandoned
+/// it while the process was paused, and the pause lasted for more than another 0.1 s, no attempt begins after the pause either, even if
+/// the slack is wider to allow for a slow machine.
 pub fn abandoned_requests(ledger: &Ledger, parameters: &RuleParameters) -> Vec<String> {
     let violation = |(txn, request): (&String, &RequestRecord)| {
         let (RequestEnd::Abandoned(abandoned) | RequestEnd::WriteFailed(abandoned)) = request.end else {
@@ -97,13 +103,15 @@
         let last = attempts.iter().map(|attempt| attempt.arrived.earliest).fold(0.0, f64::max);
         let allowed = (abandoned + parameters.abandoned_slack).min(end_of_pause(ledger, request, abandoned));
         let delay = last - abandoned;
-        (last > allowed).then(|| format!("{txn}: an attempt arrived {delay:.3} s after its client had gone"))
+        (last > allowed)
+            .then(|| format!("{txn}: an attempt arrived {delay:.3} s after the client abandoned the request"))
     };
     ledger.requests.iter().filter_map(violation).collect()
 }
 
-/// The end of the pause in which a request was abandoned, if it went on for longer than the rule allows; else infinity, as also in a
-/// hot restart, where it is not known which process had the request.
+/// Returns the end of the pause of the process during which a request was abandoned, if that pause lasted longer than the rule allows
+/// for an attempt, and infinity otherwise. During a hot restart the result is infinity too: the ledger does not show which of the two
+/// processes accepted the request.
 fn end_of_pause(ledger: &Ledger, request: &RequestRecord, abandoned: f64) -> f64 {
     let processes = ledger.processes.get(request.gateway).into_iter().flatten();
     let mut running = processes.filter(|process| process.is_running(abandoned));
@@ -112,20 +120,20 @@
     resumed.unwrap_or(f64::INFINITY)
 }
 
-/// The deadline stated to an engine is at most what the client has left.
+/// Checks that the time to the deadline that a gateway states to an engine does not exceed the remaining time of the client.
 pub fn deadlines(ledger: &Ledger, parameters: &RuleParameters) -> Vec<String> {
     let violation = |(txn, attempts): (&String, &Vec<AttemptRecord>)| {
         let request = ledger.requests.get(txn)?;
-        let left = |attempt: &AttemptRecord| request.sent + request.timeout - attempt.arrived.earliest;
-        let excesses = attempts.iter().map(|attempt| attempt.budget - left(attempt));
+        let remaining = |attempt: &AttemptRecord| request.sent + request.timeout - attempt.arrived.earliest;
+        let excesses = attempts.iter().map(|attempt| attempt.budget - remaining(attempt));
         let excess = excesses.fold(f64::NEG_INFINITY, f64::max);
-        (excess > parameters.budget_slack)
-            .then(|| format!("{txn}: an engine was told {excess:.3} s more than was left"))
+        (excess > parameters.deadline_slack)
+            .then(|| format!("{txn}: an engine was given {excess:.3} s more than the client had left"))
     };
     ledger.attempts.iter().filter_map(violation).collect()
 }
 
-/// A cold engine gets no more requests within a span than its slow start allows, over all gateways.
+/// Checks that a cold engine receives, from all gateways together, no more requests within any span than its slow start allows.
 pub fn slow_starts(ledger: &Ledger, parameters: &RuleParameters) -> Vec<String> {
     let mut arrivals: BTreeMap<usize, Vec<f64>> = BTreeMap::new();
     for attempt in ledger.attempts.values().flatten() {
@@ -150,17 +158,20 @@
         let count = times[index..].iter().take_while(|at| **at <= from + span).count() as f64;
         let progress = ((from + span - cold_since) / slow_start.duration).clamp(0.0, 1.0);
         let SlowStartBound { budget, max_requests } = slow_start.max_requests(progress);
-        (progress < 1.0 && count > max_requests)
-            .then(|| format!("engine {engine}: {count} attempts within {span} s, N is {budget:.1}"))
+        (progress < 1.0 && count > max_requests).then(|| {
+            format!(
+                "engine {engine}: {count} attempts within {span} s of slow start, budget N is {budget:.1}"
+            )
+        })
     })
 }
 
-/// Every process serves within 3 s of the end of the last fault.
+/// Checks that every gateway serves requests again from 3 s after the end of the last fault.
 pub fn recoveries(ledger: &Ledger, _: &RuleParameters) -> Vec<String> {
     let violation = |(gateway, check): (usize, &RecoveryCheck)| {
         let RecoveryCheck { served, sent } = *check;
         ((served as f64) < MIN_RECOVERED_SHARE * sent as f64)
-            .then(|| format!("gateway {gateway}: serves {served} of {sent} after the last trouble"))
+            .then(|| format!("gateway {gateway}: served {served} of {sent} requests after the last fault"))
     };
     ledger.recovery_checks.iter().enumerate().filter_map(violation).collect()
 }
--- a/crates/experiments/src/soak/oracle/answers.rs
+++ b/crates/experiments/src/soak/oracle/answers.rs
@@ -1,41 +1,42 @@
-//! The rule on answers: each request that a process accepted gets one final answer, in time. What excuses a request that got none is
-//! counted, so that a rise is seen.
+//! The rule on answers: each request that a gateway process accepted gets exactly one final answer, in time. Requests without an answer
+//! that a known cause excuses are counted by cause, so that a report shows if their number rises.
 
 use super::parameters::RuleParameters;
 use crate::soak::ledger::{ConnectionFlood, Ledger, ProcessEvent, ProcessRecord, RequestEnd, RequestRecord};
 use std::collections::BTreeMap;
 
-/// A request that crosses the close of a connection without open requests within this time is the client's to send again.
-const CLOSE_CROSSING: f64 = 0.05;
-/// How long a client may use a connection after its process was killed, before it notices.
-const KILL_NOTICE: f64 = 0.1;
-/// How long after the end of a flood its connections are closed.
+/// Maximum time in seconds from sending a request to the end of its reused connection for which the request counts as having crossed the
+/// gateway's close of an idle connection. The client then has to send it again.
+const CLOSE_RACE_WINDOW: f64 = 0.05;
+/// Maximum time in seconds from the kill of a process until its clients notice that their connections have ended.
+const KILL_DETECTION_TIME: f64 = 0.1;
+/// Maximum time in seconds from the end of a flood until the gateway has closed the flood's connections.
 const FLOOD_CLOSE_TIME: f64 = 1.0;
 
-/// New connections come for so long after SIGTERM where no other process takes over.
+/// Time in seconds after SIGTERM for which a process still accepts new connections if no other process takes over its listener.
 const NEW_CONNECTIONS_AFTER_TERMINATION: f64 = 0.4;
 
-/// Why a request that was not answered, or late, violates no rule.
+/// Cause for which a request with no answer, or with a late one, violates no rule.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Excuse {
-    /// It crossed the close of a used connection.
+    /// The request was sent on a reused connection while the gateway closed it.
     CrossedClose,
-    /// Its new connection was closed unread, as the descriptors were full.
+    /// The gateway closed the new connection without reading from it because its descriptors were exhausted.
     ClosedUnread,
-    /// Its new connection was closed unread by a process that was told to end long before.
+    /// The new connection was closed unread by a process that had received SIGTERM over 0.4 s before.
     ClosedInShutdown,
-    /// The process was killed as a fault of the run.
+    /// The run killed the process as an injected fault.
     Killed,
-    /// The process was paused when SIGKILL came at the end of its shutdown.
+    /// The process was paused when the run sent SIGKILL at the end of the grace period after SIGTERM.
     KilledInPause,
-    /// The answer is late by less than the process was paused.
+    /// The answer is late or missing, but not after subtraction of the time for which the process was paused.
     Paused,
-    /// It could not be written completely: no process accepted it.
+    /// The request could not be written completely, so that no process accepted it.
     WriteFailed,
 }
 
 impl Excuse {
-    /// The name in reports.
+    /// Returns the name in reports.
     pub fn name(self) -> &'static str {
         match self {
             Self::CrossedClose => "crossed a close",
@@ -49,24 +50,24 @@
     }
 }
 
-/// What the rule says of a request.
+/// Result of the rule for one request.
 enum Verdict {
-    Kept,
+    Satisfied,
     Excused(Excuse),
     Violated(String),
 }
 
-/// Each request that a process accepted gets one final answer, in time. A process that was paused answers later by that time;
-/// one that was killed answers nothing.
+/// Checks that each request that a process accepted gets exactly one final answer, in time. An answer may be late by the time for which
+/// the process was paused, and a process that the run killed need not answer.
 pub fn answers(ledger: &Ledger, parameters: &RuleParameters) -> Vec<String> {
     let violation = |(txn, request): (&String, _)| match verdict(ledger, parameters, txn, request) {
         Verdict::Violated(violation) => Some(violation),
-        Verdict::Kept | Verdict::Excused(_) => None,
+        Verdict::Satisfied | Verdict::Excused(_) => None,
     };
     ledger.requests.iter().filter_map(violation).collect()
 }
 
-/// How many requests each excuse covers.
+/// Returns the number of requests that each excuse covers.
 pub fn excuses(ledger: &Ledger, parameters: &RuleParameters) -> BTreeMap<Excuse, usize> {
     let mut counts = BTreeMap::new();
     for (txn, request) in &ledger.requests {
@@ -85,7 +86,7 @@
     match request.end {
         RequestEnd::Answered(..) => answered_verdict(processes, parameters, txn, request),
         RequestEnd::ConnectionLost(at) => {
-            if request.on_used_connection && request.ended_after - request.sent <= CLOSE_CROSSING {
+            if request.on_used_connection && request.ended_after - request.sent <= CLOSE_RACE_WINDOW {
                 return Verdict::Excused(Excuse::CrossedClose);
             }
             if is_closed_unread(ledger, txn, request) {
@@ -107,7 +108,7 @@
                 .map_or_else(|| Verdict::Violated(format!("{txn}: no answer: {request:?}")), Verdict::Excused)
         }
         RequestEnd::WriteFailed(_) => Verdict::Excused(Excuse::WriteFailed),
-        RequestEnd::Abandoned(_) => Verdict::Kept,
+        RequestEnd::Abandoned(_) => Verdict::Satisfied,
     }
 }
 
@@ -124,35 +125,39 @@
     }
     match at - request.sent - request.timeout > parameters.answer_grace {
         true => Verdict::Excused(Excuse::Paused),
-        false => Verdict::Kept,
+        false => Verdict::Satisfied,
     }
 }
 
-/// By how much an answer is late, without the time for which a process was paused.
+/// Returns the time in seconds by which an answer exceeds the client's timeout, less the time for which a process was paused.
 fn delay(processes: &[ProcessRecord], request: &RequestRecord, at: f64) -> f64 {
     let pauses = processes.iter().map(|process| process.paused_within(request.sent, at));
     at - request.sent - request.timeout - pauses.fold(0.0, f64::max)
 }
 
-/// During a hot restart it is not known which of two processes accepted a connection: both excuse it.
+/// Returns the excuse of a request whose process the run killed. During a hot restart the ledger does not show which of the two processes
+/// accepted a connection, so that the kill of either excuses the request.
 fn kill_excuse(
     processes: &[ProcessRecord],
     parameters: &RuleParameters,
     request: &RequestRecord,
     at: f64,
 ) -> Option<Excuse> {
-    let is_during = |kill: f64| kill >= request.sent - KILL_NOTICE && kill <= at + parameters.answer_grace;
-    let has = |event: ProcessEvent, also: fn(&ProcessRecord) -> bool| {
+    let is_during =
+        |kill: f64| kill >= request.sent - KILL_DETECTION_TIME && kill <= at + parameters.answer_grace;
+    let is_any_killed = |event: ProcessEvent, condition: fn(&ProcessRecord) -> bool| {
         let killed = processes.iter().filter(|process| process.first(event).is_some_and(is_during));
-        killed.into_iter().any(also)
+        killed.into_iter().any(condition)
     };
-    if has(ProcessEvent::Killed, |_| true) {
+    if is_any_killed(ProcessEvent::Killed, |_| true) {
         return Some(Excuse::Killed);
     }
-    has(ProcessEvent::Overdue, ProcessRecord::is_paused_when_overdue).then_some(Excuse::KilledInPause)
+    is_any_killed(ProcessEvent::Overdue, ProcessRecord::is_paused_when_overdue)
+        .then_some(Excuse::KilledInPause)
 }
 
-/// Whether a new connection may have been closed unread as the descriptors were full: then there was no attempt.
+/// Returns whether the gateway may have closed a new connection unread because a flood had exhausted its descriptors. There is no attempt
+/// of the request in this case.
 fn is_closed_unread(ledger: &Ledger, txn: &str, request: &RequestRecord) -> bool {
     let is_during = |flood: &ConnectionFlood| {
         let span = flood.from..flood.to + FLOOD_CLOSE_TIME;
@@ -163,8 +168,8 @@
         && ledger.connection_floods.iter().any(is_during)
 }
 
-/// Whether a connection that was opened when no more come, as the only process had been told to end, was closed unread: the system
-/// resets one that comes into the accept queue as its listener is closed.
+/// Returns whether a new connection was closed unread because the gateway's only process was shutting down: the operating system resets
+/// a connection that enters the accept queue while the listener is being closed. There is no attempt of the request in this case.
 fn is_closed_in_shutdown(
     ledger: &Ledger,
     processes: &[ProcessRecord],
--- a/crates/experiments/src/soak/oracle/drains.rs
+++ b/crates/experiments/src/soak/oracle/drains.rs
@@ -1,17 +1,17 @@
-//! The rule on drains, with the excuses of the pages and no others: a change of the list counts as propagated to a gateway
+//! The rule on drains. It grants the specified excuses and no others. A change of the endpoint list counts as propagated to a gateway
 //!
-//! - once a valid response that holds it is sent,
-//! - `propagation_delay` after a valid response would have held it in place of one that was lost or invalid,
-//! - `propagation_delay` after it happened, or after the end of a silence in which it happened,
-//! - `relocation_propagation_delay` after the relocation of the gateway's name service, for a process that was notified of it,
-//! - `max_propagation_delay` after it happened,
+//! - when the name service sends a valid response with the change,
+//! - `propagation_delay` after a lost or invalid response that would otherwise have contained the change,
+//! - `propagation_delay` after the change, or after the end of a silence of the name service during which the change was made,
+//! - `relocation_propagation_delay` after the relocation of the gateway's name service, for a process that got its SIGHUP,
+//! - `max_propagation_delay` after the change,
 //!
-//! whichever is first. A pause of the process or a backoff is no excuse.
+//! whichever comes first. A pause of the process or a backoff does not extend these times.
 
 use super::parameters::RuleParameters;
 use crate::soak::ledger::{AttemptRecord, Drain, Ledger, ProcessEvent, ProcessRecord};
 
-/// No new attempt is sent to an engine that drains or was removed, after the grace.
+/// Checks that no new attempt is sent to an engine that drains or was removed once the grace period after propagation is over.
 pub fn drains(ledger: &Ledger, parameters: &RuleParameters) -> Vec<String> {
     let attempts =
         ledger.attempts.iter().flat_map(|(txn, all)| all.iter().map(move |attempt| (txn, attempt)));
@@ -32,11 +32,11 @@
     let excess = attempt.arrived.earliest - propagated - parameters.drain_grace;
     let since = propagated - drain.at;
     (excess > 0.0).then(|| {
-        format!("{txn}: gateway {gateway} sent to drained engine {engine} {excess:.3} s past the grace, told {since:.3} s after the drain")
+        format!("{txn}: gateway {gateway} sent to drained engine {engine} {excess:.3} s after the grace period, propagated {since:.3} s after the drain")
     })
 }
 
-/// When a drain counts as propagated to a gateway, for an attempt that it sent.
+/// Returns the time at which a drain counts as propagated to the gateway that sent an attempt.
 fn propagated_at(
     ledger: &Ledger,
     parameters: &RuleParameters,
@@ -45,12 +45,12 @@
     attempt: &AttemptRecord,
 ) -> f64 {
     let processes = || starts_of_running(ledger, gateway, drain.at, attempt.arrived.latest);
-    // What one process received is not known to the next.
+    // A process does not have the responses that an earlier process received.
     let by_responses = match processes().count() {
         1 => propagated_by_responses(ledger, parameters, gateway, drain),
         _ => f64::INFINITY,
     };
-    // A process that was started after a relocation was not notified of it.
+    // A process that started after a relocation did not receive its SIGHUP.
     let last_start = processes().reduce(f64::max);
     let relocations = ledger.relocations.iter().filter(|relocation| {
         relocation.gateway == gateway
@@ -68,7 +68,8 @@
     by_relocations.chain(bounds).fold(f64::INFINITY, f64::min)
 }
 
-/// By the responses that were sent to the gateway, or would have been.
+/// Returns the time at which a drain counts as propagated by the responses that the name service sent to the gateway, or would have sent
+/// in place of lost and invalid ones.
 fn propagated_by_responses(
     ledger: &Ledger,
     parameters: &RuleParameters,
@@ -85,7 +86,7 @@
     propagated.fold(f64::INFINITY, f64::min)
 }
 
-/// The first time from then on after which the service is not silent before a change would be propagated.
+/// Returns the earliest time, not before `from`, that is followed by `propagation_delay` without a silence of the name service.
 fn end_of_silence(ledger: &Ledger, parameters: &RuleParameters, gateway: usize, from: f64) -> f64 {
     let mut at = from;
     loop {
@@ -98,7 +99,7 @@
     }
 }
 
-/// When the processes of a gateway started that ran at some time between the two.
+/// Returns the start times of those processes of a gateway that ran at some time between `from` and `to`.
 fn starts_of_running(ledger: &Ledger, gateway: usize, from: f64, to: f64) -> impl Iterator<Item = f64> + '_ {
     let start = move |process: &ProcessRecord| {
         let started = process.first(ProcessEvent::Started)?;
--- a/crates/experiments/src/soak/oracle/parameters.rs
+++ b/crates/experiments/src/soak/oracle/parameters.rs
@@ -1,76 +1,78 @@
-//! The parameters of the rules.
+//! The parameters of the oracle's rules.
 
-/// The parameters of the rules, as the run's settings have them. Times are in seconds.
+/// Parameters of the rules, in accordance with the settings of the gateways. Times are in seconds.
 #[derive(Debug, Clone)]
 pub struct RuleParameters {
-    /// How long after the client's timeout an answer may arrive.
+    /// Maximum time after the client's timeout at which an answer may arrive.
     pub answer_grace: f64,
-    /// How long after its client has abandoned it an attempt of a request may arrive.
+    /// Maximum time after a client has abandoned its request at which an attempt of that request may arrive at an engine.
     pub abandoned_slack: f64,
-    /// How much a stated deadline may exceed what is left.
-    pub budget_slack: f64,
-    /// The deduplication window.
+    /// Maximum time by which a deadline stated to an engine may exceed the remaining time of the client.
+    pub deadline_slack: f64,
+    /// Deduplication window: engines discard repeats of an idempotency key within this time.
     pub key_window: f64,
-    /// The time to stop sending to a draining engine.
+    /// Grace period after the propagation of a drain within which a gateway may still send to the engine.
     pub drain_grace: f64,
-    /// A change of the list counts as propagated so long after it happened, or after a valid response would have held it ...
+    /// Time after which a change of the endpoint list counts as propagated. It runs from the change, from the end of a silence, or from a
+    /// lost or invalid response.
     pub propagation_delay: f64,
-    /// ... so long after the name service was relocated ...
+    /// Time after a relocation of the name service at which all changes made until then count as propagated.
     pub relocation_propagation_delay: f64,
-    /// ... and so long after it happened in any case.
+    /// Time after which a change counts as propagated in any case, also during a silence.
     pub max_propagation_delay: f64,
-    /// The retry budget of a process.
+    /// Retry budget of a process.
     pub retry_budget: RetryBudget,
-    /// The slow start of engines.
+    /// Slow start of engines.
     pub slow_start: SlowStart,
-    /// A process listens so long after its start.
-    pub ready_by: f64,
-    /// A process has ended so long after SIGTERM.
-    pub ended_by: f64,
-    /// The lines that a process may log in a second.
+    /// Maximum time from the start of a process until it listens.
+    pub max_start_time: f64,
+    /// Maximum time from SIGTERM until a process has exited.
+    pub max_shutdown_time: f64,
+    /// Maximum number of lines that a process may log per second.
     pub max_log_lines: f64,
 }
 
-/// A retry budget.
+/// Retry budget of a process over a sliding span of time.
 #[derive(Debug, Clone, Copy)]
 pub struct RetryBudget {
-    /// Retries that are free.
-    pub free: f64,
-    /// Further retries for each request.
+    /// Number of retries that need no request.
+    pub base_retries: f64,
+    /// Number of additional retries that each request earns.
     pub per_request: f64,
-    /// The span over which they count.
+    /// Span in seconds over which requests and retries are counted.
     pub span: f64,
 }
 
-/// The slow start of an engine.
+/// Slow start of an engine.
 #[derive(Debug, Clone, Copy)]
 pub struct SlowStart {
-    /// The requests that a warm engine may be sent within a span.
+    /// Number of requests that a warm engine may receive within `span`.
     pub warm_budget: f64,
-    /// The span.
+    /// Span in seconds over which requests are counted.
     pub span: f64,
-    /// The share of that budget at the engine's start.
-    pub from_share: f64,
-    /// The time until it is warm.
+    /// Share of `warm_budget` that applies at the engine's start.
+    pub initial_share: f64,
+    /// Time in seconds from the engine's start until it is warm.
     pub duration: f64,
 }
 
 impl SlowStart {
-    /// The greatest number of requests within a span at whose end the engine has that share of the slow start behind it: by
-    /// the users' rule for the sum of all gateways, N + 2 x root of N + 2, and under 30 N + 3 x root of N + 3.
+    /// Returns the maximum number of requests, from all gateways together, within a span at whose end `progress` (0 to 1) of the slow start
+    /// has elapsed. With N the budget at that time, the specified limit is N + 2 sqrt(N) + 2, and N + 3 sqrt(N) + 3 for N below 30.
     pub(super) fn max_requests(&self, progress: f64) -> SlowStartBound {
-        let budget = self.warm_budget * (self.from_share + (1.0 - self.from_share) * progress);
+        let budget = self.warm_budget * (self.initial_share + (1.0 - self.initial_share) * progress);
         let factor = if budget < SMALL_BUDGET { 3.0 } else { 2.0 };
         SlowStartBound { budget, max_requests: budget + factor * budget.sqrt() + factor }
     }
 }
 
-/// The bound of a slow start.
+/// Limit for one span of a slow start.
 pub(super) struct SlowStartBound {
-    /// N.
+    /// N: the number of requests that the slow start allows, without a tolerance.
     pub(super) budget: f64,
+    /// Limit on the number of requests, with the tolerance.
     pub(super) max_requests: f64,
 }
 
-/// A slow-start budget is small below this.
+/// Slow-start budget below which the wider tolerance applies.
 const SMALL_BUDGET: f64 = 30.0;
--- a/crates/experiments/src/soak/oracle/processes.rs
+++ b/crates/experiments/src/soak/oracle/processes.rs
@@ -1,4 +1,5 @@
-//! The rules for processes: they listen in time, end when they are told to and not before, count no violation, and log little.
+//! The rules on gateway processes: a process listens in time, exits in time after SIGTERM and not before, counts no violations of its own
+//! rules, and logs no more than a maximum number of lines per second.
 
 use super::parameters::RuleParameters;
 use crate::soak::ledger::{Ledger, ProcessEvent, ProcessRecord, RequestEnd, RequestRecord};
@@ -17,8 +18,8 @@
     violations
 }
 
-/// Whether the gateway answered anything while that process ran. A process whose log could not be written has not logged that
-/// it listens.
+/// Returns whether the gateway answered a request while the process ran. This shows that a process listened whose log line about it
+/// could not be written.
 fn has_answered(ledger: &Ledger, gateway: usize, process: &ProcessRecord) -> bool {
     let from = process.events.first().map_or(0.0, |(at, _)| *at);
     let to = process.events.last().map_or(from, |(at, _)| *at);
@@ -54,8 +55,8 @@
     let started = started_at(process);
     if let Some(at) = process.first(ProcessEvent::Listening) {
         let took = at - started;
-        let is_late = took - process.paused_within(started, at) > parameters.ready_by;
-        return is_late.then(|| format!("listened after {took:.1} s"));
+        let is_late = took - process.paused_within(started, at) > parameters.max_start_time;
+        return is_late.then(|| format!("began to listen only {took:.1} s after its start"));
     }
     let ends = [
         process.first(ProcessEvent::Terminated),
@@ -63,7 +64,7 @@
         process.exit().map(|(at, _)| at),
     ];
     let ended = ends.into_iter().flatten().fold(f64::INFINITY, f64::min);
-    (!has_answered && ended - started > parameters.ready_by).then(|| "never listened".into())
+    (!has_answered && ended - started > parameters.max_start_time).then(|| "never listened".into())
 }
 
 fn end_violation(process: &ProcessRecord, parameters: &RuleParameters) -> Option<String> {
@@ -71,31 +72,31 @@
         return None;
     }
     match (process.exit(), process.first(ProcessEvent::Terminated)) {
-        (Some((at, code)), None) => Some(format!("ended by itself at {at:.3} s with {code:?}")),
-        (Some((_, code)), Some(_)) if code != Some(0) => Some(format!("ended with {code:?} after SIGTERM")),
+        (Some((at, code)), None) => Some(format!("exited by itself at {at:.3} s with {code:?}")),
+        (Some((_, code)), Some(_)) if code != Some(0) => Some(format!("exited with {code:?} after SIGTERM")),
         (Some((at, _)), Some(terminated)) => {
             let took = at - terminated - process.paused_within(terminated, at);
-            (took > parameters.ended_by).then(|| format!("ended {took:.1} s after SIGTERM"))
+            (took > parameters.max_shutdown_time).then(|| format!("exited only {took:.1} s after SIGTERM"))
         }
-        (None, Some(_)) => Some("did not end after SIGTERM".into()),
+        (None, Some(_)) => Some("did not exit after SIGTERM".into()),
         (None, None) => None,
     }
 }
 
 fn overdue_violation(process: &ProcessRecord) -> Option<String> {
-    // One that was paused meanwhile had less time than that; what it owes its clients is checked with their answers.
+    // A process that was paused during the grace period had less time to shut down. The rule on answers checks its requests.
     let overdue = process.first(ProcessEvent::Overdue).filter(|_| process.paused_in_shutdown() == 0.0);
-    overdue.map(|_| "had not ended when SIGKILL came".into())
+    overdue.map(|_| "was still running when the run sent SIGKILL".into())
 }
 
 fn counted_violations(process: &ProcessRecord) -> Option<String> {
     let has_violations = process.violations.is_some_and(|count| count > 0);
-    has_violations.then(|| format!("counted {:?} violations of the rules", process.violations))
+    has_violations.then(|| format!("logged {:?} violations of its own rules", process.violations))
 }
 
 fn log_violation(process: &ProcessRecord, parameters: &RuleParameters) -> Option<String> {
     let started = started_at(process);
     let ran = process.events.last().map_or(started, |(at, _)| *at) - started;
     let is_too_much = process.log_lines as f64 > parameters.max_log_lines * ran.max(1.0);
-    is_too_much.then(|| format!("wrote {} lines of log in {ran:.1} s", process.log_lines))
+    is_too_much.then(|| format!("wrote {} log lines in {ran:.1} s", process.log_lines))
 }
--- a/crates/experiments/src/soak/oracle/retry_budgets.rs
+++ b/crates/experiments/src/soak/oracle/retry_budgets.rs
@@ -1,30 +1,32 @@
-//! The rule on retry budgets: the retries of a process keep to its budget, which begins with the process. During a hot restart it
-//! is not known which of two processes sent an attempt: the attempts of their gateway are counted together.
+//! The rule on retry budgets: each gateway process keeps its retries within its own budget, which starts anew with the process. If a
+//! gateway had a hot restart, the ledger does not show which of two processes sent an attempt, so that all attempts of the gateway are
+//! counted together.
 
 use super::parameters::{RetryBudget, RuleParameters};
 use crate::soak::ledger::{Ledger, ProcessEvent, ProcessRecord};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The slack of the budget: a factor, and a number of retries.
+/// Factor by which the retries may exceed the budget.
 const SLACK_FACTOR: f64 = 1.15;
+/// Number of retries by which the budget, times `SLACK_FACTOR`, may be exceeded.
 const SLACK: f64 = 1.0;
 
-/// Whose retries are counted together.
+/// Processes whose retries are counted against one budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Counted {
     gateway: usize,
-    /// One of its processes; none: all of them.
+    /// Number of a process of the gateway; `None` stands for all of its processes.
     incarnation: Option<u32>,
 }
 
-/// When requests were sent and retries arrived.
+/// Times at which requests were sent and retries arrived at engines.
 #[derive(Default)]
 struct Times {
     requests: Vec<f64>,
     retries: Vec<f64>,
 }
 
-/// Retries keep to the retry budgets.
+/// Checks that the retries stay within the retry budgets.
 pub fn retry_budgets(ledger: &Ledger, parameters: &RuleParameters) -> Vec<String> {
     let violations = times(ledger).into_iter().filter_map(|(counted, times)| {
         let at = first_violation(ledger, parameters.retry_budget, counted, &times)?;
@@ -49,7 +51,7 @@
     times
 }
 
-/// Whether a process of a gateway was started while another ran.
+/// Returns whether a process of a gateway was started while an earlier one was still running.
 fn has_overlap(processes: &[ProcessRecord]) -> bool {
     processes.windows(2).any(|pair| {
         let started = pair[1].first(ProcessEvent::Started).unwrap_or(f64::INFINITY);
@@ -57,27 +59,27 @@
     })
 }
 
-/// The number of times within a span before a time.
+/// Returns the number of `times` within the last `span` seconds before `at`.
 fn count_within(times: &[f64], at: f64, span: f64) -> f64 {
     times.iter().filter(|time| **time <= at && **time > at - span).count() as f64
 }
 
-/// The first retry beyond the budget.
+/// Returns the time of the first retry that exceeds the budget.
 fn first_violation(ledger: &Ledger, budget: RetryBudget, counted: Counted, times: &Times) -> Option<f64> {
-    let RetryBudget { free, per_request, span } = budget;
+    let RetryBudget { base_retries, per_request, span } = budget;
     let is_violation = |at: &f64| {
         let (budgets, earned_span) = match counted.incarnation {
             Some(_) => (1.0, span),
-            // What the previous process spent last was earned before the span.
+            // Retries of the previous process within this span may have been earned by requests before the span.
             None => (running_within(ledger, counted.gateway, *at, span), 2.0 * span),
         };
         let earned = per_request * count_within(&times.requests, *at, earned_span);
-        count_within(&times.retries, *at, span) > SLACK_FACTOR * (free * budgets + earned) + SLACK
+        count_within(&times.retries, *at, span) > SLACK_FACTOR * (base_retries * budgets + earned) + SLACK
     };
     times.retries.iter().copied().find(is_violation)
 }
 
-/// The number of processes of a gateway that ran within a span before a time.
+/// Returns the number of processes of a gateway that ran at some time within the last `span` seconds before `at`.
 fn running_within(ledger: &Ledger, gateway: usize, at: f64, span: f64) -> f64 {
     let is_started =
         |process: &ProcessRecord| process.first(ProcessEvent::Started).is_some_and(|started| started <= at);
--- a/crates/experiments/tests/soak.rs
+++ b/crates/experiments/tests/soak.rs
@@ -27,12 +27,12 @@
     RuleParameters {
         answer_grace: LONG,
         abandoned_slack: LONG,
-        budget_slack: LONG,
+        deadline_slack: LONG,
         key_window: LONG,
         drain_grace: parameters.drain_grace + WIDER_GRACE,
         slow_start: SlowStart { warm_budget: WIDER_BUDGET * slow_start.warm_budget, ..slow_start },
-        ready_by: LONG,
-        ended_by: LONG,
+        max_start_time: LONG,
+        max_shutdown_time: LONG,
         max_log_lines: 1_000.0,
         ..parameters
     }
