--- a/crates/experiments/src/soak/ledger.rs
+++ b/crates/experiments/src/soak/ledger.rs
@@ -1,21 +1,21 @@
-//! What clients, engines, the name service and the parent of the processes recorded in a run. The oracle reads nothing else.
-//! All times are seconds since the run began, by one monotonic clock.
+//! The ledger: the records that clients, engines, the name service and the parent of the gateway processes make in a run. The oracle
+//! reads nothing else. All times are seconds since the start of the run, by one monotonic clock.
 
 use std::collections::BTreeMap;
 
-/// The class of a request, by the effect of a second execution.
+/// Class of a request, by the effect of a second execution.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
 pub enum Class {
     /// A second execution has no effect.
     Idempotent,
-    /// Engines drop repeats of its key within the deduplication window.
+    /// The request has an idempotency key. Engines discard repeats of the key within the deduplication window.
     Keyed,
-    /// A second execution does harm.
+    /// A second execution changes data again, so that the request must not be repeated.
     NotIdempotent,
 }
 
 impl Class {
-    /// The class's name in the settings.
+    /// Returns the name of the class in the settings.
     pub fn name(self) -> &'static str {
         match self {
             Self::Idempotent => "lookup",
@@ -25,153 +25,154 @@
     }
 }
 
-/// How a gateway answered.
+/// Kind of a gateway's answer to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize)]
 pub enum Answer {
-    /// With all rows.
+    /// The answer contains all rows.
     Served,
-    /// With a rejection: a retry is harmless.
+    /// The gateway rejected the request without an execution: the client may retry it.
     Rejected,
-    /// With a failure.
+    /// The request failed, and may have been executed.
     Failed,
 }
 
-/// When something was noticed by the run's own process, which may get no time from a busy machine: it happened at some time between
-/// the last look before and this one.
+/// Time of an event as the test process observed it. On a busy machine that process may get no processor time for a while, so that the
+/// event happened at some time between an earlier reading of the clock and the observation.
 #[derive(Debug, Clone, Copy, PartialEq, serde::Serialize)]
 pub struct Observation {
-    /// The end of the last look before, at which it had not happened.
+    /// Earlier reading of the clock at which the event had not yet happened.
     pub earliest: f64,
-    /// When it was noticed.
+    /// Time at which the event was observed.
     pub latest: f64,
 }
 
 impl Observation {
-    /// Something that happened just then.
+    /// Returns an observation without uncertainty: the event happened at the time `at`.
     pub fn exact(at: f64) -> Self {
         Self { earliest: at, latest: at }
     }
 }
 
-/// How a client's wait for an answer ended, and when.
+/// End of a client's wait for an answer, with its time.
 #[derive(Debug, Clone, Copy, PartialEq, serde::Serialize)]
 pub enum RequestEnd {
-    /// By an answer.
+    /// The client received an answer.
     Answered(f64, Answer),
-    /// The client cancelled it or disconnected.
+    /// The client cancelled the request or disconnected.
     Abandoned(f64),
     /// The gateway closed or reset the connection.
     ConnectionLost(f64),
-    /// There was no answer until then.
+    /// No answer had arrived when the client stopped waiting, some seconds after its timeout.
     NoAnswer(f64),
-    /// It could not be written completely, and the client disconnected.
+    /// The client could not write the request completely, and disconnected.
     WriteFailed(f64),
 }
 
-/// One request of a client.
+/// Record of one request of a client.
 #[derive(Debug, Clone, serde::Serialize)]
 pub struct RequestRecord {
-    /// The number of its gateway.
+    /// Number of the gateway to which the client sent the request.
     pub gateway: usize,
-    /// The process of the gateway that accepted the connection, counted from 0.
+    /// Index of the gateway's process that accepted the connection, counted from 0 in the order of starts: the last one that was started
+    /// before the client connected. In a hot restart the previous process may have accepted it.
     pub incarnation: u32,
-    /// Its class.
+    /// Class of the request.
     pub class: Class,
-    /// When its last byte was written.
+    /// Time at which the client had written the last byte of the request.
     pub sent: f64,
-    /// The client's timeout.
+    /// Timeout of the client, in seconds from `sent`.
     pub timeout: f64,
-    /// How the wait ended.
+    /// End of the client's wait for an answer.
     pub end: RequestEnd,
-    /// The end of the wait, at the earliest.
+    /// Earliest time at which the client's wait may have ended.
     pub ended_after: f64,
-    /// Answers with its sequence number after the first.
+    /// Number of answers that followed the first.
     pub further_answers: u32,
-    /// Whether it was not the first on its connection.
+    /// Whether an earlier request was sent on the same connection.
     pub on_used_connection: bool,
 }
 
-/// How an attempt ended, as its engine recorded it.
+/// Outcome of an attempt, as its engine recorded it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize)]
 pub enum AttemptOutcome {
-    /// It was served.
+    /// The engine served the attempt.
     Served,
-    /// It was rejected before execution.
+    /// The engine rejected the attempt before execution.
     NotExecuted,
-    /// The gateway cancelled it.
+    /// The gateway cancelled the attempt.
     Cancelled,
-    /// Its connection ended.
+    /// The connection between gateway and engine ended.
     ConnectionClosed,
 }
 
-/// The end of an attempt.
+/// End of an attempt at its engine.
 #[derive(Debug, Clone, Copy, PartialEq, serde::Serialize)]
 pub struct AttemptEnd {
-    /// When.
+    /// Time at which the attempt ended.
     pub at: Observation,
-    /// How.
+    /// Outcome of the attempt.
     pub outcome: AttemptOutcome,
 }
 
-/// One attempt at an engine.
+/// Record of one attempt at an engine.
 #[derive(Debug, Clone, serde::Serialize)]
 pub struct AttemptRecord {
-    /// The engine, by its number over all starts.
+    /// Number of the engine. A restarted engine gets a new number.
     pub engine: usize,
-    /// When it had arrived completely.
+    /// Time at which the engine had received the complete attempt.
     pub arrived: Observation,
-    /// The time to its deadline, as the gateway stated it.
+    /// Time to the deadline, in seconds, as the gateway stated it to the engine.
     pub budget: f64,
-    /// None: it is in flight at the end of the run.
+    /// End of the attempt; `None` if it was still in flight at the end of the run.
     pub end: Option<AttemptEnd>,
 }
 
 impl AttemptRecord {
-    /// Whether it may have been executed, or may be being executed.
+    /// Returns whether the engine may have executed the attempt, or may still be executing it.
     pub fn may_have_run(&self) -> bool {
         self.end.is_none_or(|end| end.outcome != AttemptOutcome::NotExecuted)
     }
 }
 
-/// What happened to a process.
+/// Event in the life of a gateway process.
 #[derive(Debug, Clone, Copy, PartialEq, serde::Serialize)]
 pub enum ProcessEvent {
-    /// It was started.
+    /// The run started the process.
     Started,
-    /// It listens.
+    /// The process logged that it accepts client connections.
     Listening,
-    /// It was paused by SIGSTOP.
+    /// The run paused the process with SIGSTOP.
     Paused,
-    /// It was resumed by SIGCONT.
+    /// The run resumed the process with SIGCONT.
     Resumed,
-    /// It was sent SIGTERM.
+    /// The run sent SIGTERM.
     Terminated,
-    /// It was killed as a fault of the run.
+    /// The run sent SIGKILL as an injected fault.
     Killed,
-    /// It was killed as its time after SIGTERM was over.
+    /// The run sent SIGKILL because the process had not exited within the grace period after SIGTERM (3.7 s, 4.7 s in a hot restart).
     Overdue,
-    /// It ended with that code; none: by a signal.
+    /// The process exited with this code; `None` if a signal ended it.
     Exited(Option<i32>),
 }
 
-/// The record of one process.
+/// Record of one gateway process.
 #[derive(Debug, Clone, Default, serde::Serialize)]
 pub struct ProcessRecord {
-    /// What happened and when, in order.
+    /// Events with their times, in chronological order.
     pub events: Vec<(f64, ProcessEvent)>,
-    /// The lines of its log.
+    /// Number of lines that the process logged.
     pub log_lines: usize,
-    /// The violations that it counted itself, as it logged at its end.
+    /// Number of rule violations that the process counted itself and logged when it exited; `None` if it logged none.
     pub violations: Option<u64>,
 }
 
 impl ProcessRecord {
-    /// When an event first happened.
+    /// Returns the time of the first event of this kind.
     pub fn first(&self, wanted: ProcessEvent) -> Option<f64> {
         self.events.iter().find(|(_, event)| *event == wanted).map(|(at, _)| *at)
     }
 
-    /// When it ended, and with which code.
+    /// Returns the time at which the process exited and its exit code; the code is `None` if a signal ended the process.
     pub fn exit(&self) -> Option<(f64, Option<i32>)> {
         self.events.iter().find_map(|(at, event)| match event {
             ProcessEvent::Exited(code) => Some((*at, *code)),
@@ -179,13 +180,13 @@
         })
     }
 
-    /// Whether it had been started then, and had not ended.
+    /// Returns whether the process had been started by the time `at` and had not exited.
     pub fn is_running(&self, at: f64) -> bool {
         self.first(ProcessEvent::Started).is_some_and(|started| started <= at)
             && self.exit().is_none_or(|(ended, _)| ended > at)
     }
 
-    /// When it was resumed from the pause that it was in then; none where it was not paused.
+    /// Returns the time at which the process was resumed from the pause that it was in at the time `at`; `None` if it was not paused then.
     pub fn resumed_after(&self, at: f64) -> Option<f64> {
         let is_of_pause = |event: ProcessEvent| matches!(event, ProcessEvent::Paused | ProcessEvent::Resumed);
         let mut pauses = self.events.iter().filter(|(_, event)| is_of_pause(*event));
@@ -194,7 +195,7 @@
         after.first().filter(|_| is_paused).map(|(resumed, _)| *resumed)
     }
 
-    /// Whether it was paused when it was killed as its time after SIGTERM was over.
+    /// Returns whether the process was paused when the run killed it at the end of the grace period after SIGTERM.
     pub fn is_paused_when_overdue(&self) -> bool {
         let before = self.events.iter().take_while(|(_, event)| *event != ProcessEvent::Overdue);
         let pauses =
@@ -203,13 +204,14 @@
             && pauses.last().is_some_and(|(_, event)| *event == ProcessEvent::Paused)
     }
 
-    /// For how long it was paused between SIGTERM and SIGKILL; 0 where it was not killed.
+    /// Returns the time in seconds for which the process was paused between SIGTERM and the SIGKILL at the end of the grace period; 0 if
+    /// the run did not send that SIGKILL.
     pub fn paused_in_shutdown(&self) -> f64 {
         let shutdown = self.first(ProcessEvent::Terminated).zip(self.first(ProcessEvent::Overdue));
         shutdown.map_or(0.0, |(terminated, killed)| self.paused_within(terminated, killed))
     }
 
-    /// For how long it was paused between two times.
+    /// Returns the time in seconds for which the process was paused between `from` and `to`.
     pub fn paused_within(&self, from: f64, to: f64) -> f64 {
         let mut total = 0.0;
         let mut paused_at = None;
@@ -227,98 +229,98 @@
     }
 }
 
-/// A change of the list by which an engine drains.
+/// Change of the endpoint list that marks an engine as draining.
 #[derive(Debug, Clone, Copy, PartialEq, serde::Serialize)]
 pub struct Drain {
-    /// When.
+    /// Time of the change.
     pub at: f64,
-    /// The first version of the list with it.
+    /// First version of the endpoint list that contains the change.
     pub version: u32,
 }
 
-/// An engine, from its start to its end.
+/// Record of an engine, from its start to its end.
 #[derive(Debug, Clone, serde::Serialize)]
 pub struct EngineRecord {
-    /// When it was first listed; none: it was there from the start, and is warm.
+    /// Time at which the engine started cold; `None` for engines that run from the beginning and are warm.
     pub cold_since: Option<f64>,
-    /// Its drain.
+    /// Drain of the engine, if it was drained.
     pub drain: Option<Drain>,
 }
 
-/// A list that a name service sent to a gateway, or would have sent with a valid response.
+/// Endpoint list that the name service sent to a gateway, or would have sent in place of a lost or invalid response.
 #[derive(Debug, Clone, Copy, serde::Serialize)]
 pub struct Announcement {
-    /// The number of the gateway.
+    /// Number of the gateway.
     pub gateway: usize,
-    /// When the response was sent, or would have been.
+    /// Time at which the response was sent, or would have been sent.
     pub at: f64,
-    /// The version of the list.
+    /// Version of the list.
     pub version: u32,
-    /// Whether the response was valid, and held that version.
+    /// Whether the response was valid and contained this version.
     pub is_valid: bool,
 }
 
-/// A span in which a name service responded to no poll.
+/// Span in which the name service responded to no poll.
 #[derive(Debug, Clone, Copy, serde::Serialize)]
 pub struct Silence {
-    /// The number of the gateway; none: of all.
+    /// Number of the gateway whose polls got no response; `None` for all gateways.
     pub gateway: Option<usize>,
-    /// When it began.
+    /// Beginning of the span.
     pub from: f64,
-    /// When it ended.
+    /// End of the span.
     pub to: f64,
 }
 
-/// A series of SIGHUPs that relocated the name service of a gateway.
+/// Series of SIGHUPs with which a gateway's configuration changed to another address of the name service.
 #[derive(Debug, Clone, Copy, serde::Serialize)]
 pub struct Relocation {
-    /// The number of the gateway.
+    /// Number of the gateway.
     pub gateway: usize,
-    /// When the last of them was sent.
+    /// Time at which the last SIGHUP was sent.
     pub at: f64,
 }
 
-/// A span in which idle connections filled a gateway's descriptors.
+/// Span in which idle connections exhausted a gateway's file descriptors.
 #[derive(Debug, Clone, Copy, serde::Serialize)]
 pub struct ConnectionFlood {
-    /// The number of the gateway.
+    /// Number of the gateway.
     pub gateway: usize,
-    /// When it began.
+    /// Beginning of the span.
     pub from: f64,
-    /// When it ended.
+    /// End of the span.
     pub to: f64,
 }
 
-/// The requests to a gateway after the last fault.
+/// Requests sent to a gateway after the last fault, to check that it has recovered.
 #[derive(Debug, Clone, Copy, serde::Serialize)]
 pub struct RecoveryCheck {
-    /// How many were served.
+    /// Number of requests that were served.
     pub served: usize,
-    /// How many were sent.
+    /// Number of requests that were sent.
     pub sent: usize,
 }
 
-/// Everything that was recorded.
+/// All records of a run.
 #[derive(Debug, Clone, Default, serde::Serialize)]
 pub struct Ledger {
-    /// Requests by transaction id.
+    /// Requests, by transaction id.
     pub requests: BTreeMap<String, RequestRecord>,
-    /// Attempts by transaction id, in the order of their arrival.
+    /// Attempts, by transaction id, in the order of their arrival at engines.
     pub attempts: BTreeMap<String, Vec<AttemptRecord>>,
-    /// Processes of each gateway, in the order of their starts.
+    /// Processes, by gateway number, in the order of their starts.
     pub processes: Vec<Vec<ProcessRecord>>,
-    /// Engines by number.
+    /// Engines, by number.
     pub engines: Vec<EngineRecord>,
-    /// The lists that the name services sent.
+    /// Endpoint lists that the name service sent, or would have sent with a valid response.
     pub announcements: Vec<Announcement>,
-    /// Spans in which the name services did not respond.
+    /// Spans in which the name service did not respond.
     pub silences: Vec<Silence>,
-    /// Relocations of name services.
+    /// Relocations of a gateway's name service.
     pub relocations: Vec<Relocation>,
-    /// Floods of connections.
+    /// Floods of idle connections.
     pub connection_floods: Vec<ConnectionFlood>,
-    /// The check of each gateway after the last fault.
+    /// Recovery check of each gateway after the last fault.
     pub recovery_checks: Vec<RecoveryCheck>,
-    /// When the last fault ended.
+    /// Time at which the last fault ended.
     pub last_fault_ended: f64,
 }
