--- a/crates/experiments/src/soak/faults.rs
+++ b/crates/experiments/src/soak/faults.rs
@@ -1,4 +1,4 @@
-//! How the faults of a schedule are injected and ended.
+//! Injects the faults of a schedule at their times, and ends them.
 
 use super::engine::{Behaviour, Engine};
 use super::ledger::{ConnectionFlood, Drain, EngineRecord, Relocation, Silence};
@@ -14,23 +14,27 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// When SIGKILL follows SIGTERM, as early as the pages allow: the longest deadline, 3 s at most, and 0.7 s, in seconds.
+/// Grace period in seconds from SIGTERM to SIGKILL, the shortest that the specification allows: the longest deadline of a request, capped
+/// at 3 s, plus 0.7 s.
 const KILL_AFTER: f64 = 3.7;
-/// The same for a process that another one takes over from: the longest deadline is then 5 s at most, and here 4 s.
+/// Grace period in seconds for a process whose listener another process takes over: the longest deadline, which is capped at 5 s in this
+/// case and is 4 s in the soak's configuration, plus 0.7 s.
 const KILL_AFTER_HOT_RESTART: f64 = 4.7;
-/// When clients leave in a pause, in seconds after it began.
+/// Time in seconds from the beginning of a pause until clients abandon their requests.
 const DEPARTURE_DELAY: f64 = 0.05;
-/// When the name service is back and when an engine drains within a pause, in seconds after it began.
+/// Time in seconds from the beginning of a pause until the name service responds again.
 const SERVICE_RETURN_DELAY: f64 = 0.1;
+/// Time in seconds from the beginning of a pause until an engine begins to drain.
 const DRAIN_DELAY: f64 = 0.2;
-/// How long before the end of a pause the name service is silent again, in seconds.
+/// Time in seconds before the end of a pause at which the name service stops responding again.
 const SILENCE_LEAD: f64 = 0.1;
-/// The connections of a flood: more than a process accepts.
+/// Number of connections of a flood: more than a process accepts.
 const FLOOD_CONNECTIONS: usize = 170;
-/// How often, and how many times, it is checked whether the new process of a hot restart listens.
+/// Interval of the checks whether the new process of a hot restart listens.
 const HOT_RESTART_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// Maximum number of checks whether the new process of a hot restart listens.
 const MAX_HOT_RESTART_CHECKS: usize = 500;
-/// The time between resets of an engine's connections.
+/// Interval between two resets of an engine's connections.
 const RESET_INTERVAL: Duration = Duration::from_millis(150);
 
 fn unix_milliseconds() -> f64 {
@@ -38,7 +42,7 @@
 }
 
 impl SoakRun {
-    /// Injects a fault when it begins, and ends it.
+    /// Waits until a fault is due to begin, injects it, and ends it at its planned time.
     pub(super) async fn inject(self: Rc<Self>, planned: PlannedFault) {
         self.wait_until(planned.from).await;
         let to = planned.to;
@@ -87,7 +91,7 @@
         self.engines[number].borrow().clone()
     }
 
-    /// Terminates the processes of a gateway by a series of signals, and by SIGKILL as early as that may come.
+    /// Terminates the processes of a gateway by a series of signals, and by SIGKILL after the shortest grace period that is allowed.
     async fn restart(&self, gateway: usize, signals: SignalSeries) {
         let numbers: Vec<usize> = self.processes[gateway].borrow().iter().map(Process::number).collect();
         self.send_reloads(gateway, signals).await;
@@ -101,8 +105,8 @@
         }
     }
 
-    /// Sends SIGTERMs to the processes with these numbers, each followed by a SIGHUP to all of the gateway, and SIGKILL that many
-    /// seconds after the first, whatever else goes on.
+    /// Sends SIGTERMs to the processes of a gateway with these numbers, each followed by a SIGHUP to all processes of the gateway. Sends
+    /// SIGKILL to those that still run `kill_after` seconds after the first SIGTERM, even if a process was paused in between.
     async fn terminate(&self, gateway: usize, numbers: &[usize], signals: SignalSeries, kill_after: f64) {
         let kill_at = self.context.now() + kill_after;
         for _ in 0..signals.terminations {
@@ -125,7 +129,7 @@
         self.signal(gateway, Signal::CONT);
     }
 
-    /// Pauses the process of a gateway repeatedly. In each pause its clients leave.
+    /// Pauses the process of a gateway repeatedly. In each pause, clients of the gateway abandon their requests.
     async fn depart_in_pauses(&self, gateway: usize, pauses: u32, pause: f64) {
         for _ in 0..pauses {
             self.signal(gateway, Signal::STOP);
@@ -137,7 +141,8 @@
         }
     }
 
-    /// Silences the name service of a gateway, pauses its process, and has an engine drain while the service is back.
+    /// Stops the name service's responses to a gateway and pauses the gateway's process. During the pause the name service responds for a
+    /// while, and an engine begins to drain.
     async fn pause_in_silence(self: &Rc<Self>, gateway: usize, engine: usize, pause: f64, to: f64) {
         let begun = self.context.now();
         let paused = begun + SILENCE_BEFORE_PAUSE;
@@ -158,13 +163,13 @@
         self.replace_engine(engine, to).await;
     }
 
-    /// The name service responds to no poll of a gateway in that time.
+    /// Makes the name service respond to no poll of a gateway until `to`, and records this silence.
     fn silence(&self, gateway: usize, from: f64, to: f64) {
         self.discovery.views[gateway].silent_until.set(to);
         self.context.ledger.borrow_mut().silences.push(Silence { gateway: Some(gateway), from, to });
     }
 
-    /// Starts a process beside the running one, and terminates that one once the new one listens.
+    /// Starts a second process of a gateway, and terminates the first one when the second one listens.
     async fn hot_restart(&self, gateway: usize, signals: SignalSeries) {
         let running = self.processes[gateway].borrow().len();
         if running != 1 || self.start_process(gateway).is_err() {
@@ -218,7 +223,7 @@
         self.switch_faults(gateway, false);
     }
 
-    /// Fills a gateway's descriptors with idle connections.
+    /// Exhausts a gateway's file descriptors with idle connections until `to`.
     async fn flood(&self, gateway: usize, to: f64) {
         let from = self.context.now();
         let mut connections = Vec::new();
@@ -282,14 +287,14 @@
         }
     }
 
-    /// Records an engine that starts now. Returns its number.
+    /// Records an engine that starts cold at the present time. Returns its number.
     fn record_cold_engine(&self) -> usize {
         let mut ledger = self.context.ledger.borrow_mut();
         ledger.engines.push(EngineRecord { cold_since: Some(self.context.now()), drain: None });
         ledger.engines.len() - 1
     }
 
-    /// Drains an engine, which stays up for a while, and adds another in its place.
+    /// Marks an engine as draining in the endpoint list, adds a new engine in its place, and removes the old one from the list at `to`.
     async fn replace_engine(&self, position: usize, to: f64) {
         let old = self.engine(position);
         let number = self.record_cold_engine();
@@ -307,7 +312,7 @@
         self.discovery.change_list(|engines| engines.retain(|engine| engine.address != old.address));
     }
 
-    /// Crashes engines and restarts them. The list then holds their starts.
+    /// Crashes engines, restarts them at `to`, and updates their start times in the endpoint list.
     async fn crash_engines(&self, positions: &[usize], to: f64) {
         let crashed: Vec<_> = positions.iter().map(|position| self.engine(*position)).collect();
         for engine in &crashed {
--- a/crates/experiments/src/soak/report.rs
+++ b/crates/experiments/src/soak/report.rs
@@ -78,7 +78,7 @@
     json!({
         "processes": options.gateways,
         "seconds": options.seconds,
-        "crowd": schedule::has_crowd(options.seed),
+        "crowd": schedule::has_run_long_flood(options.seed),
         "troubles": result.schedule.len(),
         "requests": ends().count(),
         "served": answered(Answer::Served),
--- a/crates/experiments/src/soak/run.rs
+++ b/crates/experiments/src/soak/run.rs
@@ -26,7 +26,7 @@
 const CASUAL_CLIENTS: usize = 5;
 /// Clients that never close their connections; one gateway in so many has that many that requests wait in it.
 const PERSISTENT_CLIENTS: usize = 2;
-pub(super) const BUSY_EVERY: usize = 4;
+pub(super) const BUSY_GATEWAY_INTERVAL: usize = 4;
 const BUSY_CLIENTS: usize = 48;
 /// The time that the processes have to recover, in seconds.
 const RECOVERY_TIME: f64 = 3.0;
@@ -148,7 +148,8 @@
 
 fn start_clients(context: &Rc<RunContext>, gateways: usize) -> Vec<JoinHandle<()>> {
     let kinds = |gateway: usize| {
-        let persistent = if gateway.is_multiple_of(BUSY_EVERY) { BUSY_CLIENTS } else { PERSISTENT_CLIENTS };
+        let persistent =
+            if gateway.is_multiple_of(BUSY_GATEWAY_INTERVAL) { BUSY_CLIENTS } else { PERSISTENT_CLIENTS };
         let casual = repeat_n(ClientKind::Casual, CASUAL_CLIENTS);
         casual.chain(repeat_n(ClientKind::Persistent, persistent)).map(move |kind| (gateway, kind))
     };
@@ -158,7 +159,7 @@
 
 /// The crowd of a run that has one.
 fn start_crowds(context: &Rc<RunContext>, options: &SoakOptions) -> Vec<JoinHandle<()>> {
-    if !schedule::has_crowd(options.seed) {
+    if !schedule::has_run_long_flood(options.seed) {
         return Vec::new();
     }
     (0..options.gateways).map(|gateway| spawn_local(crowd(context.clone(), gateway))).collect()
--- a/crates/experiments/src/soak/schedule.rs
+++ b/crates/experiments/src/soak/schedule.rs
@@ -1,77 +1,85 @@
-//! The faults of a run, and when they begin and end: drawn from the seed, several of them at a time.
+//! The schedule of a run: its faults with the times at which they begin and end, drawn from the seed. Several faults overlap.
 
 mod fault;
 
-use super::run::BUSY_EVERY;
+use super::run::BUSY_GATEWAY_INTERVAL;
 use fault::excludes;
 pub(super) use fault::{Fault, PlannedFault, ReloadKind, Reloads, SignalSeries};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::ops::Range;
 
-/// When the first fault begins, so that gateways know something by then.
+/// Time in seconds at which the first fault begins. By then gateways have data about their engines.
 const FIRST_FAULT: f64 = 1.5;
-/// How long a fault lasts, in seconds.
+/// Duration of a fault, in seconds.
 const DURATION: Range<f64> = 0.3..2.5;
-/// How long a name service is silent ...
+/// Duration of a silence of the name service, in seconds.
 const SILENCE: Range<f64> = 0.5..5.0;
-/// ... and, with this probability, how long otherwise: until every change counts as propagated, and longer.
+/// Duration of a long silence, in seconds: longer than until every change of the endpoint list counts as propagated.
 const LONG_SILENCE: Range<f64> = 9.5..11.0;
+/// Probability that a silence is a long one.
 const LONG_SILENCE_PROBABILITY: f64 = 0.3;
-/// How long a process is paused: up to longer than the lease on its list.
+/// Duration of a pause of a process, in seconds. The longest ones exceed the lease on its endpoint list.
 const PAUSE: Range<f64> = 0.3..6.0;
-/// How long an engine drains: well longer than until the rule on drains applies.
+/// Time in seconds for which an engine drains: clearly longer than until the rule on drains applies.
 const DRAIN: Range<f64> = 6.0..8.0;
-/// How long one drains that begins to in a long silence: until the drain counts as propagated in any case, and longer.
+/// Time in seconds for which an engine drains if it begins to drain in a long silence: longer than until the drain counts as propagated
+/// in any case.
 const DRAIN_IN_SILENCE: Range<f64> = 11.0..13.0;
-/// The time from the beginning of a fault to that of the next, on average well under the duration of a fault.
+/// Time in seconds from the beginning of a fault to that of the next. It is on average well below the duration of a fault, so that faults
+/// overlap.
 const FAULT_INTERVAL: Range<f64> = 0.05..0.5;
-/// The probability that a second fault of the same gateway overlaps one.
-const COMPANION_PROBABILITY: f64 = 0.5;
-/// How much later the second begins.
-const COMPANION_DELAY: Range<f64> = 0.0..0.8;
-/// The probability that an engine begins to drain around the end, or soon after the beginning, of a fault of the name service
-/// or a pause ...
+/// Probability that a fault of a gateway is overlapped by a second one of the same gateway.
+const SECOND_FAULT_PROBABILITY: f64 = 0.5;
+/// Time in seconds by which the second fault begins later. It also offsets mandatory faults, and drains from the beginning of a fault.
+const SECOND_FAULT_DELAY: Range<f64> = 0.0..0.8;
+/// Probability that an engine begins to drain near the end, or soon after the beginning, of a pause or a fault of the name service.
 const DRAIN_PROBABILITY: f64 = 0.7;
-/// ... and how much later.
+/// Offset in seconds of the beginning of a drain from a pause or a fault of the name service; negative values are earlier.
 const DRAIN_DELAY: Range<f64> = -0.3..0.4;
-/// The signals of a series, and the seconds between them: close together, or apart.
+/// Number of SIGHUPs at the beginning of a series of signals.
 const SERIES_RELOADS: Range<u32> = 0..4;
+/// Number of SIGTERMs of a series of signals.
 const SERIES_TERMINATIONS: Range<u32> = 1..5;
-const CLOSE_INTERVAL: Range<f64> = 0.001..0.03;
-const WIDE_INTERVAL: Range<f64> = 0.1..0.5;
-/// Pauses in which clients leave: how many, and the seconds of each.
+/// Time in seconds between the signals of a dense series.
+const DENSE_INTERVAL: Range<f64> = 0.001..0.03;
+/// Time in seconds between the signals of a sparse series.
+const SPARSE_INTERVAL: Range<f64> = 0.1..0.5;
+/// Number of successive pauses in which clients abandon their requests.
 const DEPARTURE_PAUSES: Range<u32> = 3..9;
+/// Duration in seconds of each pause in which clients abandon their requests.
 const DEPARTURE_PAUSE: Range<f64> = 0.15..0.5;
-/// The seconds between two such pauses.
+/// Time in seconds between two pauses in which clients abandon their requests.
 pub(super) const DEPARTURE_INTERVAL: f64 = 0.4;
-/// The seconds of a pause within a silence: longer than a change needs to count as propagated.
+/// Duration in seconds of a pause within a silence of the name service: longer than until a change of the endpoint list counts as
+/// propagated.
 const PAUSE_IN_SILENCE: Range<f64> = 2.3..5.0;
-/// The seconds of silence after it.
+/// Duration in seconds of the silence of the name service after a pause within it.
 pub(super) const SILENCE_AFTER_PAUSE: f64 = 5.0;
-/// The seconds of silence before it.
+/// Duration in seconds of the silence of the name service before a pause within it.
 pub(super) const SILENCE_BEFORE_PAUSE: f64 = 1.0;
-/// The pauses with departures that every run has, and the seconds of each.
-const CERTAIN_DEPARTURE_PAUSES: Range<u32> = 3..5;
-const CERTAIN_DEPARTURE_PAUSE: Range<f64> = 0.2..0.35;
-/// The seconds in which every run resets connections of an engine.
-const CERTAIN_RESETS: Range<f64> = 2.0..3.0;
-/// The seconds of the overload of all engines that every run has.
-const CERTAIN_OVERLOAD: Range<f64> = 1.5..2.5;
-/// The probability that a run has a crowd at all gateways.
-const CROWD_PROBABILITY: f64 = 0.2;
-/// What the seed of a run is combined with to draw whether it has a crowd.
-const CROWD_SEED: u64 = 0x0063_726f_7764;
-/// The time between two faults that exclude one another.
+/// Number of pauses of the mandatory fault, which every run has, in which clients abandon their requests.
+const MANDATORY_DEPARTURE_PAUSES: Range<u32> = 3..5;
+/// Duration in seconds of each of the mandatory pauses in which clients abandon their requests.
+const MANDATORY_DEPARTURE_PAUSE: Range<f64> = 0.2..0.35;
+/// Duration in seconds of the mandatory fault that resets connections of an engine.
+const MANDATORY_RESETS: Range<f64> = 2.0..3.0;
+/// Duration in seconds of the mandatory overload of all engines.
+const MANDATORY_OVERLOAD: Range<f64> = 1.5..2.5;
+/// Probability that idle connections exhaust the file descriptors of all gateways for a whole run.
+const RUN_LONG_FLOOD_PROBABILITY: f64 = 0.2;
+/// XORed with the seed of a run, so that the draw of the run-long flood does not depend on the draws of the schedule.
+const RUN_LONG_FLOOD_SEED_MASK: u64 = 0x0063_726f_7764;
+/// Minimum time in seconds between two faults that exclude one another.
 const MIN_GAP: f64 = 0.2;
-/// The engines that drain at once.
+/// Maximum number of engines that drain at the same time.
 const MAX_DRAINING: usize = 3;
 
 /// Draws the schedule of a run. Faults that exclude one another do not overlap.
 pub(super) fn draw(seed: u64, gateways: usize, engines: usize, seconds: f64) -> Vec<PlannedFault> {
     let mut schedule =
         Schedule { rng: Pcg64Mcg::seed_from_u64(seed), planned: Vec::new(), gateways, engines, seconds };
-    schedule.add_certain_faults();
+    schedule.add_mandatory_faults();
     let mut at = FIRST_FAULT;
     while at < seconds {
         schedule.add_drawn(at);
@@ -80,9 +88,9 @@
     schedule.planned
 }
 
-/// Whether the run with that seed has a crowd of idle connections at all gateways.
-pub(super) fn has_crowd(seed: u64) -> bool {
-    Pcg64Mcg::seed_from_u64(seed ^ CROWD_SEED).random_bool(CROWD_PROBABILITY)
+/// Returns whether idle connections flood all gateways for the whole run with this seed.
+pub(super) fn has_run_long_flood(seed: u64) -> bool {
+    Pcg64Mcg::seed_from_u64(seed ^ RUN_LONG_FLOOD_SEED_MASK).random_bool(RUN_LONG_FLOOD_PROBABILITY)
 }
 
 struct Schedule {
@@ -93,50 +101,52 @@
     seconds: f64,
 }
 
-/// The weights of faults of gateways, of the name service, and of engines and clients.
+/// Weight of gateway faults in the draw of a fault. The kinds of each group are drawn by a number below its weight.
 const GATEWAY_WEIGHT: u32 = 11;
-const DISCOVERY_WEIGHT: u32 = 8;
-const OTHER_WEIGHT: u32 = 15;
+/// Weight of faults of the name service in the draw of a fault.
+const NAME_SERVICE_WEIGHT: u32 = 8;
+/// Weight of faults of engines and clients in the draw of a fault.
+const ENGINE_OR_CLIENT_WEIGHT: u32 = 15;
 
 impl Schedule {
-    /// Adds a fault that begins at a time, and faults that go with it.
+    /// Adds a drawn fault that begins at the time `at`, and the faults that accompany it.
     fn add_drawn(&mut self, at: f64) {
-        let kind = self.rng.random_range(0..GATEWAY_WEIGHT + DISCOVERY_WEIGHT + OTHER_WEIGHT);
+        let kind = self.rng.random_range(0..GATEWAY_WEIGHT + NAME_SERVICE_WEIGHT + ENGINE_OR_CLIENT_WEIGHT);
         let gateway = self.rng.random_range(0..self.gateways);
         if kind < GATEWAY_WEIGHT {
-            self.add_of_gateway(at, kind, gateway);
-        } else if kind < GATEWAY_WEIGHT + DISCOVERY_WEIGHT {
-            self.add_of_discovery(at, kind - GATEWAY_WEIGHT, gateway);
+            self.add_gateway_faults(at, kind, gateway);
+        } else if kind < GATEWAY_WEIGHT + NAME_SERVICE_WEIGHT {
+            self.add_name_service_fault(at, kind - GATEWAY_WEIGHT, gateway);
         } else {
-            let fault = self.other(kind - GATEWAY_WEIGHT - DISCOVERY_WEIGHT);
+            let fault = self.engine_or_client_fault(kind - GATEWAY_WEIGHT - NAME_SERVICE_WEIGHT);
             self.add(at, fault);
         }
     }
 
-    fn add_of_gateway(&mut self, at: f64, kind: u32, gateway: usize) {
-        let fault = self.of_gateway(kind, gateway);
+    fn add_gateway_faults(&mut self, at: f64, kind: u32, gateway: usize) {
+        let fault = self.gateway_fault(kind, gateway);
         let is_pause = matches!(fault, Fault::Pause(_));
         if self.add(at, fault).is_some() && is_pause {
-            self.add_drain(at + COMPANION_DELAY.end, DRAIN);
+            self.add_drain(at + SECOND_FAULT_DELAY.end, DRAIN);
         }
-        if self.rng.random_range(0.0..1.0) < COMPANION_PROBABILITY {
-            let delay = self.rng.random_range(COMPANION_DELAY);
+        if self.rng.random_range(0.0..1.0) < SECOND_FAULT_PROBABILITY {
+            let delay = self.rng.random_range(SECOND_FAULT_DELAY);
             let kind = self.rng.random_range(0..GATEWAY_WEIGHT);
-            let companion = self.of_gateway(kind, gateway);
-            self.add(at + delay, companion);
+            let second = self.gateway_fault(kind, gateway);
+            self.add(at + delay, second);
         }
     }
 
-    fn add_of_discovery(&mut self, at: f64, kind: u32, gateway: usize) {
-        let fault = self.of_discovery(kind, gateway);
+    fn add_name_service_fault(&mut self, at: f64, kind: u32, gateway: usize) {
+        let fault = self.name_service_fault(kind, gateway);
         let Some(ended) = self.add(at, fault) else { return };
         match ended - at > LONG_SILENCE.start {
-            true => self.add_drain(at + COMPANION_DELAY.end, DRAIN_IN_SILENCE),
+            true => self.add_drain(at + SECOND_FAULT_DELAY.end, DRAIN_IN_SILENCE),
             false => self.add_drain(ended, DRAIN),
         }
     }
 
-    /// Adds, with some probability, an engine that begins to drain at about that time.
+    /// Adds, with `DRAIN_PROBABILITY`, the drain of an engine that begins at about the time `at`.
     fn add_drain(&mut self, at: f64, duration: Range<f64>) {
         let (delay, engine) = (self.rng.random_range(DRAIN_DELAY), self.rng.random_range(0..self.engines));
         if self.rng.random_range(0.0..1.0) < DRAIN_PROBABILITY {
@@ -145,7 +155,7 @@
         }
     }
 
-    fn of_gateway(&mut self, kind: u32, gateway: usize) -> Fault {
+    fn gateway_fault(&mut self, kind: u32, gateway: usize) -> Fault {
         match kind {
             0 | 1 => Fault::Restart { gateway, signals: self.signal_series() },
             2 => Fault::Kill(gateway),
@@ -158,60 +168,61 @@
     }
 
     fn signal_series(&mut self) -> SignalSeries {
-        let is_close = self.rng.random_bool(0.5);
+        let is_dense = self.rng.random_bool(0.5);
         SignalSeries {
             reloads: self.rng.random_range(SERIES_RELOADS),
             terminations: self.rng.random_range(SERIES_TERMINATIONS),
-            interval: self.rng.random_range(if is_close { CLOSE_INTERVAL } else { WIDE_INTERVAL }),
+            interval: self.rng.random_range(if is_dense { DENSE_INTERVAL } else { SPARSE_INTERVAL }),
         }
     }
 
-    /// Adds the faults that every run has, however short it is: each shows a guard that would seldom be seen to be missing.
-    fn add_certain_faults(&mut self) {
+    /// Adds the faults that every run has, however short it is. Each exercises a safeguard of the gateway whose absence the drawn faults
+    /// would seldom reveal.
+    fn add_mandatory_faults(&mut self) {
         let engine = self.rng.random_range(0..self.engines);
         let fault = Fault::PauseInSilence {
             gateway: self.idle_gateway(),
             engine,
             pause: self.rng.random_range(PAUSE_IN_SILENCE),
         };
-        let at = FIRST_FAULT + self.rng.random_range(COMPANION_DELAY);
+        let at = FIRST_FAULT + self.rng.random_range(SECOND_FAULT_DELAY);
         self.add(at, fault);
         let departures = Fault::DeparturesInPauses {
             gateway: 0,
-            pauses: self.rng.random_range(CERTAIN_DEPARTURE_PAUSES),
-            pause: self.rng.random_range(CERTAIN_DEPARTURE_PAUSE),
+            pauses: self.rng.random_range(MANDATORY_DEPARTURE_PAUSES),
+            pause: self.rng.random_range(MANDATORY_DEPARTURE_PAUSE),
         };
-        let at = FIRST_FAULT + self.rng.random_range(COMPANION_DELAY);
+        let at = FIRST_FAULT + self.rng.random_range(SECOND_FAULT_DELAY);
         self.add(at, departures);
         let reset = Fault::ResetConnections((engine + 1) % self.engines);
-        let duration = self.rng.random_range(CERTAIN_RESETS);
+        let duration = self.rng.random_range(MANDATORY_RESETS);
         self.add_with_duration(FIRST_FAULT, duration, reset);
-        let latest = (self.seconds - CERTAIN_OVERLOAD.end).max(FIRST_FAULT + COMPANION_DELAY.end);
+        let latest = (self.seconds - MANDATORY_OVERLOAD.end).max(FIRST_FAULT + SECOND_FAULT_DELAY.end);
         let at = self.rng.random_range(FIRST_FAULT..latest).max(FIRST_FAULT + duration + 2.0 * MIN_GAP);
-        let duration = self.rng.random_range(CERTAIN_OVERLOAD).min(self.seconds - at - MIN_GAP);
+        let duration = self.rng.random_range(MANDATORY_OVERLOAD).min(self.seconds - at - MIN_GAP);
         self.add_with_duration(at, duration, Fault::OverloadAllEngines);
     }
 
-    /// A gateway in which no requests wait, if there is one.
+    /// Draws a gateway without queued requests, if there is one.
     fn idle_gateway(&mut self) -> usize {
         let gateway = self.rng.random_range(0..self.gateways);
-        if gateway.is_multiple_of(BUSY_EVERY) && gateway + 1 < self.gateways {
+        if gateway.is_multiple_of(BUSY_GATEWAY_INTERVAL) && gateway + 1 < self.gateways {
             gateway + 1
         } else {
             gateway
         }
     }
 
-    /// Departures at the busy gateway that is at or before that one.
+    /// Draws pauses in which clients abandon their requests, at the busy gateway with the greatest number up to `gateway`.
     fn departures(&mut self, gateway: usize) -> Fault {
         Fault::DeparturesInPauses {
-            gateway: gateway - gateway % BUSY_EVERY,
+            gateway: gateway - gateway % BUSY_GATEWAY_INTERVAL,
             pauses: self.rng.random_range(DEPARTURE_PAUSES),
             pause: self.rng.random_range(DEPARTURE_PAUSE),
         }
     }
 
-    fn of_discovery(&mut self, kind: u32, gateway: usize) -> Fault {
+    fn name_service_fault(&mut self, kind: u32, gateway: usize) -> Fault {
         match kind {
             0 | 1 => Fault::SlowNameService(gateway, self.rng.random_range(0.2..3.0)),
             2 => Fault::LossyNameService(gateway, self.rng.random_range(0.2..0.5)),
@@ -233,7 +244,7 @@
         }
     }
 
-    fn other(&mut self, kind: u32) -> Fault {
+    fn engine_or_client_fault(&mut self, kind: u32) -> Fault {
         let engine = self.rng.random_range(0..self.engines);
         match kind {
             0 | 1 => Fault::ReplaceEngine(engine),
@@ -248,7 +259,8 @@
         }
     }
 
-    /// Adds a fault, unless it overlaps one that excludes it or would last too long. Returns when it ends.
+    /// Adds a fault with a drawn duration, unless it would overlap a fault that excludes it or would end too late. Returns the time at
+    /// which the fault ends.
     fn add(&mut self, from: f64, fault: Fault) -> Option<f64> {
         let duration = match &fault {
             Fault::ReplaceEngine(_) => self.rng.random_range(DRAIN),
@@ -270,7 +282,7 @@
     fn add_with_duration(&mut self, from: f64, duration: f64, fault: Fault) -> Option<f64> {
         let to = from + duration;
         let is_drain = matches!(fault, Fault::ReplaceEngine(_) | Fault::PauseInSilence { .. });
-        // Draining engines outlast the other faults.
+        // Drains may end after all other faults, as they last longer.
         let latest = if is_drain { self.seconds + DRAIN_IN_SILENCE.end } else { self.seconds };
         let overlaps = |planned: &&PlannedFault| planned.to + MIN_GAP > from && planned.from < to + MIN_GAP;
         let mut overlapping = self.planned.iter().filter(overlaps);
@@ -286,24 +298,24 @@
     }
 }
 
-/// The faults of system calls of one process, as the library of `crates/fault-injection` reads them.
+/// Draws the system-call faults of one process, in the format that the library of `crates/fault-injection` reads.
 pub(super) fn system_call_faults(seed: u64) -> String {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut plan = format!("seed={}", rng.random_range(1..1_000_000));
-    let mut may = |name: &str, values: &[&str]| {
+    let mut draw_entry = |name: &str, values: &[&str]| {
         if rng.random_range(0..3) == 0 {
             plan += &format!(",{name}={}", values[rng.random_range(0..values.len())]);
         }
     };
-    may("interrupt", &["0.003", "0.03", "0.2"]);
-    may("short", &["0.02", "0.2"]);
-    may("accept", &["0.3", "0.7"]);
-    may("socket", &["0.1", "0.4"]);
-    may("connect", &["0.1", "0.4"]);
-    may("log", &["1"]);
-    may("disk", &["0.3", "1"]);
-    may("torn", &["0.2"]);
-    may("wall_step_ms", &["-3600000", "3600000", "-5000", "5000"]);
+    draw_entry("interrupt", &["0.003", "0.03", "0.2"]);
+    draw_entry("short", &["0.02", "0.2"]);
+    draw_entry("accept", &["0.3", "0.7"]);
+    draw_entry("socket", &["0.1", "0.4"]);
+    draw_entry("connect", &["0.1", "0.4"]);
+    draw_entry("log", &["1"]);
+    draw_entry("disk", &["0.3", "1"]);
+    draw_entry("torn", &["0.2"]);
+    draw_entry("wall_step_ms", &["-3600000", "3600000", "-5000", "5000"]);
     plan
 }
 
--- a/crates/experiments/src/soak/schedule/fault.rs
+++ b/crates/experiments/src/soak/schedule/fault.rs
@@ -1,127 +1,130 @@
-//! The faults of a run, and which of them must not overlap.
+//! The kinds of faults of a run, and the rule on which of them must not overlap.
 
 use serde::Serialize;
 
-/// SIGHUPs in a row.
+/// Series of configuration reloads, each by a SIGHUP.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Reloads {
-    /// How many.
+    /// Number of SIGHUPs.
     pub count: u32,
-    /// Seconds from one to the next.
+    /// Time in seconds from one signal to the next.
     pub interval: f64,
-    /// The change of the file.
+    /// Change of the configuration file before the SIGHUP.
     pub kind: ReloadKind,
 }
 
-/// The change of a configuration that is reloaded.
+/// Change of a configuration that the gateway reloads.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub enum ReloadKind {
-    /// No change.
+    /// The file stays as it is.
     Unchanged,
-    /// The name service is at its other address. Both addresses respond.
+    /// The name service moves to its other address. Both addresses respond.
     ToHealthyAddress,
-    /// The name service is at its other address, which responds only so many seconds later. The previous one does not respond.
+    /// The name service moves to its other address, which begins to respond only after this time in seconds. The previous address no
+    /// longer responds.
     ToSilentAddress(f64),
 }
 
-/// SIGHUPs and SIGTERMs in a row: first SIGHUPs, then SIGTERMs with a SIGHUP after each.
+/// Series of signals: first SIGHUPs, then SIGTERMs with a SIGHUP after each.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct SignalSeries {
-    /// The number of SIGHUPs before.
+    /// Number of SIGHUPs before the first SIGTERM.
     pub reloads: u32,
-    /// The number of SIGTERMs.
+    /// Number of SIGTERMs.
     pub terminations: u32,
-    /// Seconds from one to the next.
+    /// Time in seconds from one signal to the next.
     pub interval: f64,
 }
 
-/// A fault. Gateways and engines are given by their numbers.
+/// Kind of a fault, with its parameters. Gateways and engines are given by their numbers.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub enum Fault {
-    /// A gateway is terminated by signals close together, and by SIGKILL as early as that may come.
+    /// A gateway's process is terminated by a series of signals, and by SIGKILL after the shortest grace period that is allowed. It is then
+    /// restarted.
     Restart {
-        /// The gateway.
+        /// Number of the gateway.
         gateway: usize,
-        /// The signals that terminate it.
+        /// Signals that terminate the process.
         signals: SignalSeries,
     },
-    /// A new process of a gateway is started and takes over from the running one, which is terminated.
+    /// A new process of a gateway is started and takes over the listener of the running one, which is then terminated.
     HotRestart {
-        /// The gateway.
+        /// Number of the gateway.
         gateway: usize,
-        /// The signals that terminate the previous process. The new one gets the SIGHUPs as well.
+        /// Signals that terminate the previous process. The new process also receives the SIGHUPs.
         signals: SignalSeries,
     },
-    /// The process of a gateway is killed and restarted.
+    /// A gateway's process is killed by SIGKILL without a SIGTERM, and restarted.
     Kill(usize),
-    /// The process of a gateway is paused.
+    /// A gateway's process is paused by SIGSTOP.
     Pause(usize),
-    /// The process of a gateway is paused repeatedly, and its clients leave in each pause.
+    /// A gateway's process is paused repeatedly, and most of its clients abandon their requests in each pause.
     DeparturesInPauses {
-        /// The gateway.
+        /// Number of the gateway.
         gateway: usize,
-        /// The pauses.
+        /// Number of pauses.
         pauses: u32,
-        /// Seconds of each.
+        /// Duration of each pause, in seconds.
         pause: f64,
     },
-    /// The name service is silent for a gateway, whose process is then paused; the service is back meanwhile, an engine drains, and the
-    /// service is silent again as the process goes on.
+    /// The name service does not respond to a gateway, and the gateway's process is paused. During the pause the name service is available
+    /// again and an engine begins to drain. Shortly before the process resumes the name service stops responding again, so that the process
+    /// has no new list when it resumes.
     PauseInSilence {
-        /// The gateway.
+        /// Number of the gateway.
         gateway: usize,
-        /// The engine.
+        /// Number of the engine that drains.
         engine: usize,
-        /// Seconds of the pause.
+        /// Duration of the pause, in seconds.
         pause: f64,
     },
     /// A gateway reloads its configuration.
     Reload(usize, Reloads),
-    /// System calls of a gateway fail, as drawn at its start.
+    /// System calls of a gateway's process fail, with the faults that were drawn at its start.
     SystemCalls(usize),
-    /// Idle connections fill a gateway's descriptors.
+    /// Idle connections exhaust a gateway's file descriptors.
     ConnectionFlood(usize),
-    /// The name service takes so many seconds to respond to a gateway.
+    /// The name service responds to a gateway with this delay, in seconds.
     SlowNameService(usize, f64),
-    /// This share of the responses to a gateway is lost, truncated, failed, outdated, or with another id.
+    /// This share of the name service's responses to a gateway is lost, truncated, outdated, a failure, or has another id.
     LossyNameService(usize, f64),
-    /// The flows that a gateway has used until now stop to work.
+    /// The name service no longer responds to the UDP ports from which a gateway has polled so far.
     DeadFlows(usize),
     /// The name service responds to no gateway.
     SilentNameService,
-    /// An engine drains, stays up until the end of the fault, and is then removed. Another joins in its place, cold.
+    /// An engine drains until the end of the fault and is then removed from the list. A cold engine joins in its place at the beginning.
     ReplaceEngine(usize),
-    /// An engine crashes with all its connections, and is restarted cold.
+    /// An engine crashes, which resets all its connections, and is restarted cold at the end of the fault.
     CrashEngine(usize),
-    /// Half of the engines crash at once, and are restarted cold together.
+    /// Half of the engines crash at the same time and are restarted cold together.
     CrashHalf,
-    /// An engine answers nothing.
+    /// An engine answers neither requests nor load polls until the end of the fault.
     HangEngine(usize),
-    /// An engine rejects everything.
+    /// An engine rejects all requests as overloaded.
     OverloadEngine(usize),
-    /// All engines reject everything.
+    /// All engines reject all requests as overloaded.
     OverloadAllEngines,
-    /// An engine resets its connections repeatedly.
+    /// An engine resets all its connections repeatedly.
     ResetConnections(usize),
-    /// An engine closes each connection that has no open request.
+    /// An engine resets all its connections each time it has answered the last open request on one of them.
     CloseIdleConnections(usize),
-    /// Clients cancel and disconnect far more often.
+    /// Clients cancel requests and disconnect far more often.
     ImpatientClients,
 }
 
-/// A fault with its time, in seconds since the run began.
+/// Fault with the times at which it begins and ends, in seconds since the start of the run.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct PlannedFault {
-    /// When it begins.
+    /// Time at which the fault begins.
     pub from: f64,
-    /// When it ends.
+    /// Time at which the fault ends.
     pub to: f64,
-    /// The fault.
+    /// Kind of the fault.
     pub fault: Fault,
 }
 
 impl Reloads {
-    /// Seconds from the first to when the name service responds again.
+    /// Returns the duration in seconds of the reloads and of a silence of the name service that follows them.
     pub(super) fn duration(&self) -> f64 {
         let silence = match self.kind {
             ReloadKind::ToSilentAddress(silence) => silence,
@@ -132,7 +135,7 @@
 }
 
 impl Fault {
-    /// The engine that it affects, if it affects one.
+    /// Returns the engine that the fault affects, if it affects a single one.
     fn engine(&self) -> Option<usize> {
         match self {
             Self::ReplaceEngine(engine)
@@ -150,7 +153,7 @@
         matches!(self, Self::CrashHalf | Self::OverloadAllEngines)
     }
 
-    /// The gateway whose process it ends.
+    /// Returns the gateway whose process the fault ends, or whose process must not end during the fault.
     fn ended_gateway(&self) -> Option<usize> {
         match self {
             Self::Restart { gateway, .. }
@@ -161,7 +164,7 @@
         }
     }
 
-    /// The gateway whose process it pauses.
+    /// Returns the gateway whose process the fault pauses.
     fn paused_gateway(&self) -> Option<usize> {
         match self {
             Self::Pause(gateway)
@@ -171,8 +174,8 @@
         }
     }
 
-    /// The gateway whose name service it affects.
-    fn discovery_gateway(&self) -> Option<usize> {
+    /// Returns the gateway whose name service the fault affects.
+    fn name_service_gateway(&self) -> Option<usize> {
         match self {
             Self::SlowNameService(gateway, _)
             | Self::LossyNameService(gateway, _)
@@ -184,8 +187,8 @@
     }
 }
 
-/// Whether two faults must not overlap: those of one engine, those of all engines, and those of the clients. Faults of one
-/// gateway may overlap, but for those that end its process, and those of its name service.
+/// Returns whether two faults must not overlap. This holds for two faults of the same engine, of all engines, or of the clients. Faults of
+/// the same gateway may overlap, except two that end its process, two that pause it, and two of its name service.
 pub(super) fn excludes(first: &Fault, second: &Fault) -> bool {
     use Fault::{
         ConnectionFlood, ImpatientClients, PauseInSilence, ReplaceEngine, SilentNameService, SystemCalls,
@@ -194,12 +197,12 @@
     let (first_affects_all, second_affects_all) = (first.affects_all_engines(), second.affects_all_engines());
     match (first, second) {
         (SilentNameService, SilentNameService) | (ImpatientClients, ImpatientClients) => true,
-        // Its engine has to be there for all of it, and its name service to be back in the middle.
+        // A `PauseInSilence` needs its engine for its whole duration, and a name service that responds in the middle of it.
         (SilentNameService, PauseInSilence { .. }) | (PauseInSilence { .. }, SilentNameService) => true,
         (SystemCalls(gateway), SystemCalls(other)) | (ConnectionFlood(gateway), ConnectionFlood(other)) => {
             gateway == other
         }
-        // An engine that drains may be overloaded or restarted together with the others.
+        // A draining engine may be overloaded or restarted together with all others.
         (ReplaceEngine(_) | PauseInSilence { .. }, _) | (_, ReplaceEngine(_) | PauseInSilence { .. })
             if first_affects_all || second_affects_all =>
         {
@@ -211,7 +214,7 @@
             are_same(Fault::engine)
                 || are_same(Fault::ended_gateway)
                 || are_same(Fault::paused_gateway)
-                || are_same(Fault::discovery_gateway)
+                || are_same(Fault::name_service_gateway)
         }
     }
 }
--- a/crates/experiments/src/soak/schedule/tests.rs
+++ b/crates/experiments/src/soak/schedule/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn same_seed_gives_the_same_schedule_and_troubles_overlap() {
+fn schedule_follows_from_the_seed_and_has_overlapping_faults() {
     let plan = draw(7, 10, 4, 20.0);
     assert_eq!(plan, draw(7, 10, 4, 20.0));
     assert_ne!(plan, draw(8, 10, 4, 20.0));
@@ -12,13 +12,13 @@
 }
 
 #[test]
-fn faults_of_system_calls_follow_from_the_seed() {
+fn system_call_faults_follow_from_the_seed() {
     assert_eq!(system_call_faults(3), system_call_faults(3));
 }
 
-/// Also where a run is short and has few gateways, as in CI.
+/// Guards against short runs with few gateways, as in CI, that leave out the faults which exercise rarely needed safeguards.
 #[test]
-fn every_run_has_the_faults_that_show_rare_guards() {
+fn every_run_has_the_mandatory_faults() {
     for seed in 0..100 {
         let plan = draw(seed, 4, 8, 6.0);
         let has = |wanted: fn(&Fault) -> bool| plan.iter().any(|planned| wanted(&planned.fault));
