--- a/crates/experiments/src/soak/client.rs
+++ b/crates/experiments/src/soak/client.rs
@@ -1,4 +1,4 @@
-//! A client in a closed loop, on connections that it uses again, leaves idle, or closes. It records every request.
+//! Simulated client: sends one request at a time, on connections that it reuses, leaves idle, or closes, and records every request.
 
 use super::context::RunContext;
 use super::ledger::{Answer, Class, RequestEnd, RequestRecord};
@@ -12,52 +12,56 @@
 use tokio::net::TcpStream;
 use tokio::time::{error::Elapsed, sleep, timeout};
 
-/// The time between two requests, in milliseconds.
+/// Time between two requests of an intermittent client, in milliseconds.
 const THINK_TIME_MS: Range<u64> = 5..80;
-/// The time for which a client is idle in place of that, and how seldom: once in so many pauses.
+/// Time in milliseconds for which an intermittent client is idle in some of its pauses, instead of the usual time.
 const IDLE_TIME_MS: Range<u64> = 500..3_500;
+/// Mean number of pauses of a client for each one in which it is idle.
 const IDLE_EVERY: u32 = 25;
-/// A client closes its connection once in so many pauses.
+/// Mean number of pauses of a client for each one in which it closes its connection.
 const CLOSE_EVERY: u32 = 6;
-/// How much longer a pause is after a request that was not served, in milliseconds.
+/// Additional time in milliseconds that an intermittent client waits after a request that was not served.
 const BACKOFF_MS: u64 = 200;
-/// The share of requests that clients abandon, and how long after they sent them, in milliseconds.
+/// Share of requests that clients abandon.
 const ABANDONED_SHARE: f64 = 0.05;
+/// Share of requests that clients abandon while the fault `ImpatientClients` lasts.
 const IMPATIENT_ABANDONED_SHARE: f64 = 0.3;
+/// Time in milliseconds from sending a request until the client abandons it.
 const ABANDON_AFTER_MS: Range<u64> = 0..200;
-/// How much longer than its timeout a client waits, to tell a late answer from none.
-const OVERTIME: Duration = Duration::from_secs(4);
-/// How long a client waits for a second answer, which must not come.
+/// Time for which a client waits beyond its timeout, to distinguish a late answer from a missing one.
+const LATE_ANSWER_WAIT: Duration = Duration::from_secs(4);
+/// Time for which a client waits for a second answer, which would violate a rule.
 const SECOND_ANSWER_WAIT: Duration = Duration::from_millis(2);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// The pauses after a connection that failed, and between attempts to be served.
+/// Time that a client waits after a failed connection attempt.
 const CONNECT_PAUSE: Duration = Duration::from_millis(50);
+/// Time that a client waits before it repeats a request of the recovery check.
 const ATTEMPT_PAUSE: Duration = Duration::from_millis(100);
-/// The bytes of an answer.
+/// Maximum size of an answer, in bytes.
 const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// The pause of a persistent client after a request that was not served.
+/// Time that a persistent client waits after a request that was not served.
 const PERSISTENT_BACKOFF: Duration = Duration::from_millis(60);
-/// The probability that a client leaves as its gateway's clients do.
+/// Probability that a client with an open request takes part in a departure of its gateway's clients.
 const DEPARTURE_PROBABILITY: f64 = 0.7;
 
-/// What a client does between two requests.
+/// Kind of a client, by its behaviour between two requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ClientKind {
-    /// It thinks, is idle, or closes its connection; it cancels or abandons some requests.
-    Casual,
-    /// It sends the next request at once, and never closes its connection but for a departure of all clients.
+    /// The client waits, is idle, or closes its connection between requests. It cancels some requests and disconnects during others.
+    Intermittent,
+    /// The client sends the next request immediately, and closes its connection only in a departure of the gateway's clients.
     Persistent,
 }
 
-/// A connection, and the sequence number of its last call.
+/// Connection to a gateway, with the sequence number of the last call on it.
 struct Connection {
     stream: TcpStream,
     last_sequence: i32,
     incarnation: u32,
 }
 
-/// One client. It owns its connection.
+/// Client of one gateway, which owns its connection.
 pub(super) struct Client {
     context: Rc<RunContext>,
     gateway: usize,
@@ -65,14 +69,14 @@
     connection: Option<Connection>,
 }
 
-/// How a client behaves after it sent a request.
+/// Behaviour of a client after it has sent a request.
 enum Behaviour {
     Wait,
     CancelAfter(Duration),
     DisconnectAfter(Duration),
 }
 
-/// A client's pause between two requests.
+/// Pause of an intermittent client between two requests.
 struct Pause {
     think_ms: u64,
     idle_ms: Option<u64>,
@@ -80,30 +84,30 @@
 }
 
 impl Client {
-    /// A client of that gateway.
+    /// Returns a client of a gateway that has no connection yet.
     pub(super) fn new(context: Rc<RunContext>, gateway: usize, kind: ClientKind) -> Self {
         Self { context, gateway, kind, connection: None }
     }
 
-    /// Sends one request after the other until the run is over.
+    /// Sends one request after another until the run is over.
     pub(super) async fn run(mut self) {
         while !self.context.is_over.get() {
             let behaviour = match self.kind {
-                ClientKind::Casual => self.draw_behaviour(),
+                ClientKind::Intermittent => self.draw_behaviour(),
                 ClientKind::Persistent => Behaviour::Wait,
             };
             let end = self.request(behaviour).await;
             let is_satisfied =
                 matches!(end, Some(RequestEnd::Answered(_, Answer::Served) | RequestEnd::Abandoned(_)));
             match self.kind {
-                ClientKind::Casual => self.pause(is_satisfied).await,
+                ClientKind::Intermittent => self.pause(is_satisfied).await,
                 ClientKind::Persistent if is_satisfied => {}
                 ClientKind::Persistent => sleep(PERSISTENT_BACKOFF).await,
             }
         }
     }
 
-    /// Sends requests until one is served, so many at most.
+    /// Sends up to `attempts` requests until one is served. Returns whether one was served.
     pub(super) async fn is_served_within(&mut self, attempts: usize) -> bool {
         for _ in 0..attempts {
             let end = self.request(Behaviour::Wait).await;
@@ -137,7 +141,7 @@
         sleep(Duration::from_millis(pause.idle_ms.unwrap_or(pause.think_ms) + backoff_ms)).await;
     }
 
-    /// Sends one request. None: there is no connection.
+    /// Sends one request and records it. Returns `None` if no connection could be opened.
     async fn request(&mut self, behaviour: Behaviour) -> Option<RequestEnd> {
         let mut connection = match self.connection.take() {
             Some(connection) => connection,
@@ -151,7 +155,7 @@
         let sent = self.context.now();
         let end = match written {
             Ok(()) => self.wait(&mut connection, timeout, behaviour).await,
-            // Bytes that left may have been read.
+            // The gateway may have read the part that was written.
             Err(_) => RequestEnd::WriteFailed(sent),
         };
         let ended_after = self.context.observe().earliest;
@@ -188,7 +192,7 @@
         let departure = self.departure();
         let cancel = encode_cancel(connection.last_sequence);
         let (mut reader, mut writer) = connection.stream.split();
-        let answer = timeout(Duration::from_secs_f64(limit) + OVERTIME, receive_answer(&mut reader));
+        let answer = timeout(Duration::from_secs_f64(limit) + LATE_ANSWER_WAIT, receive_answer(&mut reader));
         match behaviour {
             Behaviour::Wait => tokio::select! {
                 answer = answer => self.ended(answer),
@@ -213,7 +217,8 @@
         }
     }
 
-    /// Waits until this client leaves with others of its gateway. Returns whether it cancels its request before.
+    /// Waits until this client takes part in a departure of its gateway's clients. Returns whether it cancels its request before it
+    /// disconnects.
     async fn departure(&self) -> bool {
         let mut departures = self.context.departures[self.gateway].subscribe();
         loop {
@@ -242,7 +247,7 @@
     Pause { think_ms, idle_ms, closes_connection: rng.random_range(0..CLOSE_EVERY) == 0 }
 }
 
-/// The class and the timeout of a request.
+/// Draws the class of a request, and its timeout in seconds.
 fn draw_request(rng: &mut Pcg64Mcg) -> (Class, f64) {
     let class = match rng.random_range(0..10) {
         0..5 => Class::Idempotent,
@@ -265,7 +270,7 @@
     thrift::encode_call(sequence, &fields, "select 1")
 }
 
-/// The oneway message `cancel` of a call.
+/// Encodes the Thrift oneway message `cancel` for the call with this sequence number.
 fn encode_cancel(sequence: i32) -> Vec<u8> {
     let mut message = vec![0x80, 1, 0, 4, 0, 0, 0, 6];
     message.extend(b"cancel");
@@ -276,13 +281,13 @@
     [&(message.len() as u32).to_be_bytes()[..], &message].concat()
 }
 
-/// Whether another answer follows the first.
+/// Returns whether a second answer follows the first one.
 async fn receives_second_answer(connection: &mut Connection, end: RequestEnd) -> bool {
     matches!(end, RequestEnd::Answered(..))
         && matches!(timeout(SECOND_ANSWER_WAIT, receive_answer(&mut connection.stream)).await, Ok(Some(_)))
 }
 
-/// The next answer; none if the connection ends first.
+/// Receives the next answer. Returns `None` if the connection ends first, or if the answer cannot be decoded.
 async fn receive_answer(stream: &mut (impl AsyncRead + Unpin)) -> Option<Answer> {
     let mut length = [0; 4];
     stream.read_exact(&mut length).await.ok()?;
--- a/crates/experiments/src/soak/configuration.rs
+++ b/crates/experiments/src/soak/configuration.rs
@@ -1,11 +1,11 @@
-//! The configuration of the gateways.
+//! Configuration files of the gateways.
 
 use super::run::SoakRun;
 use super::{COLLAPSE_AFTER_MS, COLLAPSE_MULTIPLE, CORES, KEY_WINDOW_MS, SLOW_START_FROM, SLOW_START_MS};
 use starlingplank_test_doubles::name_service::EndpointEntry;
 
 impl SoakRun {
-    /// Writes the configuration of a gateway. It replaces the file at once, as a reload may read it at any moment.
+    /// Writes the configuration of a gateway. The file is replaced atomically, as the gateway may read it for a reload at any time.
     pub(super) fn write_configuration(&self, gateway: usize) -> std::io::Result<()> {
         let folder = self.context.gateway_folder(gateway);
         std::fs::create_dir_all(&folder)?;
--- a/crates/experiments/src/soak/context.rs
+++ b/crates/experiments/src/soak/context.rs
@@ -1,4 +1,4 @@
-//! What all parts of a run share.
+//! State that all components of a run share.
 
 use super::ledger::{Ledger, Observation};
 use super::options::SoakOptions;
@@ -11,38 +11,39 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, Instant};
 
-/// The time between two looks at the clock.
-const LOOK_INTERVAL: Duration = Duration::from_millis(2);
+/// Interval between two readings of the clock.
+const CLOCK_READING_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The looks that are remembered. The runtime polls all sockets between two looks. What is handled now was noticed by the last poll or
-/// the one before, a look after that poll may have come first, and it had not happened by the poll before that.
-const LOOKS: usize = 3;
+/// Number of clock readings that are stored. The runtime polls all sockets between two readings. An event that is handled now was found
+/// by the latest poll or the one before it, a reading may have followed that poll, and the event had not happened at the poll before.
+/// The third-latest reading is therefore a time before the event.
+const CLOCK_READINGS: usize = 3;
 
-/// The shared state of a run. It owns the ledger and the random draws.
+/// Shared state of a run, which owns the ledger and the random number generator.
 pub(super) struct RunContext {
-    /// The program.
+    /// Path of the gateway program.
     pub(super) program: PathBuf,
-    /// The library of system-call faults.
+    /// Path of the library that injects system-call faults.
     pub(super) faults_library: PathBuf,
-    /// The folder with a folder for each gateway.
+    /// Folder that contains a folder for each gateway.
     folder: PathBuf,
-    /// Where the gateways listen.
+    /// Addresses at which the gateways accept client connections, by gateway number.
     pub(super) addresses: Vec<SocketAddr>,
     begun: Instant,
-    /// The last looks at the clock, the earliest first.
-    last_looks: Cell<[f64; LOOKS]>,
-    /// The longest time that an observation may have been late, in seconds.
-    pub(super) longest_blind_time: Cell<f64>,
+    /// Latest readings of the clock in seconds, the earliest first.
+    clock_readings: Cell<[f64; CLOCK_READINGS]>,
+    /// Maximum delay, in seconds, with which an event may have been observed.
+    pub(super) max_observation_delay: Cell<f64>,
     rng: RefCell<Pcg64Mcg>,
-    /// What was recorded.
+    /// Records of the run so far.
     pub(super) ledger: RefCell<Ledger>,
-    /// Whether clients cancel and disconnect far more often.
+    /// Whether clients cancel requests and disconnect far more often than usual.
     pub(super) clients_are_impatient: Cell<bool>,
-    /// By gateway: with each change clients with an open request may leave.
+    /// Counters by gateway number. On each change, clients of the gateway with an open request may abandon it.
     pub(super) departures: Vec<watch::Sender<u64>>,
-    /// Whether clients send no more requests.
+    /// Whether the run is over, so that clients send no more requests.
     pub(super) is_over: Cell<bool>,
-    /// Errors that processes logged.
+    /// First lines that each gateway process wrote to standard error.
     pub(super) errors: RefCell<Vec<String>>,
 }
 
@@ -54,8 +55,8 @@
             faults_library: options.faults_library.clone(),
             folder: options.folder.clone(),
             begun: Instant::now(),
-            last_looks: Cell::new([0.0; LOOKS]),
-            longest_blind_time: Cell::new(0.0),
+            clock_readings: Cell::new([0.0; CLOCK_READINGS]),
+            max_observation_delay: Cell::new(0.0),
             rng: RefCell::new(Pcg64Mcg::seed_from_u64(options.seed)),
             ledger: RefCell::new(Ledger { processes, ..Ledger::default() }),
             clients_are_impatient: Cell::new(false),
@@ -66,25 +67,25 @@
         }
     }
 
-    /// Seconds since the run began.
+    /// Returns the time in seconds since the start of the run.
     pub(super) fn now(&self) -> f64 {
         self.begun.elapsed().as_secs_f64()
     }
 
-    /// Looks at the clock again and again, so that a time without any look is known.
-    pub(super) async fn keep_looking(&self) {
+    /// Reads the clock at a short interval, so that a gap between readings shows for how long the test process got no processor time.
+    pub(super) async fn read_clock_repeatedly(&self) {
         loop {
-            let [_, before, last] = self.last_looks.get();
+            let [_, before, last] = self.clock_readings.get();
             let now = self.now();
-            self.last_looks.set([before, last, now]);
-            self.longest_blind_time.set(self.longest_blind_time.get().max(now - before));
-            sleep(LOOK_INTERVAL).await;
+            self.clock_readings.set([before, last, now]);
+            self.max_observation_delay.set(self.max_observation_delay.get().max(now - before));
+            sleep(CLOCK_READING_INTERVAL).await;
         }
     }
 
-    /// When something that is noticed now happened.
+    /// Returns the range of times within which an event that is handled now happened.
     pub(super) fn observe(&self) -> Observation {
-        let [earliest, ..] = self.last_looks.get();
+        let [earliest, ..] = self.clock_readings.get();
         Observation { earliest, latest: self.now() }
     }
 
@@ -92,12 +93,12 @@
         draw(&mut self.rng.borrow_mut())
     }
 
-    /// The folder of a gateway.
+    /// Returns the folder of a gateway.
     pub(super) fn gateway_folder(&self, gateway: usize) -> PathBuf {
         self.folder.join(format!("g{gateway}"))
     }
 
-    /// The number of a gateway's last process.
+    /// Returns the number of the process of a gateway that was started last.
     pub(super) fn incarnation(&self, gateway: usize) -> u32 {
         (self.ledger.borrow().processes[gateway].len() as u32).saturating_sub(1)
     }
--- a/crates/experiments/src/soak/crowd.rs
+++ b/crates/experiments/src/soak/crowd.rs
@@ -1,4 +1,4 @@
-//! A crowd: idle connections that fill the descriptors of all gateways for a whole run.
+//! Run-long flood: idle connections that exhaust the file descriptors of a gateway for the whole run.
 
 use super::context::RunContext;
 use super::ledger::ConnectionFlood;
@@ -7,13 +7,13 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// The connections to each gateway: more than a process accepts.
+/// Number of idle connections to each gateway: more than a process accepts.
 const CONNECTIONS: usize = 170;
-/// How often connections that were closed are opened again.
+/// Interval at which connections that the gateway closed are opened again.
 const REFILL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Keeps a gateway's descriptors filled until the run is over.
-pub(super) async fn crowd(context: Rc<RunContext>, gateway: usize) {
+/// Keeps a gateway's file descriptors exhausted until the run is over, and records the flood.
+pub(super) async fn hold_run_long_flood(context: Rc<RunContext>, gateway: usize) {
     let from = context.now();
     let mut connections = Vec::new();
     while !context.is_over.get() {
--- a/crates/experiments/src/soak/discovery.rs
+++ b/crates/experiments/src/soak/discovery.rs
@@ -1,5 +1,5 @@
-//! The name service of a run: two addresses for each gateway, with faults for each gateway. The lists that it sent to each
-//! gateway, or would have sent with a valid response, are recorded in the ledger.
+//! Simulated name service with two addresses for each gateway, and faults for each gateway. It records in the ledger which lists it sent
+//! to each gateway, or would have sent in place of an invalid or lost response.
 
 use super::context::RunContext;
 use super::ledger::Announcement;
@@ -13,46 +13,48 @@
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 
-/// The bytes of a poll, and of the header of a message.
+/// Maximum size of a poll, in bytes.
 const MAX_POLL_BYTES: usize = 512;
+/// Size of the header of a message, in bytes.
 const HEADER_BYTES: usize = 12;
-/// The byte of a header with the response code, and the code "server failure".
+/// Index of the header byte that contains the response code.
 const RESPONSE_CODE_BYTE: usize = 3;
+/// Response code "server failure".
 const SERVER_FAILURE: u8 = 2;
 
-/// What happens to an invalid response.
+/// Kind of corruption of an invalid response.
 #[derive(Debug, Clone, Copy)]
 enum Corruption {
     Lost,
-    CutShort,
+    Truncated,
     OtherId,
     Failure,
     OutdatedList,
 }
 
 impl Corruption {
-    const ALL: [Self; 5] = [Self::Lost, Self::CutShort, Self::OtherId, Self::Failure, Self::OutdatedList];
+    const ALL: [Self; 5] = [Self::Lost, Self::Truncated, Self::OtherId, Self::Failure, Self::OutdatedList];
 }
 
-/// The name service as one gateway finds it.
+/// State of the name service for one gateway.
 #[derive(Debug)]
 pub(super) struct GatewayView {
-    /// Its two addresses.
+    /// Both addresses of the name service for this gateway.
     pub(super) addresses: [SocketAddr; 2],
-    /// The index of the address in the gateway's configuration.
+    /// Index of the address that the gateway's configuration contains.
     pub(super) present: Cell<usize>,
     /// Whether the other address responds as well.
     pub(super) both_respond: Cell<bool>,
-    /// It responds to no poll before.
+    /// Time in seconds since the start of the run before which the name service does not respond to the gateway.
     pub(super) silent_until: Cell<f64>,
-    /// The time that a response takes, in seconds.
+    /// Delay of a response, in seconds.
     pub(super) latency: Cell<f64>,
-    /// The share of invalid responses.
+    /// Share of responses that are invalid.
     pub(super) invalid_share: Cell<f64>,
-    /// The ports from which the gateway has polled.
+    /// UDP ports from which the gateway has polled.
     used_ports: RefCell<BTreeSet<u16>>,
-    /// The ports whose polls get no response any more.
-    dead_ports: RefCell<BTreeSet<u16>>,
+    /// UDP ports whose polls no longer get a response.
+    blocked_ports: RefCell<BTreeSet<u16>>,
 }
 
 impl GatewayView {
@@ -65,27 +67,27 @@
             latency: Cell::new(0.0),
             invalid_share: Cell::new(0.0),
             used_ports: RefCell::default(),
-            dead_ports: RefCell::default(),
+            blocked_ports: RefCell::default(),
         }
     }
 
-    /// Kills all flows that have been used so far.
-    pub(super) fn kill_flows(&self) {
-        self.dead_ports.borrow_mut().extend(self.used_ports.borrow().iter());
+    /// Stops responding to all UDP ports from which the gateway has polled so far.
+    pub(super) fn block_used_ports(&self) {
+        self.blocked_ports.borrow_mut().extend(self.used_ports.borrow().iter());
     }
 
-    fn is_dead(&self, port: u16) -> bool {
-        self.dead_ports.borrow().contains(&port)
+    fn is_blocked(&self, port: u16) -> bool {
+        self.blocked_ports.borrow().contains(&port)
     }
 }
 
-/// A version of the list.
+/// Version of the endpoint list, with its engines.
 struct ListVersion {
     version: u32,
     engines: Vec<EndpointEntry>,
 }
 
-/// A poll of a gateway.
+/// Poll that a gateway sent.
 struct Poll {
     gateway: usize,
     socket: Rc<UdpSocket>,
@@ -93,26 +95,26 @@
     bytes: Vec<u8>,
 }
 
-/// The name service, whose addresses all hold the same list.
+/// Simulated name service, whose addresses all serve the same endpoint list.
 pub(super) struct Discovery {
-    /// The list.
+    /// Engines in the present endpoint list.
     pub(super) engines: RefCell<Vec<EndpointEntry>>,
-    /// Its version.
+    /// Version of the present endpoint list.
     pub(super) version: Cell<u32>,
-    /// The list before.
+    /// Previous version of the endpoint list, which outdated responses contain.
     previous: RefCell<Option<ListVersion>>,
-    /// Since when no address responds.
+    /// Time since which no address has responded to any gateway; `None` if they respond.
     pub(super) silent_since: Cell<Option<f64>>,
-    /// By gateway.
+    /// State for each gateway, by gateway number.
     pub(super) views: Vec<GatewayView>,
     context: Rc<RunContext>,
 }
 
 impl Discovery {
-    /// Starts the addresses for that many gateways.
+    /// Starts a name service with two addresses for each of `gateways` gateways.
     ///
     /// # Errors
-    /// No port is available.
+    /// Fails if no port is available.
     pub(super) async fn start(context: Rc<RunContext>, gateways: usize) -> std::io::Result<Rc<Self>> {
         let (mut views, mut sockets) = (Vec::new(), Vec::new());
         for _ in 0..gateways {
@@ -159,10 +161,11 @@
 
     fn draw_is_valid(&self, gateway: usize, port: u16) -> bool {
         let view = &self.views[gateway];
-        !view.is_dead(port) && self.context.draw(|rng| rng.random_range(0.0..1.0)) >= view.invalid_share.get()
+        !view.is_blocked(port)
+            && self.context.draw(|rng| rng.random_range(0.0..1.0)) >= view.invalid_share.get()
     }
 
-    /// Responds to a poll after the present latency, with the list as it is then.
+    /// Responds to a poll after the present latency, with the endpoint list that is current after this delay.
     async fn respond(self: Rc<Self>, poll: Poll, is_valid: bool) {
         let latency = self.views[poll.gateway].latency.get();
         if latency > 0.0 {
@@ -181,15 +184,15 @@
         }
     }
 
-    /// What is sent in place of a valid response, if anything is.
+    /// Returns the message that is sent in place of a valid response, or `None` if the response is lost.
     fn corrupt(&self, poll: &Poll, mut response: Vec<u8>) -> Option<Vec<u8>> {
-        if self.views[poll.gateway].is_dead(poll.from.port()) {
+        if self.views[poll.gateway].is_blocked(poll.from.port()) {
             return None;
         }
         let kinds = Corruption::ALL;
         match kinds[self.context.draw(|rng| rng.random_range(0..kinds.len()))] {
             Corruption::Lost => None,
-            Corruption::CutShort => {
+            Corruption::Truncated => {
                 response.truncate(response.len() / 2);
                 Some(response)
             }
@@ -208,7 +211,7 @@
         }
     }
 
-    /// Changes the list. Returns its new version.
+    /// Changes the endpoint list. Returns its new version.
     pub(super) fn change_list(&self, change: impl FnOnce(&mut Vec<EndpointEntry>)) -> u32 {
         let (version, engines) = (self.version.get(), self.engines.borrow().clone());
         *self.previous.borrow_mut() = Some(ListVersion { version, engines });
--- a/crates/experiments/src/soak/engine.rs
+++ b/crates/experiments/src/soak/engine.rs
@@ -1,4 +1,4 @@
-//! An engine of the platform whose requests take a random time, with faults that can be switched on. It records every attempt.
+//! Simulated engine: serves each request after a random time, has faults that can be switched on, and records every attempt.
 
 use super::context::RunContext;
 use super::ledger::{AttemptEnd, AttemptOutcome, AttemptRecord};
@@ -17,53 +17,53 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// The time that a request takes, in milliseconds.
+/// Service time of a request, in milliseconds.
 const SERVICE_TIME_MS: std::ops::Range<u64> = 60..260;
-/// The mean of that, in seconds.
+/// Mean service time of a request, in seconds.
 pub(super) const MEAN_SERVICE_TIME: f64 = 0.16;
-/// The bytes of a command.
+/// Maximum size of a command, in bytes.
 const MAX_COMMAND_BYTES: usize = 1 << 16;
-/// The pause after a port that could not be bound again.
+/// Time between two attempts to bind the port again after a restart.
 const BIND_PAUSE: Duration = Duration::from_millis(5);
-/// How often an engine that hangs checks whether it still does.
+/// Interval at which a hanging engine checks whether the fault is over.
 const HANG_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// The time in which an answer is sent before its connection is closed.
+/// Time for which an answer is given to be sent before its connection is reset.
 const SEND_TIME: Duration = Duration::from_millis(1);
 
-/// How an engine behaves.
+/// Behaviour of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Behaviour {
-    /// It serves.
+    /// The engine serves requests.
     Serve,
-    /// It answers nothing.
+    /// The engine answers neither requests nor load polls.
     Hang,
-    /// It rejects everything.
+    /// The engine rejects all requests as overloaded.
     Overload,
-    /// It closes connections without open requests.
+    /// The engine resets all its connections each time it has answered the last open request on one of them.
     CloseIdle,
 }
 
-/// An engine.
+/// Simulated engine.
 pub(super) struct Engine {
-    /// Where it listens.
+    /// Address at which the engine listens.
     pub(super) address: SocketAddr,
     context: Rc<RunContext>,
-    /// Its number in the ledger, another after each start.
+    /// Number of the engine in the ledger. It changes with each restart.
     pub(super) number: Cell<usize>,
     behaviour: Cell<Behaviour>,
-    /// A change of this number resets all open connections.
+    /// Counter whose changes make all open connections reset.
     resets: watch::Sender<u64>,
     is_up: watch::Sender<bool>,
 }
 
-/// An attempt in flight.
+/// Attempt that is in flight at the engine.
 struct InFlight {
     txn: String,
-    /// Its index among the attempts of its request.
+    /// Index of the attempt among the attempts of its request.
     index: usize,
 }
 
-/// A connection: its attempts in flight by request, and the queue of its answers.
+/// Connection of a gateway: its in-flight attempts by transaction id, and the queue of its answers.
 #[derive(Clone)]
 struct Connection {
     in_flight: Rc<RefCell<HashMap<String, InFlight>>>,
@@ -77,10 +77,10 @@
 }
 
 impl Engine {
-    /// Starts it on a port of its own.
+    /// Starts an engine on a port that the operating system assigns.
     ///
     /// # Errors
-    /// No port is available.
+    /// Fails if no port is available.
     pub(super) async fn start(context: Rc<RunContext>, number: usize) -> std::io::Result<Rc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let engine = Rc::new(Self {
@@ -95,23 +95,23 @@
         Ok(engine)
     }
 
-    /// Sets how it behaves from now on.
+    /// Sets the behaviour of the engine from now on.
     pub(super) fn set_behaviour(&self, behaviour: Behaviour) {
         self.behaviour.set(behaviour);
     }
 
-    /// Resets all connections.
+    /// Resets all connections of the engine.
     pub(super) fn reset(&self) {
         self.resets.send_modify(|resets| *resets += 1);
     }
 
-    /// Ends it as a process that crashes.
+    /// Stops listening and resets all connections, like a process that crashes.
     pub(super) fn crash(&self) {
         self.is_up.send_replace(false);
         self.reset();
     }
 
-    /// Restarts it under that number.
+    /// Restarts the engine, which gets the given number in the ledger.
     pub(super) fn restart(&self, number: usize) {
         self.number.set(number);
         self.is_up.send_replace(true);
@@ -148,7 +148,7 @@
         let _ = stream.set_nodelay(true);
         let mut resets = self.resets.subscribe();
         resets.borrow_and_update();
-        let Some((stream, resettable)) = with_copy(stream) else { return };
+        let Some((stream, resettable)) = with_duplicate_descriptor(stream) else { return };
         let (reader, mut writer) = stream.into_split();
         let (answers, mut queue) = unbounded_channel::<Vec<u8>>();
         let connection = Connection { in_flight: Rc::default(), answers };
@@ -240,7 +240,7 @@
     }
 
     async fn finish(&self, txn: &str, service_time_ms: u64, connection: &Connection) {
-        // A request that hangs is served once the fault is over, if it was not cancelled.
+        // A hanging request is served when the fault is over, unless it was cancelled.
         while self.behaviour.get() == Behaviour::Hang {
             sleep(HANG_CHECK_INTERVAL).await;
         }
@@ -249,13 +249,13 @@
         let fields = format!("pages=1,cost={service_time_ms},need=8");
         connection.answer(&[txn, "served", &fields, "a\tb\tc\n"]);
         if self.behaviour.get() == Behaviour::CloseIdle && connection.in_flight.borrow().is_empty() {
-            // The answer is sent first. Requests that are on their way cross the close.
+            // The answer is sent before the reset. Requests that gateways are sending at this moment cross it.
             sleep(SEND_TIME).await;
             self.reset();
         }
     }
 
-    /// Records the end of an attempt; a later end of the same attempt changes nothing.
+    /// Records the end of an attempt. If an end is already recorded, it stays.
     fn record_end(&self, attempt: &InFlight, outcome: AttemptOutcome) {
         let at = self.context.observe();
         let mut ledger = self.context.ledger.borrow_mut();
@@ -266,8 +266,8 @@
     }
 }
 
-/// A connection, and a copy of its descriptor by which it can be reset: that discards all bytes that were not sent.
-fn with_copy(stream: TcpStream) -> Option<(TcpStream, std::net::TcpStream)> {
+/// Returns a connection with a duplicate of its descriptor, through which the connection can be reset. A reset discards all unsent bytes.
+fn with_duplicate_descriptor(stream: TcpStream) -> Option<(TcpStream, std::net::TcpStream)> {
     let stream = stream.into_std().ok()?;
     let copy = stream.try_clone().ok()?;
     Some((TcpStream::from_std(stream).ok()?, copy))
--- a/crates/experiments/src/soak/faults.rs
+++ b/crates/experiments/src/soak/faults.rs
@@ -62,7 +62,7 @@
             Fault::ConnectionFlood(gateway) => self.flood(gateway, to).await,
             Fault::SlowNameService(gateway, latency) => self.slow_name_service(gateway, latency, to).await,
             Fault::LossyNameService(gateway, share) => self.lossy_name_service(gateway, share, to).await,
-            Fault::DeadFlows(gateway) => self.discovery.views[gateway].kill_flows(),
+            Fault::DeadFlows(gateway) => self.discovery.views[gateway].block_used_ports(),
             Fault::SilentNameService => self.silence_name_service(to).await,
             Fault::ReplaceEngine(engine) => self.replace_engine(engine, to).await,
             Fault::CrashEngine(engine) => self.crash_engines(&[engine], to).await,
--- a/crates/experiments/src/soak/mod.rs
+++ b/crates/experiments/src/soak/mod.rs
@@ -1,8 +1,8 @@
-//! A soak: many real gateways between engines, clients and name services, with overlapping faults that are drawn from a seed. What
-//! clients and engines recorded is the ledger, in which the oracle finds violations of the rules.
+//! Soak test: runs many real gateway processes between simulated engines, clients and name services, with overlapping faults that are
+//! drawn from a seed. Clients and engines record their requests in the ledger, which the oracle then checks for violations of the rules.
 //!
-//! Faults are injected at the ends and in the processes: there is no relay between a gateway and its engines, so that paths that
-//! are cut one way and reordered datagrams are not covered.
+//! Faults are injected in the simulated peers and in the gateway processes. There is no relay between a gateway and its engines, so that
+//! one-way network partitions and reordered datagrams are not covered.
 
 pub mod ledger;
 pub mod oracle;
@@ -27,25 +27,28 @@
 use crate::report::Figures;
 use oracle::{RetryBudget, RuleParameters, SlowStart};
 
-/// The deduplication window in the settings, in milliseconds.
+/// Deduplication window of engines in the gateways' settings, in milliseconds.
 const KEY_WINDOW_MS: u32 = 2_500;
-/// The cores of an engine.
+/// Number of cores of an engine.
 const CORES: f64 = 4.0;
-/// The slow start in the settings: the multiple of its capacity above which a cold engine collapses, the span over which it
-/// counts, the share of its capacity at its start, and the time until it is warm.
+/// Multiple of its capacity above which a cold engine collapses, in the gateways' settings of the slow start.
 const COLLAPSE_MULTIPLE: f64 = 1.0;
+/// Span in milliseconds over which the load of a cold engine counts.
 const COLLAPSE_AFTER_MS: f64 = 2_000.0;
+/// Share of its capacity that an engine has at its start.
 const SLOW_START_FROM: f64 = 0.31;
+/// Time in milliseconds from the start of an engine until it is warm.
 const SLOW_START_MS: f64 = 8_000.0;
-/// The gateways of a run where no number is given, or one above the maximum.
+/// Number of gateways of a run for which a number above `MAX_GATEWAYS` is given.
 const DEFAULT_GATEWAYS: usize = 12;
+/// Maximum number of gateways of a run.
 const MAX_GATEWAYS: usize = 40;
 
-/// The parameters of the rules in a run.
+/// Returns the parameters of the oracle's rules that match the gateways' configuration.
 pub fn rule_parameters() -> RuleParameters {
     let span = COLLAPSE_AFTER_MS / 1000.0;
     RuleParameters {
-        // The settings' 20 ms, 50 ms more on sockets, and what a busy machine adds here.
+        // The settings allow 20 ms (`answer_slack`) and sockets add 50 ms. The rest allows for a busy machine.
         answer_grace: 0.15,
         abandoned_slack: 0.1,
         deadline_slack: 0.15,
@@ -67,7 +70,7 @@
     }
 }
 
-/// The experiment: one run, and the violations in it.
+/// Runs the experiment `soak`: one soak test, whose violations are printed and counted in the figures.
 pub(crate) async fn experiment(options: &RunOptions) -> Result<Figures, Failure> {
     let folder = tempfile::tempdir()?;
     let is_too_many = options.gateways > MAX_GATEWAYS;
--- a/crates/experiments/src/soak/options.rs
+++ b/crates/experiments/src/soak/options.rs
@@ -1,21 +1,21 @@
-//! The options of a run.
+//! Options of a soak test.
 
 use std::path::PathBuf;
 
-/// The options of a run.
+/// Options of a soak test.
 pub struct SoakOptions {
-    /// The program.
+    /// Path of the gateway program.
     pub program: PathBuf,
-    /// The library of system-call faults.
+    /// Path of the library that injects system-call faults.
     pub faults_library: PathBuf,
-    /// An empty folder.
+    /// Empty folder for the files of the run.
     pub folder: PathBuf,
-    /// All random draws follow from it.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// The number of gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// The time in which faults begin, in seconds.
+    /// Time in seconds within which faults begin.
     pub seconds: f64,
-    /// The faults to leave out, by their numbers in the schedule, to shorten a failing seed.
+    /// Numbers of the scheduled faults to leave out, to reduce the schedule of a failing seed.
     pub without: Vec<usize>,
 }
--- a/crates/experiments/src/soak/process.rs
+++ b/crates/experiments/src/soak/process.rs
@@ -1,4 +1,5 @@
-//! The real program as a process of the run: started with its faults, signalled, watched, and its log counted.
+//! Gateway process of a run: starts the real program with injected system-call faults, sends it signals, records its events, and counts
+//! the lines of its log.
 
 use super::context::RunContext;
 use super::ledger::{ProcessEvent, ProcessRecord};
@@ -10,22 +11,22 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread::JoinHandle;
 
-/// How the deployment file starts the program: SIGHUP has no effect until the program handles it.
-const RUN_LINE: &str = "trap '' HUP; exec \"$0\" serve";
-/// The lines of errors that are kept, for a report.
+/// Shell command that starts the program, as in the deployment file: SIGHUP is ignored until the program installs its handler.
+const START_COMMAND: &str = "trap '' HUP; exec \"$0\" serve";
+/// Maximum number of lines of standard error that are stored for the report.
 const MAX_ERRORS: usize = 20;
 
-/// The resources of a process.
+/// Resources that a process uses.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Footprint {
     /// Resident memory, in MB.
     pub memory_mb: f64,
-    /// Open descriptors.
+    /// Number of open file descriptors.
     pub descriptors: usize,
 }
 
 impl Footprint {
-    /// The greater of each.
+    /// Returns the maximum of both for each resource.
     pub(super) fn max(self, other: Self) -> Self {
         Self {
             memory_mb: self.memory_mb.max(other.memory_mb),
@@ -34,15 +35,15 @@
     }
 }
 
-/// What is read from the log of a process.
+/// Data from the log of a process.
 #[derive(Debug, Default)]
 struct Log {
     lines: usize,
-    /// It has logged that it listens.
+    /// Whether the process has logged that it accepts client connections.
     is_listening: bool,
-    /// The violations of the rules that it has counted.
+    /// Number of rule violations that the process has counted itself; `None` if it has logged none.
     violations: Option<u64>,
-    /// The first lines on standard error.
+    /// First lines of standard error, up to `MAX_ERRORS`.
     errors: Vec<String>,
 }
 
@@ -62,30 +63,30 @@
     log.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A running process. It is killed when it is dropped.
+/// Running gateway process. It is killed when this value is dropped.
 pub(super) struct Process {
     child: Child,
     context: Rc<RunContext>,
     gateway: usize,
     number: usize,
     log: Arc<Mutex<Log>>,
-    /// The file that switches the faults of system calls on.
+    /// File whose existence switches the system-call faults on.
     fault_switch: PathBuf,
     log_readers: Vec<JoinHandle<()>>,
     is_listening: bool,
 }
 
 impl Process {
-    /// Starts the next process of a gateway, in its folder, with these faults of system calls, switched off.
+    /// Starts the next process of a gateway, with the gateway's folder and the given system-call faults, which are switched off.
     ///
     /// # Errors
-    /// It cannot be started.
+    /// Fails if the process cannot be started.
     pub(super) fn start(context: Rc<RunContext>, gateway: usize, faults: &str) -> std::io::Result<Self> {
         let folder = context.gateway_folder(gateway);
         std::fs::create_dir_all(&folder)?;
         let fault_switch = folder.join("faults");
         let mut child = Command::new("sh")
-            .args(["-c", RUN_LINE])
+            .args(["-c", START_COMMAND])
             .arg(&context.program)
             .env("PROXY_CONFIG", folder.join("config.json"))
             .env("TMPDIR", &folder)
@@ -118,7 +119,7 @@
         self.change_record(|record| record.events.push((now, event)));
     }
 
-    /// Sends a signal and records what it means.
+    /// Sends a signal and records the event that the signal causes. A SIGHUP is not sent until the program has replaced the shell.
     pub(super) fn signal(&self, signal: Signal) {
         let event = match signal {
             Signal::TERM => Some(ProcessEvent::Terminated),
@@ -127,8 +128,8 @@
             Signal::CONT => Some(ProcessEvent::Resumed),
             _ => None,
         };
-        // The shell that starts the program ends by a SIGHUP that comes before its trap.
-        if signal == Signal::HUP && !self.has_begun() {
+        // A SIGHUP would end the shell that starts the program if it arrived before the shell has executed its `trap`.
+        if signal == Signal::HUP && !self.has_replaced_shell() {
             return;
         }
         if let Some(event) = event {
@@ -137,8 +138,8 @@
         self.send(signal);
     }
 
-    /// Whether the program has replaced the shell that starts it.
-    fn has_begun(&self) -> bool {
+    /// Returns whether the program has replaced the shell that starts it.
+    fn has_replaced_shell(&self) -> bool {
         let running = std::fs::read_link(format!("/proc/{}/exe", self.child.id()));
         running.is_ok_and(|running| running.file_name() == self.context.program.file_name())
     }
@@ -147,18 +148,18 @@
         let _ = kill_process(Pid::from_child(&self.child), signal);
     }
 
-    /// Its number among the processes of its gateway.
+    /// Returns the number of the process among the processes of its gateway.
     pub(super) fn number(&self) -> usize {
         self.number
     }
 
-    /// Kills it, as its time after SIGTERM is over.
+    /// Sends SIGKILL because the process has not exited within the grace period after SIGTERM, and records this.
     pub(super) fn kill_overdue(&self) {
         self.record_event(ProcessEvent::Overdue);
         self.send(Signal::KILL);
     }
 
-    /// Begins or ends the faults of its system calls.
+    /// Switches the system-call faults of the process on or off.
     pub(super) fn switch_faults(&self, on: bool) {
         let _ = match on {
             true => std::fs::write(&self.fault_switch, ""),
@@ -166,12 +167,12 @@
         };
     }
 
-    /// Whether it listens.
+    /// Returns whether the process accepts client connections, as of the last check by `has_ended`.
     pub(super) fn is_listening(&self) -> bool {
         self.is_listening
     }
 
-    /// Whether it has ended. What has changed since the last check is recorded.
+    /// Returns whether the process has exited. Records the events since the last check.
     pub(super) fn has_ended(&mut self) -> bool {
         let is_listening = lock(&self.log).is_listening;
         if is_listening && !std::mem::replace(&mut self.is_listening, true) {
@@ -193,7 +194,7 @@
         true
     }
 
-    /// Its present resources; none once it has ended.
+    /// Returns the resources that the process uses at present; `None` if it has exited.
     pub(super) fn footprint(&self) -> Option<Footprint> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).ok()?;
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
@@ -210,7 +211,7 @@
     }
 }
 
-/// Adds the record of a gateway's next process. Returns its number.
+/// Adds an empty record for the next process of a gateway. Returns the number of that process.
 fn add_record(context: &RunContext, gateway: usize) -> usize {
     let mut ledger = context.ledger.borrow_mut();
     let processes = &mut ledger.processes[gateway];
--- a/crates/experiments/src/soak/report.rs
+++ b/crates/experiments/src/soak/report.rs
@@ -1,4 +1,4 @@
-//! The report of a run: its figures, and the trace of each violation.
+//! Reports the result of a run: its figures, and the records behind each violation.
 
 use super::ledger::{Answer, ProcessEvent, ProcessRecord, RequestEnd};
 use super::options::SoakOptions;
@@ -6,25 +6,26 @@
 use super::schedule;
 use serde_json::{json, Value};
 
-/// The characters of the first violation that are kept as a figure.
+/// Maximum number of characters of the first violation in the figures.
 const MAX_FIGURE_CHARS: usize = 160;
 
-/// Prints the schedule and the trace of each request with a violation, for whoever shortens the seed.
+/// Prints the schedule, and the records of each request with a violation, so that the schedule of a failing seed can be reduced by leaving
+/// out faults by their numbers.
 pub(super) fn print_violations(result: &SoakResult) {
     if result.violations.is_empty() {
         return;
     }
     for (number, planned) in result.schedule.iter().enumerate() {
-        eprintln!("trouble {number}: {planned:?}");
+        eprintln!("fault {number}: {planned:?}");
     }
-    eprintln!("breaks by rule: {:?}; excuses: {:?}", result.violations_by_rule, result.excuses);
+    eprintln!("violations by rule: {:?}; excuses: {:?}", result.violations_by_rule, result.excuses);
     for line in &result.violations {
-        eprintln!("break: {line}");
+        eprintln!("violation: {line}");
         print_request(result, line.split(':').next().unwrap_or_default());
     }
-    print_unrecovered(result);
+    print_unserved_requests(result);
     for line in &result.errors {
-        eprintln!("logged: {line}");
+        eprintln!("standard error: {line}");
     }
 }
 
@@ -42,8 +43,8 @@
     matches!(end, RequestEnd::Answered(_, Answer::Served))
 }
 
-/// Prints the last requests to gateways that do not serve all requests after the last fault.
-fn print_unrecovered(result: &SoakResult) {
+/// Prints the requests after the last fault that were not served, for each gateway that failed a request of the recovery check.
+fn print_unserved_requests(result: &SoakResult) {
     let ledger = &result.ledger;
     let checks = ledger.recovery_checks.iter().enumerate();
     for (gateway, _) in checks.filter(|(_, check)| check.served < check.sent) {
@@ -51,13 +52,13 @@
             let is_late = request.gateway == gateway && request.sent > ledger.last_fault_ended;
             if is_late && !is_served(request.end) {
                 let attempts = ledger.attempts.get(txn);
-                eprintln!("gateway {gateway} after the troubles: {txn} {request:?} {attempts:?}");
+                eprintln!("gateway {gateway} after the last fault: {txn} {request:?} {attempts:?}");
             }
         }
     }
 }
 
-/// The longest time from SIGTERM to the end of a process that was not paused meanwhile, in seconds.
+/// Returns the longest time in seconds from SIGTERM to the exit of a process that was not paused in between.
 fn longest_end(processes: &[Vec<ProcessRecord>]) -> f64 {
     let end = |process: &ProcessRecord| {
         let (terminated, (ended, _)) = process.first(ProcessEvent::Terminated).zip(process.exit())?;
@@ -66,7 +67,7 @@
     processes.iter().flatten().filter_map(end).fold(0.0, f64::max)
 }
 
-/// The figures of a run.
+/// Returns the figures of a run.
 pub(super) fn figures(options: &SoakOptions, result: &SoakResult) -> Value {
     let ledger = &result.ledger;
     let ends = || ledger.requests.values().map(|request| request.end);
@@ -90,7 +91,7 @@
         "longest_end_s": longest_end(&ledger.processes),
         "memory_mb": (result.footprint.memory_mb * 10.0).round() / 10.0,
         "descriptors": result.footprint.descriptors,
-        "blind_ms": (result.longest_blind_time * 1000.0).round(),
+        "blind_ms": (result.max_observation_delay * 1000.0).round(),
         "breaks": result.violations.len(),
         "breaks_by_rule": result.violations_by_rule,
         "excuses": result.excuses,
--- a/crates/experiments/src/soak/run.rs
+++ b/crates/experiments/src/soak/run.rs
@@ -1,8 +1,9 @@
-//! Runs a schedule: starts everything, injects the faults, checks the recovery, and ends everything.
+//! Runs a soak test: starts engines, name services, gateways and clients, injects the scheduled faults, checks that the gateways recover,
+//! and terminates the gateways.
 
 use super::client::{Client, ClientKind};
 use super::context::RunContext;
-use super::crowd::crowd;
+use super::crowd::hold_run_long_flood;
 use super::discovery::Discovery;
 use super::engine::Engine;
 use super::ledger::{EngineRecord, Ledger, RecoveryCheck};
@@ -23,81 +24,88 @@
 use tokio::time::{interval, sleep, timeout};
 
 const ENGINES: usize = 8;
-const CASUAL_CLIENTS: usize = 5;
-/// Clients that never close their connections; one gateway in so many has that many that requests wait in it.
+/// Number of intermittent clients of each gateway.
+const INTERMITTENT_CLIENTS: usize = 5;
+/// Number of persistent clients of a gateway that is not busy.
 const PERSISTENT_CLIENTS: usize = 2;
+/// Every gateway whose number is a multiple of this is busy: it has enough persistent clients that requests queue in it.
 pub(super) const BUSY_GATEWAY_INTERVAL: usize = 4;
+/// Number of persistent clients of a busy gateway.
 const BUSY_CLIENTS: usize = 48;
-/// The time that the processes have to recover, in seconds.
+/// Time in seconds that the gateways have to recover from the last fault.
 const RECOVERY_TIME: f64 = 3.0;
-/// The requests of the recovery check to each gateway, and the attempts of each.
+/// Number of requests of the recovery check to each gateway.
 const RECOVERY_REQUESTS: usize = 4;
+/// Maximum number of times that the client sends each request of the recovery check until it is served.
 const RECOVERY_ATTEMPTS: usize = 4;
-/// The ports below those that the system gives to outgoing connections.
+/// First port for gateways. The range lies below the ports that the operating system assigns to outgoing connections.
 const FIRST_PORT: u16 = 12_000;
+/// End of the range of ports for gateways.
 const LAST_PORT: u16 = 30_000;
-/// Factors that spread runs at the same time, and with other seeds, over the ports.
+/// Factor that spreads simultaneous runs over the ports by their process ids.
 const PORTS_PER_PROCESS: u64 = 131;
+/// Factor that spreads simultaneous runs over the ports by their seeds.
 const PORTS_PER_SEED: u64 = 977;
-/// What the seed of a run is multiplied with for the faults of its processes.
+/// Factor by which the seed of a run is multiplied for the system-call faults of its processes.
 const PROCESS_SEED_FACTOR: u64 = 1_000_003;
-/// How often processes are checked.
+/// Interval at which gateway processes are checked and restarted.
 const CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// The time in which clients end.
+/// Maximum time for a client to finish its last request at the end of the run.
 const CLIENT_END_TIME: Duration = Duration::from_secs(10);
-/// How often, and how many times, the end of all processes is checked.
+/// Interval of the checks whether all gateway processes have exited at the end of the run.
 const END_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// Maximum number of checks whether all gateway processes have exited at the end of the run.
 const MAX_END_CHECKS: usize = 800;
 
-/// The result of a run.
+/// Result of a run.
 pub struct SoakResult {
-    /// What was planned.
+    /// Faults that were injected.
     pub schedule: Vec<PlannedFault>,
-    /// What was recorded.
+    /// Records of the run.
     pub ledger: Ledger,
-    /// Violations of the rules, a line each.
+    /// Violations of the rules, one line for each.
     pub violations: Vec<String>,
-    /// How many violations each rule has; those without one are left out.
+    /// Number of violations by rule name. Rules without a violation are omitted.
     pub violations_by_rule: BTreeMap<&'static str, usize>,
-    /// How many requests each excuse covers.
+    /// Number of requests that each excuse covers, by its name.
     pub excuses: BTreeMap<&'static str, usize>,
-    /// Errors that processes logged.
+    /// First lines that each gateway process wrote to standard error.
     pub errors: Vec<String>,
-    /// The longest time that an observation of the run's own process may have been late, in seconds.
-    pub longest_blind_time: f64,
-    /// The most memory and descriptors that a process had.
+    /// Maximum delay, in seconds, with which the test process may have observed an event.
+    pub max_observation_delay: f64,
+    /// Maximum memory and maximum number of descriptors of any gateway process.
     pub footprint: Footprint,
 }
 
-/// A run in progress. It owns the processes.
+/// Run in progress, which owns the gateway processes.
 pub(super) struct SoakRun {
     pub(super) context: Rc<RunContext>,
     pub(super) discovery: Rc<Discovery>,
     pub(super) engines: Vec<RefCell<Rc<Engine>>>,
-    /// Of each gateway; two during a hot restart.
+    /// Running processes by gateway number: one for each gateway, two during a hot restart.
     pub(super) processes: Vec<RefCell<Vec<Process>>>,
     pub(super) seed: u64,
     footprint: Cell<Footprint>,
-    /// Whether processes that end are not restarted any more.
+    /// Whether the run is ending, so that processes that exit are no longer restarted.
     is_ending: Cell<bool>,
 }
 
-/// Runs a soak on the current local set.
+/// Runs a soak test on the current `LocalSet`.
 ///
 /// # Errors
-/// A part of the run itself cannot be started.
+/// Fails if a component of the test cannot be started, or if a client does not finish in time at the end of the run.
 pub async fn run_soak(options: &SoakOptions) -> Result<SoakResult, Failure> {
     let addresses = free_addresses(options.gateways, options.seed)?;
     let context = Rc::new(RunContext::new(options, addresses));
     let run = Rc::new(SoakRun::start(context.clone(), options).await?);
     let schedule = draw_schedule(options);
-    let looks = spawn_local({
+    let clock_reader = spawn_local({
         let context = context.clone();
-        async move { context.keep_looking().await }
+        async move { context.read_clock_repeatedly().await }
     });
     let supervisor = spawn_local(run.clone().supervise());
     let clients = start_clients(&context, options.gateways);
-    let crowds = start_crowds(&context, options);
+    let floods = start_run_long_floods(&context, options);
     let inject = |planned: &PlannedFault| spawn_local(run.clone().inject(planned.clone()));
     let faults: Vec<_> = schedule.iter().map(inject).collect();
     for fault in faults {
@@ -106,16 +114,16 @@
     context.ledger.borrow_mut().last_fault_ended = context.now();
     run.check_recovery().await;
     context.is_over.set(true);
-    for client in clients.into_iter().chain(crowds) {
+    for client in clients.into_iter().chain(floods) {
         timeout(CLIENT_END_TIME, client).await??;
     }
     run.terminate_all().await;
     supervisor.await?;
-    looks.abort();
+    clock_reader.abort();
     let ledger = context.ledger.borrow().clone();
     let errors = context.errors.borrow().clone();
-    let longest_blind_time = context.longest_blind_time.get();
-    Ok(SoakResult { longest_blind_time, ..judge(schedule, ledger, errors, run.footprint.get()) })
+    let max_observation_delay = context.max_observation_delay.get();
+    Ok(SoakResult { max_observation_delay, ..judge(schedule, ledger, errors, run.footprint.get()) })
 }
 
 fn judge(
@@ -133,7 +141,7 @@
         violations: by_rule.into_values().flatten().collect(),
         violations_by_rule,
         excuses: excuses.into_iter().map(|(excuse, count)| (excuse.name(), count)).collect(),
-        longest_blind_time: 0.0,
+        max_observation_delay: 0.0,
         ledger,
         errors,
         footprint,
@@ -150,22 +158,22 @@
     let kinds = |gateway: usize| {
         let persistent =
             if gateway.is_multiple_of(BUSY_GATEWAY_INTERVAL) { BUSY_CLIENTS } else { PERSISTENT_CLIENTS };
-        let casual = repeat_n(ClientKind::Casual, CASUAL_CLIENTS);
+        let casual = repeat_n(ClientKind::Intermittent, INTERMITTENT_CLIENTS);
         casual.chain(repeat_n(ClientKind::Persistent, persistent)).map(move |kind| (gateway, kind))
     };
     let clients = (0..gateways).flat_map(kinds);
     clients.map(|(gateway, kind)| spawn_local(Client::new(context.clone(), gateway, kind).run())).collect()
 }
 
-/// The crowd of a run that has one.
-fn start_crowds(context: &Rc<RunContext>, options: &SoakOptions) -> Vec<JoinHandle<()>> {
+/// Starts the floods that keep the descriptors of all gateways exhausted, if the run with this seed has them.
+fn start_run_long_floods(context: &Rc<RunContext>, options: &SoakOptions) -> Vec<JoinHandle<()>> {
     if !schedule::has_run_long_flood(options.seed) {
         return Vec::new();
     }
-    (0..options.gateways).map(|gateway| spawn_local(crowd(context.clone(), gateway))).collect()
+    (0..options.gateways).map(|gateway| spawn_local(hold_run_long_flood(context.clone(), gateway))).collect()
 }
 
-/// Ports on which nobody listens, and that the system gives to nobody else.
+/// Returns addresses with ports on which no process listens, and that the operating system does not assign to outgoing connections.
 fn free_addresses(count: usize, seed: u64) -> Result<Vec<SocketAddr>, Failure> {
     let span = u64::from(LAST_PORT - FIRST_PORT);
     let process = u64::from(std::process::id());
@@ -174,7 +182,7 @@
     let free = ports.filter_map(|port| TcpListener::bind(("127.0.0.1", port)).ok()?.local_addr().ok());
     let addresses: Vec<_> = free.take(count).collect();
     if addresses.len() < count {
-        return Err("there are not enough free ports".into());
+        return Err("too few free ports for the gateways in the range 12000 to 30000".into());
     }
     Ok(addresses)
 }
@@ -215,7 +223,7 @@
         Ok(())
     }
 
-    /// Restarts each process that has ended, until the run ends.
+    /// Restarts each gateway process that has exited, until the run ends and all processes have exited.
     async fn supervise(self: Rc<Self>) {
         let mut check = interval(CHECK_INTERVAL);
         loop {
@@ -230,7 +238,8 @@
         }
     }
 
-    /// Whether the gateway has a process.
+    /// Removes processes of a gateway that have exited, and restarts the gateway if none is left and the run is not ending. Returns whether
+    /// the gateway has a running process.
     fn check_processes(&self, gateway: usize) -> bool {
         self.processes[gateway].borrow_mut().retain_mut(|process| !process.has_ended());
         self.measure(gateway);
@@ -261,7 +270,7 @@
     async fn check_recovery(&self) {
         sleep(Duration::from_secs_f64(RECOVERY_TIME)).await;
         let check = |gateway| {
-            spawn_local(count_served(Client::new(self.context.clone(), gateway, ClientKind::Casual)))
+            spawn_local(count_served(Client::new(self.context.clone(), gateway, ClientKind::Intermittent)))
         };
         let checks: Vec<_> = (0..self.processes.len()).map(check).collect();
         for check in checks {
@@ -282,7 +291,7 @@
             }
             sleep(END_CHECK_INTERVAL).await;
         }
-        // Processes that have not ended by now have violated a rule, which the ledger shows.
+        // Processes that are still running have violated the rule on processes. The ledger shows them without an exit.
         for processes in &self.processes {
             processes.borrow_mut().clear();
         }
@@ -297,7 +306,7 @@
     served
 }
 
-/// An engine that serves, as the name service lists it.
+/// Returns the endpoint-list entry of an engine that is not draining.
 pub(super) fn listed_engine(id: &str, address: SocketAddr, started: f64) -> EndpointEntry {
     EndpointEntry { id: id.to_owned(), address, is_draining: false, started }
 }
--- a/crates/experiments/tests/soak.rs
+++ b/crates/experiments/tests/soak.rs
@@ -1,24 +1,25 @@
-//! A small soak with fixed seeds. Its verdict hangs on counts: on answers, attempts, exits and violations, and on engines that are
-//! still used seconds after the rule on drains has ended, with terms so wide that a slow machine breaks none of them.
+//! Runs a short soak test with fixed seeds. The verdict depends on counts: of answers, attempts, exits and violations, and of attempts at
+//! engines seconds after the rule on drains has forbidden them. Time limits are so wide that a slow machine does not exceed them.
 
 use rstest::rstest;
 use starlingplank_experiments::soak::oracle::{self, RuleParameters, SlowStart};
 use starlingplank_experiments::soak::{self, run_soak, SoakOptions};
 use std::path::PathBuf;
 
-/// What was built beside these tests.
-fn built(name: &str) -> PathBuf {
-    let own = std::env::current_exe().expect("a path");
-    let folder = own.ancestors().nth(2).expect("the folder of builds");
-    // A library that is built as a dependency lies beside the tests.
-    let places = [folder.join(name), folder.join("deps").join(name)];
-    let found = places.iter().find(|path| path.is_file());
+/// Returns the path of a program or library in the build folder of this test.
+fn build_artifact(name: &str) -> PathBuf {
+    let own = std::env::current_exe().expect("path of the test binary");
+    let folder = own.ancestors().nth(2).expect("build folder");
+    // Cargo puts a library that is built as a dependency into the folder of the test binaries.
+    let candidates = [folder.join(name), folder.join("deps").join(name)];
+    let found = candidates.iter().find(|path| path.is_file());
     found.unwrap_or_else(|| panic!("{name}: build the whole workspace first")).clone()
 }
 
-/// The rules that count, without times, but for drains and slow starts: an engine drains for at least 6 s, and a program that does not heed
-/// that uses it until then; one that takes a cold engine for warm sends it several times its budget.
-fn parameters_without_times() -> RuleParameters {
+/// Returns rule parameters with time limits so wide that the verdict depends on counts alone, except for drains and slow starts. Their
+/// limits still reveal faults: a gateway that ignores a drain sends to the engine for at least 6 s, and one that treats a cold engine as
+/// warm sends it several times its budget.
+fn parameters_with_wide_time_limits() -> RuleParameters {
     const LONG: f64 = 60.0;
     const WIDER_GRACE: f64 = 2.0;
     const WIDER_BUDGET: f64 = 2.0;
@@ -47,20 +48,21 @@
 #[case(6)]
 #[case(7)]
 #[case(8)]
-fn rules_hold_under_overlapping_troubles(#[case] seed: u64) {
-    let folder = tempfile::tempdir().expect("a folder");
+fn rules_hold_under_overlapping_faults(#[case] seed: u64) {
+    let folder = tempfile::tempdir().expect("temporary folder");
     let options = SoakOptions {
-        program: built("starlingplank"),
-        faults_library: built("libstarlingplank_fault_injection.so"),
+        program: build_artifact("starlingplank"),
+        faults_library: build_artifact("libstarlingplank_fault_injection.so"),
         folder: folder.path().to_owned(),
         seed,
         gateways: 4,
         seconds: 6.0,
         without: Vec::new(),
     };
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let played = tokio::task::LocalSet::new().block_on(&runtime, run_soak(&options)).expect("it is played");
-    let violations = oracle::violations(&played.ledger, &parameters_without_times());
-    assert!(violations.is_empty(), "{violations:#?}\n{:#?}\n{:#?}", played.schedule, played.errors);
-    assert!(played.ledger.requests.len() > 20, "{} requests", played.ledger.requests.len());
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("Tokio runtime");
+    let result =
+        tokio::task::LocalSet::new().block_on(&runtime, run_soak(&options)).expect("completed soak run");
+    let violations = oracle::violations(&result.ledger, &parameters_with_wide_time_limits());
+    assert!(violations.is_empty(), "{violations:#?}\n{:#?}\n{:#?}", result.schedule, result.errors);
+    assert!(result.ledger.requests.len() > 20, "{} requests", result.ledger.requests.len());
 }
