--- a/crates/experiments/src/soak/configuration.rs
+++ b/crates/experiments/src/soak/configuration.rs
@@ -41,7 +41,7 @@
               "cold_from":{SLOW_START_FROM},"warm_within":{SLOW_START_MS},"fall_multiple":{COLLAPSE_MULTIPLE},"tip_after":{COLLAPSE_AFTER_MS}}}}}}}"#,
             self.context.addresses[gateway],
             self.seed ^ gateway as u64,
-            view.addresses[view.present.get()],
+            view.addresses[view.configured_index.get()],
             members.join(","),
             self.processes.len(),
             serial = self.discovery.version.get(),
--- a/crates/experiments/src/soak/discovery.rs
+++ b/crates/experiments/src/soak/discovery.rs
@@ -42,7 +42,7 @@
     /// Both addresses of the name service for this gateway.
     pub(super) addresses: [SocketAddr; 2],
     /// Index of the address that the gateway's configuration contains.
-    pub(super) present: Cell<usize>,
+    pub(super) configured_index: Cell<usize>,
     /// Whether the other address responds as well.
     pub(super) both_respond: Cell<bool>,
     /// Time in seconds since the start of the run before which the name service does not respond to the gateway.
@@ -61,7 +61,7 @@
     fn new(addresses: [SocketAddr; 2]) -> Self {
         Self {
             addresses,
-            present: Cell::new(0),
+            configured_index: Cell::new(0),
             both_respond: Cell::new(false),
             silent_until: Cell::new(0.0),
             latency: Cell::new(0.0),
@@ -154,7 +154,7 @@
 
     fn responds(&self, gateway: usize, index: usize) -> bool {
         let view = &self.views[gateway];
-        let is_in_use = view.present.get() == index || view.both_respond.get();
+        let is_in_use = view.configured_index.get() == index || view.both_respond.get();
         let is_silent = self.silent_since.get().is_some() || self.context.now() < view.silent_until.get();
         is_in_use && !is_silent
     }
--- a/crates/experiments/src/soak/faults.rs
+++ b/crates/experiments/src/soak/faults.rs
@@ -52,7 +52,7 @@
             Fault::Kill(gateway) => self.signal(gateway, Signal::KILL),
             Fault::Pause(gateway) => self.pause(gateway, to).await,
             Fault::DeparturesInPauses { gateway, pauses, pause } => {
-                self.depart_in_pauses(gateway, pauses, pause).await;
+                self.abandon_requests_in_pauses(gateway, pauses, pause).await;
             }
             Fault::PauseInSilence { gateway, engine, pause } => {
                 self.pause_in_silence(gateway, engine, pause, to).await;
@@ -70,13 +70,13 @@
                 let half: Vec<usize> = (0..self.engines.len()).step_by(2).collect();
                 self.crash_engines(&half, to).await;
             }
-            Fault::HangEngine(engine) => self.behave(&self.engine(engine), Behaviour::Hang, to).await,
+            Fault::HangEngine(engine) => self.behave_until(&self.engine(engine), Behaviour::Hang, to).await,
             Fault::OverloadEngine(engine) => {
-                self.behave(&self.engine(engine), Behaviour::Overload, to).await;
+                self.behave_until(&self.engine(engine), Behaviour::Overload, to).await;
             }
             Fault::OverloadAllEngines => self.overload_all_engines(to).await,
             Fault::CloseIdleConnections(engine) => {
-                self.behave(&self.engine(engine), Behaviour::CloseIdle, to).await;
+                self.behave_until(&self.engine(engine), Behaviour::CloseIdle, to).await;
             }
             Fault::ResetConnections(engine) => self.reset_connections(&self.engine(engine), to).await,
             Fault::ImpatientClients => self.make_clients_impatient(to).await,
@@ -130,7 +130,7 @@
     }
 
     /// Pauses the process of a gateway repeatedly. In each pause, clients of the gateway abandon their requests.
-    async fn depart_in_pauses(&self, gateway: usize, pauses: u32, pause: f64) {
+    async fn abandon_requests_in_pauses(&self, gateway: usize, pauses: u32, pause: f64) {
         for _ in 0..pauses {
             self.signal(gateway, Signal::STOP);
             sleep(Duration::from_secs_f64(DEPARTURE_DELAY)).await;
@@ -207,11 +207,11 @@
             ReloadKind::Unchanged => {}
             ReloadKind::ToHealthyAddress => {
                 view.both_respond.set(true);
-                view.present.set(1 - view.present.get());
+                view.configured_index.set(1 - view.configured_index.get());
             }
             ReloadKind::ToSilentAddress(silence) => {
                 view.both_respond.set(false);
-                view.present.set(1 - view.present.get());
+                view.configured_index.set(1 - view.configured_index.get());
                 self.silence(gateway, now, now + silence);
             }
         }
@@ -263,7 +263,7 @@
         self.context.clients_are_impatient.set(false);
     }
 
-    async fn behave(&self, engine: &Engine, behaviour: Behaviour, to: f64) {
+    async fn behave_until(&self, engine: &Engine, behaviour: Behaviour, to: f64) {
         engine.set_behaviour(behaviour);
         self.wait_until(to).await;
         engine.set_behaviour(Behaviour::Serve);
--- a/crates/experiments/src/soak/ledger.rs
+++ b/crates/experiments/src/soak/ledger.rs
@@ -134,7 +134,7 @@
     }
 }
 
-/// Event in the life of a gateway process.
+/// Event of a gateway process.
 #[derive(Debug, Clone, Copy, PartialEq, serde::Serialize)]
 pub enum ProcessEvent {
     /// The run started the process.
--- a/crates/experiments/src/soak/oracle/retry_budgets.rs
+++ b/crates/experiments/src/soak/oracle/retry_budgets.rs
@@ -13,7 +13,7 @@
 
 /// Processes whose retries are counted against one budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Counted {
+struct RetryScope {
     gateway: usize,
     /// Number of a process of the gateway; `None` stands for all of its processes.
     incarnation: Option<u32>,
@@ -28,22 +28,22 @@
 
 /// Checks that the retries stay within the retry budgets.
 pub fn retry_budgets(ledger: &Ledger, parameters: &RuleParameters) -> Vec<String> {
-    let violations = times(ledger).into_iter().filter_map(|(counted, times)| {
-        let at = first_violation(ledger, parameters.retry_budget, counted, &times)?;
-        Some(format!("gateway {}: retry budget exceeded at {at:.3} s", counted.gateway))
+    let violations = times(ledger).into_iter().filter_map(|(scope, times)| {
+        let at = first_violation(ledger, parameters.retry_budget, scope, &times)?;
+        Some(format!("gateway {}: retry budget exceeded at {at:.3} s", scope.gateway))
     });
     violations.collect()
 }
 
-fn times(ledger: &Ledger) -> BTreeMap<Counted, Times> {
+fn times(ledger: &Ledger) -> BTreeMap<RetryScope, Times> {
     let gateways = 0..ledger.processes.len();
     let with_hot_restart: BTreeSet<usize> =
         gateways.filter(|gateway| has_overlap(&ledger.processes[*gateway])).collect();
-    let mut times: BTreeMap<Counted, Times> = BTreeMap::new();
+    let mut times: BTreeMap<RetryScope, Times> = BTreeMap::new();
     for (txn, request) in &ledger.requests {
         let gateway = request.gateway;
         let incarnation = (!with_hot_restart.contains(&gateway)).then_some(request.incarnation);
-        let times = times.entry(Counted { gateway, incarnation }).or_default();
+        let times = times.entry(RetryScope { gateway, incarnation }).or_default();
         times.requests.push(request.sent);
         let retries = ledger.attempts.get(txn).into_iter().flatten().skip(1);
         times.retries.extend(retries.map(|attempt| attempt.arrived.latest));
@@ -65,13 +65,13 @@
 }
 
 /// Returns the time of the first retry that exceeds the budget.
-fn first_violation(ledger: &Ledger, budget: RetryBudget, counted: Counted, times: &Times) -> Option<f64> {
+fn first_violation(ledger: &Ledger, budget: RetryBudget, scope: RetryScope, times: &Times) -> Option<f64> {
     let RetryBudget { base_retries, per_request, span } = budget;
     let is_violation = |at: &f64| {
-        let (budgets, earned_span) = match counted.incarnation {
+        let (budgets, earned_span) = match scope.incarnation {
             Some(_) => (1.0, span),
             // Retries of the previous process within this span may have been earned by requests before the span.
-            None => (running_within(ledger, counted.gateway, *at, span), 2.0 * span),
+            None => (running_within(ledger, scope.gateway, *at, span), 2.0 * span),
         };
         let earned = per_request * count_within(&times.requests, *at, earned_span);
         count_within(&times.retries, *at, span) > SLACK_FACTOR * (base_retries * budgets + earned) + SLACK
--- a/crates/experiments/src/soak/run.rs
+++ b/crates/experiments/src/soak/run.rs
@@ -123,10 +123,10 @@
     let ledger = context.ledger.borrow().clone();
     let errors = context.errors.borrow().clone();
     let max_observation_delay = context.max_observation_delay.get();
-    Ok(SoakResult { max_observation_delay, ..judge(schedule, ledger, errors, run.footprint.get()) })
+    Ok(SoakResult { max_observation_delay, ..evaluate(schedule, ledger, errors, run.footprint.get()) })
 }
 
-fn judge(
+fn evaluate(
     schedule: Vec<PlannedFault>,
     ledger: Ledger,
     errors: Vec<String>,
--- a/crates/experiments/src/soak/schedule.rs
+++ b/crates/experiments/src/soak/schedule.rs
@@ -12,20 +12,20 @@
 /// Time in seconds at which the first fault begins. By then gateways have data about their engines.
 const FIRST_FAULT: f64 = 1.5;
 /// Duration of a fault, in seconds.
-const DURATION: Range<f64> = 0.3..2.5;
+const FAULT_DURATION: Range<f64> = 0.3..2.5;
 /// Duration of a silence of the name service, in seconds.
-const SILENCE: Range<f64> = 0.5..5.0;
+const SILENCE_DURATION: Range<f64> = 0.5..5.0;
 /// Duration of a long silence, in seconds: longer than until every change of the endpoint list counts as propagated.
-const LONG_SILENCE: Range<f64> = 9.5..11.0;
+const LONG_SILENCE_DURATION: Range<f64> = 9.5..11.0;
 /// Probability that a silence is a long one.
 const LONG_SILENCE_PROBABILITY: f64 = 0.3;
 /// Duration of a pause of a process, in seconds. The longest ones exceed the lease on its endpoint list.
-const PAUSE: Range<f64> = 0.3..6.0;
+const PAUSE_DURATION: Range<f64> = 0.3..6.0;
 /// Time in seconds for which an engine drains: clearly longer than until the rule on drains applies.
-const DRAIN: Range<f64> = 6.0..8.0;
+const DRAIN_DURATION: Range<f64> = 6.0..8.0;
 /// Time in seconds for which an engine drains if it begins to drain in a long silence: longer than until the drain counts as propagated
 /// in any case.
-const DRAIN_IN_SILENCE: Range<f64> = 11.0..13.0;
+const DRAIN_IN_SILENCE_DURATION: Range<f64> = 11.0..13.0;
 /// Time in seconds from the beginning of a fault to that of the next. It is on average well below the duration of a fault, so that faults
 /// overlap.
 const FAULT_INTERVAL: Range<f64> = 0.05..0.5;
@@ -127,7 +127,7 @@
         let fault = self.gateway_fault(kind, gateway);
         let is_pause = matches!(fault, Fault::Pause(_));
         if self.add(at, fault).is_some() && is_pause {
-            self.add_drain(at + SECOND_FAULT_DELAY.end, DRAIN);
+            self.add_drain(at + SECOND_FAULT_DELAY.end, DRAIN_DURATION);
         }
         if self.rng.random_range(0.0..1.0) < SECOND_FAULT_PROBABILITY {
             let delay = self.rng.random_range(SECOND_FAULT_DELAY);
@@ -140,9 +140,9 @@
     fn add_name_service_fault(&mut self, at: f64, kind: u32, gateway: usize) {
         let fault = self.name_service_fault(kind, gateway);
         let Some(ended) = self.add(at, fault) else { return };
-        match ended - at > LONG_SILENCE.start {
-            true => self.add_drain(at + SECOND_FAULT_DELAY.end, DRAIN_IN_SILENCE),
-            false => self.add_drain(ended, DRAIN),
+        match ended - at > LONG_SILENCE_DURATION.start {
+            true => self.add_drain(at + SECOND_FAULT_DELAY.end, DRAIN_IN_SILENCE_DURATION),
+            false => self.add_drain(ended, DRAIN_DURATION),
         }
     }
 
@@ -263,18 +263,18 @@
     /// which the fault ends.
     fn add(&mut self, from: f64, fault: Fault) -> Option<f64> {
         let duration = match &fault {
-            Fault::ReplaceEngine(_) => self.rng.random_range(DRAIN),
+            Fault::ReplaceEngine(_) => self.rng.random_range(DRAIN_DURATION),
             Fault::SilentNameService if self.rng.random_range(0.0..1.0) < LONG_SILENCE_PROBABILITY => {
-                self.rng.random_range(LONG_SILENCE)
+                self.rng.random_range(LONG_SILENCE_DURATION)
             }
-            Fault::SilentNameService => self.rng.random_range(SILENCE),
-            Fault::Pause(_) => self.rng.random_range(PAUSE),
+            Fault::SilentNameService => self.rng.random_range(SILENCE_DURATION),
+            Fault::Pause(_) => self.rng.random_range(PAUSE_DURATION),
             Fault::Reload(_, reloads) => reloads.duration(),
             Fault::DeparturesInPauses { pauses, pause, .. } => {
                 f64::from(*pauses) * (pause + DEPARTURE_INTERVAL)
             }
             Fault::PauseInSilence { pause, .. } => SILENCE_BEFORE_PAUSE + pause + SILENCE_AFTER_PAUSE,
-            _ => self.rng.random_range(DURATION),
+            _ => self.rng.random_range(FAULT_DURATION),
         };
         self.add_with_duration(from, duration, fault)
     }
@@ -283,7 +283,7 @@
         let to = from + duration;
         let is_drain = matches!(fault, Fault::ReplaceEngine(_) | Fault::PauseInSilence { .. });
         // Drains may end after all other faults, as they last longer.
-        let latest = if is_drain { self.seconds + DRAIN_IN_SILENCE.end } else { self.seconds };
+        let latest = if is_drain { self.seconds + DRAIN_IN_SILENCE_DURATION.end } else { self.seconds };
         let overlaps = |planned: &&PlannedFault| planned.to + MIN_GAP > from && planned.from < to + MIN_GAP;
         let mut overlapping = self.planned.iter().filter(overlaps);
         let is_excluded = overlapping.any(|planned| excludes(&planned.fault, &fault));
