--- a/crates/experiments/src/soak/client.rs
+++ b/crates/experiments/src/soak/client.rs
@@ -42,7 +42,7 @@
 
 /// Time that a persistent client waits after a request that was not served.
 const PERSISTENT_BACKOFF: Duration = Duration::from_millis(60);
-/// Probability that a client with an open request takes part in a departure of its gateway's clients.
+/// Probability that a client abandons its open request when the fault `DeparturesInPauses` makes clients of its gateway leave.
 const DEPARTURE_PROBABILITY: f64 = 0.7;
 
 /// Kind of a client, by its behaviour between two requests.
@@ -50,7 +50,7 @@
 pub(super) enum ClientKind {
     /// The client waits, is idle, or closes its connection between requests. It cancels some requests and disconnects during others.
     Intermittent,
-    /// The client sends the next request immediately, and closes its connection only in a departure of the gateway's clients.
+    /// The client sends the next request immediately, and closes its connection only when `DeparturesInPauses` makes it leave.
     Persistent,
 }
 
@@ -217,8 +217,8 @@
         }
     }
 
-    /// Waits until this client takes part in a departure of its gateway's clients. Returns whether it cancels its request before it
-    /// disconnects.
+    /// Waits until the fault `DeparturesInPauses` makes this client abandon its request. Returns whether the client cancels the request
+    /// before it disconnects.
     async fn departure(&self) -> bool {
         let mut departures = self.context.departures[self.gateway].subscribe();
         loop {
--- a/crates/experiments/src/soak/context.rs
+++ b/crates/experiments/src/soak/context.rs
@@ -39,7 +39,7 @@
     pub(super) ledger: RefCell<Ledger>,
     /// Whether clients cancel requests and disconnect far more often than usual.
     pub(super) clients_are_impatient: Cell<bool>,
-    /// Counters by gateway number. On each change, clients of the gateway with an open request may abandon it.
+    /// Counters by gateway number. On each change, clients of the gateway with an open request abandon it with some probability.
     pub(super) departures: Vec<watch::Sender<u64>>,
     /// Whether the run is over, so that clients send no more requests.
     pub(super) is_over: Cell<bool>,
--- a/crates/experiments/src/soak/oracle.rs
+++ b/crates/experiments/src/soak/oracle.rs
@@ -92,8 +92,8 @@
 }
 
 /// Checks that no attempt begins more than `abandoned_slack` (0.1 s) after its client has abandoned the request. If the client abandoned
-/// it while the process was paused, and the pause lasted for more than another 0.1 s, no attempt begins after the pause either, even if
-/// the slack is wider to allow for a slow machine.
+/// it while the process was paused, and the pause lasted for more than 0.1 s after that, no attempt begins after the pause either, even
+/// if the slack is wider to allow for a slow machine.
 pub fn abandoned_requests(ledger: &Ledger, parameters: &RuleParameters) -> Vec<String> {
     let violation = |(txn, request): (&String, &RequestRecord)| {
         let (RequestEnd::Abandoned(abandoned) | RequestEnd::WriteFailed(abandoned)) = request.end else {
--- a/crates/experiments/src/soak/oracle/parameters.rs
+++ b/crates/experiments/src/soak/oracle/parameters.rs
@@ -35,9 +35,9 @@
 /// Retry budget of a process over a sliding span of time.
 #[derive(Debug, Clone, Copy)]
 pub struct RetryBudget {
-    /// Number of retries that need no request.
+    /// Number of retries within `span` that are allowed in addition to those that requests earn.
     pub base_retries: f64,
-    /// Number of additional retries that each request earns.
+    /// Number of retries that each request earns.
     pub per_request: f64,
     /// Span in seconds over which requests and retries are counted.
     pub span: f64,
--- a/crates/experiments/src/soak/schedule.rs
+++ b/crates/experiments/src/soak/schedule.rs
@@ -68,7 +68,7 @@
 const MANDATORY_OVERLOAD: Range<f64> = 1.5..2.5;
 /// Probability that idle connections exhaust the file descriptors of all gateways for a whole run.
 const RUN_LONG_FLOOD_PROBABILITY: f64 = 0.2;
-/// XORed with the seed of a run, so that the draw of the run-long flood does not depend on the draws of the schedule.
+/// Mask that is combined with the seed of a run by exclusive or, so that the draw of the run-long flood is independent of the schedule.
 const RUN_LONG_FLOOD_SEED_MASK: u64 = 0x0063_726f_7764;
 /// Minimum time in seconds between two faults that exclude one another.
 const MIN_GAP: f64 = 0.2;
