--- a/crates/experiments/src/soak/configuration.rs
+++ b/crates/experiments/src/soak/configuration.rs
@@ -1,11 +1,11 @@
-//! The configuration of the gateways.
+//! Configuration files of the gateways.
 
 use super::run::SoakRun;
 use super::{COLLAPSE_AFTER_MS, COLLAPSE_MULTIPLE, CORES, KEY_WINDOW_MS, SLOW_START_FROM, SLOW_START_MS};
 use starlingplank_test_doubles::name_service::EndpointEntry;
 
 impl SoakRun {
-    /// Writes the configuration of a gateway. It replaces the file at once, as a reload may read it at any moment.
+    /// Writes the configuration of a gateway. The file is replaced atomically, as the gateway may read it for a reload at any time.
     pub(super) fn write_configuration(&self, gateway: usize) -> std::io::Result<()> {
         let folder = self.context.gateway_folder(gateway);
         std::fs::create_dir_all(&folder)?;
@@ -41,7 +41,7 @@
               "cold_from":{SLOW_START_FROM},"warm_within":{SLOW_START_MS},"fall_multiple":{COLLAPSE_MULTIPLE},"tip_after":{COLLAPSE_AFTER_MS}}}}}}}"#,
             self.context.addresses[gateway],
             self.seed ^ gateway as u64,
-            view.addresses[view.present.get()],
+            view.addresses[view.configured_index.get()],
             members.join(","),
             self.processes.len(),
             serial = self.discovery.version.get(),
