--- a/crates/decision/src/permission/send.rs
+++ b/crates/decision/src/permission/send.rs
@@ -48,15 +48,15 @@
     /// Returns the name of the reason in logs.
     pub fn name(self) -> &'static str {
         match self {
-            Self::RequestFinished => "request finished",
+            Self::RequestFinished => "request over",
             Self::ListExpired => "list expired",
             Self::EngineNotLive => "engine not live",
-            Self::DeadlinePassed => "deadline passed",
-            Self::DeduplicationWindowExpired => "deduplication window expired",
+            Self::DeadlinePassed => "deadline over",
+            Self::DeduplicationWindowExpired => "window over",
             Self::AnotherInFlight => "another in flight",
             Self::MayNotRepeat => "may not repeat",
-            Self::MaxAttemptsReached => "maximum number of attempts reached",
-            Self::RetryBudgetExhausted => "retry budget exhausted",
+            Self::MaxAttemptsReached => "attempts spent",
+            Self::RetryBudgetExhausted => "retry budget spent",
             Self::Revoked => "revoked",
         }
     }
--- a/crates/decision/src/permission/tests.rs
+++ b/crates/decision/src/permission/tests.rs
@@ -118,7 +118,7 @@
     assert_eq!(counters.violations(), 0);
     counters.count(SendRefusal::Revoked);
     assert_eq!((counters.violations(), counters.refused(SendRefusal::Revoked)), (1, 1));
-    assert_eq!(counters.by_name().into_iter().collect::<Vec<_>>(), [("request finished", 1), ("revoked", 1)]);
+    assert_eq!(counters.by_name().into_iter().collect::<Vec<_>>(), [("request over", 1), ("revoked", 1)]);
 }
 
 #[test]
--- a/crates/persistence/src/inspection.rs
+++ b/crates/persistence/src/inspection.rs
@@ -202,11 +202,11 @@
 
 fn show_uncertainty(uncertainty: Uncertainty) -> &'static str {
     match uncertainty {
-        Uncertainty::None => "answered recently",
-        Uncertainty::NotSeenRecently => "no answer for longer than a restart takes",
-        Uncertainty::Restarted => "restarted since the snapshot",
+        Uncertainty::None => "heard of lately",
+        Uncertainty::NotSeenRecently => "not heard of for longer than a restart takes",
+        Uncertainty::Restarted => "started anew",
         Uncertainty::UnknownId => "unknown",
-        Uncertainty::WasInSlowStart => "in slow start when last seen",
+        Uncertainty::WasInSlowStart => "cold when last seen",
     }
 }
 
--- a/crates/service-discovery/src/responses.rs
+++ b/crates/service-discovery/src/responses.rs
@@ -39,8 +39,8 @@
             Self::Update => "news",
             Self::Confirmation => "confirmations",
             Self::Older => "older",
-            Self::PreviousAddress => "from a previous address",
-            Self::Unsolicited => "to no outstanding poll",
+            Self::PreviousAddress => "from a former address",
+            Self::Unsolicited => "to no open question",
             Self::Malformed => "unreadable",
             Self::Truncated => "truncated",
         }
@@ -97,7 +97,7 @@
 
 impl fmt::Display for PollCounts {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{} polls; responses:", self.polls)?;
+        write!(formatter, "{} questions; answers:", self.polls)?;
         for (number, kind) in ResponseKind::ALL.into_iter().enumerate() {
             let comma = if number == 0 { "" } else { "," };
             write!(formatter, "{comma} {} {}", self.responses(kind), kind.name())?;
--- a/crates/service-discovery/src/responses/tests.rs
+++ b/crates/service-discovery/src/responses/tests.rs
@@ -16,7 +16,7 @@
     assert_eq!((counts.polls(), counts.responses(ResponseKind::Older)), (2, 2));
     assert_eq!(
         counts.to_string(),
-        "2 polls; responses: 1 news, 1 confirmations, 2 older, 1 from a previous address, 1 to no outstanding poll, 1 unreadable, 1 truncated"
+        "2 questions; answers: 1 news, 1 confirmations, 2 older, 1 from a former address, 1 to no open question, 1 unreadable, 1 truncated"
     );
 }
 
