--- a/crates/admin/src/metrics.rs
+++ b/crates/admin/src/metrics.rs
@@ -60,7 +60,7 @@
 ];
 
 /// Index of a class and the event to count for it.
-pub type Tally = (usize, Count);
+pub type CounterKey = (usize, Count);
 
 /// Counts of events by class since the process started.
 #[derive(Debug, Default)]
@@ -86,7 +86,7 @@
     }
 
     /// Counts an event. An event of an unknown class is ignored.
-    pub fn add(&self, (class, count): Tally) {
+    pub fn add(&self, (class, count): CounterKey) {
         let Some(counts) = self.classes.get(class) else { return };
         let cell = &counts[count as usize];
         cell.set(cell.get() + 1);
--- a/crates/admin/src/metrics/tests.rs
+++ b/crates/admin/src/metrics/tests.rs
@@ -5,7 +5,7 @@
     let metrics = Metrics::new(2);
     [(0, Count::Answered), (0, Count::Answered), (1, Count::Sends), (0, Count::Sends), (9, Count::Errored)]
         .into_iter()
-        .for_each(|tally| metrics.add(tally));
+        .for_each(|counter_key| metrics.add(counter_key));
     let gauges = Gauges { current: 3, cluster_size: 8, cluster_unhealthy: 1 };
     let text = metrics.text(&["lookup", "load"], gauges);
     let lines: Vec<&str> = text.lines().collect();
--- a/crates/decision/src/arrivals.rs
+++ b/crates/decision/src/arrivals.rs
@@ -29,7 +29,7 @@
         let over_quota = self.deduct_from_quota(details.tenant);
         self.enqueue_for_key(details);
         // Requests that arrived during a pause may have been waiting since the start of the pause.
-        self.retry_budget.receive(self.now - self.paused_for);
+        self.retry_budget.record_request(self.now - self.paused_for);
         self.add_health_check_credit();
         let age = self.learn_time_left(details.class, details.deadline);
         let mut request = Request::new(details.clone(), self.now, relative_size, over_quota);
--- a/crates/decision/src/balancer.rs
+++ b/crates/decision/src/balancer.rs
@@ -48,7 +48,7 @@
     /// Time at which to subscribe to the endpoint list; `None`: no subscription is due.
     pub(crate) subscribe_at: Option<Milliseconds>,
     /// Number of requests that could not be sent at once, by class and reason.
-    pub(crate) waits: Vec<[u64; BlockReason::COUNT]>,
+    pub(crate) blocked_counts: Vec<[u64; BlockReason::COUNT]>,
 }
 
 impl Balancer {
--- a/crates/decision/src/decide.rs
+++ b/crates/decision/src/decide.rs
@@ -60,7 +60,7 @@
             next_attempt_check: now,
             next_placement: now,
             subscribe_at: settings.subscribes_to_endpoints.then_some(now),
-            waits: vec![[0; BlockReason::COUNT]; settings.classes.len()],
+            blocked_counts: vec![[0; BlockReason::COUNT]; settings.classes.len()],
             settings,
         })
     }
@@ -86,8 +86,8 @@
 
     /// Returns the number of requests that could not be sent in the cycle that received them or ended their last
     /// attempt, by class and reason.
-    pub fn waits(&self) -> &[[u64; BlockReason::COUNT]] {
-        &self.waits
+    pub fn blocked_counts(&self) -> &[[u64; BlockReason::COUNT]] {
+        &self.blocked_counts
     }
 
     fn learn(&mut self, event: &Event) {
@@ -138,7 +138,7 @@
         self.check_health(actions);
         self.manage_running_attempts(actions);
         self.place_waiting_requests(actions);
-        self.retry_budget.forget(self.now, CONTROL_PERIOD);
+        self.retry_budget.discard_before_window(self.now, CONTROL_PERIOD);
         self.discard_idle_keys();
         self.set_timer(actions);
     }
--- a/crates/decision/src/dispatch.rs
+++ b/crates/decision/src/dispatch.rs
@@ -66,7 +66,7 @@
         self.lower_grant_factor(class);
         self.occupy_engine(engine_id, class, data);
         if is_retry {
-            self.retry_budget.retry(self.now);
+            self.retry_budget.record_retry(self.now);
         }
         actions.push(Action::Send { id, engine: engine_id.clone(), timeout });
     }
--- a/crates/decision/src/engine_selection.rs
+++ b/crates/decision/src/engine_selection.rs
@@ -92,7 +92,7 @@
 
     /// Returns whether the engine is temporarily not selected because of its own behaviour: it is ejected, or has
     /// just rejected an attempt as full.
-    pub fn avoids(&self, engine: &EngineId) -> bool {
+    pub fn is_temporarily_excluded(&self, engine: &EngineId) -> bool {
         let Some(engine) = self.engines.get(engine) else { return false };
         let is_ejected = engine.ejection.until.is_some();
         is_ejected && (engine.connections_refused_at.is_some() || !self.most_are_ejected())
--- a/crates/decision/src/execution_terms.rs
+++ b/crates/decision/src/execution_terms.rs
@@ -71,7 +71,7 @@
         }
         request.priority = priority;
         request.memory_grant_mb = memory_grant_mb;
-        actions.push(Action::Terms { id, memory_mb: memory_grant_mb, priority });
+        actions.push(Action::SetTerms { id, memory_mb: memory_grant_mb, priority });
     }
 
     /// Lowers the grants of a class with each attempt that is sent.
--- a/crates/decision/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -248,7 +248,7 @@
         attempt: u32,
     },
     /// Sets the memory grant and the priority of a request, for its next attempt and those in flight.
-    Terms {
+    SetTerms {
         /// Request that the attempt belongs to.
         id: RequestId,
         /// Memory grant for further attempts, in MB; 0: the engine chooses.
--- a/crates/decision/src/queueing.rs
+++ b/crates/decision/src/queueing.rs
@@ -94,7 +94,7 @@
         };
         let class = request.details.class;
         if request.waiting_since == self.now {
-            self.waits[class.0][reason as usize] += 1;
+            self.blocked_counts[class.0][reason as usize] += 1;
         }
         let expected_latency = self.latency_at(class, LEVELS[self.limit_level]).mean * request.relative_size;
         let is_first_of_key = self.is_first_of_key(request);
--- a/crates/decision/src/retry_budget.rs
+++ b/crates/decision/src/retry_budget.rs
@@ -23,7 +23,7 @@
     }
 
     /// Records a request received at `at`.
-    pub fn receive(&mut self, at: Milliseconds) {
+    pub fn record_request(&mut self, at: Milliseconds) {
         if self.settings.is_some() {
             self.received.push_back(at);
             if self.received.len() > MAX_RECORDED_REQUESTS {
@@ -33,7 +33,7 @@
     }
 
     /// Records a retry sent at `at`.
-    pub fn retry(&mut self, at: Milliseconds) {
+    pub fn record_retry(&mut self, at: Milliseconds) {
         if self.settings.is_some() {
             self.retries.push_back(at);
         }
@@ -49,7 +49,7 @@
     }
 
     /// Discards times before the start of the window minus the margin.
-    pub fn forget(&mut self, now: Milliseconds, margin: Milliseconds) {
+    pub fn discard_before_window(&mut self, now: Milliseconds, margin: Milliseconds) {
         let from = now - margin - self.settings.map_or(0.0, |settings| settings.window);
         for times in [&mut self.received, &mut self.retries] {
             while times.front().is_some_and(|at| *at < from) {
--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -191,7 +191,7 @@
     /// # Errors
     /// Returns the first setting that is missing, out of range or inconsistent with another.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let bad = |name, why| Err(SettingsError::Bad { name, why });
+        let bad = |name, reason| Err(SettingsError::Bad { name, reason });
         if self.gateways == 0 {
             return bad("balancers", "at least one gateway is needed");
         }
@@ -249,11 +249,11 @@
 #[derive(Debug, Error, PartialEq)]
 pub enum SettingsError {
     /// A setting is missing, out of range or inconsistent with another.
-    #[error("setting {name}: {why}")]
+    #[error("setting {name}: {reason}")]
     Bad {
         /// Key of the setting.
         name: &'static str,
         /// Violated requirement.
-        why: &'static str,
+        reason: &'static str,
     },
 }
--- a/crates/decision/src/start_times.rs
+++ b/crates/decision/src/start_times.rs
@@ -28,22 +28,22 @@
 
 impl StartTimes {
     /// Records that the list was received again, unchanged, at `now`.
-    pub fn confirm(&mut self, now: Milliseconds) {
+    pub fn confirm_list(&mut self, now: Milliseconds) {
         self.confirmed_at = Some(now);
     }
 
     /// Processes a complete list: each engine with the start that the list states; `None`: the engine started long
     /// ago.
-    pub fn receive(&mut self, list: &[(EngineId, Option<Milliseconds>)], now: Milliseconds) {
+    pub fn record_list(&mut self, list: &[(EngineId, Option<Milliseconds>)], now: Milliseconds) {
         for (engine, stated) in list {
             self.learn(engine, *stated, now);
         }
         self.discard_removed_starts(list);
-        self.confirm(now);
+        self.confirm_list(now);
     }
 
     /// Returns the time by this gateway's clock at which an engine of the last list started; `None`: long ago.
-    pub fn local(&self, engine: &EngineId, stated: Option<Milliseconds>) -> Option<Milliseconds> {
+    pub fn local_start(&self, engine: &EngineId, stated: Option<Milliseconds>) -> Option<Milliseconds> {
         stated.and_then(|stated| self.known(engine, stated)).map(|start| start.local)
     }
 
--- a/crates/experiments/src/experiments/cost.rs
+++ b/crates/experiments/src/experiments/cost.rs
@@ -142,7 +142,7 @@
     let begun = std::time::Instant::now();
     let snapshot = snapshot::decode(&bytes)?;
     let mut restored =
-        RestoredState::new(&snapshot, now, recovery::DEFAULT).map_err(|error| error.to_string())?;
+        RestoredState::new(&snapshot, now, recovery::DEFAULT_SETTINGS).map_err(|error| error.to_string())?;
     let learned = restored.restore(&members, now).ok_or("nothing was given back")?;
     let milliseconds = begun.elapsed().as_secs_f64() * 1000.0;
     if learned.engines.len() != engines {
--- a/crates/persistence/src/deduplication_window.rs
+++ b/crates/persistence/src/deduplication_window.rs
@@ -267,7 +267,7 @@
         }
         let send = KeySend { at: now, window };
         let sends = match self.tracked.get(key) {
-            Some(tracked) => tracked.sends.and(send),
+            Some(tracked) => tracked.sends.with(send),
             None if self.tracked.len() >= self.max_keys => return SendPermission::Denied,
             None => KeySends::single(send),
         };
--- a/crates/persistence/src/idempotency_key.rs
+++ b/crates/persistence/src/idempotency_key.rs
@@ -50,7 +50,7 @@
 
     /// Adds a send. A send after the end of the window replaces the earlier sends, as engines have forgotten them.
     #[must_use]
-    pub fn and(self, send: KeySend) -> Self {
+    pub fn with(self, send: KeySend) -> Self {
         if send.at >= self.end() {
             return Self::single(send);
         }
--- a/crates/persistence/src/idempotency_log/contents.rs
+++ b/crates/persistence/src/idempotency_log/contents.rs
@@ -52,7 +52,8 @@
         match record {
             Some(Record::KeySend(key, send)) => {
                 self.records += 1;
-                let sends = self.sends.get(key).map_or(KeySends::single(*send), |earlier| earlier.and(*send));
+                let sends =
+                    self.sends.get(key).map_or(KeySends::single(*send), |earlier| earlier.with(*send));
                 self.sends.insert(*key, sends);
             }
             Some(Record::Mark(mark)) => {
--- a/crates/persistence/src/idempotency_log/recovery.rs
+++ b/crates/persistence/src/idempotency_log/recovery.rs
@@ -25,14 +25,14 @@
     #[error("there is no idempotency log yet")]
     Missing,
     /// The log is damaged.
-    #[error("{file}: at byte {offset}: {why}")]
+    #[error("{file}: at byte {offset}: {reason}")]
     Damaged {
         /// Name of the log file.
         file: String,
         /// Offset of the damage in bytes.
         offset: usize,
         /// Description of the damage.
-        why: String,
+        reason: String,
     },
     /// The log contains no mark, so that it was never known to be complete.
     #[error("{file}: the log contains no mark, so it may be incomplete")]
@@ -92,7 +92,7 @@
     window: Milliseconds,
 ) -> Result<TrustedLog, DistrustedLog> {
     if let Some(fault) = contents.fault {
-        return Err(DistrustedLog::Damaged { file, offset: fault.offset, why: fault.reason });
+        return Err(DistrustedLog::Damaged { file, offset: fault.offset, reason: fault.reason });
     }
     let Some(mark) = contents.mark else { return Err(DistrustedLog::NoMark { file }) };
     if now.boot_id != Some(mark.boot_id) {
--- a/crates/persistence/src/inspection.rs
+++ b/crates/persistence/src/inspection.rs
@@ -82,7 +82,7 @@
 ///
 /// # Errors
 /// Returns an error if the folder cannot be read.
-pub fn show(folder: &Path, now: Milliseconds, rules: &RecoverySettings) -> io::Result<Option<Value>> {
+pub fn show(folder: &Path, now: Milliseconds, settings: &RecoverySettings) -> io::Result<Option<Value>> {
     let disk = Files::new(folder);
     let loaded = snapshot_store::load(&disk, MAX_SNAPSHOT_BYTES)?;
     let log = idempotency_log::last(&disk)?;
@@ -95,7 +95,7 @@
         }
         None => (0, None),
     };
-    let accepted = recovery::age(&snapshot, now, rules);
+    let accepted = recovery::age(&snapshot, now, settings);
     let list = cached_endpoints::load(&disk).ok().flatten();
     Ok(Some(json!({
         "generation": generation,
@@ -107,7 +107,7 @@
         "bound_threads_per_core": snapshot.concurrency_limit,
         "fleet": show_fleet(&snapshot, now),
         "classes": snapshot.classes.iter().map(|class| show_class(class, &snapshot, now)).collect::<Vec<_>>(),
-        "engines": snapshot.engines.iter().map(|engine| show_engine(engine, &snapshot, now, rules)).collect::<Vec<_>>(),
+        "engines": snapshot.engines.iter().map(|engine| show_engine(engine, &snapshot, now, settings)).collect::<Vec<_>>(),
         "list": list.map(|list| show_list(&list, now)),
         "keys": {
             "held": key_count,
@@ -170,15 +170,15 @@
     engine: &StoredEngine,
     snapshot: &Snapshot,
     now: Milliseconds,
-    rules: &RecoverySettings,
+    settings: &RecoverySettings,
 ) -> Value {
     let identity = EndpointIdentity {
         id: engine.id.clone(),
         address: engine.address.clone(),
         started: engine.started_at,
     };
-    let uncertainty = recovery::uncertainty(Some(engine), &identity, now, rules);
-    let restored = recovery::engine(Some(engine), &identity, snapshot.taken_at, now, rules);
+    let uncertainty = recovery::uncertainty(Some(engine), &identity, now, settings);
+    let restored = recovery::engine(Some(engine), &identity, snapshot.taken_at, now, settings);
     let age = engine.confirmed_at.map(|at| now - at);
     json!({
         "id": engine.id,
--- a/crates/persistence/src/recovery.rs
+++ b/crates/persistence/src/recovery.rs
@@ -44,7 +44,7 @@
 }
 
 /// Default settings.
-pub const DEFAULT: RecoverySettings = RecoverySettings {
+pub const DEFAULT_SETTINGS: RecoverySettings = RecoverySettings {
     min_restart_time: 3_000.0,
     max_snapshot_age: 3_600_000.0,
     unlisted_retention: 60_000.0,
@@ -107,13 +107,13 @@
 pub fn age(
     snapshot: &Snapshot,
     now: Milliseconds,
-    rules: &RecoverySettings,
+    settings: &RecoverySettings,
 ) -> Result<Milliseconds, RejectedSnapshot> {
     let age = now - snapshot.taken_at;
     match age {
         _ if !age.is_finite() => Err(RejectedSnapshot::InvalidTime),
         _ if age < -CLOCK_TOLERANCE => Err(RejectedSnapshot::FromTheFuture(-age)),
-        _ if age > rules.max_snapshot_age => Err(RejectedSnapshot::TooOld(age)),
+        _ if age > settings.max_snapshot_age => Err(RejectedSnapshot::TooOld(age)),
         _ => Ok(age.max(0.0)),
     }
 }
@@ -176,9 +176,9 @@
     identity: &EndpointIdentity,
     taken: Milliseconds,
     now: Milliseconds,
-    rules: &RecoverySettings,
+    settings: &RecoverySettings,
 ) -> LearnedEngine {
-    let uncertainty = uncertainty(known, identity, now, rules);
+    let uncertainty = uncertainty(known, identity, now, settings);
     let possibly_in_slow_start = uncertainty != Uncertainty::None;
     let fresh = LearnedEngine {
         id: identity.id.clone(),
@@ -192,7 +192,7 @@
     let health = retained_weight(now - last_answer_at, HEALTH_HALF_LIFE);
     // The remaining budget of a slow start when the previous process ended is unknown, so it is treated as exhausted.
     let budget_exhausted = known.in_slow_start
-        && now - last_answer_at.max(taken) <= rules.overload_collapse_after.max(rules.min_restart_time);
+        && now - last_answer_at.max(taken) <= settings.overload_collapse_after.max(settings.min_restart_time);
     LearnedEngine {
         slowdown: 1.0 + (known.slowdown - 1.0) * health,
         error_rate: known.error_rate * health,
@@ -214,7 +214,7 @@
 /// until the wait for them has ended.
 #[derive(Debug)]
 pub struct RestoredState {
-    rules: RecoverySettings,
+    settings: RecoverySettings,
     taken: Milliseconds,
     /// Records of classes and of the fleet, until they are restored together with the first engines.
     fleet: Option<LearnedState>,
@@ -233,15 +233,15 @@
     pub fn new(
         snapshot: &Snapshot,
         now: Milliseconds,
-        rules: RecoverySettings,
+        settings: RecoverySettings,
     ) -> Result<Self, RejectedSnapshot> {
-        let age = age(snapshot, now, &rules)?;
+        let age = age(snapshot, now, &settings)?;
         let mut learned = snapshot.learned();
         learned.engines.clear();
         age_classes(snapshot, now, &mut learned);
         age_fleet(age, &mut learned.fleet);
         Ok(Self {
-            rules,
+            settings,
             taken: snapshot.taken_at,
             fleet: Some(learned),
             known: snapshot.engines.iter().map(|engine| (engine.id.clone(), engine.clone())).collect(),
@@ -256,7 +256,7 @@
         if listed.is_empty() {
             return None;
         }
-        let deadline = *self.deadline.get_or_insert(now + self.rules.unlisted_retention);
+        let deadline = *self.deadline.get_or_insert(now + self.settings.unlisted_retention);
         if now > deadline {
             self.known.clear();
             return None;
@@ -266,7 +266,7 @@
             return None;
         }
         let restored = |identity: &&EndpointIdentity| {
-            engine(self.known.get(&identity.id), identity, self.taken, now, &self.rules)
+            engine(self.known.get(&identity.id), identity, self.taken, now, &self.settings)
         };
         let engines: Vec<_> = added.iter().map(restored).collect();
         for identity in added {
--- a/crates/persistence/tests/recovery.rs
+++ b/crates/persistence/tests/recovery.rs
@@ -11,7 +11,7 @@
 use starlingplank_persistence::snapshot_records::StoredEngine;
 
 const TAKEN: f64 = 1_000_000.0;
-const SETTINGS: RecoverySettings = starlingplank_persistence::recovery::DEFAULT;
+const SETTINGS: RecoverySettings = starlingplank_persistence::recovery::DEFAULT_SETTINGS;
 
 fn identity(id: &str, started: Option<f64>) -> EndpointIdentity {
     EndpointIdentity { id: id.into(), address: "127.0.0.1:9000".into(), started }
--- a/crates/persistence/tests/writers.rs
+++ b/crates/persistence/tests/writers.rs
@@ -208,7 +208,7 @@
 }
 
 const SETTINGS: starlingplank_persistence::recovery::RecoverySettings =
-    starlingplank_persistence::recovery::DEFAULT;
+    starlingplank_persistence::recovery::DEFAULT_SETTINGS;
 
 /// A disk on which no file can be created while the flag is set.
 #[derive(Clone)]
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -88,10 +88,11 @@
             logs_keys: fields.opt("knowledge.keys") != Some("false"),
             max_keys: fields.number_or("knowledge.most_keys", DEFAULT_MAX_KEYS)? as usize,
             min_restart_time: fields
-                .number_or("knowledge.restart_within", recovery::DEFAULT.min_restart_time)?,
-            max_snapshot_age: fields.number_or("knowledge.keep_for", recovery::DEFAULT.max_snapshot_age)?,
+                .number_or("knowledge.restart_within", recovery::DEFAULT_SETTINGS.min_restart_time)?,
+            max_snapshot_age: fields
+                .number_or("knowledge.keep_for", recovery::DEFAULT_SETTINGS.max_snapshot_age)?,
             unlisted_retention: fields
-                .number_or("knowledge.list_wait", recovery::DEFAULT.unlisted_retention)?,
+                .number_or("knowledge.list_wait", recovery::DEFAULT_SETTINGS.unlisted_retention)?,
         }))
     }
 }
--- a/src/core/attempts.rs
+++ b/src/core/attempts.rs
@@ -165,7 +165,7 @@
             address: self.live_address(&attempt.engine)?,
             class: request.class,
             statement: request.statement.clone(),
-            budget: deadline - now,
+            time_left: deadline - now,
             transmit_within: Some(request.send_by - now).filter(|time| time.is_finite()),
             memory_mb: request.terms.memory_mb,
             priority: request.terms.priority,
--- a/src/core/decisions.rs
+++ b/src/core/decisions.rs
@@ -7,8 +7,8 @@
 
 impl Core {
     /// Returns the number of requests that could not be transmitted at once, by class and reason.
-    pub fn waits(&self) -> &[[u64; BlockReason::COUNT]] {
-        self.balancer.waits()
+    pub fn blocked_counts(&self) -> &[[u64; BlockReason::COUNT]] {
+        self.balancer.blocked_counts()
     }
 
     /// Deducts the processing time of decision cycles from the credit for urgent ones.
@@ -70,7 +70,7 @@
                 let attempt = AttemptId { request: id, number: attempt };
                 self.abort_attempt(now, attempt, Outcome::Cancelled, effects);
             }
-            Action::Terms { id, memory_mb, priority } => {
+            Action::SetTerms { id, memory_mb, priority } => {
                 self.set_terms(id, Terms { memory_mb, priority }, effects);
             }
             Action::Timer { after, token } => self.set_timer(now + after, TimerKind::DecisionTimer(token)),
--- a/src/core/membership.rs
+++ b/src/core/membership.rs
@@ -53,10 +53,10 @@
     }
 
     /// Returns the number of members, and the number of those that are sent no new work: members that are draining, excluded by
-    /// operators, or avoided by the decision module.
-    pub fn engines(&self) -> (usize, usize) {
+    /// operators, or temporarily excluded by the decision module.
+    pub fn member_counts(&self) -> (usize, usize) {
         let live = self.engines.values().filter(|endpoint| is_live(endpoint));
-        let usable = live.filter(|endpoint| !self.balancer.avoids(&endpoint.member.engine));
+        let usable = live.filter(|endpoint| !self.balancer.is_temporarily_excluded(&endpoint.member.engine));
         (self.engines.len(), self.engines.len() - usable.count())
     }
 
@@ -133,7 +133,7 @@
         let members = endpoints.iter().map(|endpoint| &endpoint.member);
         let starts: Vec<_> = members.map(|member| (member.engine.clone(), member.started)).collect();
         if !starts.is_empty() {
-            self.start_times.receive(&starts, now);
+            self.start_times.record_list(&starts, now);
         }
     }
 
@@ -146,7 +146,7 @@
         }
         self.service_confirmed_at = Some(now);
         if version == known && !self.service_members.is_empty() {
-            self.start_times.confirm(now);
+            self.start_times.confirm_list(now);
         }
         // The inherited membership applies only until the name service has responded to this process.
         let inherited = self.inherited_membership.take().is_some();
@@ -312,7 +312,7 @@
         member: Member,
         reported_start: Option<Milliseconds>,
     ) -> Member {
-        let local = self.start_times.local(&member.engine, reported_start);
+        let local = self.start_times.local_start(&member.engine, reported_start);
         let started = self.operator_override.start_time(&member.engine.0, local);
         Member { started: started.map(|at| at.min(now)), ..member }
     }
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -63,7 +63,7 @@
     /// Maintenance of the idempotency log is due, which happens once a second.
     MaintenanceTick,
     /// A successor process accepts new connections, which leaves more time for open requests.
-    SuccessorListens,
+    SuccessorListening,
     /// The operator override was read or has changed: the engines that operators have excluded.
     OperatorOverrides(OperatorOverrides),
     /// The membership known to an earlier process of this gateway was read.
@@ -88,7 +88,7 @@
     /// The statement and its data.
     pub statement: Rc<Statement>,
     /// The time that is left until the attempt's deadline, in ms.
-    pub budget: Milliseconds,
+    pub time_left: Milliseconds,
     /// The time within which the attempt must be transmitted or dropped, as engines discard idempotency keys after a while.
     pub transmit_within: Option<Milliseconds>,
     /// Memory grant in MB; 0 for the engine's default.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -184,7 +184,7 @@
     }
 
     /// Sets the counters in which sends refused by a rule are counted. Must be called before the first event.
-    pub fn count_refusals_in(&mut self, rules: Rc<RuleCounters>) {
+    pub fn set_rule_counters(&mut self, rules: Rc<RuleCounters>) {
         self.rules = rules;
     }
 
@@ -231,7 +231,7 @@
             Event::TimersDue => self.fire_due_timers(now, effects),
             Event::RunDecisionCycle => self.decision_cycle(now, effects),
             Event::Terminate { requested_at } => self.terminate(now, requested_at),
-            Event::SuccessorListens => self.extend_shutdown(),
+            Event::SuccessorListening => self.extend_shutdown(),
         }
         self.exit_when_done(now, effects);
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -161,7 +161,7 @@
         None => None,
     };
     let now = Clock::start().now();
-    let shown = inspection::show(folder, now, &rules.unwrap_or(recovery::DEFAULT))
+    let shown = inspection::show(folder, now, &rules.unwrap_or(recovery::DEFAULT_SETTINGS))
         .map_err(|error| CommandError::folder(folder, error))?;
     let Some(shown) = shown else {
         writeln!(io::stderr(), "{}: there is no whole snapshot", folder.display())?;
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -225,17 +225,17 @@
 /// Parses a call; `None` if the call is not complete yet. An error is the reply to a call that is not valid.
 fn parse_call(bytes: &[u8], max_head_bytes: usize) -> Result<Option<Call>, Reply> {
     let (head, head_bytes) = match http::read_head(bytes) {
-        Read::Done(head, head_bytes) => (head, head_bytes),
-        Read::Bad => return Err(Reply::line(400, "the call cannot be read as HTTP/1.1")),
-        Read::More if bytes.len() > max_head_bytes => {
+        Read::Complete(head, head_bytes) => (head, head_bytes),
+        Read::Invalid => return Err(Reply::line(400, "the call cannot be read as HTTP/1.1")),
+        Read::Incomplete if bytes.len() > max_head_bytes => {
             return Err(Reply::line(431, "the head of the call is too long"));
         }
-        Read::More => return Ok(None),
+        Read::Incomplete => return Ok(None),
     };
-    if !matches!(head.third, "HTTP/1.1" | "HTTP/1.0") {
+    if !matches!(head.version_or_reason, "HTTP/1.1" | "HTTP/1.0") {
         return Err(Reply::line(400, "the version must be HTTP/1.1"));
     }
-    let (path, _) = http::target(head.second);
+    let (path, _) = http::target(head.target_or_status);
     let length = match head.body(Length::Bytes(0)) {
         Some(Length::Bytes(length)) => length,
         Some(_) => return Err(Reply::line(411, "the body must have a Content-Length; chunks are not taken")),
@@ -243,9 +243,9 @@
     };
     if length > calls::MAX_BODY_BYTES {
         // A wrong path or method is reported in preference to the excessive length of the body.
-        let wrong_target = calls::read(head.first, &path, b"-").err();
+        let wrong_target = calls::read(head.method_or_version, &path, b"-").err();
         return Err(wrong_target.unwrap_or_else(|| Reply::line(413, "the body is longer than any id")));
     }
     let body = bytes.get(head_bytes..head_bytes + length);
-    body.map(|body| calls::read(head.first, &path, body)).transpose()
+    body.map(|body| calls::read(head.method_or_version, &path, body)).transpose()
 }
--- a/src/net/connection/frame.rs
+++ b/src/net/connection/frame.rs
@@ -2,7 +2,7 @@
 
 use crate::core::{AttemptId, Send, Statement};
 use crate::interface::Milliseconds;
-use starlingplank_admin::metrics::{Count, Tally};
+use starlingplank_admin::metrics::{Count, CounterKey};
 use starlingplank_decision::permission::send::SendRefusal;
 use std::rc::Rc;
 use std::time::Duration;
@@ -43,7 +43,7 @@
     /// Bytes of the message.
     pub segments: Vec<Segment>,
     /// Metric that is incremented once the last byte is written.
-    pub tally: Option<Tally>,
+    pub counter_key: Option<CounterKey>,
     /// Deadline for the write of the first byte, after which the message is discarded.
     pub transmit_before: Option<Instant>,
     /// Attempt that the message transmits, with the data to check it and to encode it again before it is written.
@@ -81,7 +81,7 @@
         Self {
             attempt: None,
             segments: parts.into_iter().map(Segment::Owned).collect(),
-            tally: None,
+            counter_key: None,
             transmit_before: None,
             queued_attempt: None,
         }
@@ -92,11 +92,11 @@
     pub fn for_attempt(send: Send, encode: fn(&Send) -> Vec<Segment>) -> Self {
         let now = Instant::now();
         let after = |ms: Milliseconds| now + Duration::from_secs_f64(ms.clamp(0.0, MAX_DEADLINE_MS) / 1000.0);
-        let deadline = after(send.budget);
+        let deadline = after(send.time_left);
         Self {
             attempt: Some(send.id),
             segments: encode(&send),
-            tally: Some((send.class.0, Count::Sends)),
+            counter_key: Some((send.class.0, Count::Sends)),
             transmit_before: Some(send.transmit_within.map_or(deadline, after).min(deadline)),
             queued_attempt: Some(QueuedAttempt {
                 send,
@@ -140,7 +140,7 @@
         }
         let now = Instant::now();
         queued.encoded_at = now;
-        queued.send.budget = queued.deadline.saturating_duration_since(now).as_secs_f64() * 1000.0;
+        queued.send.time_left = queued.deadline.saturating_duration_since(now).as_secs_f64() * 1000.0;
         self.segments = (queued.encode)(&queued.send);
     }
 
@@ -149,10 +149,10 @@
         self.segments.iter().map(Segment::bytes)
     }
 
-    /// Returns the same message, counted under `tally` once it is written.
+    /// Returns the same message, counted under `counter_key` once it is written.
     #[must_use]
-    pub fn counted(self, tally: Tally) -> Self {
-        Self { tally: Some(tally), ..self }
+    pub fn counted(self, counter_key: CounterKey) -> Self {
+        Self { counter_key: Some(counter_key), ..self }
     }
 
     /// Returns the length of the message in bytes.
--- a/src/net/connection/shared_state.rs
+++ b/src/net/connection/shared_state.rs
@@ -55,8 +55,8 @@
     pub fn count_request(&self) {
         let now = self.elapsed();
         let mut budget = self.retry_budget.borrow_mut();
-        budget.receive(now);
-        budget.forget(now, 0.0);
+        budget.record_request(now);
+        budget.discard_before_window(now, 0.0);
     }
 
     /// Returns whether a retry may be written now. If so, counts it as written.
@@ -65,7 +65,7 @@
         let mut budget = self.retry_budget.borrow_mut();
         let allowed = budget.allows(now, 0.0);
         if allowed {
-            budget.retry(now);
+            budget.record_retry(now);
         }
         allowed
     }
--- a/src/net/connection/write_queue.rs
+++ b/src/net/connection/write_queue.rs
@@ -41,8 +41,8 @@
     /// Wakes producers that wait for the queue to become shorter.
     drained: Notify,
     /// Attempts that were discarded before they were written and are not reported yet.
-    expired_attempts: RefCell<Vec<AttemptId>>,
-    attempt_expired: Notify,
+    discarded_attempts: RefCell<Vec<AttemptId>>,
+    attempt_discarded: Notify,
     /// Wakes the reading task to check whether the connection stays open: all frames are written, or a check was requested.
     recheck: Notify,
 }
@@ -58,8 +58,8 @@
             close_mode: Cell::new(None),
             changed: Notify::new(),
             drained: Notify::new(),
-            expired_attempts: RefCell::default(),
-            attempt_expired: Notify::new(),
+            discarded_attempts: RefCell::default(),
+            attempt_discarded: Notify::new(),
             recheck: Notify::new(),
         }
     }
@@ -158,7 +158,7 @@
     pub fn unsent_attempts(&self) -> Vec<AttemptId> {
         let frames = self.frames.borrow();
         let queued = frames.iter().skip(self.partly_written_frames()).filter_map(|frame| frame.attempt);
-        queued.chain(self.expired_attempts.borrow().iter().copied()).collect()
+        queued.chain(self.discarded_attempts.borrow().iter().copied()).collect()
     }
 
     /// Returns whether the next write may contain the first byte of an attempt.
@@ -205,17 +205,17 @@
                 refusal.name(),
             );
         }
-        self.expired_attempts.borrow_mut().extend(frame.attempt);
-        self.attempt_expired.notify_one();
+        self.discarded_attempts.borrow_mut().extend(frame.attempt);
+        self.attempt_discarded.notify_one();
     }
 
     /// Waits for an attempt that was discarded because it must no longer be written.
-    pub async fn next_expired_attempt(&self) -> AttemptId {
+    pub async fn next_discarded_attempt(&self) -> AttemptId {
         loop {
-            if let Some(id) = self.expired_attempts.borrow_mut().pop() {
+            if let Some(id) = self.discarded_attempts.borrow_mut().pop() {
                 return id;
             }
-            self.attempt_expired.notified().await;
+            self.attempt_discarded.notified().await;
         }
     }
 
@@ -226,8 +226,8 @@
         let mut written = self.first_frame_written.get() + written;
         while let Some(length) = frames.front().map(Frame::len).filter(|length| *length <= written) {
             written -= length;
-            if let Some(tally) = frames.pop_front().and_then(|frame| frame.tally) {
-                self.shared.metrics.add(tally);
+            if let Some(counter_key) = frames.pop_front().and_then(|frame| frame.counter_key) {
+                self.shared.metrics.add(counter_key);
             }
         }
         self.first_frame_written.set(written);
--- a/src/net/engine/clickhouse/driver.rs
+++ b/src/net/engine/clickhouse/driver.rs
@@ -22,7 +22,7 @@
         tokio::select! {
             written = connection.write_queue.write_all(stream, &limits) => drop(written),
             () = reader.read_all() => {}
-            () = report_expired_attempts(&connection, &events) => {}
+            () = report_discarded_attempts(&connection, &events) => {}
         }
     }
     connection.closed.set(true);
@@ -44,9 +44,9 @@
 }
 
 /// Reports attempts that were discarded from the write queue because they must no longer be written.
-async fn report_expired_attempts(connection: &Connection, events: &Sender<Event>) {
+async fn report_discarded_attempts(connection: &Connection, events: &Sender<Event>) {
     loop {
-        let id = connection.write_queue.next_expired_attempt().await;
+        let id = connection.write_queue.next_discarded_attempt().await;
         if connection.carries(id) {
             let _ =
                 events.send(Event::AttemptEnded(id, AttemptEnd::from_outcome(Outcome::NotExecuted))).await;
--- a/src/net/engine/clickhouse/request.rs
+++ b/src/net/engine/clickhouse/request.rs
@@ -39,7 +39,7 @@
 fn target_with_limits(send: &Send) -> String {
     let statement = &send.statement;
     let mut target = format!("/?query_id={}", http::encode(&query_id(send)));
-    let _ = write!(target, "&max_execution_time={}", execution_time(send.budget));
+    let _ = write!(target, "&max_execution_time={}", execution_time(send.time_left));
     let priority = LOWEST_PRIORITY - send.priority.min(MAX_ATTEMPT_PRIORITY);
     let _ = write!(target, "&priority={priority}");
     target += "&cancel_http_readonly_queries_on_client_close=1";
@@ -93,8 +93,8 @@
 
 /// Formats the remaining time in seconds: rounded up to a full second if it is within `MAX_ROUNDING_SECONDS` of it,
 /// otherwise with milliseconds, as the engine must not be given more time than the client has left.
-fn execution_time(budget: Milliseconds) -> String {
-    let seconds = (budget / 1000.0).max(MIN_EXECUTION_SECONDS);
+fn execution_time(time_left: Milliseconds) -> String {
+    let seconds = (time_left / 1000.0).max(MIN_EXECUTION_SECONDS);
     if seconds.ceil() - seconds <= MAX_ROUNDING_SECONDS {
         return format!("{:.0}", seconds.ceil());
     }
--- a/src/net/engine/clickhouse/response.rs
+++ b/src/net/engine/clickhouse/response.rs
@@ -44,7 +44,7 @@
             status,
             headers: forwarded.map(|(name, value)| ((*name).to_owned(), (*value).to_owned())).collect(),
             length: head.body(Length::Stream).ok_or(ConnectionFailed)?,
-            keep_alive: head.keeps_alive(head.first),
+            keep_alive: head.keeps_alive(head.method_or_version),
         })
     }
 }
@@ -147,18 +147,18 @@
     async fn read_head(&mut self) -> Result<ResponseHead, ConnectionFailed> {
         loop {
             match http::read_head(self.buffer.unread()) {
-                Read::Done(head, used) => {
+                Read::Complete(head, used) => {
                     let head = ResponseHead::new(&head)?;
                     self.buffer.consume(used);
                     if head.status != CONTINUE {
                         return Ok(head);
                     }
                 }
-                Read::Bad => return Err(ConnectionFailed),
-                Read::More if self.buffer.unread().len() > self.limits.max_head_bytes => {
+                Read::Invalid => return Err(ConnectionFailed),
+                Read::Incomplete if self.buffer.unread().len() > self.limits.max_head_bytes => {
                     return Err(ConnectionFailed);
                 }
-                Read::More => self.fill().await?,
+                Read::Incomplete => self.fill().await?,
             }
         }
     }
@@ -208,13 +208,13 @@
     fn take_chunk(&mut self) -> Result<Option<Vec<u8>>, ConnectionFailed> {
         let max_bytes = MAX_CHUNK_IN_MESSAGES * self.limits.max_message_bytes;
         match http::read_chunk(self.buffer.unread(), max_bytes) {
-            Read::Done(chunk, used) => {
+            Read::Complete(chunk, used) => {
                 let chunk = chunk.to_vec();
                 self.buffer.consume(used);
                 Ok(Some(chunk))
             }
-            Read::Bad => Err(ConnectionFailed),
-            Read::More => Ok(None),
+            Read::Invalid => Err(ConnectionFailed),
+            Read::Incomplete => Ok(None),
         }
     }
 
--- a/src/net/engine/connect.rs
+++ b/src/net/engine/connect.rs
@@ -47,7 +47,7 @@
     loop {
         match timeout_at(deadline, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => return Ok(stream),
-            Ok(Err(error)) if !transient_errors::is_local(&error) => {
+            Ok(Err(error)) if !transient_errors::is_local_and_transient(&error) => {
                 return Err(ConnectError::Refused(error))
             }
             Ok(Err(error)) => {
--- a/src/net/engine/driver.rs
+++ b/src/net/engine/driver.rs
@@ -41,14 +41,14 @@
     tokio::select! {
         written = connection.write_queue.write_all(stream, limits) => drop(written),
         () = read_replies(connection, stream, limits, events) => {}
-        () = report_expired_attempts(connection, events) => {}
+        () = report_discarded_attempts(connection, events) => {}
     }
 }
 
 /// Reports attempts that were discarded from the write queue because they must no longer be written.
-async fn report_expired_attempts(connection: &Connection, events: &Sender<Event>) {
+async fn report_discarded_attempts(connection: &Connection, events: &Sender<Event>) {
     loop {
-        let id = connection.write_queue.next_expired_attempt().await;
+        let id = connection.write_queue.next_discarded_attempt().await;
         // The attempt stays in flight until it is reported: if the connection ends first, `report_ended_attempts` reports it.
         let _ = events.send(Event::AttemptEnded(id, AttemptEnd::from_outcome(Outcome::NotExecuted))).await;
         connection.remove_attempt(id);
@@ -75,14 +75,14 @@
     limits: &Limits,
     events: &Sender<Event>,
 ) -> ControlFlow<()> {
-    let max_reply_bytes = MAX_REPLY_IN_RESULTS * limits.max_result_bytes;
+    let max_unread = MAX_REPLY_IN_RESULTS * limits.max_result_bytes;
     loop {
         // The slot for the event is reserved before the reply changes any state, as this future may be dropped while it waits.
         let Ok(slot) = events.reserve().await else { return ControlFlow::Break(()) };
         let (effect, used) = match resp::read(read_buffer.unread(), limits.max_result_bytes) {
             Read::Reply(reply, used) => (handle_reply(connection, &reply, limits), used),
-            Read::More if read_buffer.unread().len() <= max_reply_bytes => return ControlFlow::Continue(()),
-            Read::More | Read::Bad => (ReplyEffect::ProtocolError, 0),
+            Read::Incomplete if read_buffer.unread().len() <= max_unread => return ControlFlow::Continue(()),
+            Read::Incomplete | Read::Invalid => (ReplyEffect::ProtocolError, 0),
         };
         read_buffer.consume(used);
         match effect {
--- a/src/net/engine/resp/command.rs
+++ b/src/net/engine/resp/command.rs
@@ -36,7 +36,7 @@
 /// Encodes an attempt. The statement is sent unchanged and is not copied; all attempts share it.
 fn encode_attempt(send: &Send) -> Vec<Segment> {
     let statement = &send.statement;
-    let mut fields = format!("queue={},budget={:.0}", statement.class, send.budget.max(1.0));
+    let mut fields = format!("queue={},budget={:.0}", statement.class, send.time_left.max(1.0));
     if let Some(key) = &statement.key {
         fields += &format!(",uniq={key}");
     }
--- a/src/net/engine/resp/reply.rs
+++ b/src/net/engine/resp/reply.rs
@@ -33,9 +33,9 @@
     /// A complete reply, and its length in bytes.
     Reply(Reply<'a>, usize),
     /// The reply is incomplete; more bytes are required.
-    More,
+    Incomplete,
     /// The bytes are not a valid reply.
-    Bad,
+    Invalid,
 }
 
 fn bulk_string<'a>(limit: usize) -> impl FnMut(&mut Input<'a>) -> ParseResult<&'a [u8]> {
@@ -70,8 +70,8 @@
     let mut input = Partial::new(bytes);
     match reply_array(limit).parse_next(&mut input) {
         Ok(reply) => Read::Reply(reply, bytes.len() - input.len()),
-        Err(ErrMode::Incomplete(_)) => Read::More,
-        Err(_) => Read::Bad,
+        Err(ErrMode::Incomplete(_)) => Read::Incomplete,
+        Err(_) => Read::Invalid,
     }
 }
 
--- a/src/net/front/clickhouse/request.rs
+++ b/src/net/front/clickhouse/request.rs
@@ -35,7 +35,7 @@
 impl Request {
     /// Creates a request from its head, without the body.
     fn new(head: &Head<'_>) -> Self {
-        let (path, mut params) = http::target(head.second);
+        let (path, mut params) = http::target(head.target_or_status);
         for (header, name) in PARAMETER_HEADERS {
             if let Some(value) =
                 head.header(header).filter(|_| !params.iter().any(|(known, _)| known == name))
@@ -44,11 +44,11 @@
             }
         }
         Self {
-            method: head.first.to_owned(),
+            method: head.method_or_version.to_owned(),
             path,
             params,
-            keep_alive: head.keeps_alive(head.third),
-            may_stream: head.third != "HTTP/1.0",
+            keep_alive: head.keeps_alive(head.version_or_reason),
+            may_stream: head.version_or_reason != "HTTP/1.0",
             body: Vec::new(),
         }
     }
@@ -115,7 +115,7 @@
         let Session { connection, limits, .. } = self.session;
         loop {
             match http::read_head(self.buffer.unread()) {
-                Read::Done(head, used) => {
+                Read::Complete(head, used) => {
                     let Some(length) = head.body(Length::Bytes(0)) else {
                         return invalid("The length of the body is not clear");
                     };
@@ -127,11 +127,11 @@
                     self.buffer.consume(used);
                     return Ok((request, length));
                 }
-                Read::Bad => return invalid("The request cannot be read"),
-                Read::More if self.buffer.unread().len() > limits.max_head_bytes => {
+                Read::Invalid => return invalid("The request cannot be read"),
+                Read::Incomplete if self.buffer.unread().len() > limits.max_head_bytes => {
                     return invalid("The head of the request is too long");
                 }
-                Read::More => self.fill().await?,
+                Read::Incomplete => self.fill().await?,
             }
         }
     }
@@ -158,22 +158,22 @@
         let mut body = Vec::new();
         loop {
             match http::read_chunk(self.buffer.unread(), max_bytes) {
-                Read::Done([], used) => {
+                Read::Complete([], used) => {
                     self.buffer.consume(used);
                     return Ok(body);
                 }
-                Read::Done(chunk, used) => {
+                Read::Complete(chunk, used) => {
                     body.extend_from_slice(chunk);
                     self.buffer.consume(used);
                     if body.len() > max_bytes {
                         return Err(BODY_TOO_LARGE);
                     }
                 }
-                Read::Bad => {
+                Read::Invalid => {
                     let message = "The body cannot be read or is too large";
                     return Err(ReadError::Invalid(Exception::BAD_REQUEST, message));
                 }
-                Read::More => self.fill().await?,
+                Read::Incomplete => self.fill().await?,
             }
         }
     }
--- a/src/net/front/clickhouse/response.rs
+++ b/src/net/front/clickhouse/response.rs
@@ -6,7 +6,7 @@
 use crate::net::connection::frame::Frame;
 use crate::net::front::requests::count_of_answer;
 use crate::net::front::{ClientConnection, ResponseWriter};
-use starlingplank_admin::metrics::Tally;
+use starlingplank_admin::metrics::CounterKey;
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::Notify;
@@ -67,7 +67,7 @@
     /// Whether another request is read after this one. Cleared if the connection has to close after the current answer.
     pub(super) keep_alive: Cell<bool>,
     /// Metric under which the next response is counted.
-    tally: Cell<Option<Tally>>,
+    counter_key: Cell<Option<CounterKey>>,
 }
 
 impl Session {
@@ -78,7 +78,7 @@
             limits,
             answered: Notify::new(),
             keep_alive: Cell::new(true),
-            tally: Cell::new(None),
+            counter_key: Cell::new(None),
         }
     }
 
@@ -110,7 +110,7 @@
     pub(super) fn send_response(&self, status: u16, headers: &[Header<'_>], body: Vec<Vec<u8>>) {
         let head = self.head(status, headers, Some(body.iter().map(Vec::len).sum()));
         let frame = Frame::from_parts(std::iter::once(head).chain(body).collect());
-        self.send(Frame { tally: self.tally.take(), ..frame });
+        self.send(Frame { counter_key: self.counter_key.take(), ..frame });
     }
 
     /// Sends a plain-text response.
@@ -184,16 +184,16 @@
 
     fn finish(self: Box<Self>, answer: Answer) {
         let session = &self.session;
-        let tally = (self.class.0, count_of_answer(&answer));
-        session.tally.set(Some(tally));
+        let counter_key = (self.class.0, count_of_answer(&answer));
+        session.counter_key.set(Some(counter_key));
         let query_id = (QUERY_ID_HEADER, &*self.name);
         match answer {
             Answer::Served(rows) => session.send_response(200, &self.headers(&rows), rows.parts.clone()),
-            Answer::Streamed => session.send(Frame::plain(b"0\r\n\r\n".to_vec()).counted(tally)),
+            Answer::Streamed => session.send(Frame::plain(b"0\r\n\r\n".to_vec()).counted(counter_key)),
             // The last chunk is omitted, so that the client detects the truncated result.
             Answer::Aborted => {
                 session.keep_alive.set(false);
-                session.connection.write_queue.shared().metrics.add(tally);
+                session.connection.write_queue.shared().metrics.add(counter_key);
             }
             Answer::Rejected(retry_after) => self.send_rejection(retry_after),
             Answer::Expired => session.send_exception(Exception::TIMEOUT, "Timeout exceeded", &[query_id]),
@@ -203,7 +203,7 @@
             }
             Answer::Failed(Some(error)) => self.send_engine_error(error),
         }
-        session.tally.set(None);
+        session.counter_key.set(None);
         session.connection.request_closed();
         session.answered.notify_one();
     }
--- a/src/net/hot_restart/keys.rs
+++ b/src/net/hot_restart/keys.rs
@@ -51,7 +51,7 @@
     /// The record cannot be written; the key must not be sent.
     pub(super) fn record(&mut self, key: Key, send: KeySend) -> io::Result<()> {
         let previous = self.tracked.get(&key).copied();
-        self.tracked.insert(key, previous.map_or(KeySends::single(send), |sends| sends.and(send)));
+        self.tracked.insert(key, previous.map_or(KeySends::single(send), |sends| sends.with(send)));
         let written = self.write(key, send);
         if written.is_err() {
             // The key is not sent, so its window does not begin for any process.
@@ -103,7 +103,7 @@
     pub(super) fn merge(&mut self, key: Key, stored: KeySend, now: Milliseconds) -> Option<KeySends> {
         let sends = self.offset.restored_sends(KeySends::single(stored));
         let send = KeySend { at: sends.first, window: sends.window };
-        let merged = self.tracked.get(&key).map_or(sends, |tracked| tracked.and(send));
+        let merged = self.tracked.get(&key).map_or(sends, |tracked| tracked.with(send));
         if now >= merged.end() {
             return None;
         }
--- a/src/net/hot_restart/state_transfer.rs
+++ b/src/net/hot_restart/state_transfer.rs
@@ -81,7 +81,7 @@
     pub async fn inherit_learned(
         &mut self,
         now: Milliseconds,
-        rules: RecoverySettings,
+        settings: RecoverySettings,
         limits: &Limits,
     ) -> Option<RestoredState> {
         let (predecessor, _) = self.peers.range(..self.incarnation).next_back()?;
@@ -99,7 +99,7 @@
         };
         let _ = std::fs::remove_file(self.path.join(&name));
         let now = now + received.waited.as_secs_f64() * 1000.0;
-        match restore(&received.bytes, now, rules) {
+        match restore(&received.bytes, now, settings) {
             Ok(restored) => {
                 let bytes = received.bytes.len();
                 info!(predecessor, bytes, "learned state of the predecessor taken over");
@@ -156,6 +156,10 @@
     Ok(Some(InheritedMembership::decode(&bytes)?))
 }
 
-fn restore(bytes: &[u8], now: Milliseconds, rules: RecoverySettings) -> Result<RestoredState, TransferError> {
-    Ok(RestoredState::new(&snapshot::decode(bytes)?, now, rules)?)
+fn restore(
+    bytes: &[u8],
+    now: Milliseconds,
+    settings: RecoverySettings,
+) -> Result<RestoredState, TransferError> {
+    Ok(RestoredState::new(&snapshot::decode(bytes)?, now, settings)?)
 }
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -15,11 +15,11 @@
 #[derive(Debug, PartialEq)]
 pub struct Head<'a> {
     /// The method of a request, or the version of a response.
-    pub first: &'a str,
+    pub method_or_version: &'a str,
     /// The target of a request, or the status of a response.
-    pub second: &'a str,
+    pub target_or_status: &'a str,
     /// The version of a request, or the reason of a response.
-    pub third: &'a str,
+    pub version_or_reason: &'a str,
     /// Names and values of the headers as they were sent; values without surrounding white space.
     pub headers: Vec<(&'a str, &'a str)>,
 }
@@ -28,11 +28,11 @@
 #[derive(Debug, PartialEq)]
 pub enum Read<T> {
     /// The parsed value and its length in bytes.
-    Done(T, usize),
+    Complete(T, usize),
     /// The buffer does not contain the complete value yet.
-    More,
+    Incomplete,
     /// The bytes are malformed.
-    Bad,
+    Invalid,
 }
 
 fn text(bytes: &[u8]) -> Option<&str> {
@@ -54,18 +54,19 @@
     let word = |input: &mut Input<'a>| {
         terminated(take_till(1.., (b' ', b'\r', b'\n')), b' ').verify_map(text).parse_next(input)
     };
-    let (first, second) = (word, word).parse_next(input)?;
-    let third = terminated(take_till(0.., (b'\r', b'\n')).verify_map(text), end_of_line).parse_next(input)?;
+    let (method_or_version, target_or_status) = (word, word).parse_next(input)?;
+    let version_or_reason =
+        terminated(take_till(0.., (b'\r', b'\n')).verify_map(text), end_of_line).parse_next(input)?;
     let headers = terminated(repeat(0.., header), end_of_line).parse_next(input)?;
-    Ok(Head { first, second, third, headers })
+    Ok(Head { method_or_version, target_or_status, version_or_reason, headers })
 }
 
 fn read<'a, T>(bytes: &'a [u8], parser: impl FnOnce(&mut Input<'a>) -> ParseResult<T>) -> Read<T> {
     let mut input = Partial::new(bytes);
     match parser(&mut input) {
-        Ok(done) => Read::Done(done, bytes.len() - input.len()),
-        Err(ErrMode::Incomplete(_)) => Read::More,
-        Err(_) => Read::Bad,
+        Ok(done) => Read::Complete(done, bytes.len() - input.len()),
+        Err(ErrMode::Incomplete(_)) => Read::Incomplete,
+        Err(_) => Read::Invalid,
     }
 }
 
@@ -141,8 +142,8 @@
 
 /// Returns the status code of a response; `None` if the head is not that of a valid HTTP/1 response.
 pub fn status(head: &Head<'_>) -> Option<u16> {
-    let code: Result<&str, EmptyError> = digit1.parse_next(&mut { head.second });
-    code.ok().filter(|_| head.first.starts_with("HTTP/1.")).and_then(|code| code.parse().ok())
+    let code: Result<&str, EmptyError> = digit1.parse_next(&mut { head.target_or_status });
+    code.ok().filter(|_| head.method_or_version.starts_with("HTTP/1.")).and_then(|code| code.parse().ok())
 }
 
 /// Decodes percent-encoding; `+` is decoded to a space.
--- a/src/net/persistence/snapshots.rs
+++ b/src/net/persistence/snapshots.rs
@@ -12,13 +12,13 @@
 pub(super) fn restore(
     folder: &Path,
     loaded: LoadedSnapshot,
-    rules: RecoverySettings,
+    settings: RecoverySettings,
     now: Milliseconds,
 ) -> Option<RestoredState> {
     for fault in &loaded.faults {
         warn!(folder = %folder.display(), file = fault.file, reason = fault.reason, "stored file is invalid and is ignored");
     }
-    let restored = restore_snapshot(loaded, rules, now);
+    let restored = restore_snapshot(loaded, settings, now);
     if restored.is_none() {
         info!("starting without a snapshot");
     }
@@ -27,11 +27,11 @@
 
 fn restore_snapshot(
     loaded: LoadedSnapshot,
-    rules: RecoverySettings,
+    settings: RecoverySettings,
     now: Milliseconds,
 ) -> Option<RestoredState> {
     let (generation, snapshot) = loaded.snapshot?;
-    match RestoredState::new(&snapshot, now, rules) {
+    match RestoredState::new(&snapshot, now, settings) {
         Ok(restored) => {
             let (engines, age) = (snapshot.engines.len(), now - snapshot.taken_at);
             info!(generation, engines, age_s = %format_args!("{:.1}", age / 1000.0), "snapshot restored");
--- a/src/net/runtime/calls.rs
+++ b/src/net/runtime/calls.rs
@@ -19,7 +19,7 @@
             Call::Telemetry => {
                 let names: Vec<_> =
                     self.frontend.settings.classes.iter().map(|class| class.name.as_str()).collect();
-                let (cluster_size, cluster_unhealthy) = self.core.engines();
+                let (cluster_size, cluster_unhealthy) = self.core.member_counts();
                 let gauges =
                     Gauges { current: self.frontend.pending_requests(), cluster_size, cluster_unhealthy };
                 Reply { status: 200, text: self.frontend.shared.metrics.text(&names, gauges) }
--- a/src/net/runtime/cycle.rs
+++ b/src/net/runtime/cycle.rs
@@ -34,7 +34,7 @@
     fn log_endpoint_list(&self) {
         let (version, draining) = (self.core.membership_version().unwrap_or(0), self.core.draining());
         let named = draining.iter().take(MAX_LOGGED_ENGINES).collect::<Vec<_>>();
-        let (engines, drain) = (self.core.engines().0, draining.len());
+        let (engines, drain) = (self.core.member_counts().0, draining.len());
         tracing::info!("list of engines: version {version}, {engines} engines, {drain} drain {named:?}");
     }
 
--- a/src/net/runtime/effects.rs
+++ b/src/net/runtime/effects.rs
@@ -98,14 +98,14 @@
         Effect::Send(Send {
             id: AttemptId { request: id, number: attempt },
             engine,
-            budget,
+            time_left,
             is_retry,
             ..
         }) => {
             if *is_retry {
                 tracing::debug!(request = id.0, attempt, engine = %engine.0, "request is retried");
             }
-            tracing::trace!(request = id.0, attempt, engine = %engine.0, budget_ms = budget, "attempt sent");
+            tracing::trace!(request = id.0, attempt, engine = %engine.0, budget_ms = time_left, "attempt sent");
         }
         Effect::AbortAttempt { attempt: AttemptId { request: id, number: attempt }, engine, .. } => {
             tracing::trace!(request = id.0, attempt, engine = %engine.0, "attempt aborted");
--- a/src/net/runtime/peers.rs
+++ b/src/net/runtime/peers.rs
@@ -71,6 +71,6 @@
         tracing::info!("a new version listens: what is open is answered, and the rest is for it");
         self.frontend.enter_shutdown_phase(ShutdownPhase::HandingOver);
         self.publish_stage(Stage::Draining);
-        events.push(Event::SuccessorListens);
+        events.push(Event::SuccessorListening);
     }
 }
--- a/src/net/runtime/shutdown.rs
+++ b/src/net/runtime/shutdown.rs
@@ -117,7 +117,7 @@
     /// Logs for each class the numbers of requests, attempts, outcomes and rejections, and the reasons for waits.
     fn report_classes(&self) {
         let classes = self.frontend.settings.classes.iter();
-        let by_class = classes.zip(self.core.counts()).zip(self.core.waits());
+        let by_class = classes.zip(self.core.counts()).zip(self.core.blocked_counts());
         for (index, ((class, counts), waits)) in by_class.enumerate() {
             let metric = |count| self.frontend.shared.metrics.get(index, count);
             tracing::info!(
--- a/src/net/runtime/startup.rs
+++ b/src/net/runtime/startup.rs
@@ -52,7 +52,7 @@
     let (sender, events) = mpsc::channel(limits.event_queue_capacity);
     let frontend = FrontendState::new(settings, limits.clone(), sender.clone());
     let mut core = Core::new(config.settings.clone(), config.limits.clone(), frontend.clock.now())?;
-    core.count_refusals_in(frontend.shared.rule_counters.clone());
+    core.set_rule_counters(frontend.shared.rule_counters.clone());
     let persistence = Persistence::open(&config, &mut core, frontend.clock.now(), &sender)?;
     let engines = open_engines(config.engine_wire, limits.clone(), frontend.shared.clone(), sender.clone());
     let (call_sender, calls) = mpsc::channel(limits.max_admin_connections);
@@ -166,11 +166,11 @@
             self.persistence.use_owner_log(config, &mut self.core, clock.now());
         }
         inherited.push(Event::OperatorOverrides(hot_restart.overrides().clone()));
-        let rules = recovery::RecoverySettings {
+        let settings = recovery::RecoverySettings {
             overload_collapse_after: config.settings.overload_collapse_after,
-            ..recovery::DEFAULT
+            ..recovery::DEFAULT_SETTINGS
         };
-        if let Some(restored_state) = hot_restart.inherit_learned(clock.now(), rules, limits).await {
+        if let Some(restored_state) = hot_restart.inherit_learned(clock.now(), settings, limits).await {
             self.core.set_restored_state(restored_state);
         }
         // Without a name service, the configured list is authoritative.
--- a/src/net/transient_errors.rs
+++ b/src/net/transient_errors.rs
@@ -12,7 +12,7 @@
 
 /// Returns whether a failure is local and transient: the process or the system temporarily has no descriptors, memory, ports or
 /// route, or the call was interrupted. The peer does not cause such a failure.
-pub fn is_local(error: &io::Error) -> bool {
+pub fn is_local_and_transient(error: &io::Error) -> bool {
     use rustix::io::Errno;
     const LOCAL: [Errno; 8] = [
         Errno::INTR,
@@ -27,11 +27,11 @@
     Errno::from_io_error(error).is_some_and(|errno| LOCAL.contains(&errno))
 }
 
-/// Returns whether a disk temporarily accepts no writes, or the failure [`is_local`].
+/// Returns whether a disk temporarily accepts no writes, or the failure [`is_local_and_transient`].
 pub fn is_local_or_of_disk(error: &io::Error) -> bool {
     use rustix::io::Errno;
     const OF_DISK: [Errno; 3] = [Errno::NOSPC, Errno::DQUOT, Errno::IO];
-    is_local(error) || Errno::from_io_error(error).is_some_and(|errno| OF_DISK.contains(&errno))
+    is_local_and_transient(error) || Errno::from_io_error(error).is_some_and(|errno| OF_DISK.contains(&errno))
 }
 
 /// Returns whether a failed `accept` concerns only one connection, which is lost: the next `accept` can follow immediately.
@@ -53,12 +53,12 @@
     Errno::from_io_error(error).is_some_and(|errno| OF_ONE_CONNECTION.contains(&errno))
 }
 
-/// Retries a call for up to `within` while its failure [`is_local`].
+/// Retries a call for up to `within` while its failure [`is_local_and_transient`].
 ///
 /// # Errors
 /// The call fails for another reason, or still fails after that time.
 pub async fn retry<T>(within: Duration, call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    retry_while(is_local, within, call).await
+    retry_while(is_local_and_transient, within, call).await
 }
 
 /// Retries a call for up to `within` while `is_transient` holds for its failure.
--- a/src/net/transient_errors/tests.rs
+++ b/src/net/transient_errors/tests.rs
@@ -36,5 +36,5 @@
 #[case::no_route(Errno::NETUNREACH, true)]
 #[case::interrupted(Errno::INTR, true)]
 fn local_failures_are_distinguished_from_failures_of_the_peer(#[case] errno: Errno, #[case] local: bool) {
-    assert_eq!(is_local(&errno.into()), local);
+    assert_eq!(is_local_and_transient(&errno.into()), local);
 }
--- a/src/simulator/encode.rs
+++ b/src/simulator/encode.rs
@@ -18,7 +18,7 @@
         Action::Cancel { id, attempt } => {
             writeln!(out, "RETRACT\tfront_id={gateway}\tticket={}\tsend_no={attempt}", id.0)
         }
-        Action::Terms { id, memory_mb, priority } => writeln!(
+        Action::SetTerms { id, memory_mb, priority } => writeln!(
             out,
             "RESOURCES\tfront_id={gateway}\tticket={}\tgrant_mb={memory_mb:.1}\tpriority={priority}",
             id.0
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -150,12 +150,13 @@
 }
 
 /// The budget that the settings allow in a span that ends then, in usual requests of that much work.
-fn budget(cores: f64, at: Milliseconds, usual_work: Milliseconds) -> f64 {
+fn budget(cores: f64, at: Milliseconds, mean_work: Milliseconds) -> f64 {
     let settings = default_settings();
-    let warmth = settings.slow_start_initial_share
+    let capacity_share = settings.slow_start_initial_share
         + (1.0 - settings.slow_start_initial_share)
             * ((at - STARTED_AT) / settings.slow_start_duration).min(1.0);
-    settings.overload_collapse_multiple * warmth * cores * settings.overload_collapse_after / usual_work
+    settings.overload_collapse_multiple * capacity_share * cores * settings.overload_collapse_after
+        / mean_work
 }
 
 /// How the work that was sent compares with the budget.
@@ -170,19 +171,19 @@
     fn of(scenario: &Scenario) -> Self {
         let sent = scenario.run();
         let span = default_settings().overload_collapse_after;
-        let usual_work = sent.iter().map(|sent| sent.work).sum::<f64>() / sent.len().max(1) as f64;
+        let mean_work = sent.iter().map(|sent| sent.work).sum::<f64>() / sent.len().max(1) as f64;
         let mut worst: f64 = 0.0;
         for (index, first) in sent.iter().enumerate() {
             let mut sum = 0.0;
             for SentWork { at, work } in sent[index..].iter().take_while(|sent| sent.at < first.at + span) {
-                sum += work / usual_work;
-                let n = budget(scenario.cores, *at, usual_work);
+                sum += work / mean_work;
+                let n = budget(scenario.cores, *at, mean_work);
                 worst = worst.max(sum / (n + 2.0 * n.sqrt() + 2.0));
             }
         }
         let spans = (scenario.until - scenario.from) / span;
-        let n = budget(scenario.cores, (scenario.from + scenario.until) / 2.0, usual_work);
-        let mean = sent.iter().map(|sent| sent.work / usual_work).sum::<f64>() / spans / n;
+        let n = budget(scenario.cores, (scenario.from + scenario.until) / 2.0, mean_work);
+        let mean = sent.iter().map(|sent| sent.work / mean_work).sum::<f64>() / spans / n;
         Self { worst, mean }
     }
 }
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -221,7 +221,7 @@
 
     let mut second = Harness::new(settings());
     second.now = first.now + 500.0;
-    let recall = RestoredState::new(&snapshot, second.now, recovery::DEFAULT).expect("it counts");
+    let recall = RestoredState::new(&snapshot, second.now, recovery::DEFAULT_SETTINGS).expect("it counts");
     second.core.resume(DeduplicationWindow::in_memory(), Some(recall));
     second.list(1, &["a", "b"]);
     let back = second.core.learned(second.now);
--- a/tests/core_membership.rs
+++ b/tests/core_membership.rs
@@ -23,7 +23,7 @@
     hand.exclude("a", true, harness.now).expect("listed");
     let effects = harness.step(Event::OperatorOverrides(hand.clone()));
     assert!(effects.iter().any(|e| matches!(e, Effect::DropQueued(engine) if &*engine.0 == "a")));
-    assert_eq!(harness.core.engines(), (1, 1));
+    assert_eq!(harness.core.member_counts(), (1, 1));
     assert!(sent(&harness.take(2, None)).is_none());
     // A new event of the list, one without it, and one with it again.
     for (serial, engines) in [(2, &["a", "b"][..]), (3, &["b"]), (4, &["a", "b"])] {
@@ -41,7 +41,7 @@
     assert!(sent(&harness.take(1_000, None)).is_none());
     hand.include("a", true, harness.now).expect("out");
     harness.step(Event::OperatorOverrides(hand));
-    assert_eq!(harness.core.engines(), (1, 0));
+    assert_eq!(harness.core.member_counts(), (1, 0));
     // It is cold, and its budget lets the first request in once a draw allows it.
     let used = (0..500).any(|n| {
         harness.now += 10.0;
@@ -60,7 +60,7 @@
     let now = harness.now;
     harness.step(Event::InheritedMembership(InheritedMembership::new(now, ["b".to_owned()])));
     harness.list(1, &["a", "b"]);
-    let live = |harness: &Harness| harness.core.engines();
+    let live = |harness: &Harness| harness.core.member_counts();
     assert_eq!(live(&harness), (2, 1));
     // A stale answer frees nothing.
     harness.list(0, &["a", "b"]);
--- a/tests/decide/execution_terms.rs
+++ b/tests/decide/execution_terms.rs
@@ -12,7 +12,7 @@
     settings.classes[1].is_load = true;
     let mut gateway = TestGateway::new(settings, 1);
     let actions = gateway.run_cycle(&[Event::Request(incoming(1, 1, 20_000.0))]);
-    assert!(actions.iter().any(|a| matches!(a, Action::Terms { priority: 3, .. })), "{actions:?}");
+    assert!(actions.iter().any(|a| matches!(a, Action::SetTerms { priority: 3, .. })), "{actions:?}");
 }
 
 /// Grants shrink with each attempt, but not below the estimate where engines report no spills.
@@ -25,7 +25,7 @@
     for id in 0..2_000 {
         let request = RequestDetails { memory_mb: Some(100.0), ..incoming(id, 0, gateway.now + 3_000.0) };
         for action in gateway.run_cycle(&[Event::Request(request)]) {
-            if let Action::Terms { memory_mb, .. } = action {
+            if let Action::SetTerms { memory_mb, .. } = action {
                 least = least.min(memory_mb);
             } else if let Action::Send { id, engine, .. } = action {
                 gateway.now += 5.0;
--- a/tests/decide/settings.rs
+++ b/tests/decide/settings.rs
@@ -19,7 +19,7 @@
         let mut settings = default_settings();
         (settings.classes[0].ordered, settings.ordered_key_pause) = (true, pause);
         let named =
-            Some(SettingsError::Bad { name: "rules.order_pause", why: "must be finite and not below 0" });
+            Some(SettingsError::Bad { name: "rules.order_pause", reason: "must be finite and not below 0" });
         assert_eq!(Balancer::new(settings, 0.0).err(), named.filter(|_| !good), "{pause}");
     }
 }
--- a/tests/decide/slow_start.rs
+++ b/tests/decide/slow_start.rs
@@ -37,7 +37,7 @@
     settings: Settings,
     /// The class of all requests, and the work of one.
     class: usize,
-    usual_work: Milliseconds,
+    work_per_request: Milliseconds,
     /// What warm engines report, if any do.
     reported: Option<LoadReport>,
     members: Vec<Member>,
@@ -48,13 +48,13 @@
 }
 
 impl StartingFleet {
-    fn new(class: usize, usual_work: Milliseconds, reported: Option<LoadReport>) -> Self {
+    fn new(class: usize, work_per_request: Milliseconds, reported: Option<LoadReport>) -> Self {
         let settings = default_settings();
         let mut starting = member(0);
         starting.started = Some(0.0);
         Self {
             class,
-            usual_work,
+            work_per_request,
             reported,
             members: std::iter::once(starting).chain((1..ENGINES).map(member)).collect(),
             gateways: (0..GATEWAYS as u64).map(|seed| start_gateway(&settings, seed)).collect(),
@@ -90,12 +90,12 @@
             events.push(health_checked(0, LoadReport { inflight, util: Some(0.0), ..reported }));
         }
         self.receive_requests(index, round, &mut events);
-        let took = self.usual_work / self.settings.classes[self.class].threads;
+        let took = self.work_per_request / self.settings.classes[self.class].threads;
         let answered = std::mem::take(&mut self.in_flight[index]);
         events.extend(answered.iter().map(|(id, sent_to)| outcome(*id, 0, sent_to, Outcome::Ok, took)));
         let sent = sends(&self.gateways[index].run_cycle(&events));
         for _ in sent.iter().filter(|(_, sent_to)| *sent_to == engine(0)) {
-            self.sent_to_starting.push(SentWork { at: now, work: self.usual_work });
+            self.sent_to_starting.push(SentWork { at: now, work: self.work_per_request });
         }
         self.in_flight[index] = sent;
     }
@@ -117,10 +117,10 @@
             let end = start + settings.overload_collapse_after;
             let span = sent.iter().filter(|sent| sent.at >= start && sent.at < end);
             let work: f64 = span.map(|sent| sent.work).sum();
-            let warmth = settings.slow_start_initial_share
+            let capacity_share = settings.slow_start_initial_share
                 + (1.0 - settings.slow_start_initial_share) * start / settings.slow_start_duration;
             let budget =
-                settings.overload_collapse_multiple * warmth * 8.0 * settings.overload_collapse_after;
+                settings.overload_collapse_multiple * capacity_share * 8.0 * settings.overload_collapse_after;
             assert!(work <= budget, "{work} of {budget} from {start}: class {class}, {reported:?}");
         }
         // Few heavy queries fill that budget: chance may leave them none.
@@ -141,10 +141,10 @@
 /// two thirds of the gateways restarted in between, which have forgotten what they sent.
 fn hundreds_of_gateways_before_a_starting_engine(
     class: usize,
-    usual_work: Milliseconds,
+    work_per_request: Milliseconds,
     reported: Option<LoadReport>,
 ) {
-    let mut fleet = StartingFleet::new(class, usual_work, reported);
+    let mut fleet = StartingFleet::new(class, work_per_request, reported);
     fleet.run();
     fleet.check_budget();
 }
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -271,7 +271,7 @@
             address: at,
             class: ClassId(0),
             statement: Rc::new(statement),
-            budget: 60_000.0,
+            time_left: 60_000.0,
             transmit_within: None,
             memory_mb: 0.0,
             priority: 1,
--- a/tests/engine_endings.rs
+++ b/tests/engine_endings.rs
@@ -207,7 +207,7 @@
             read = tokio::io::AsyncReadExt::read_exact(&mut engine, &mut bytes) => drop(read.expect("read")),
         }
         assert_eq!(&bytes, b"next");
-        assert_eq!(out.next_expired_attempt().await, late);
+        assert_eq!(out.next_discarded_attempt().await, late);
         assert_eq!(out.queued_bytes(), 0);
     });
 }
--- a/tests/full_queue.rs
+++ b/tests/full_queue.rs
@@ -52,7 +52,7 @@
         address: at,
         class: ClassId(0),
         statement: Rc::new(statement),
-        budget: 60_000.0,
+        time_left: 60_000.0,
         transmit_within: None,
         memory_mb: 0.0,
         priority: 1,
--- a/tests/idle.rs
+++ b/tests/idle.rs
@@ -234,6 +234,6 @@
     let expected = REQUESTS + clients as u64;
     let rejections = &simulation.core.counts()[0].rejections;
     assert_eq!((simulation.served, simulation.rejected), (expected, 0), "{rejections:?}");
-    let waits = simulation.core.waits()[0];
+    let waits = simulation.core.blocked_counts()[0];
     assert!(simulation.max_latency <= MAX_LATENCY, "{} ns, waits {waits:?}", simulation.max_latency);
 }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -24,8 +24,8 @@
             let pages = reply.field("pages").unwrap_or("-");
             format!("{} {kind} {pages} {} {}", reply.id, reply.body.len(), &bytes[used..])
         }
-        Read::More => "more".into(),
-        Read::Bad => "bad".into(),
+        Read::Incomplete => "more".into(),
+        Read::Invalid => "bad".into(),
     };
     assert_eq!(parsed, expected);
 }
@@ -61,9 +61,9 @@
 #[case("POST / HTTP/1.1\r\nno header\r\n\r\n", "bad")]
 fn heads(#[case] text: &str, #[case] expected: &str) {
     let parsed = match http::read_head(text.as_bytes()) {
-        http::Read::Done(head, _) => format!("{} {:?}", head.first, head.body(http::Length::Bytes(0))),
-        http::Read::More => "more".into(),
-        http::Read::Bad => "bad".into(),
+        http::Read::Complete(h, _) => format!("{} {:?}", h.method_or_version, h.body(http::Length::Bytes(0))),
+        http::Read::Incomplete => "more".into(),
+        http::Read::Invalid => "bad".into(),
     };
     assert_eq!(parsed, expected);
     assert_eq!(http::decode("%41+b%"), "A b%");
--- a/tests/rules/checker.rs
+++ b/tests/rules/checker.rs
@@ -108,7 +108,7 @@
                 assert!(self.requests[&id.0].attempts.len() > *attempt as usize);
             }
             Action::CheckHealth { .. } => assert!(self.settings.may_check_health),
-            Action::Terms { .. } | Action::Timer { .. } | Action::SubscribeToEndpoints => {}
+            Action::SetTerms { .. } | Action::Timer { .. } | Action::SubscribeToEndpoints => {}
         }
     }
 
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -197,7 +197,7 @@
         (Action::Fail { id }, "ABORT\tfront_id=f\tticket=9\n"),
         (Action::Cancel { id, attempt: 2 }, "RETRACT\tfront_id=f\tticket=9\tsend_no=2\n"),
         (
-            Action::Terms { id, memory_mb: 640.0, priority: 2 },
+            Action::SetTerms { id, memory_mb: 640.0, priority: 2 },
             "RESOURCES\tfront_id=f\tticket=9\tgrant_mb=640.0\tpriority=2\n",
         ),
         (Action::Timer { after: 500.0, token: 77 }, "TIMER\tfront_id=f\tdelay=500.000\tcookie=77\n"),
