--- a/crates/experiments/src/experiments/cost.rs
+++ b/crates/experiments/src/experiments/cost.rs
@@ -80,8 +80,8 @@
     }
     let persisted = |text: &str| if keeps { gateway.number_after(text) } else { Ok(0.0) };
     Ok(Cost {
-        longest_cycle_ms: gateway.number_after("loop: longest turn ")?,
-        greatest_delay_ms: gateway.number_after(" ms, latest ")?,
+        longest_cycle_ms: gateway.number_after("loop: longest cycle ")?,
+        greatest_delay_ms: gateway.number_after(" ms, largest timer delay ")?,
         snapshot_bytes: persisted(" snapshot_bytes=")?,
         key_bytes: persisted(" key_bytes=")?,
         served: served.count(),
--- a/crates/experiments/src/experiments/idle.rs
+++ b/crates/experiments/src/experiments/idle.rs
@@ -187,7 +187,7 @@
         "added_p50_us": added(0.5),
         "added_p99_us": added(0.99),
         "cpu_us_per_query": cpu_ms * 1000.0 / case.queries as f64,
-        "why": gateway.text_after("refused for "),
+        "why": gateway.text_after(": rejected for "),
     });
     Ok(CaseResult {
         refused: through.refused,
--- a/src/net/hot_restart/state_transfer.rs
+++ b/src/net/hot_restart/state_transfer.rs
@@ -89,7 +89,10 @@
         let received = match self.receive(&name, limits).await {
             Ok(Some(received)) => received,
             Ok(None) => {
-                info!(predecessor, "learned state was not passed on in time: starting without it");
+                info!(
+                    predecessor,
+                    "learned state of the predecessor did not arrive in time: starting without it"
+                );
                 return None;
             }
             Err(reason) => {
--- a/src/net/persistence/error.rs
+++ b/src/net/persistence/error.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Error)]
 pub enum PersistenceError {
     /// The folder cannot be used, and the configuration requires it.
-    #[error("knowledge is required: {0}")]
+    #[error("knowledge.required is set, but the folder cannot be used: {0}")]
     Required(#[source] FolderError),
     /// The folder cannot be used.
     #[error(transparent)]
--- a/src/net/runtime/cycle.rs
+++ b/src/net/runtime/cycle.rs
@@ -35,7 +35,7 @@
         let (version, draining) = (self.core.membership_version().unwrap_or(0), self.core.draining());
         let named = draining.iter().take(MAX_LOGGED_ENGINES).collect::<Vec<_>>();
         let (engines, drain) = (self.core.member_counts().0, draining.len());
-        tracing::info!("list of engines: version {version}, {engines} engines, {drain} drain {named:?}");
+        tracing::info!("endpoint list: version {version}, {engines} engines, {drain} draining {named:?}");
     }
 
     /// Runs one cycle: the reducer handles all events and then decides once.
--- a/src/net/runtime/effects.rs
+++ b/src/net/runtime/effects.rs
@@ -29,7 +29,7 @@
             }
             Effect::LogViolation { attempt: AttemptId { request: id, number: attempt }, refusal } => {
                 log::error_rate_limited(
-                    "an attempt was asked for against the rules",
+                    "a requested attempt violates a sending rule and is discarded",
                     format_args!("{}.{attempt}: {}", id.0, refusal.name()),
                 );
             }
@@ -74,7 +74,7 @@
             .record(deduplication_window::key(key), KeySend { at: self.frontend.clock.now(), window });
         if let Err(error) = &recorded {
             log::error_rate_limited(
-                "a keyed request was not sent, as other versions would not hear of it",
+                "keyed request not sent: its key cannot be recorded for the other processes",
                 error,
             );
         }
@@ -84,11 +84,9 @@
 
 fn log_list_reliability(is_reliable: bool) {
     if is_reliable {
-        tracing::info!("the list of engines is confirmed: new work goes on");
+        tracing::info!("endpoint list confirmed: new work is sent again");
     } else {
-        tracing::warn!(
-            "the list of engines is older than the rule on drains allows: no new work until it is confirmed"
-        );
+        tracing::warn!("endpoint list lease expired: no new work until the list is confirmed");
     }
 }
 
--- a/src/net/runtime/listeners.rs
+++ b/src/net/runtime/listeners.rs
@@ -190,7 +190,7 @@
         loop {
             let Ok(slot) = timeout_at(deadline, slots.clone().acquire_owned()).await else {
                 tracing::warn!(
-                    "more connections came than could be taken before this process stopped listening"
+                    "connections still in the accept queue were reset when this process stopped listening"
                 );
                 return;
             };
@@ -233,7 +233,7 @@
     F: Future<Output = ()>,
 {
     let Some(connection) = frontend.accept_connection().await else {
-        return log::warn_rate_limited("a connection was closed: all others have requests open");
+        return log::warn_rate_limited("no connection slot became free in time: connection closed");
     };
     drop(waiting_slot);
     connection.set_arrived_at(arrived);
--- a/src/net/runtime/peers.rs
+++ b/src/net/runtime/peers.rs
@@ -68,7 +68,9 @@
 
     /// Begins to hand over to a later process: each client connection closes after its next answer.
     fn begin_hot_restart(&self, events: &mut Vec<Event>) {
-        tracing::info!("a new version listens: what is open is answered, and the rest is for it");
+        tracing::info!(
+            "a successor process listens: answering open requests, new connections are left to it"
+        );
         self.frontend.enter_shutdown_phase(ShutdownPhase::HandingOver);
         self.publish_stage(Stage::Draining);
         events.push(Event::SuccessorListening);
--- a/src/net/runtime/reload.rs
+++ b/src/net/runtime/reload.rs
@@ -57,12 +57,12 @@
     fn schedule_retry(&mut self, previous: Option<PendingReload>, error: &LoadError) {
         let attempts = previous.map_or(0, |pending| pending.attempts) + 1;
         if previous.is_none() {
-            tracing::warn!(%error, "SIGHUP: the old configuration stays");
+            tracing::warn!(%error, "SIGHUP: configuration not loaded, the old one stays in use");
         }
         if attempts < MAX_ATTEMPTS {
             self.pending_reload = Some(PendingReload { due: Instant::now() + RETRY_INTERVAL, attempts });
         } else {
-            tracing::warn!(%error, "SIGHUP: the new configuration is given up");
+            tracing::warn!(%error, "SIGHUP: configuration not loaded after the last retry, the old one stays in use");
         }
     }
 }
--- a/src/net/runtime/shutdown.rs
+++ b/src/net/runtime/shutdown.rs
@@ -97,21 +97,21 @@
 
     fn report_loop(&self) {
         let longest = self.statistics.longest_cycle.as_secs_f64() * 1000.0;
-        let latest = self.statistics.max_delay;
-        tracing::info!("loop: longest turn {longest:.3} ms, latest {latest:.3} ms");
+        let max_delay = self.statistics.max_delay;
+        tracing::info!("loop: longest cycle {longest:.3} ms, largest timer delay {max_delay:.3} ms");
     }
 
     /// Logs the number of attempts that the rules withheld, by reason, and how many of them were violations.
     fn report_rules(&self) {
         let rules = &self.frontend.shared.rule_counters;
-        tracing::info!("rules: attempts kept back {:?}, violations {}", rules.by_name(), rules.violations());
+        tracing::info!("rules: attempts withheld {:?}, violations {}", rules.by_name(), rules.violations());
     }
 
     /// Logs the numbers of polls and responses of the name service, and the age of the endpoint list.
     fn report_discovery(&self) {
         let discovery = self.discovery.borrow();
         let age = discovery.age(self.frontend.clock.now()) / 1000.0;
-        tracing::info!("name service: {}; the list is known as of {age:.2} s ago", discovery.counts());
+        tracing::info!("name service: {}; age of the endpoint list {age:.2} s", discovery.counts());
     }
 
     /// Logs for each class the numbers of requests, attempts, outcomes and rejections, and the reasons for waits.
@@ -121,7 +121,7 @@
         for (index, ((class, counts), waits)) in by_class.enumerate() {
             let metric = |count| self.frontend.shared.metrics.get(index, count);
             tracing::info!(
-                "{}: {} taken, {} attempts, ended {:?}, answered {:?}",
+                "{}: {} received, {} attempts, outcomes {:?}, answered {:?}",
                 class.name,
                 counts.received,
                 metric(Count::Sends),
@@ -136,7 +136,7 @@
             let waits = BlockReason::ALL.iter().map(|reason| (reason.name(), waits[*reason as usize]));
             let waits = waits.filter(|(_, count)| *count > 0);
             let waits: BTreeMap<_, _> = waits.collect();
-            tracing::info!("{}: refused for {:?}, waited for {waits:?}", class.name, counts.rejections);
+            tracing::info!("{}: rejected for {:?}, blocked by {waits:?}", class.name, counts.rejections);
         }
     }
 }
--- a/src/net/runtime/startup.rs
+++ b/src/net/runtime/startup.rs
@@ -147,7 +147,7 @@
             Some(opened)
         }
         Err(e) => {
-            tracing::error!("nothing is shared with other versions: {}: {e}", folder.display());
+            tracing::error!("shared folder cannot be opened, serving without it: {}: {e}", folder.display());
             None
         }
     }
--- a/tests/clickhouse.rs
+++ b/tests/clickhouse.rs
@@ -123,7 +123,7 @@
     let counts = gateway.counts();
     assert_eq!(
         counts[0],
-        "lookup: 1 taken, 1 attempts, ended [0, 0, 0, 0, 0, 0, 1, 0], answered [0, 0, 0, 1]"
+        "lookup: 1 received, 1 attempts, outcomes [0, 0, 0, 0, 0, 0, 1, 0], answered [0, 0, 0, 1]"
     );
 }
 
@@ -182,14 +182,14 @@
     let expected = |n: u32| {
         [
             format!(
-                "lookup: {} taken, {} attempts, ended [{}, 0, 0, 0, 0, 0, 0, 0], answered [{}, 0, {n}, 0]",
+                "lookup: {} received, {} attempts, outcomes [{}, 0, 0, 0, 0, 0, 0, 0], answered [{}, 0, {n}, 0]",
                 3 * n,
                 3 * n,
                 3 * n,
                 2 * n
             ),
             format!(
-                "load: {n} taken, {n} attempts, ended [{n}, 0, 0, 0, 0, 0, 0, 0], answered [{n}, 0, 0, 0]"
+                "load: {n} received, {n} attempts, outcomes [{n}, 0, 0, 0, 0, 0, 0, 0], answered [{n}, 0, 0, 0]"
             ),
         ]
     };
--- a/tests/knowledge.rs
+++ b/tests/knowledge.rs
@@ -84,7 +84,7 @@
     );
     assert_eq!(wants(&log), 1);
     let output = second.counts();
-    assert!(output[1].starts_with("load: 1 taken, 0 attempts"), "{output:?}");
+    assert!(output[1].starts_with("load: 1 received, 0 attempts"), "{output:?}");
 }
 
 #[test]
@@ -129,7 +129,11 @@
         must.path().as_ref(),
     ]);
     let output = String::from_utf8_lossy(&out.stderr);
-    assert!(out.status.code() == Some(1) && output.contains("knowledge is required"), "{output}");
+    assert!(
+        out.status.code() == Some(1)
+            && output.contains("knowledge.required is set, but the folder cannot be used"),
+        "{output}"
+    );
 }
 
 #[test]
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -84,7 +84,8 @@
     assert_eq!((process.metric("gateway.current"), process.metric("gateway.cluster_size")), (0, 1));
     process.signal("-TERM");
     let output = process.ended();
-    let line = output.iter().find(|l| l.contains("lookup: 57 taken")).unwrap_or_else(|| panic!("{output:?}"));
+    let line =
+        output.iter().find(|l| l.contains("lookup: 57 received")).unwrap_or_else(|| panic!("{output:?}"));
     let last = format!("answered [{}, {}, {}, 0]", seen[0], seen[1], seen[2]);
     assert!(line.ends_with(&last) && line.contains(&format!(" {} attempts", wants(&log))), "{line}");
 }
--- a/tests/stand/gateway.rs
+++ b/tests/stand/gateway.rs
@@ -160,7 +160,7 @@
         let output = self.output.take().expect("once").join().expect("read");
         output
             .iter()
-            .filter(|l| l.contains(" taken, "))
+            .filter(|l| l.contains(" received, "))
             .filter_map(|l| l.split_once(" INFO "))
             .map(|(_, l)| l.to_owned())
             .collect()
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -28,7 +28,7 @@
     answer(&mut client);
     drop(client);
     let output = old.ended();
-    let refused: Vec<_> = output.iter().filter(|l| l.contains("refused for")).collect();
+    let refused: Vec<_> = output.iter().filter(|l| l.contains(": rejected for {")).collect();
     assert!(!refused.is_empty() && !refused.iter().any(|l| l.contains("ending")), "{refused:?}");
 }
 
@@ -140,7 +140,7 @@
 /// The requests that a process has read, as it logs at its end.
 fn requests_read(output: &[String]) -> usize {
     let counts = output.iter().filter_map(|line| {
-        let (class, _) = line.split_once(" taken, ")?;
+        let (class, _) = line.split_once(" received, ")?;
         class.rsplit(' ').next()?.parse::<usize>().ok()
     });
     counts.sum()
@@ -203,7 +203,7 @@
         if upgrade % 5 == 0 {
             for old in shutdown_phase.drain(..) {
                 let output = old.ended();
-                assert!(output.iter().any(|l| l.contains("a new version listens")), "{output:?}");
+                assert!(output.iter().any(|l| l.contains("a successor process listens")), "{output:?}");
                 read += requests_read(&output);
             }
         }
