--- a/crates/experiments/src/experiments/cost.rs
+++ b/crates/experiments/src/experiments/cost.rs
@@ -81,8 +81,8 @@
     }
     let number_if_persistent = |text: &str| if is_persistent { gateway.number_after(text) } else { Ok(0.0) };
     Ok(Cost {
-        longest_cycle_ms: gateway.number_after("loop: longest turn ")?,
-        greatest_delay_ms: gateway.number_after(" ms, latest ")?,
+        longest_cycle_ms: gateway.number_after("loop: longest cycle ")?,
+        greatest_delay_ms: gateway.number_after(" ms, largest timer delay ")?,
         snapshot_bytes: number_if_persistent(" snapshot_bytes=")?,
         key_bytes: number_if_persistent(" key_bytes=")?,
         served: served.count(),
@@ -143,7 +143,7 @@
     let started_at = std::time::Instant::now();
     let snapshot = snapshot::decode(&bytes)?;
     let mut restored =
-        RestoredState::new(&snapshot, now, recovery::DEFAULT).map_err(|error| error.to_string())?;
+        RestoredState::new(&snapshot, now, recovery::DEFAULT_SETTINGS).map_err(|error| error.to_string())?;
     let learned = restored.restore(&members, now).ok_or("the snapshot was not restored")?;
     let milliseconds = started_at.elapsed().as_secs_f64() * 1000.0;
     if learned.engines.len() != engines {
--- a/src/main.rs
+++ b/src/main.rs
@@ -161,7 +161,7 @@
         None => None,
     };
     let now = Clock::start().now();
-    let snapshot = inspection::show(folder, now, &recovery_settings.unwrap_or(recovery::DEFAULT))
+    let snapshot = inspection::show(folder, now, &recovery_settings.unwrap_or(recovery::DEFAULT_SETTINGS))
         .map_err(|error| CommandError::folder(folder, error))?;
     let Some(snapshot) = snapshot else {
         writeln!(io::stderr(), "{}: no intact snapshot found", folder.display())?;
--- a/tests/engine_endings.rs
+++ b/tests/engine_endings.rs
@@ -213,7 +213,7 @@
             read = tokio::io::AsyncReadExt::read_exact(&mut engine, &mut bytes) => drop(read.expect("read")),
         }
         assert_eq!(&bytes, b"next");
-        assert_eq!(queue.next_expired_attempt().await, expired_attempt);
+        assert_eq!(queue.next_discarded_attempt().await, expired_attempt);
         assert_eq!(queue.queued_bytes(), 0);
     });
 }
