--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,9 +1,9 @@
-//! Faults of system calls for processes under test, loaded with `LD_PRELOAD`. Nothing links this library.
+//! A library that injects system call faults into a process under test. It is loaded with `LD_PRELOAD` and never linked.
 //!
-//! The input is the environment variable `plan::VARIABLE`; the output are system calls that fail, transfer less than asked for,
-//! or return a stepped wall clock, by chance from a seed. The invariant: **each fault is one that Linux documents for that
-//! call**, and the calls that fail have no effect. Where the plan names a switch, faults occur only while that file exists, so
-//! that a test begins and ends them by an event and not by time.
+//! The environment variable `plan::VARIABLE` configures which system calls fail, transfer fewer bytes than requested, or return
+//! a stepped wall clock. Faults are drawn at random from a seed. Invariant: **every injected fault is one that Linux documents
+//! for that call**, and a call that fails has no effect. If the plan names a switch file, faults occur only while that file
+//! exists, so that a test starts and stops them explicitly and doesn't depend on timing.
 
 mod calls;
 mod original;
--- a/crates/fault-injection/src/original.rs
+++ b/crates/fault-injection/src/original.rs
@@ -1,6 +1,6 @@
-//! The C library's own functions, which those of this library replace.
+//! Calls to the C library's implementations of the functions that this library replaces.
 
-/// Declares a function that calls the next definition of a symbol: the C library's.
+/// Declares a function that calls the next definition of the symbol of the same name, which is the C library's.
 macro_rules! original {
     ($name:ident ( $($argument:ident : $type:ty),* ) -> $result:ty) => {
         pub(crate) unsafe fn $name($($argument: $type),*) -> $result {
@@ -9,7 +9,7 @@
             let mut next = NEXT.load(Ordering::Relaxed);
             if next.is_null() {
                 let symbol = concat!(stringify!($name), "\0");
-                // SAFETY: the symbol is a string that ends with a zero byte.
+                // SAFETY: `symbol` is a NUL-terminated string.
                 next = unsafe { libc::dlsym(libc::RTLD_NEXT, symbol.as_ptr().cast()) };
                 if next.is_null() {
                     std::process::abort();
@@ -18,7 +18,7 @@
             }
             // SAFETY: the C library defines this symbol with this signature.
             let next: unsafe extern "C" fn($($type),*) -> $result = unsafe { std::mem::transmute(next) };
-            // SAFETY: the arguments are passed on unchanged.
+            // SAFETY: the caller upholds the contract of the function, and the arguments are passed on unchanged.
             unsafe { next($($argument),*) }
         }
     };
