--- a/crates/test-doubles/src/client.rs
+++ b/crates/test-doubles/src/client.rs
@@ -1,4 +1,4 @@
-//! A client of the platform's protocol: many requests on one connection, with answers in any order.
+//! A client of the platform's protocol that multiplexes requests on one connection and accepts answers in any order.
 
 use crate::thrift::{encode_call, parse_reply, Answer};
 use std::cell::RefCell;
@@ -11,13 +11,13 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
 use tokio::sync::oneshot;
 
-/// The bytes of one answer.
+/// Maximum number of bytes of one answer.
 pub(crate) const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// The requests without an answer, by sequence number; none once the connection has ended.
+/// Requests that await an answer, by sequence number; `None` once the connection has ended.
 type Pending = Rc<RefCell<Option<HashMap<i32, oneshot::Sender<Answer>>>>>;
 
-/// One connection. It is closed when the client is dropped.
+/// A client with one connection, which is closed when the client is dropped.
 pub struct Client {
     messages: UnboundedSender<Vec<u8>>,
     pending: Pending,
@@ -25,10 +25,10 @@
 }
 
 impl Client {
-    /// Connects. It runs on the current local set.
+    /// Connects to a gateway. The tasks of the client run on the current local set.
     ///
     /// # Errors
-    /// The connection was refused.
+    /// The connection could not be opened.
     pub async fn connect(address: SocketAddr) -> std::io::Result<Self> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
@@ -46,17 +46,17 @@
         Ok(Self { messages, pending, last_sequence: 0 })
     }
 
-    /// The number of requests without an answer.
+    /// Returns the number of requests that await an answer.
     pub fn open(&self) -> usize {
         self.pending.borrow().as_ref().map_or(0, HashMap::len)
     }
 
-    /// Whether the other side has ended the connection.
+    /// Returns whether the connection has ended.
     pub fn ended(&self) -> bool {
         self.pending.borrow().is_none()
     }
 
-    /// Sends a request. The receiver gets its answer, and is closed if the connection has ended before.
+    /// Sends a request. The receiver receives its answer, or is closed if the connection had ended before the request.
     pub fn send(&mut self, fields: &[(&str, &str)], statement: &str) -> oneshot::Receiver<Answer> {
         self.last_sequence += 1;
         let (sender, receiver) = oneshot::channel();
@@ -68,7 +68,7 @@
     }
 }
 
-/// Receives answers until the connection ends, and then answers all that is pending.
+/// Receives answers until the connection ends, and then reports all pending requests as lost.
 async fn receive_answers(mut reader: OwnedReadHalf, pending: Pending) {
     while let Some(frame) = receive_frame(&mut reader).await {
         let Some(reply) = parse_reply(&frame) else { break };
@@ -82,7 +82,7 @@
     }
 }
 
-/// The next frame; none at the end of the connection, or if the frame is too long.
+/// Receives the next frame. Returns `None` if the connection has ended or the frame is too long.
 async fn receive_frame(reader: &mut OwnedReadHalf) -> Option<Vec<u8>> {
     let mut length = [0; 4];
     reader.read_exact(&mut length).await.ok()?;
--- a/crates/test-doubles/src/closed_loop.rs
+++ b/crates/test-doubles/src/closed_loop.rs
@@ -1,4 +1,4 @@
-//! A client in a closed loop: one connection, one query after the other, to a gateway or to an engine.
+//! A closed-loop client, which sends one query at a time over one connection to a gateway or an engine.
 
 use crate::client::MAX_ANSWER_BYTES;
 use crate::engine::command::{http_content_length, HEAD_END};
@@ -8,21 +8,21 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// The index of the outcome in an engine's RESP answer.
+/// Index of the part of an engine's RESP answer that holds the outcome.
 const RESP_OUTCOME: usize = 1;
 
 /// The protocol of a [`ClosedLoopClient`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClientProtocol {
-    /// The platform's protocol, to a gateway.
+    /// The platform's client protocol, for a gateway.
     Thrift,
-    /// The platform's commands, to an engine.
+    /// The platform's RESP commands, for an engine.
     Resp,
-    /// The ClickHouse HTTP interface, to either.
+    /// The ClickHouse HTTP interface, for a gateway or an engine.
     Http,
 }
 
-/// A client that waits for each answer before it sends the next query. It owns its connection.
+/// A client that waits for each answer before it sends the next query. It has a connection of its own.
 pub struct ClosedLoopClient {
     stream: TcpStream,
     protocol: ClientProtocol,
@@ -30,27 +30,27 @@
     received: Vec<u8>,
 }
 
-/// An answer, and the number of bytes that it takes.
+/// A parsed answer, and its encoded length in bytes.
 struct ParsedAnswer {
     answer: Answer,
     length: usize,
 }
 
 impl ClosedLoopClient {
-    /// Connects.
+    /// Connects to a gateway or an engine.
     ///
     /// # Errors
-    /// The connection was refused.
+    /// The connection could not be opened.
     pub async fn connect(address: SocketAddr, protocol: ClientProtocol) -> std::io::Result<Self> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         Ok(Self { stream, protocol, last_sequence: 0, received: Vec::new() })
     }
 
-    /// Sends a query under that name, with so many milliseconds of work on one core, and waits for its answer.
+    /// Sends a query with a name and its work, in milliseconds on one core, and waits for the answer.
     ///
     /// # Errors
-    /// The connection ends.
+    /// The connection ends before the answer, or the answer is too long.
     pub async fn query(&mut self, name: &str, work: f64) -> std::io::Result<Answer> {
         self.last_sequence += 1;
         let statement = format!("select 1 /* work={work} usual={work} threads=1 */");
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The answer, once it is complete.
+    /// Parses the answer, if it was received completely.
     fn parse(&self) -> Option<ParsedAnswer> {
         match self.protocol {
             ClientProtocol::Thrift => parse_thrift(&self.received),
--- a/crates/test-doubles/src/disk.rs
+++ b/crates/test-doubles/src/disk.rs
@@ -1,6 +1,6 @@
-//! A disk in memory that fails on request. At a stop each file keeps any part of its unsynced appends, truncated anywhere, and
-//! each creation, renaming or removal that was not synced may or may not have happened. Bit rot is not modelled: tests change
-//! bytes themselves.
+//! An in-memory disk that injects faults. After a crash each file retains an arbitrary part of its unsynced appends, which may be
+//! truncated at any byte, and each creation, rename or removal that was not synced may or may not have taken effect. Bit rot
+//! is not modelled; tests modify the bytes themselves.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -9,25 +9,25 @@
 use std::io;
 use std::sync::{Arc, Mutex};
 
-/// How a call fails.
+/// A fault that is injected into a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// The program stops before the call.
+    /// The program stops before the call takes effect.
     StopBefore,
-    /// It stops after it.
+    /// The program stops after the call has taken effect.
     StopAfter,
-    /// The call fails, having done nothing.
+    /// The call fails without any effect.
     Fail,
-    /// It fails after all or part of its work.
+    /// The call fails although all or part of it has taken effect.
     FailAfter,
-    /// There is no space from this call on.
+    /// The disk is full: this call fails, and later calls that need space do.
     Full,
 }
 
 #[derive(Debug, Clone, Default)]
 struct Content {
     durable: Vec<u8>,
-    /// Unsynced appends, one for each call.
+    /// Appends that were not synced, one element per call.
     unsynced: Vec<Vec<u8>>,
 }
 
@@ -41,26 +41,26 @@
 #[derive(Debug)]
 struct State {
     files: Vec<Content>,
-    /// Names that were synced.
+    /// Names that were synced, with the indices of their files.
     durable: BTreeMap<String, usize>,
-    /// Names as the program sees them.
+    /// Names as the running program sees them, with the indices of their files.
     names: BTreeMap<String, usize>,
     changes: Vec<NameChange>,
     calls: usize,
     fault: Option<(usize, Fault)>,
     full: bool,
     stopped: bool,
-    /// The bytes that an append writes at most.
+    /// Maximum number of bytes that one append writes.
     max_append: usize,
     rng: Pcg64Mcg,
 }
 
-/// The disk; clones are the same disk.
+/// An in-memory disk that injects faults. Clones share the same files and faults.
 #[derive(Debug, Clone)]
 pub struct FaultyDisk(Arc<Mutex<State>>);
 
 impl FaultyDisk {
-    /// An empty disk.
+    /// Creates an empty disk. The seed determines what survives a restart.
     pub fn new(seed: u64) -> Self {
         Self(Arc::new(Mutex::new(State {
             files: Vec::new(),
@@ -77,33 +77,33 @@
     }
 
     fn state(&self) -> std::sync::MutexGuard<'_, State> {
-        // A test that panicked elsewhere has failed already.
+        // Poisoning is ignored: a test whose thread panicked while holding the lock has already failed.
         self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Fails a later call in that way, where the next call is number 0.
+    /// Injects a fault into a later call that changes or syncs something; the next such call has the number 0.
     pub fn fault(&self, call: usize, fault: Fault) {
         let mut state = self.state();
         state.fault = Some((state.calls + call, fault));
     }
 
-    /// Limits appends to so many bytes.
+    /// Limits the number of bytes that one append writes.
     pub fn short_writes(&self, max_append: usize) {
         self.state().max_append = max_append;
     }
 
-    /// The number of calls that changed or synced something.
+    /// Returns the number of calls that were made to change or sync something.
     pub fn calls(&self) -> usize {
         self.state().calls
     }
 
-    /// Whether the program has been stopped by a fault.
+    /// Returns whether a fault has stopped the program.
     pub fn stopped(&self) -> bool {
         self.state().stopped
     }
 
-    /// Restarts after the program and its machine have stopped: durable bytes and names remain, and of the others any part, as
-    /// drawn from the seed. The disk works again and has space.
+    /// Restarts after a crash of the machine: durable bytes and names remain, and a random part of the others, as drawn from the
+    /// seed. The disk then works without faults and has space.
     pub fn restart(&self) {
         let mut guard = self.state();
         let state = &mut *guard;
@@ -114,30 +114,30 @@
             }
         }
         for file in &mut state.files {
-            // The bytes of a call are durable, truncated, lost, or zeros. Bytes that are lost before durable ones are zeros.
-            let mut hole = 0;
+            // The bytes of an append are retained, truncated or lost. Lost bytes before retained ones read as zeros.
+            let mut zeros_before = 0;
             for append in std::mem::take(&mut file.unsynced) {
-                let kept = match state.rng.random_range(0..4) {
+                let retained = match state.rng.random_range(0..4) {
                     0 => 0,
                     1 => state.rng.random_range(0..=append.len()),
                     2 => {
-                        hole += append.len();
+                        zeros_before += append.len();
                         continue;
                     }
                     _ => append.len(),
                 };
-                if kept > 0 {
-                    file.durable.extend(std::iter::repeat_n(0, std::mem::take(&mut hole)));
-                    file.durable.extend(&append[..kept]);
+                if retained > 0 {
+                    file.durable.extend(std::iter::repeat_n(0, std::mem::take(&mut zeros_before)));
+                    file.durable.extend(&append[..retained]);
                 }
-                hole += append.len() - kept;
+                zeros_before += append.len() - retained;
             }
         }
         (state.durable, state.names) = (names.clone(), names);
         (state.fault, state.full, state.stopped) = (None, false, false);
     }
 
-    /// The bytes of a file as a reader sees them now.
+    /// Returns the bytes of a file as a reader sees them now, unsynced ones included.
     pub fn bytes(&self, name: &str) -> Option<Vec<u8>> {
         let state = self.state();
         state.names.get(name).map(|index| {
@@ -145,53 +145,53 @@
         })
     }
 
-    /// Creates a durable file.
+    /// Creates a file whose name and bytes are durable.
     pub fn put(&self, name: &str, bytes: Vec<u8>) {
         let mut state = self.state();
         state.files.push(Content { durable: bytes, unsynced: Vec::new() });
-        let at = state.files.len() - 1;
-        state.names.insert(name.to_owned(), at);
-        state.durable.insert(name.to_owned(), at);
+        let index = state.files.len() - 1;
+        state.names.insert(name.to_owned(), index);
+        state.durable.insert(name.to_owned(), index);
     }
 
-    /// Makes a call, with the fault that is due.
-    fn call(&self, act: impl FnOnce(&mut State) -> io::Result<usize>) -> io::Result<usize> {
+    /// Performs a call, and injects the fault that is set for its number.
+    fn call(&self, operation: impl FnOnce(&mut State) -> io::Result<usize>) -> io::Result<usize> {
         let mut state = self.state();
         if state.stopped {
             return Err(io::Error::other("the program has stopped"));
         }
         let number = state.calls;
         state.calls += 1;
-        let fault = state.fault.filter(|(at, _)| *at == number).map(|(_, fault)| fault);
+        let fault = state.fault.filter(|(call, _)| *call == number).map(|(_, fault)| fault);
         match fault {
             Some(Fault::StopBefore) => {
                 state.stopped = true;
                 Err(io::Error::other("stopped"))
             }
             Some(Fault::StopAfter) => {
-                let done = act(&mut state);
+                let result = operation(&mut state);
                 state.stopped = true;
-                done.and(Err(io::Error::other("stopped")))
+                result.and(Err(io::Error::other("stopped")))
             }
             Some(Fault::Fail) => Err(io::Error::other("the disk failed")),
-            Some(Fault::FailAfter) => act(&mut state).and(Err(io::Error::other("the disk failed"))),
+            Some(Fault::FailAfter) => operation(&mut state).and(Err(io::Error::other("the disk failed"))),
             Some(Fault::Full) => {
                 state.full = true;
                 Err(io::ErrorKind::StorageFull.into())
             }
-            None => act(&mut state),
+            None => operation(&mut state),
         }
     }
 }
 
 fn apply(names: &mut BTreeMap<String, usize>, change: &NameChange) {
     match change {
-        NameChange::Set(name, at) => {
-            names.insert(name.clone(), *at);
+        NameChange::Set(name, index) => {
+            names.insert(name.clone(), *index);
         }
         NameChange::Move(from, to) => {
-            if let Some(at) = names.remove(from) {
-                names.insert(to.clone(), at);
+            if let Some(index) = names.remove(from) {
+                names.insert(to.clone(), index);
             }
         }
         NameChange::Remove(name) => {
@@ -216,24 +216,24 @@
         Ok(self.state().names.keys().cloned().collect())
     }
 
-    fn read(&self, name: &str, most: u64) -> io::Result<Option<Vec<u8>>> {
+    fn read(&self, name: &str, limit: u64) -> io::Result<Option<Vec<u8>>> {
         match self.bytes(name) {
-            Some(bytes) if bytes.len() as u64 > most => Err(io::Error::other("it is too large")),
+            Some(bytes) if bytes.len() as u64 > limit => Err(io::Error::other("the file exceeds the limit")),
             bytes => Ok(bytes),
         }
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
-        let made = self.call(|state| {
+        let created = self.call(|state| {
             if state.full {
                 return Err(io::ErrorKind::StorageFull.into());
             }
             state.files.push(Content::default());
-            let at = state.files.len() - 1;
-            state.change(NameChange::Set(name.to_owned(), at));
+            let index = state.files.len() - 1;
+            state.change(NameChange::Set(name.to_owned(), index));
             Ok(0)
         });
-        made.map(drop)
+        created.map(drop)
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<usize> {
@@ -241,18 +241,18 @@
             if state.full {
                 return Err(io::ErrorKind::StorageFull.into());
             }
-            let at = state.find(name)?;
-            let taken = bytes.len().min(state.max_append);
-            state.files[at].unsynced.push(bytes[..taken].to_vec());
-            Ok(taken)
+            let index = state.find(name)?;
+            let written = bytes.len().min(state.max_append);
+            state.files[index].unsynced.push(bytes[..written].to_vec());
+            Ok(written)
         })
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
         let synced = self.call(|state| {
-            let at = state.find(name)?;
-            let unsynced = std::mem::take(&mut state.files[at].unsynced);
-            state.files[at].durable.extend(unsynced.concat());
+            let index = state.find(name)?;
+            let unsynced = std::mem::take(&mut state.files[index].unsynced);
+            state.files[index].durable.extend(unsynced.concat());
             Ok(0)
         });
         synced.map(drop)
--- a/crates/test-doubles/src/engine.rs
+++ b/crates/test-doubles/src/engine.rs
@@ -1,11 +1,12 @@
-//! A double of an engine on loopback. It speaks the platform's RESP commands or the ClickHouse HTTP interface, as far as the
-//! gateway uses them.
+//! A test double of an engine on loopback. It implements the parts of the platform's RESP commands and of the ClickHouse HTTP
+//! interface that the gateway uses.
 //!
-//! How long statements take follows from its [`CapacityModel`]. A statement states its work: `work=250 usual=300 threads=2`,
-//! where `usual` is what the slow-start budget counts. Repeats of a key are dropped for a window, which begins when the first
-//! arrives at any engine of the [`Fleet`], and each execution of a key is recorded. An engine can be stopped, so that its
-//! connections break, and restarted cold; it can refuse connections, or accept them and not respond. All that arrives is
-//! recorded. Wrong answers are not modelled: `tests/stand` of the gateway does that.
+//! The [`CapacityModel`] determines the duration of statements. A statement specifies its work, for example as
+//! `work=250 usual=300 threads=2`, where `usual` is the work that counts against the slow-start budget. Repeats of an
+//! idempotency key are not executed within a window, which begins when the key first arrives at any engine of the [`Fleet`].
+//! Each execution of a key is recorded. An engine can be stopped, which breaks its connections, and restarted cold. It can
+//! refuse connections, or accept them without responding. Everything that arrives is recorded. Wrong answers are not modelled
+//! here, but by `tests/stand` of the gateway.
 
 pub(crate) mod command;
 mod execution;
@@ -28,64 +29,64 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
 use tokio::time::{interval, MissedTickBehavior};
 
-/// The interval at which ended executions are answered.
+/// Interval at which executions that have ended are answered.
 const TICK: Duration = Duration::from_millis(1);
-/// The interval at which the listener and open connections look for a change of the engine's state.
+/// Interval at which the listener and open connections poll the state of the engine.
 const STATE_CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// The same, for connections that are accepted and not served.
+/// Interval at which connections that are accepted but not served poll the state of the engine.
 const UNSERVED_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// How long an engine that starts warm has been running, in milliseconds.
+/// Uptime of an engine that starts warm, in milliseconds.
 const WARM_AGE: f64 = 1e9;
-/// The arrivals that are recorded. A reader sees that a longer record ends early.
+/// Maximum number of arrivals that are recorded. A record of this length may be incomplete, which its reader can detect by the length.
 pub const MAX_ARRIVALS: usize = 2_000_000;
 
-/// How an engine treats new connections.
+/// The way in which an engine handles new connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListenerMode {
-    /// They are served.
+    /// New connections are served.
     Serving,
-    /// They are refused.
+    /// New connections are refused.
     Refusing,
-    /// They are accepted, and nothing is sent on them.
+    /// New connections are accepted, but nothing is read from or written to them.
     Unresponsive,
 }
 
-/// Something that arrived at an engine.
+/// The record of a connection, health check or attempt that arrived at an engine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Arrival {
-    /// When, in milliseconds of the fleet's clock.
+    /// Time of the arrival, in milliseconds of the fleet's clock.
     pub at: f64,
-    /// What arrived.
+    /// Kind of the arrival.
     pub kind: ArrivalKind,
 }
 
-/// What arrived at an engine.
+/// The kind of an arrival at an engine.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ArrivalKind {
-    /// A connection.
+    /// A client opened a connection.
     Connection,
-    /// A health check.
+    /// A health check was received.
     HealthCheck,
-    /// An attempt.
+    /// An attempt was received.
     Attempt {
-        /// The name of its request.
+        /// Name of the request.
         request: String,
-        /// Its usual work in milliseconds on one core.
+        /// Work that counts against the slow-start budget, in milliseconds on one core.
         usual_work: f64,
     },
 }
 
-/// Where the answers to the commands of one connection go.
+/// A client connection: its id, and the queue of answers to write to it.
 struct Connection {
     id: u64,
     answers: UnboundedSender<Vec<u8>>,
 }
 
-/// A statement that is being executed.
+/// An execution of a statement that is in flight.
 struct Execution {
     request: String,
     work: f64,
-    /// The connection on which it arrived.
+    /// Id of the connection on which the statement arrived.
     connection: u64,
     answers: UnboundedSender<Vec<u8>>,
 }
@@ -95,7 +96,7 @@
     executions: HashMap<u64, Execution>,
     last_id: u64,
     is_up: bool,
-    /// Connections of an earlier incarnation end.
+    /// Number of times that the engine has shut down. Connections of an earlier incarnation are closed.
     incarnation: u64,
     listener_mode: ListenerMode,
     arrivals: Vec<Arrival>,
@@ -109,10 +110,10 @@
     }
 }
 
-/// A running engine; clones are the same engine.
+/// A running engine. Clones refer to the same engine.
 #[derive(Clone)]
 pub struct Engine {
-    /// Where it listens.
+    /// Address on which the engine listens.
     pub address: SocketAddr,
     protocol: EngineProtocol,
     fleet: Fleet,
@@ -120,10 +121,10 @@
 }
 
 impl Engine {
-    /// Starts a warm engine on a port of loopback. It runs on the current local set.
+    /// Starts a warm engine on a free port of the loopback address. Its tasks run on the current local set.
     ///
     /// # Errors
-    /// No port is available.
+    /// No port could be bound.
     pub async fn start(
         protocol: EngineProtocol,
         spec: EngineSpec,
@@ -149,35 +150,35 @@
         Ok(engine)
     }
 
-    /// Stops it: its connections break, and new ones end at once.
+    /// Stops the engine: open connections break, and new ones are closed immediately.
     pub fn stop(&self) {
         let mut state = lock(&self.state);
         state.model.clear();
         self.shut_down(&mut state);
     }
 
-    /// Restarts it, cold.
+    /// Restarts the engine cold.
     pub fn restart(&self) {
         let mut state = lock(&self.state);
         let now = self.fleet.now();
-        // The maximum is that of all incarnations.
+        // The maximum covers all incarnations of the engine.
         let max_overload_ratio = state.model.max_overload_ratio;
         state.model = CapacityModel::new(state.model.spec.clone(), now, now);
         state.model.max_overload_ratio = max_overload_ratio;
         state.is_up = true;
     }
 
-    /// Reads from its capacity model.
+    /// Calls a function with the capacity model of the engine, and returns its result.
     pub fn with_model<T>(&self, read: impl FnOnce(&CapacityModel) -> T) -> T {
         read(&lock(&self.state).model)
     }
 
-    /// Sets how it treats new connections from now on.
+    /// Sets the way in which new connections are handled from now on.
     pub fn set_listener_mode(&self, mode: ListenerMode) {
         lock(&self.state).listener_mode = mode;
     }
 
-    /// All that has arrived so far.
+    /// Returns the recorded arrivals, in order of arrival.
     pub fn arrivals(&self) -> Vec<Arrival> {
         lock(&self.state).arrivals.clone()
     }
@@ -207,16 +208,16 @@
             let is_refusing = lock(&self.state).listener_mode == ListenerMode::Refusing;
             match (&listener, is_refusing) {
                 (Some(_), true) => listener = None,
-                // If another process has bound the port meanwhile, which is unlikely, connections stay refused.
+                // If another process has bound the port in the meantime, which is unlikely, connections remain refused.
                 (None, false) => listener = TcpListener::bind(self.address).await.ok(),
                 _ => {}
             }
-            let Some(open) = &listener else {
+            let Some(bound) = &listener else {
                 state_check.tick().await;
                 continue;
             };
             tokio::select! {
-                accepted = open.accept() => {
+                accepted = bound.accept() => {
                     if let Ok((stream, _)) = accepted {
                         self.accept(stream);
                     }
@@ -235,14 +236,14 @@
         let _ = stream.set_nodelay(true);
         let incarnation = state.incarnation;
         if state.listener_mode == ListenerMode::Unresponsive {
-            tokio::task::spawn_local(self.clone().hold(stream, incarnation));
+            tokio::task::spawn_local(self.clone().keep_open_unserved(stream, incarnation));
         } else {
             tokio::task::spawn_local(self.clone().serve(stream, incarnation));
         }
     }
 
     /// Keeps a connection open without reading from it or writing to it.
-    async fn hold(self, stream: TcpStream, incarnation: u64) {
+    async fn keep_open_unserved(self, stream: TcpStream, incarnation: u64) {
         let mut state_check = interval(UNSERVED_CHECK_INTERVAL);
         while lock(&self.state).incarnation == incarnation {
             state_check.tick().await;
@@ -250,16 +251,16 @@
         drop(stream);
     }
 
-    /// Answers executions as they end.
+    /// Advances the capacity model periodically and answers executions that have ended.
     async fn run(self) {
         let mut tick = interval(TICK);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut last = self.fleet.now();
+        let mut last_tick = self.fleet.now();
         loop {
             tick.tick().await;
             let now = self.fleet.now();
-            self.fleet.observe_gap(self.address, now - last);
-            last = now;
+            self.fleet.observe_gap(self.address, now - last_tick);
+            last_tick = now;
             self.advance(now);
         }
     }
@@ -309,7 +310,7 @@
         self.connection_closed(connection.id);
     }
 
-    /// Handles all complete commands that were received.
+    /// Handles and removes all complete commands in the receive buffer.
     fn handle_all(
         &self,
         received: &mut Vec<u8>,
@@ -324,7 +325,7 @@
         Ok(())
     }
 
-    /// Cancels all executions of a connection that was closed.
+    /// Cancels all executions that arrived on a connection, after the connection was closed.
     fn connection_closed(&self, connection: u64) {
         let mut state = lock(&self.state);
         let executions = state.executions.iter().filter(|(_, execution)| execution.connection == connection);
--- a/crates/test-doubles/src/engine/command.rs
+++ b/crates/test-doubles/src/engine/command.rs
@@ -1,49 +1,49 @@
-//! What an engine reads and writes: the platform's RESP commands, and the ClickHouse HTTP interface.
+//! Parses commands and encodes answers of an engine, for the platform's RESP commands and the ClickHouse HTTP interface.
 
 use crate::resp::{self, MAX_MESSAGE_BYTES};
 
 /// The protocol of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EngineProtocol {
-    /// The platform's commands.
+    /// The platform's RESP commands.
     Resp,
     /// The ClickHouse HTTP interface.
     ClickHouse,
 }
 
-/// The end of the head of an HTTP message.
+/// The bytes that end the head of an HTTP message.
 pub(crate) const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// A command of a gateway.
+/// A command that a gateway sends to an engine.
 #[derive(Debug, PartialEq)]
 pub(super) enum Command {
     /// Execute a statement.
     Query {
-        /// The name of the request.
+        /// Name of the request.
         request: String,
-        /// Its idempotency key.
+        /// Idempotency key of the request, if it has one.
         key: Option<String>,
         statement: String,
     },
     /// A health check, with the tag that its answer repeats.
     HealthCheck(String),
-    /// Cancel the attempt of that request.
+    /// Cancel the attempt of the request with this name.
     Cancel(String),
-    /// A command that has no effect here.
+    /// Any other command, which this double ignores.
     Other,
 }
 
-/// A command, and the number of bytes that it takes.
+/// A parsed command, and its encoded length in bytes.
 pub(super) struct ParsedCommand {
     pub(super) command: Command,
     pub(super) length: usize,
 }
 
-/// What was received is no command.
+/// The error for received bytes that are not a valid command.
 #[derive(Debug)]
 pub(super) struct InvalidCommand;
 
-/// Parses the next command; none if more bytes are needed.
+/// Parses the next command. Returns `None` if more bytes are needed.
 pub(super) fn parse(protocol: EngineProtocol, bytes: &[u8]) -> Result<Option<ParsedCommand>, InvalidCommand> {
     match protocol {
         EngineProtocol::Resp => parse_resp(bytes),
@@ -67,7 +67,7 @@
     Ok(Some(ParsedCommand { command, length: array.length }))
 }
 
-/// The value of the header `Content-Length`.
+/// Returns the value of the header `Content-Length`, if it is present and valid.
 pub(crate) fn http_content_length(head: &str) -> Option<usize> {
     head.lines().find_map(|line| {
         let (name, value) = line.split_once(':')?;
@@ -100,12 +100,12 @@
     query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=').map(str::to_owned))
 }
 
-/// An HTTP answer with that status and body.
+/// Encodes an HTTP response with the given status and body.
 fn encode_http(status: &str, body: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-/// The answer to a statement that was executed. `load` is the text of the load report.
+/// Encodes the answer to a statement that was executed. `load` is the encoded load report.
 pub(super) fn encode_served(protocol: EngineProtocol, request: &str, work: f64, load: &str) -> Vec<u8> {
     match protocol {
         EngineProtocol::Resp => {
@@ -116,7 +116,7 @@
     }
 }
 
-/// The answer to a statement that failed.
+/// Encodes the answer to a statement that failed. `load` is the encoded load report.
 pub(super) fn encode_failed(protocol: EngineProtocol, request: &str, load: &str) -> Vec<u8> {
     match protocol {
         EngineProtocol::Resp => resp::encode(&[request, "crashed", &format!("cost=0{load}"), ""]),
@@ -124,7 +124,7 @@
     }
 }
 
-/// The answer to a health check.
+/// Encodes the answer to a health check. `load` is the encoded load report.
 pub(super) fn encode_healthy(protocol: EngineProtocol, tag: &str, load: &str) -> Vec<u8> {
     match protocol {
         EngineProtocol::Resp => resp::encode(&[tag, "green", &format!("cost=0{load}"), ""]),
--- a/crates/test-doubles/src/engine/execution.rs
+++ b/crates/test-doubles/src/engine/execution.rs
@@ -1,4 +1,4 @@
-//! What an engine does with a command.
+//! Executes the commands that an engine receives.
 
 use super::command::{encode_failed, encode_healthy, encode_served, Command};
 use super::{ArrivalKind, Connection, Engine, Execution, State};
@@ -6,12 +6,13 @@
 use crate::lock;
 use rand::Rng;
 
-/// The work of a statement that states none, and of a duplicate, in milliseconds on one core.
+/// Work of a statement that doesn't specify any, in milliseconds on one core. It is also the reported cost of an answer that is
+/// sent without an execution.
 const DEFAULT_WORK: f64 = 1.0;
 const DEFAULT_THREADS: f64 = 1.0;
 const MIN_THREADS: f64 = 0.1;
 
-/// An attempt as a command describes it.
+/// The attempt that a command requests.
 struct Attempt<'a> {
     request: &'a str,
     key: Option<&'a str>,
@@ -19,7 +20,7 @@
 }
 
 impl Engine {
-    /// Handles a command. Returns the answer that follows at once.
+    /// Handles a command. Returns its answer if that is available immediately.
     pub(super) fn handle(&self, command: &Command, connection: &Connection) -> Option<Vec<u8>> {
         let mut state = lock(&self.state);
         match command {
@@ -33,7 +34,7 @@
             }
             Command::Other => None,
             Command::Query { request, key, statement } => {
-                let work = work_of(statement);
+                let work = parse_work(statement);
                 let kind = ArrivalKind::Attempt { request: request.clone(), usual_work: work.usual };
                 self.record(&mut state, kind);
                 self.execute(&mut state, &Attempt { request, key: key.as_deref(), work }, connection)
@@ -49,7 +50,8 @@
         self.drop_executions(state, |execution| execution.request == request);
     }
 
-    /// Starts to execute a statement. Duplicates and injected errors are answered at once.
+    /// Starts to execute a statement. Returns the answer if there is nothing to execute: to duplicates, to injected errors, and
+    /// from engines that answer immediately.
     fn execute(&self, state: &mut State, attempt: &Attempt<'_>, connection: &Connection) -> Option<Vec<u8>> {
         let now = self.fleet.now();
         self.fleet.begin_attempt(attempt.request, now);
@@ -77,15 +79,15 @@
     }
 }
 
-/// The work that a statement states: `work=250 usual=300 threads=2`.
-fn work_of(statement: &str) -> QueryWork {
+/// Parses the work that a statement specifies, as in `work=250 usual=300 threads=2`.
+fn parse_work(statement: &str) -> QueryWork {
     let work = number_after(statement, "work=", DEFAULT_WORK);
     let usual = number_after(statement, "usual=", work);
     let threads = number_after(statement, "threads=", DEFAULT_THREADS).max(MIN_THREADS);
     QueryWork { work, usual, threads }
 }
 
-/// The number after the first occurrence of a name; the default where there is none.
+/// Returns the number after the first occurrence of a name, or the default if there is none.
 fn number_after(statement: &str, name: &str, default: f64) -> f64 {
     let Some((_, rest)) = statement.split_once(name) else { return default };
     let end = rest.find(|char: char| !char.is_ascii_digit() && char != '.').unwrap_or(rest.len());
--- a/crates/test-doubles/src/engine/fleet.rs
+++ b/crates/test-doubles/src/engine/fleet.rs
@@ -1,4 +1,4 @@
-//! What the engines of one fleet share: the clock, and the record of keys and of attempts in flight.
+//! State that the engines of one fleet share: the clock, and the record of idempotency keys and of in-flight attempts.
 
 use crate::lock;
 use std::collections::{BTreeMap, HashMap};
@@ -6,13 +6,13 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// The time by which a message on one connection may be read after a later one on another. Every time limit of the rules is
-/// 50 ms longer on sockets.
+/// Longest delay, in milliseconds, with which a message on one connection may be read after a later message on another. Every
+/// time limit of the rules is 50 ms longer on sockets.
 const MAX_REORDERING: f64 = 50.0;
-/// The longest usual time between two observations of the clock: what is over it is a pause of the thread.
-const USUAL_GAP: f64 = 5.0;
+/// Longest expected time between two observations of the clock, in milliseconds. Any excess counts as a pause of the thread.
+const MAX_EXPECTED_GAP: f64 = 5.0;
 
-/// A common clock, in milliseconds, and a common record. Clones are the same fleet.
+/// A group of engines with a shared clock, in milliseconds, and a shared record. Clones refer to the same fleet.
 #[derive(Debug, Clone)]
 pub struct Fleet {
     start: Instant,
@@ -20,20 +20,20 @@
     record: Arc<Mutex<Record>>,
 }
 
-/// What all engines of a fleet have received.
+/// Record of the attempts and executions at all engines of a fleet. Times are in milliseconds of the fleet's clock.
 #[derive(Debug, Default)]
 struct Record {
-    /// When the first attempt with a key arrived.
+    /// Start of the current deduplication window of each key: the arrival of the first attempt in it.
     first_arrivals: HashMap<String, f64>,
-    /// When the executions of a key began.
+    /// Start times of the executions of each key.
     executions: BTreeMap<String, Vec<f64>>,
-    /// The number of attempts in flight, by request.
+    /// Number of in-flight attempts, by request.
     in_flight: HashMap<String, u32>,
-    /// Since when two attempts of a request are in flight, by the clock without pauses.
+    /// Time since which several attempts of a request have been in flight, by request. Pauses are subtracted from the clock.
     overlapping_since: HashMap<String, f64>,
-    /// The total time for which the thread that serves all engines was paused.
+    /// Total time for which the thread that serves all engines was paused, in milliseconds.
     paused: f64,
-    /// The engine that observes pauses.
+    /// Engine whose observations of the clock detect pauses, so that each pause counts once.
     pause_observer: Option<SocketAddr>,
     overlaps: u64,
     attempts: u64,
@@ -43,40 +43,41 @@
     fn end_attempt(&mut self, request: &str, now: f64) {
         let Some(in_flight) = self.in_flight.get_mut(request) else { return };
         *in_flight -= 1;
-        let left = *in_flight;
-        // The cancellation of an attempt and the next attempt are sent on two connections and may be read in any order.
-        if left == 1 {
+        let remaining = *in_flight;
+        // The cancellation of an attempt and the next attempt are sent on different connections and may be read in any order.
+        if remaining == 1 {
             let since = self.overlapping_since.remove(request);
             let is_overlap = since.is_some_and(|since| now - self.paused - since > MAX_REORDERING);
             self.overlaps += u64::from(is_overlap);
         }
-        if left == 0 {
+        if remaining == 0 {
             self.in_flight.remove(request);
         }
     }
 }
 
 impl Fleet {
-    /// A fleet whose engines drop repeats of a key for so many milliseconds.
+    /// Creates a fleet. Its engines don't execute repeats of a key within the deduplication window, in milliseconds.
     pub fn new(deduplication_window: f64) -> Self {
         Self { start: Instant::now(), deduplication_window, record: Arc::default() }
     }
 
-    /// Milliseconds since the fleet started.
+    /// Returns the time since the fleet started, in milliseconds.
     pub fn now(&self) -> f64 {
         self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Takes the time between two observations of the clock by one engine. What is over the usual is a pause of the thread
-    /// that serves all engines, in which nothing was read, in whatever order it arrived.
+    /// Records the time between two consecutive observations of the clock by an engine. Any excess over [`MAX_EXPECTED_GAP`]
+    /// counts as a pause of the thread that serves all engines. During a pause no messages are read, so the order in which they
+    /// arrived is lost.
     pub(super) fn observe_gap(&self, engine: SocketAddr, gap: f64) {
         let mut record = lock(&self.record);
         if *record.pause_observer.get_or_insert(engine) == engine {
-            record.paused += (gap - USUAL_GAP).max(0.0);
+            record.paused += (gap - MAX_EXPECTED_GAP).max(0.0);
         }
     }
 
-    /// Records an attempt that arrived.
+    /// Records the arrival of an attempt.
     pub(super) fn begin_attempt(&self, request: &str, now: f64) {
         let mut record = lock(&self.record);
         record.attempts += 1;
@@ -93,7 +94,8 @@
         lock(&self.record).end_attempt(request, now);
     }
 
-    /// Records an execution under a key, unless the key arrived within the window: then the execution is to be dropped.
+    /// Returns whether a key has already arrived within its deduplication window, in which case the caller must not execute the
+    /// statement. Otherwise records an execution of the key and begins a new window.
     pub(super) fn is_duplicate(&self, key: &str, now: f64) -> bool {
         let mut record = lock(&self.record);
         let first = record.first_arrivals.get(key);
@@ -105,21 +107,21 @@
         false
     }
 
-    /// When the executions of each key began.
+    /// Returns the start times of the executions of each key.
     pub fn executions(&self) -> BTreeMap<String, Vec<f64>> {
         lock(&self.record).executions.clone()
     }
 
-    /// The number of times that two attempts of one request were in flight for longer than messages on two connections may be
-    /// reordered.
+    /// Returns the number of times that two attempts of one request were in flight together for longer than messages on two
+    /// connections may be reordered.
     pub fn overlaps(&self) -> u64 {
         let record = lock(&self.record);
         let now = self.now() - record.paused;
-        let open = record.overlapping_since.values().filter(|since| now - **since > MAX_REORDERING);
-        record.overlaps + open.count() as u64
+        let current = record.overlapping_since.values().filter(|since| now - **since > MAX_REORDERING);
+        record.overlaps + current.count() as u64
     }
 
-    /// The number of attempts that arrived.
+    /// Returns the number of attempts that have arrived.
     pub fn attempts(&self) -> u64 {
         lock(&self.record).attempts
     }
--- a/crates/test-doubles/src/lib.rs
+++ b/crates/test-doubles/src/lib.rs
@@ -1,8 +1,8 @@
-//! Test doubles of what the gateway talks to: engines with a capacity model, a name service, clients, a relay that injects
-//! network faults, a disk that fails.
+//! Test doubles for the peers of the gateway: engines with a capacity model, a name service, clients, a relay that injects
+//! network faults, and a disk that injects faults.
 //!
-//! Scripts and seeds are the input; faults and records of what was received are the output. The doubles bind to loopback
-//! alone and are never linked into the gateway. Each module documents what its double does not model.
+//! Scripts and seeds control the doubles, which inject faults and record what they receive. The doubles bind only to loopback
+//! addresses and are never linked into the gateway. Each module documents what its double does not model.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -18,7 +18,7 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks a mutex, also after a thread that held it has panicked: the test that panicked has failed already.
+/// Locks a mutex and ignores poisoning: a test whose thread panicked while holding the lock has already failed.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/test-doubles/src/name_service.rs
+++ b/crates/test-doubles/src/name_service.rs
@@ -1,9 +1,9 @@
-//! A double of the name service: DNS over UDP, as the platform's protocol has it, with a capacity and a bounded queue. It
-//! records the queries that it received and what it answered.
+//! A test double of the name service: the platform's DNS over UDP, with a limited capacity and a bounded queue. It records the
+//! queries that it receives and the answers that it sends.
 //!
-//! It can start late, be silent for a time, answer late from its queue, answer no more than so many queries a second, collapse
-//! for as long as it receives more than that, and answer for a time with an older list than before. Wrong and truncated answers
-//! are not modelled: the tests of the gateway's parser do that.
+//! The service can start late, be silent for an interval, delay answers in its queue, limit the number of queries that it
+//! answers per second, answer nothing while it is overloaded, and serve an outdated endpoint list for an interval. Wrong and
+//! truncated answers are not modelled here, but by the tests of the gateway's parser.
 
 use crate::lock;
 use std::collections::VecDeque;
@@ -12,38 +12,39 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// The queries that are recorded. Further ones are not answered, so that a reader sees that the record has ended.
+/// Maximum number of queries that are recorded. Further queries are not answered, so that a full record doesn't go unnoticed.
 const MAX_RECORDED_QUERIES: usize = 2_000_000;
-/// The bytes of a query, and of its header.
+/// Maximum number of bytes of a query, and the number of bytes of its header.
 const MAX_QUERY_BYTES: usize = 512;
 const HEADER_BYTES: usize = 12;
-/// The queries that always fit into the queue, in times of the time that one takes.
-const MIN_QUEUE: f64 = 8.0;
-/// The bounds of the wait for the next datagram, in seconds.
+/// Queueing time that is always accepted, as a multiple of the service time of one query: the query itself and seven others.
+const MIN_QUEUED_SERVICE_TIMES: f64 = 8.0;
+/// Bounds of the time to wait for the next datagram, in seconds.
 const MIN_WAIT: f64 = 0.0005;
 const MAX_WAIT: f64 = 0.05;
 
-/// How the service behaves. Times are in seconds from its start.
+/// The scripted behaviour of the service. Times are in seconds since its start.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServiceScript {
-    /// It answers nothing before.
+    /// Time before which the service doesn't answer.
     pub up_from: f64,
-    /// It answers nothing from this time ...
+    /// Start of an interval in which the service doesn't answer.
     pub silent_from: f64,
-    /// ... to this one.
+    /// End of the interval in which the service doesn't answer.
     pub silent_to: f64,
-    /// The queries that it can answer in a second.
+    /// Number of queries that the service can answer per second.
     pub capacity: f64,
-    /// The longest time in the queue, unless there are only seven other queries; further queries are lost.
+    /// Maximum time until a query is answered, in seconds. Queries that would take longer are lost, unless no more than seven
+    /// others are queued.
     pub max_queueing: f64,
-    /// Whether it answers nothing while it received more than it can answer within the last second.
+    /// Whether the service accepts no queries while it has received more than its capacity within the last second.
     pub collapses: bool,
-    /// It answers with a list older than its first version before.
+    /// Time before which the service answers with an outdated, empty list, older than its first version.
     pub stale_until: f64,
 }
 
 impl ServiceScript {
-    /// A healthy service.
+    /// A service without faults.
     pub const HEALTHY: Self = Self {
         up_from: 0.0,
         silent_from: 0.0,
@@ -59,62 +60,62 @@
     }
 }
 
-/// An engine as the service lists it.
+/// An engine in the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointEntry {
-    /// Its id.
+    /// Id of the engine.
     pub id: String,
-    /// Where it listens.
+    /// Address on which the engine listens.
     pub address: SocketAddr,
-    /// Whether it drains.
+    /// Whether the engine is draining.
     pub is_draining: bool,
-    /// When it started, in Unix milliseconds; 0 if it started long ago.
+    /// Start time of the engine, in Unix milliseconds; 0 if it started long ago.
     pub started: f64,
 }
 
-/// A version of the list.
+/// A version of the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ListVersion {
-    /// Since when it is served, in seconds from the start.
+    /// Time from which this version is served, in seconds since the start of the service.
     pub from: f64,
-    /// The number of the last event, from 1: an outdated list is served as number 0.
+    /// Serial number of the version, from 1. The outdated list has the number 0.
     pub serial: u32,
-    /// The engines.
+    /// Engines of this version.
     pub engines: Vec<EndpointEntry>,
 }
 
-/// The answer to a query.
+/// The answer that was sent to a query.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SentAnswer {
-    /// The version that it holds.
+    /// Serial number of the version that the answer holds.
     pub serial: u32,
-    /// When it was sent, in seconds from the start.
+    /// Time at which the answer was sent, in seconds since the start of the service.
     pub at: f64,
 }
 
 /// A query that was received.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReceivedQuery {
-    /// When, in seconds from the start.
+    /// Time at which the query was received, in seconds since the start of the service.
     pub at: f64,
-    /// Its id.
+    /// DNS message id of the query.
     pub id: u16,
-    /// Its sender.
+    /// Address of the sender.
     pub from: SocketAddr,
-    /// Its answer; none if it was lost.
+    /// The answer that was sent, or `None` if none was sent yet or the query was lost.
     pub answer: Option<SentAnswer>,
 }
 
-/// A running service. It ends with the process, or when it is dropped.
+/// A running name service. It stops when it is dropped or the process exits.
 pub struct NameService {
-    /// Where it listens.
+    /// Address on which the service listens.
     pub address: SocketAddr,
-    /// When it started.
+    /// Time at which the service started.
     pub started_at: Instant,
     shared: Arc<Shared>,
 }
 
-/// What the service shares with its thread.
+/// State that a [`NameService`] shares with its server thread.
 #[derive(Default)]
 struct Shared {
     queries: Mutex<Vec<ReceivedQuery>>,
@@ -123,10 +124,10 @@
 }
 
 impl NameService {
-    /// Starts it on a thread of its own, with versions in the order of their times.
+    /// Starts the service on its own thread. The versions must be in the order of their times.
     ///
     /// # Errors
-    /// No port is available.
+    /// No port could be bound.
     pub fn start(script: ServiceScript, versions: Vec<ListVersion>) -> io::Result<Self> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
         let (address, started_at) = (socket.local_addr()?, Instant::now());
@@ -143,12 +144,12 @@
         Ok(Self { address, started_at, shared })
     }
 
-    /// All queries so far, in their order.
+    /// Returns all queries that were received, in order of arrival.
     pub fn queries(&self) -> Vec<ReceivedQuery> {
         lock(&self.shared.queries).clone()
     }
 
-    /// Serves that version from now on.
+    /// Publishes a version of the list, which is served from now on.
     pub fn publish(&self, serial: u32, engines: Vec<EndpointEntry>) {
         let from = self.started_at.elapsed().as_secs_f64();
         lock(&self.shared.versions).push(ListVersion { from, serial, engines });
@@ -161,21 +162,21 @@
     }
 }
 
-/// A query that waits for its answer.
+/// A query that was accepted and awaits its answer.
 struct QueuedQuery {
     due: f64,
-    /// Its index in the record.
+    /// Index of the query in the record of received queries.
     index: usize,
     bytes: Vec<u8>,
 }
 
-/// The thread of the service.
+/// State of the server thread.
 struct Server {
     socket: UdpSocket,
     started_at: Instant,
     script: ServiceScript,
     shared: Arc<Shared>,
-    /// Until when it is busy with the queries that it accepted.
+    /// Time until which the accepted queries occupy the server, in seconds since the start of the service.
     busy_until: f64,
     queue: VecDeque<QueuedQuery>,
 }
@@ -186,9 +187,9 @@
         while !*lock(&self.shared.has_ended) {
             let now = self.now();
             self.answer_due(now);
-            let wait =
+            let timeout =
                 self.queue.front().map_or(MAX_WAIT, |query| (query.due - now).clamp(MIN_WAIT, MAX_WAIT));
-            if self.socket.set_read_timeout(Some(Duration::from_secs_f64(wait))).is_err() {
+            if self.socket.set_read_timeout(Some(Duration::from_secs_f64(timeout))).is_err() {
                 return;
             }
             if let Ok((length, from)) = self.socket.recv_from(&mut bytes) {
@@ -226,7 +227,8 @@
         let recent = queries.iter().rev().take_while(|query| at - query.at < 1.0).count();
         let has_collapsed = self.script.collapses && recent as f64 > self.script.capacity;
         let due = self.busy_until.max(at) + 1.0 / self.script.capacity;
-        let has_room = due - at <= self.script.max_queueing.max(MIN_QUEUE / self.script.capacity);
+        let has_room =
+            due - at <= self.script.max_queueing.max(MIN_QUEUED_SERVICE_TIMES / self.script.capacity);
         if self.script.is_up(at) && !has_collapsed && bytes.len() >= HEADER_BYTES && has_room {
             self.busy_until = due;
             self.queue.push_back(QueuedQuery { due, index: queries.len(), bytes: bytes.to_vec() });
@@ -235,12 +237,12 @@
     }
 }
 
-/// DNS record types (RFC 1035, RFC 2782), and the priority of an engine that drains.
+/// DNS record types (RFC 1035, RFC 2782).
 const TYPE_A: u8 = 1;
 const TYPE_SOA: u8 = 6;
 const TYPE_TXT: u8 = 16;
 const TYPE_SRV: u8 = 33;
-/// A compression pointer to the name in the query.
+/// Compression pointer to the name in the query.
 const QUERY_NAME: [u8; 2] = [0xc0, 12];
 
 fn put_record(message: &mut Vec<u8>, owner: &[u8], kind: u8, data: &[u8]) {
@@ -250,7 +252,8 @@
     message.extend(data);
 }
 
-/// The answer to a query: the list of these engines with that number, as SRV, SOA, A and TXT records.
+/// Encodes the answer to a query: an endpoint list with the given serial number, as SRV, SOA, A and TXT records. A draining
+/// engine has the SRV priority 1, and any other 0.
 pub fn encode_answer(query: &[u8], serial: u32, engines: &[EndpointEntry]) -> Vec<u8> {
     let answers = (engines.len() as u16).to_be_bytes();
     let additional = (2 * engines.len() as u16).to_be_bytes();
--- a/crates/test-doubles/src/relay.rs
+++ b/crates/test-doubles/src/relay.rs
@@ -1,5 +1,6 @@
-//! A relay on loopback that injects network faults: the path between two parties can be cut, cut one way, delayed, made lossy,
-//! and reset. TCP connections over a path that is cut stay open and silent, as when a machine vanishes; datagrams are lost.
+//! A relay on loopback that injects network faults. The path between two parties can be cut in one or both directions, delayed,
+//! made lossy, and reset. TCP connections over a cut path stay open without transferring data, as after the failure of a
+//! machine; datagrams are lost.
 
 use crate::lock;
 use rand::{Rng, SeedableRng};
@@ -15,50 +16,50 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::sync::watch;
 
-/// The clients whose datagrams one relay forwards; datagrams of further ones are dropped.
+/// Maximum number of clients whose datagrams one relay forwards. Datagrams of further clients are dropped.
 const MAX_UDP_CLIENTS: usize = 4_096;
-/// The bytes that are forwarded at a time.
+/// Maximum number of bytes that are forwarded at a time.
 const CHUNK_BYTES: usize = 16 << 10;
-/// The deliveries that are recorded.
+/// Maximum number of deliveries that are recorded.
 const MAX_DELIVERIES: usize = 1_000_000;
 
-/// The faults of a path.
+/// The faults of a network path.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct PathFault {
-    /// Nothing is forwarded to the server.
+    /// Whether the direction to the server is cut.
     pub cut_to_server: bool,
-    /// Nothing is forwarded to the client.
+    /// Whether the direction to the client is cut.
     pub cut_to_client: bool,
-    /// The share of datagrams that are lost, each way.
+    /// Share of datagrams that are lost in each direction.
     pub loss: f64,
-    /// The delay of everything, each way.
+    /// Delay of all data in each direction.
     pub delay: Duration,
-    /// A change of this number resets all open connections.
+    /// Number of resets so far. A change of this number resets all open connections.
     pub resets: u32,
 }
 
 impl PathFault {
-    /// Cuts both ways, or mends both.
+    /// Cuts or restores both directions.
     pub fn set_cut(&mut self, is_cut: bool) {
         (self.cut_to_server, self.cut_to_client) = (is_cut, is_cut);
     }
 }
 
-/// A datagram that was forwarded to its client.
+/// The record of a datagram that was forwarded to its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Delivery {
-    /// The relay's address from which the server was sent to for this client.
+    /// Address of the relay from which datagrams of this client are forwarded to the server.
     pub relay_address: SocketAddr,
-    /// The first two bytes of the datagram: the id of a DNS message.
+    /// First two bytes of the datagram, which are the id of a DNS message.
     pub id: u16,
-    /// When it was forwarded.
+    /// Time at which the datagram was forwarded.
     pub at: Instant,
 }
 
-/// A running relay; clones are the same relay.
+/// A running relay. Clones refer to the same relay.
 #[derive(Debug, Clone)]
 pub struct Relay {
-    /// Where it listens.
+    /// Address on which the relay listens.
     pub address: SocketAddr,
     fault: Arc<watch::Sender<PathFault>>,
     relay_addresses: Arc<Mutex<Vec<SocketAddr>>>,
@@ -73,10 +74,10 @@
         Self { address, fault, relay_addresses, deliveries, lost }
     }
 
-    /// Forwards datagrams to that server. It runs on the current local set.
+    /// Starts a relay that forwards datagrams to a server. Its tasks run on the current local set.
     ///
     /// # Errors
-    /// No port is available.
+    /// No port could be bound.
     pub async fn udp(server: SocketAddr, seed: u64) -> io::Result<Self> {
         let socket = Arc::new(UdpSocket::bind("127.0.0.1:0").await?);
         let relay = Self::new(socket.local_addr()?);
@@ -85,10 +86,10 @@
         Ok(relay)
     }
 
-    /// Forwards connections to that server. It runs on the current local set.
+    /// Starts a relay that forwards TCP connections to a server. Its tasks run on the current local set.
     ///
     /// # Errors
-    /// No port is available.
+    /// No port could be bound.
     pub async fn tcp(server: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let relay = Self::new(listener.local_addr()?);
@@ -101,38 +102,39 @@
         Ok(relay)
     }
 
-    /// Changes the faults.
+    /// Changes the faults of the path.
     pub fn set(&self, change: impl FnOnce(&mut PathFault)) {
         self.fault.send_modify(change);
     }
 
-    /// The addresses from which the server is sent to, one for each client, in the order of their first datagrams.
+    /// Returns the addresses of the relay from which datagrams are forwarded to the server, one per client, in the order of the
+    /// clients' first datagrams.
     pub fn relay_addresses(&self) -> Vec<SocketAddr> {
         lock(&self.relay_addresses).clone()
     }
 
-    /// All datagrams that were forwarded to clients.
+    /// Returns the datagrams that were forwarded to clients.
     pub fn deliveries(&self) -> Vec<Delivery> {
         lock(&self.deliveries).clone()
     }
 
-    /// The number of datagrams that were lost, both ways.
+    /// Returns the number of datagrams that were lost in both directions.
     pub fn lost(&self) -> u64 {
         self.lost.load(Ordering::SeqCst)
     }
 
-    /// Resets all connections that are open now.
+    /// Resets all open connections.
     pub fn reset(&self) {
         self.set(|fault| fault.resets += 1);
     }
 }
 
-/// The path of datagrams.
+/// The path of datagrams between the clients and the server.
 #[derive(Clone)]
 struct UdpPath {
     relay: Relay,
     fault: watch::Receiver<PathFault>,
-    /// The socket that clients send to.
+    /// Socket that receives datagrams from clients and sends datagrams to them.
     client_socket: Arc<UdpSocket>,
 }
 
@@ -172,7 +174,7 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut bytes = vec![0; CHUNK_BYTES];
         loop {
-            // An error tells that the server is away; the next datagram may reach it again.
+            // An error means that the server was unreachable. A later datagram may reach it.
             let Ok(length) = socket.recv(&mut bytes).await else { continue };
             let fault = *self.fault.borrow();
             if self.is_lost(fault.cut_to_client, fault.loss, &mut rng) {
@@ -190,7 +192,7 @@
         }
     }
 
-    /// Whether a datagram is lost; if so it is counted.
+    /// Draws whether a datagram is lost, and counts it if it is.
     fn is_lost(&self, is_cut: bool, loss: f64, rng: &mut Pcg64Mcg) -> bool {
         let is_lost = is_cut || rng.random_bool(loss.clamp(0.0, 1.0));
         if is_lost {
@@ -236,7 +238,7 @@
         }
     };
     if is_reset {
-        // Both ends receive a reset, and not the end of the stream.
+        // With zero linger, closing the sockets sends a reset to both ends rather than an end of stream.
         let _ = (client.set_zero_linger(), server.set_zero_linger());
     }
 }
@@ -250,7 +252,7 @@
     let mut bytes = vec![0; CHUNK_BYTES];
     loop {
         let length = from.read(&mut bytes).await.unwrap_or(0);
-        // What is in transit as the path is cut waits until it mends, the end of the stream included.
+        // Data in transit when the path is cut, and the end of the stream, wait until the path is restored.
         if fault.wait_for(|fault| !is_cut(fault)).await.is_err() {
             return;
         }
--- a/crates/test-doubles/src/relay/tests.rs
+++ b/crates/test-doubles/src/relay/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn reset_is_seen_as_one_at_both_ends() -> io::Result<()> {
+fn reset_reaches_both_ends_as_connection_reset() -> io::Result<()> {
     run(async {
         let (relay, mut client, mut server) = connected().await?;
         relay.reset();
@@ -29,12 +29,12 @@
 }
 
 #[test]
-fn what_is_on_a_way_that_is_cut_arrives_once_it_mends() -> io::Result<()> {
+fn data_withheld_by_a_cut_arrives_once_the_path_is_restored() -> io::Result<()> {
     run(async {
         let (relay, mut client, mut server) = connected().await?;
         relay.set(|fault| fault.cut_to_server = true);
         client.write_all(b"b").await?;
-        // The other way is not cut; what arrives on it was sent later than what the cut holds back.
+        // The other direction is not cut. Data that arrives over it was sent after the data that the cut withholds.
         for _ in 0..20 {
             server.write_all(b"c").await?;
             assert_eq!(client.read_u8().await?, b'c');
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn answers_that_are_cut_off_were_not_delivered() -> io::Result<()> {
+fn datagrams_lost_by_a_cut_are_not_recorded_as_deliveries() -> io::Result<()> {
     run(async {
         let server = UdpSocket::bind("127.0.0.1:0").await?;
         let relay = Relay::udp(server.local_addr()?, 1).await?;
--- a/crates/test-doubles/src/resp.rs
+++ b/crates/test-doubles/src/resp.rs
@@ -1,35 +1,35 @@
-//! The wire of the platform's commands and answers: arrays of bulk strings, as RESP has them.
+//! Encodes and parses the platform's commands and answers on engine connections: RESP arrays of bulk strings.
 
-/// The bytes of one message.
+/// Maximum number of bytes of one message.
 pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
-/// The parts of a message that are read.
+/// Maximum number of parts that are read of one message.
 const MAX_PARTS: usize = 8;
 
-/// What was received is no array of bulk strings, or a part is too long.
+/// The error for received bytes that are not an array of bulk strings, or that hold a part that is too long.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InvalidMessage;
 
-/// An array that was received, and the number of bytes that it takes.
+/// An array that was received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParsedArray {
-    /// Its parts.
+    /// The parts of the array.
     pub parts: Vec<String>,
-    /// The number of its bytes.
+    /// Encoded length of the array in bytes.
     pub length: usize,
 }
 
-/// Reads lines with a length in an array of bulk strings.
+/// Reads the elements of an encoded array of bulk strings.
 struct Reader<'a> {
     bytes: &'a [u8],
     position: usize,
 }
 
 impl<'a> Reader<'a> {
-    /// The number in a line that begins with that mark; none if more bytes are needed.
-    fn length(&mut self, mark: u8) -> Result<Option<usize>, InvalidMessage> {
+    /// Reads a line that consists of a type byte and a length. Returns `None` if more bytes are needed.
+    fn length(&mut self, type_byte: u8) -> Result<Option<usize>, InvalidMessage> {
         let rest = self.bytes.get(self.position..).unwrap_or_default();
         let Some(end) = rest.windows(2).position(|window| window == b"\r\n") else { return Ok(None) };
-        if rest[0] != mark {
+        if rest[0] != type_byte {
             return Err(InvalidMessage);
         }
         self.position += end + 2;
@@ -37,7 +37,7 @@
         number.filter(|number| *number <= MAX_MESSAGE_BYTES).map(Some).ok_or(InvalidMessage)
     }
 
-    /// The next bulk string; none if more bytes are needed.
+    /// Reads the next bulk string. Returns `None` if more bytes are needed.
     fn bulk_string(&mut self) -> Result<Option<&'a [u8]>, InvalidMessage> {
         let Some(length) = self.length(b'$')? else { return Ok(None) };
         let end = self.position + length;
@@ -50,10 +50,10 @@
     }
 }
 
-/// Parses the first array; none if more bytes are needed.
+/// Parses the first array. Returns `None` if more bytes are needed.
 ///
 /// # Errors
-/// There is no array.
+/// The bytes don't begin with a valid array of bulk strings.
 pub fn parse(bytes: &[u8]) -> Result<Option<ParsedArray>, InvalidMessage> {
     let mut reader = Reader { bytes, position: 0 };
     let Some(count) = reader.length(b'*')? else { return Ok(None) };
@@ -65,7 +65,7 @@
     Ok(Some(ParsedArray { parts, length: reader.position }))
 }
 
-/// An array of bulk strings.
+/// Encodes an array of bulk strings.
 pub fn encode(parts: &[&str]) -> Vec<u8> {
     let bulk_string = |part: &&str| format!("${}\r\n{part}\r\n", part.len());
     format!("*{}\r\n{}", parts.len(), parts.iter().map(bulk_string).collect::<String>()).into_bytes()
--- a/crates/test-doubles/src/resp/tests.rs
+++ b/crates/test-doubles/src/resp/tests.rs
@@ -3,7 +3,7 @@
 const COMMANDS: &[u8] = b"*2\r\n$4\r\nwant\r\n$1\r\na\r\n*1\r\n$4\r\nbusy\r\n";
 
 #[test]
-fn command_is_read_only_once_it_is_complete_wherever_its_bytes_are_cut() {
+fn incomplete_command_is_not_parsed_at_any_truncation() {
     let complete = COMMANDS.len() - b"*1\r\n$4\r\nbusy\r\n".len();
     for length in 0..complete {
         assert_eq!(parse(&COMMANDS[..length]), Ok(None), "{length} bytes");
--- a/crates/test-doubles/src/thrift.rs
+++ b/crates/test-doubles/src/thrift.rs
@@ -1,34 +1,34 @@
-//! The client's side of the platform's protocol: framed Thrift in the strict binary protocol.
+//! Encodes calls and parses replies of the platform's client protocol: framed Thrift with the strict binary protocol.
 
-/// The version and message type of a call, as its first four bytes.
+/// First four bytes of a call: the protocol version and the message type.
 const CALL_HEADER: [u8; 4] = [0x80, 1, 0, 1];
-/// The type byte of a reply, and the ids of its result field for success and for an error.
+/// Message type of a reply, and the ids of its result field for success and for an error.
 const REPLY: u8 = 2;
 const SUCCESS_FIELD: u8 = 0;
 const ERROR_FIELD: u8 = 1;
-/// Thrift's type bytes.
+/// Thrift's type codes of strings and maps.
 const TYPE_STRING: u8 = 11;
 const TYPE_MAP: u8 = 13;
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Answer {
-    /// Its rows arrived.
+    /// The rows of the result were received.
     Served,
-    /// Rejected; the client should retry after so many milliseconds.
+    /// The gateway rejected the request. The value is the time after which to retry, in milliseconds.
     Refused(f64),
-    /// Failed.
+    /// The request failed.
     Failed,
-    /// The connection ended first.
+    /// The connection ended before an answer was received.
     Lost,
 }
 
-/// A reply: the sequence number of its call, and the answer.
+/// A reply to a call.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Reply {
-    /// The sequence number.
+    /// Sequence number of the call.
     pub sequence: i32,
-    /// The answer.
+    /// Outcome of the request.
     pub answer: Answer,
 }
 
@@ -37,7 +37,7 @@
     message.extend(bytes);
 }
 
-/// A framed `call` with these fields and this statement.
+/// Encodes a framed `call` with the given fields and statement.
 pub fn encode_call(sequence: i32, fields: &[(&str, &str)], statement: &str) -> Vec<u8> {
     let mut message = CALL_HEADER.to_vec();
     put_string(&mut message, b"call");
@@ -54,7 +54,7 @@
     [&(message.len() as u32).to_be_bytes()[..], &message].concat()
 }
 
-/// Parses a reply without the length of its frame; none if it is malformed.
+/// Parses a frame without its length prefix as a reply. Returns `None` if it is malformed.
 pub fn parse_reply(frame: &[u8]) -> Option<Reply> {
     let name_length = u32::from_be_bytes(frame.get(4..8)?.try_into().ok()?) as usize;
     let rest = frame.get(8 + name_length..)?;
@@ -67,7 +67,8 @@
     Some(Reply { sequence, answer })
 }
 
-/// The number after the word `later` in an error's text, in milliseconds.
+/// Returns the number after the word `later` in the text of an error: the time after which to retry, in milliseconds. Returns 0
+/// if there is none.
 fn retry_after(text: &str) -> f64 {
     let later = text.split_once("later").map_or("", |(_, rest)| rest);
     let number = later.trim_start_matches(|char: char| !char.is_ascii_digit());
