--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings and events for tests.
+//! Settings and events for tests of the decision library.
 #![allow(dead_code)]
 
 use starlingplank::interface::*;
--- a/tests/gateway_processes/mod.rs
+++ b/tests/gateway_processes/mod.rs
@@ -1,4 +1,4 @@
-//! Several processes of one gateway: each is the real program, with a second address and a shared folder.
+//! Several processes of one gateway. Each runs the gateway's binary, with an address for operators and a shared folder.
 #![allow(dead_code)]
 
 use crate::stand::*;
@@ -8,7 +8,8 @@
 use std::time::Duration;
 use tokio::net::TcpSocket;
 
-/// A port that several processes may listen at: bound here, and never listened at, so that nobody else is given it.
+/// Reserves a port on which several processes can listen. The returned socket is bound but never listens, so that the system
+/// doesn't assign the port to another process.
 pub(crate) fn shared_port() -> (TcpSocket, SocketAddr) {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_reuseport(true).expect("set");
@@ -17,7 +18,7 @@
     (socket, at)
 }
 
-/// One process of a gateway.
+/// A running process of a gateway. It is killed when it is dropped.
 pub(crate) struct Process {
     pub child: Child,
     pub operators: SocketAddr,
@@ -25,12 +26,12 @@
     pub output: Option<std::thread::JoinHandle<Vec<String>>>,
 }
 
-/// A gateway's configuration, its folder, and its address.
+/// The configuration, shared folder and address of a gateway.
 pub(crate) struct Site {
     pub config: String,
     pub tmp: tempfile::TempDir,
     pub at: SocketAddr,
-    /// The operator's file, if any.
+    /// Configuration file of the operator, if any.
     pub operator: Option<tempfile::NamedTempFile>,
     _port: TcpSocket,
 }
@@ -48,7 +49,7 @@
         Self { config, tmp: tempfile::tempdir().expect("a folder"), at, operator: None, _port: port }
     }
 
-    /// Starts a process.
+    /// Starts a process without waiting for it to listen.
     pub(crate) fn spawn(&self) -> Child {
         let file = self.tmp.path().join("config.json");
         std::fs::write(&file, &self.config).expect("a file");
@@ -60,16 +61,16 @@
         command.spawn().expect("the program starts")
     }
 
-    /// Starts a process and waits until it listens to clients.
+    /// Starts a process, and waits until it listens for clients.
     pub(crate) fn start(&self) -> Process {
         let mut child = self.spawn();
         let mut lines = BufReader::new(child.stdout.take().expect("piped")).lines();
-        let mut next = |what: &str| -> SocketAddr {
+        let mut next = |suffix: &str| -> SocketAddr {
             let line = lines
                 .by_ref()
                 .map_while(Result::ok)
-                .find(|l| l.contains(" listens at ") && l.ends_with(what));
-            let line = line.expect("it listens");
+                .find(|l| l.contains(" listens at ") && l.ends_with(suffix));
+            let line = line.expect("the process listens");
             let (_, rest) = line.split_once(" listens at ").expect("found");
             rest.split(' ').next().and_then(|a| a.parse().ok()).expect("an address")
         };
@@ -83,9 +84,9 @@
 
 impl Process {
     pub(crate) fn request(&self, request: &str) -> (u16, String) {
-        let mut stream = TcpStream::connect(self.operators).expect("it listens");
+        let mut stream = TcpStream::connect(self.operators).expect("the process listens");
         stream.set_read_timeout(Some(Duration::from_secs(30))).expect("set");
-        // An answer may come, and the connection end, before all of it was sent.
+        // The process may answer and close the connection before the whole request is sent.
         let _ = stream.write_all(request.as_bytes());
         let (head, body) = web_message(&mut BufReader::new(stream)).expect("an answer");
         (head[0].split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status"), body)
@@ -103,7 +104,7 @@
     }
 
     pub(crate) fn client(&self) -> TcpStream {
-        let stream = TcpStream::connect(self.clients).expect("it listens");
+        let stream = TcpStream::connect(self.clients).expect("the process listens");
         stream.set_read_timeout(Some(Duration::from_secs(30))).expect("set");
         stream
     }
@@ -113,10 +114,10 @@
         assert!(Command::new("kill").args([which, &id]).status().expect("kill runs").success());
     }
 
-    /// Waits until it ends, and returns its output.
+    /// Waits until the process has exited successfully, and returns its output.
     pub(crate) fn ended(mut self) -> Vec<String> {
-        assert!(self.child.wait().expect("it ends").success());
-        self.output.take().expect("once").join().expect("read")
+        assert!(self.child.wait().expect("the process exits").success());
+        self.output.take().expect("output is taken once").join().expect("read")
     }
 }
 
@@ -144,7 +145,7 @@
     call(1, &[("verb", "lookup"), ("txn", &txn), ("limit", "15000")], "select 1")
 }
 
-/// Asks so many times, each on a connection of its own; how many were served.
+/// Sends lookups, each on its own connection, and returns the number that were served.
 pub(crate) fn served_lookups(process: &Process, from: u32, times: u32) -> usize {
     (from..from + times)
         .filter(|n| {
@@ -155,7 +156,7 @@
         .count()
 }
 
-/// Sends a load on a connection of its own; how it ended.
+/// Sends a load on its own connection, and returns the kind of its answer.
 pub(crate) fn load(process: &Process, n: u32) -> &'static str {
     let mut client = process.client();
     let (txn, key) = (format!("{n:016x}"), format!("k{n}"));
--- a/tests/reducer/mod.rs
+++ b/tests/reducer/mod.rs
@@ -1,4 +1,4 @@
-//! The reducer by itself: no sockets, and the clock is a number.
+//! A harness that runs the reducer without sockets, in virtual time.
 #![allow(dead_code)]
 
 use starlingplank::core::{Answer, AttemptId, ClientRequest, Core, Effect, Endpoint, Event, Statement};
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A reducer in virtual time.
+/// A reducer and its virtual clock, in milliseconds.
 pub(crate) struct Harness {
     pub core: Core,
     pub now: Milliseconds,
@@ -22,7 +22,7 @@
 
     pub(crate) fn step(&mut self, event: Event) -> Vec<Effect> {
         let mut effects = Vec::new();
-        self.now += 5.0; // a decision cycle may follow each event
+        self.now += 5.0; // enough for a decision cycle after each event
         self.core.handle(self.now, event, &mut effects);
         self.core.handle(self.now, Event::TimersDue, &mut effects);
         self.core.handle(self.now, Event::RunDecisionCycle, &mut effects);
@@ -35,7 +35,7 @@
     }
 
     pub(crate) fn take(&mut self, id: u64, key: Option<&str>) -> Vec<Effect> {
-        let asked = RequestDetails {
+        let details = RequestDetails {
             id: RequestId(id),
             class: ClassId(0),
             tenant: None,
@@ -47,7 +47,7 @@
             is_retry: false,
         };
         let statement = Rc::new(Statement { key: key.map(str::to_owned), ..Statement::default() });
-        self.step(Event::RequestReceived(ClientRequest { details: asked, statement }))
+        self.step(Event::RequestReceived(ClientRequest { details, statement }))
     }
 }
 
--- a/tests/simulated_engine/mod.rs
+++ b/tests/simulated_engine/mod.rs
@@ -1,15 +1,15 @@
-//! An engine in virtual time that shares its cores among all that it executes. Above two threads for each core its total throughput
-//! falls.
+//! A simulated engine in virtual time. It shares its cores among all executions. With more than two threads per core, its total
+//! throughput decreases.
 
 use starlingplank::core::AttemptId;
 use starlingplank::interface::Milliseconds;
 use std::collections::BTreeMap;
 
 pub(crate) const CORES: f64 = 8.0;
-/// The time of a step.
+/// Duration of a simulation step, in milliseconds.
 pub(crate) const STEP: Milliseconds = 20.0;
 
-/// Identifies an execution: the gateway's number and process, and its attempt.
+/// Identifies an execution by its gateway, the incarnation of that gateway's process, and the attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ExecutionId {
     pub gateway: usize,
@@ -17,7 +17,7 @@
     pub attempt: AttemptId,
 }
 
-/// The work of an execution, in milliseconds on one core, and its threads.
+/// The work of an execution, in milliseconds on one core, and its number of threads.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Work {
     pub threads: f64,
@@ -26,10 +26,10 @@
 
 struct Execution {
     total: Work,
-    work_left: f64,
+    remaining_work: f64,
 }
 
-/// An execution that has ended, with its whole work.
+/// An execution that has ended, and its total work in milliseconds on one core.
 pub(crate) struct Finished {
     pub id: ExecutionId,
     pub work: f64,
@@ -47,10 +47,10 @@
     }
 
     pub(crate) fn execute(&mut self, id: ExecutionId, work: Work) {
-        self.executions.insert(id, Execution { total: work, work_left: work.work });
+        self.executions.insert(id, Execution { total: work, remaining_work: work.work });
     }
 
-    /// Whether there was such an execution.
+    /// Aborts an execution. Returns whether it was in progress.
     pub(crate) fn abort(&mut self, id: ExecutionId) -> bool {
         self.executions.remove(&id).is_some()
     }
@@ -59,19 +59,19 @@
         self.executions.retain(|id, _| id.gateway != gateway);
     }
 
-    /// Works for a step, and returns what has ended.
+    /// Advances the engine by one step. Returns the executions that have ended.
     pub(crate) fn advance(&mut self, capacity: f64) -> Vec<Finished> {
         let threads = self.threads();
         let throughput = capacity * (2.0 * CORES / threads.max(1.0)).min(1.0).powi(2);
         let thread_speed = (throughput / threads.max(1e-9)).min(1.0);
         self.utilization = thread_speed * threads / CORES;
         for execution in self.executions.values_mut() {
-            execution.work_left -= thread_speed * execution.total.threads * STEP;
+            execution.remaining_work -= thread_speed * execution.total.threads * STEP;
         }
-        let ended = self.executions.iter().filter(|(_, execution)| execution.work_left <= 0.0);
+        let ended = self.executions.iter().filter(|(_, execution)| execution.remaining_work <= 0.0);
         let finished =
             ended.map(|(id, execution)| Finished { id: *id, work: execution.total.work }).collect();
-        self.executions.retain(|_, execution| execution.work_left > 0.0);
+        self.executions.retain(|_, execution| execution.remaining_work > 0.0);
         finished
     }
 }
--- a/tests/stand/discovery.rs
+++ b/tests/stand/discovery.rs
@@ -1,19 +1,19 @@
-//! A name service whose every answer the test decides on.
+//! A name service for which the test determines each answer.
 
 use super::names_answer_of;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A question that waits for its answer.
+/// A query that was received and not answered yet.
 #[derive(Debug, Clone)]
-pub(crate) struct Question {
+pub(crate) struct ReceivedQuery {
     pub(crate) bytes: Vec<u8>,
-    /// The gateway's socket.
+    /// Address of the gateway's socket.
     pub(crate) from: SocketAddr,
 }
 
-/// A name service that says nothing by itself.
+/// A name service that sends only the answers that the test passes to it.
 #[derive(Clone)]
 pub(crate) struct ScriptedService {
     pub(crate) address: SocketAddr,
@@ -27,27 +27,27 @@
         Self { address: socket.local_addr().expect("bound"), socket: Arc::new(socket) }
     }
 
-    /// The next question.
-    pub(crate) fn next(&self) -> Question {
+    /// Receives the next query, within 30 s.
+    pub(crate) fn next(&self) -> ReceivedQuery {
         let mut bytes = [0; 512];
-        let (len, from) = self.socket.recv_from(&mut bytes).expect("a question within 30 s");
-        Question { bytes: bytes[..len].to_vec(), from }
+        let (len, from) = self.socket.recv_from(&mut bytes).expect("a query within 30 s");
+        ReceivedQuery { bytes: bytes[..len].to_vec(), from }
     }
 
-    /// Discards the questions that have arrived.
+    /// Discards the queries that have arrived and were not received.
     pub(crate) fn discard_questions(&self) {
         self.socket.set_nonblocking(true).expect("set");
         while self.socket.recv(&mut [0; 512]).is_ok() {}
         self.socket.set_nonblocking(false).expect("set");
     }
 
-    /// Answers with this list: id, address, whether it drains.
-    pub(crate) fn answer(&self, question: &Question, serial: u32, engines: &[(&str, SocketAddr, bool)]) {
-        self.send(question, &names_answer_of(&question.bytes, serial, engines));
+    /// Answers a query with an endpoint list. Each engine has an id, an address, and a flag for whether it is draining.
+    pub(crate) fn answer(&self, query: &ReceivedQuery, serial: u32, engines: &[(&str, SocketAddr, bool)]) {
+        self.send(query, &names_answer_of(&query.bytes, serial, engines));
     }
 
-    /// Answers with these bytes.
-    pub(crate) fn send(&self, question: &Question, bytes: &[u8]) {
-        self.socket.send_to(bytes, question.from).expect("sent");
+    /// Answers a query with arbitrary bytes.
+    pub(crate) fn send(&self, query: &ReceivedQuery, bytes: &[u8]) {
+        self.socket.send_to(bytes, query.from).expect("sent");
     }
 }
--- a/tests/stand/engines.rs
+++ b/tests/stand/engines.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for engines of both kinds, which log what they are sent.
+//! Test doubles of platform engines and ClickHouse engines, which record the commands that they receive.
 
 use super::http::web_message;
 use std::io::{BufRead, BufReader, Write};
@@ -7,11 +7,12 @@
 use std::sync::{Arc, Barrier, Mutex};
 use std::thread;
 
-/// What a stand-in was sent, in order.
+/// Record of the commands that a test double received, in order. The entry `closed` records that the peer closed a
+/// connection.
 pub(crate) type Log = Arc<Mutex<Vec<Vec<String>>>>;
 
-/// A command of the platform's engines, as an array of strings.
-fn command(reader: &mut impl BufRead) -> Option<Vec<String>> {
+/// Reads a command for a platform engine, as an array of strings. Returns `None` at the end of the connection.
+fn read_command(reader: &mut impl BufRead) -> Option<Vec<String>> {
     let mut line = String::new();
     reader.read_line(&mut line).ok().filter(|n| *n > 0)?;
     let count: usize = line.trim().strip_prefix('*')?.parse().ok()?;
@@ -27,36 +28,36 @@
         .collect()
 }
 
-/// An answer of the platform's engines.
+/// Encodes an answer of a platform engine.
 pub(crate) fn reply(parts: &[&str]) -> String {
     let bulk = |p: &&str| format!("${}\r\n{p}\r\n", p.len());
     format!("*{}\r\n{}", parts.len(), parts.iter().map(bulk).collect::<String>())
 }
 
-/// A platform engine that answers each command by `act`; none closes the connection.
+/// Starts a platform engine that answers each command with the result of `respond`, and closes the connection on `None`.
 pub(crate) fn resp_engine(
-    act: impl Fn(&[String]) -> Option<String> + Send + Sync + 'static,
+    respond: impl Fn(&[String]) -> Option<String> + Send + Sync + 'static,
 ) -> (SocketAddr, Log) {
-    resp_engine_that(replying(act))
+    resp_engine_that(replying(respond))
 }
 
-/// A platform engine that does as it likes with each command's connection; false closes it.
+/// Starts a platform engine that passes each command and its connection to `handle`, and closes the connection on `false`.
 pub(crate) fn resp_engine_that(
-    act: impl Fn(&[String], &mut TcpStream) -> bool + Send + Sync + 'static,
+    handle: impl Fn(&[String], &mut TcpStream) -> bool + Send + Sync + 'static,
 ) -> (SocketAddr, Log) {
-    serve(commands(act))
+    serve(commands(handle))
 }
 
-fn replying(act: impl Fn(&[String]) -> Option<String>) -> impl Fn(&[String], &mut TcpStream) -> bool {
-    move |parts, stream| act(parts).is_some_and(|reply| stream.write_all(reply.as_bytes()).is_ok())
+fn replying(respond: impl Fn(&[String]) -> Option<String>) -> impl Fn(&[String], &mut TcpStream) -> bool {
+    move |parts, stream| respond(parts).is_some_and(|reply| stream.write_all(reply.as_bytes()).is_ok())
 }
 
-fn commands(act: impl Fn(&[String], &mut TcpStream) -> bool) -> impl Fn(&mut TcpStream, &Log) {
+fn commands(handle: impl Fn(&[String], &mut TcpStream) -> bool) -> impl Fn(&mut TcpStream, &Log) {
     move |stream, log| {
         let mut reader = BufReader::new(stream.try_clone().expect("cloned"));
-        while let Some(parts) = command(&mut reader) {
+        while let Some(parts) = read_command(&mut reader) {
             log.lock().expect("log").push(parts.clone());
-            if !act(&parts, stream) {
+            if !handle(&parts, stream) {
                 return;
             }
         }
@@ -64,16 +65,17 @@
     }
 }
 
-/// A ClickHouse engine that answers each request, its target and body, by `act`; none closes the connection.
+/// Starts a ClickHouse engine. It answers each request with the result of `respond` for the request target and body, and closes
+/// the connection on `None`.
 pub(crate) fn http_engine(
-    act: impl Fn(&str, &str) -> Option<String> + Send + Sync + 'static,
+    respond: impl Fn(&str, &str) -> Option<String> + Send + Sync + 'static,
 ) -> (SocketAddr, Log) {
     serve(move |stream, log| {
         let mut reader = BufReader::new(stream.try_clone().expect("cloned"));
         while let Some((head, body)) = web_message(&mut reader) {
             let target = head[0].split(' ').nth(1).expect("a target").to_owned();
             log.lock().expect("log").push(vec![target.clone(), body.clone()]);
-            let Some(response) = act(&target, &body) else { return };
+            let Some(response) = respond(&target, &body) else { return };
             if stream.write_all(response.as_bytes()).is_err() {
                 return;
             }
@@ -82,50 +84,53 @@
     })
 }
 
-fn serve(each: impl Fn(&mut TcpStream, &Log) + Send + Sync + 'static) -> (SocketAddr, Log) {
+fn serve(handle_connection: impl Fn(&mut TcpStream, &Log) + Send + Sync + 'static) -> (SocketAddr, Log) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let at = listener.local_addr().expect("bound");
-    (at, serve_at(listener, each))
+    let address = listener.local_addr().expect("bound");
+    (address, serve_on(listener, handle_connection))
 }
 
-fn serve_at(listener: TcpListener, each: impl Fn(&mut TcpStream, &Log) + Send + Sync + 'static) -> Log {
+fn serve_on(
+    listener: TcpListener,
+    handle_connection: impl Fn(&mut TcpStream, &Log) + Send + Sync + 'static,
+) -> Log {
     let log = Log::default();
-    let (each, seen) = (Arc::new(each), log.clone());
+    let (handle_connection, connection_log) = (Arc::new(handle_connection), log.clone());
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
-            let (each, seen) = (each.clone(), seen.clone());
-            thread::spawn(move || each(&mut stream, &seen));
+            let (handle_connection, connection_log) = (handle_connection.clone(), connection_log.clone());
+            thread::spawn(move || handle_connection(&mut stream, &connection_log));
         }
     });
     log
 }
 
-/// A platform engine at a listener that stands already.
+/// Starts a platform engine on an existing listener.
 pub(crate) fn resp_engine_at(
     listener: TcpListener,
-    act: impl Fn(&[String]) -> Option<String> + Send + Sync + 'static,
+    respond: impl Fn(&[String]) -> Option<String> + Send + Sync + 'static,
 ) -> Log {
-    serve_at(listener, commands(replying(act)))
+    serve_on(listener, commands(replying(respond)))
 }
 
-/// A platform engine that keeps its first answer to the command `want` of that name back: after the first
-/// [`Barrier::wait`] it sends the answer, and joins the second once the answer is sent. All else is answered by `act`.
+/// Starts a platform engine that withholds its first answer to the command `want` of the given name. It sends that answer after
+/// the first [`Barrier::wait`], and then joins the second one. All other commands are answered with the result of `respond`.
 pub(crate) fn resp_engine_that_holds(
     name: &'static str,
     held_answer: String,
-    act: impl Fn(&[String]) -> Option<String> + Send + Sync + 'static,
+    respond: impl Fn(&[String]) -> Option<String> + Send + Sync + 'static,
 ) -> (SocketAddr, Log, Arc<Barrier>) {
     let barrier = Arc::new(Barrier::new(2));
-    let (joined, is_first, act) = (barrier.clone(), AtomicBool::new(true), replying(act));
-    let (at, log) = resp_engine_that(move |parts, stream| {
+    let (engine_barrier, is_first, respond) = (barrier.clone(), AtomicBool::new(true), replying(respond));
+    let (address, log) = resp_engine_that(move |parts, stream| {
         let is_held = parts[0] == "want" && parts[1] == name && is_first.swap(false, Ordering::SeqCst);
         if !is_held {
-            return act(parts, stream);
+            return respond(parts, stream);
         }
-        joined.wait();
+        engine_barrier.wait();
         let is_sent = stream.write_all(held_answer.as_bytes()).is_ok();
-        joined.wait();
+        engine_barrier.wait();
         is_sent
     });
-    (at, log, barrier)
+    (address, log, barrier)
 }
--- a/tests/stand/gateway.rs
+++ b/tests/stand/gateway.rs
@@ -1,6 +1,6 @@
-//! The program as a process.
+//! The gateway as a child process.
 
-use super::network::{connect, table_address, table_inodes};
+use super::network::{connect, socket_table_address, socket_table_inodes};
 use super::waits::until_true;
 use rustix::process::{kill_process, Pid, Signal};
 use std::collections::BTreeSet;
@@ -10,19 +10,19 @@
 use std::process::{Child, Command, Stdio};
 use std::thread;
 
-/// A running gateway; killed at the end of its test.
+/// A running gateway process. It is killed when it is dropped.
 pub(crate) struct Gateway {
     pub(crate) child: Child,
     pub(crate) file: PathBuf,
     pub(crate) thrift: SocketAddr,
     pub(crate) http: Option<SocketAddr>,
-    /// Where it listens for its operators, if it does.
+    /// Address on which the gateway listens for operators, if it does.
     pub(crate) operator: Option<SocketAddr>,
     output: Option<thread::JoinHandle<Vec<String>>>,
 }
 
 impl Gateway {
-    /// With a folder that its processes share.
+    /// Starts a gateway whose `TMPDIR` is the given folder, which the processes of one gateway share.
     pub(crate) fn start_in(config: &str, folder: &std::path::Path) -> Self {
         let file = folder.join("config.json");
         std::fs::write(&file, config).expect("a file");
@@ -35,36 +35,36 @@
         Self::start_with(config, None)
     }
 
-    /// With an operator's file beside the platform's.
+    /// Starts a gateway with an operator's file in addition to the platform's configuration.
     pub(crate) fn start_with(config: &str, operator: Option<&std::path::Path>) -> Self {
-        let dir = std::env::temp_dir().join(format!(
+        let config_file = std::env::temp_dir().join(format!(
             "starlingplank-{}-{:?}",
             std::process::id(),
             thread::current().id()
         ));
-        std::fs::write(&dir, config).expect("a file");
+        std::fs::write(&config_file, config).expect("a file");
         let mut command = Command::new(env!("CARGO_BIN_EXE_starlingplank"));
         command.arg("serve");
         command.args(operator.iter().flat_map(|file| [std::ffi::OsStr::new("--operator"), file.as_os_str()]));
-        Self::spawn(command, dir)
+        Self::spawn(command, config_file)
     }
 
-    /// By a shell that does something else first.
-    pub(crate) fn start_after(config: &str, first: &str) -> Self {
-        let dir = std::env::temp_dir().join(format!(
+    /// Starts a gateway from a shell that executes another command first.
+    pub(crate) fn start_after(config: &str, setup: &str) -> Self {
+        let config_file = std::env::temp_dir().join(format!(
             "starlingplank-{}-{:?}",
             std::process::id(),
             thread::current().id()
         ));
-        std::fs::write(&dir, config).expect("a file");
+        std::fs::write(&config_file, config).expect("a file");
         let mut command = Command::new("sh");
-        let run = format!("{first} && exec {} serve", env!("CARGO_BIN_EXE_starlingplank"));
+        let run = format!("{setup} && exec {} serve", env!("CARGO_BIN_EXE_starlingplank"));
         command.args(["-c", &run]);
-        Self::spawn(command, dir)
+        Self::spawn(command, config_file)
     }
 
-    pub(super) fn spawn(mut command: Command, dir: PathBuf) -> Self {
-        command.env("PROXY_CONFIG", &dir).stdout(Stdio::piped());
+    pub(super) fn spawn(mut command: Command, config_file: PathBuf) -> Self {
+        command.env("PROXY_CONFIG", &config_file).stdout(Stdio::piped());
         let mut child = command.spawn().expect("the program starts");
         let mut lines = BufReader::new(child.stdout.take().expect("piped")).lines();
         let mut operator = None;
@@ -81,9 +81,9 @@
             at.expect("an address")
         };
         let (thrift, http) = (address(), Some(address()));
-        // Whatever else it says is read as it comes, so that it never waits for a reader.
+        // The remaining output is read continuously, so that the process never blocks on a full pipe.
         let output = Some(thread::spawn(move || lines.map_while(Result::ok).collect()));
-        Self { child, file: dir, thrift, http, operator, output }
+        Self { child, file: config_file, thrift, http, operator, output }
     }
 
     pub(crate) fn signal(&self, which: &str) {
@@ -95,43 +95,46 @@
         self.send_signal(Signal::TERM);
     }
 
-    /// Stops the process; returns once none of its threads runs.
+    /// Stops the process with SIGSTOP, and returns once all of its threads have stopped.
     pub(crate) fn stop(&self) {
         self.send_signal(Signal::STOP);
         until_true(|| self.has_stopped());
     }
 
-    /// Lets a stopped process go on.
+    /// Resumes a stopped process.
     pub(crate) fn resume(&self) {
         self.send_signal(Signal::CONT);
     }
 
     fn send_signal(&self, signal: Signal) {
-        kill_process(Pid::from_child(&self.child), signal).expect("it runs");
+        kill_process(Pid::from_child(&self.child), signal).expect("the process runs");
     }
 
-    /// Whether every thread is in the state `T`, which follows the program's name in parentheses.
+    /// Returns whether every thread is in the state `T`. In `/proc`, the state follows the program's name in parentheses.
     fn has_stopped(&self) -> bool {
-        let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).expect("its threads");
+        let tasks =
+            std::fs::read_dir(format!("/proc/{}/task", self.child.id())).expect("the threads of the process");
         tasks.flatten().all(|task| {
             let stat = std::fs::read_to_string(task.path().join("stat")).unwrap_or_default();
             stat.rsplit_once(") ").is_some_and(|(_, state)| state.starts_with('T'))
         })
     }
 
-    /// Connections of this process to that address that are not up yet.
+    /// Returns the number of connections of this process to an address that are not established yet.
     ///
-    /// The system's table is read in pieces, so that it may tell of one connection twice, and it holds those of all
-    /// processes: each counts once, and only if this process still has it open after the table was read.
+    /// The kernel's socket table is read in parts, so it may list a connection twice, and it holds the connections of all
+    /// processes. Each connection therefore counts once, and only if this process still has it open after the table was read.
     pub(crate) fn connections_coming_up(&self, at: SocketAddr) -> usize {
-        let (to, syn_sent) = (table_address(at), "02");
-        let inodes = table_inodes(|words| words.get(2) == Some(&&*to) && words.get(3) == Some(&syn_sent));
+        let (to, syn_sent) = (socket_table_address(at), "02");
+        let inodes =
+            socket_table_inodes(|words| words.get(2) == Some(&&*to) && words.get(3) == Some(&syn_sent));
         inodes.intersection(&self.open_sockets()).count()
     }
 
-    /// Inodes of the sockets that this process has open.
+    /// Returns the inodes of the sockets that this process has open.
     fn open_sockets(&self) -> BTreeSet<String> {
-        let files = std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("its descriptors");
+        let files = std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
+            .expect("the descriptors of the process");
         let links = files.flatten().filter_map(|file| std::fs::read_link(file.path()).ok());
         let inode = |link: PathBuf| {
             let text = link.to_str()?.strip_prefix("socket:[")?.strip_suffix(']')?;
@@ -140,23 +143,23 @@
         links.filter_map(inode).collect()
     }
 
-    /// Waits until the end of that client's stream lies at the process, behind all that the client sent.
+    /// Waits until the end of a client's stream has arrived in the process's receive queue, after all that the client sent.
     pub(crate) fn until_stream_end_arrived(&self, client: SocketAddr) {
-        let (from, close_wait) = (table_address(client), "08");
+        let (from, close_wait) = (socket_table_address(client), "08");
         let arrived = |words: &[&str]| words.get(2) == Some(&&*from) && words.get(3) == Some(&close_wait);
-        until_true(|| !table_inodes(arrived).is_empty());
+        until_true(|| !socket_table_inodes(arrived).is_empty());
     }
 
-    /// Writes a new configuration and has it read.
+    /// Writes a new configuration and makes the gateway reload it with SIGHUP.
     pub(crate) fn reload(&self, config: &str) {
         std::fs::write(&self.file, config).expect("a file");
         self.signal("-HUP");
     }
 
-    /// Ends it; what it says of each class at its end.
+    /// Terminates the gateway, and returns the counts of each class that it logs on exit.
     pub(crate) fn counts(mut self) -> Vec<String> {
         self.terminate();
-        assert!(self.child.wait().expect("it ends").success());
+        assert!(self.child.wait().expect("the process exits").success());
         let output = self.output.take().expect("once").join().expect("read");
         output
             .iter()
@@ -171,7 +174,7 @@
     }
 
     pub(crate) fn web(&self) -> TcpStream {
-        connect(self.http.expect("set up"))
+        connect(self.http.expect("an HTTP address"))
     }
 }
 
--- a/tests/stand/http.rs
+++ b/tests/stand/http.rs
@@ -1,10 +1,11 @@
-//! HTTP messages, as clients and engines write and read them.
+//! Reads and writes HTTP messages for test clients and engines.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpStream;
 
-/// Head lines and body of an HTTP message; a body cut short ends where the stream does.
+/// Reads an HTTP message. Returns the lines of its head, and its body. If a chunked body is truncated, the part that was received
+/// is followed by `<cut>`.
 pub(crate) fn web_message(reader: &mut impl BufRead) -> Option<(Vec<String>, String)> {
     let mut head: Vec<String> = Vec::new();
     loop {
@@ -46,12 +47,12 @@
     Some((head, String::from_utf8_lossy(&body).into_owned()))
 }
 
-/// An HTTP answer.
+/// Encodes an HTTP response.
 pub(crate) fn web_answer(status: &str, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// Sends a request and reads its answer: status line and headers as one text, and the body.
+/// Sends a request and reads the response. Returns the status line and headers as one text, and the body.
 pub(crate) fn ask(stream: &mut TcpStream, request: &str) -> (String, String) {
     stream.write_all(request.as_bytes()).expect("sent");
     let mut reader = BufReader::new(stream);
--- a/tests/stand/mod.rs
+++ b/tests/stand/mod.rs
@@ -1,5 +1,5 @@
-//! The program on loopback, and stand-ins for what it communicates with.
-// Each file of tests uses a part of it.
+//! Helpers that run the gateway as a process on loopback, with test doubles of its engines, name service and clients.
+// No test file uses all of these helpers.
 #![allow(dead_code, unused_imports)]
 
 mod config;
--- a/tests/stand/names.rs
+++ b/tests/stand/names.rs
@@ -1,60 +1,62 @@
-//! Answers of a name service, and one that answers what the test sets.
+//! Encodes answers of the name service, and runs a name service that serves a list set by the test.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// A name service's answer to a question: a list of these engines, with that number.
-pub(crate) fn names_answer(question: &[u8], serial: u32, engines: &[(&str, SocketAddr)]) -> Vec<u8> {
+/// Encodes the answer of the name service to a query: an endpoint list with a serial number, in which no engine is draining.
+pub(crate) fn names_answer(query: &[u8], serial: u32, engines: &[(&str, SocketAddr)]) -> Vec<u8> {
     let all: Vec<_> = engines.iter().map(|(id, at)| (*id, *at, false)).collect();
-    names_answer_of(question, serial, &all)
+    names_answer_of(query, serial, &all)
 }
 
-/// The same, of engines that drain or don't.
-pub(crate) fn names_answer_of(question: &[u8], serial: u32, engines: &[(&str, SocketAddr, bool)]) -> Vec<u8> {
-    let all: Vec<_> = engines.iter().map(|(id, at, drains)| (*id, *at, *drains, 0)).collect();
-    names_answer_with_starts(question, serial, &all)
+/// Encodes the answer to a query as [`names_answer`] does, with a flag per engine for whether it is draining.
+pub(crate) fn names_answer_of(query: &[u8], serial: u32, engines: &[(&str, SocketAddr, bool)]) -> Vec<u8> {
+    let all: Vec<_> = engines.iter().map(|(id, at, is_draining)| (*id, *at, *is_draining, 0)).collect();
+    names_answer_with_starts(query, serial, &all)
 }
 
-/// The same, with the Unix milliseconds of late starts; 0 for a start long ago.
+/// Encodes the answer to a query as [`names_answer_of`] does, with the start time of each engine in Unix milliseconds, or 0 if it
+/// started long ago.
 pub(crate) fn names_answer_with_starts(
-    question: &[u8],
+    query: &[u8],
     serial: u32,
     engines: &[(&str, SocketAddr, bool, u64)],
 ) -> Vec<u8> {
-    let record = |out: &mut Vec<u8>, owner: &[u8], kind: u8, data: &[u8]| {
-        out.extend(owner);
-        out.extend([0, kind, 0, 1, 0, 0, 0, 0]);
-        out.extend((data.len() as u16).to_be_bytes());
-        out.extend(data);
+    let record = |message: &mut Vec<u8>, owner: &[u8], kind: u8, data: &[u8]| {
+        message.extend(owner);
+        message.extend([0, kind, 0, 1, 0, 0, 0, 0]);
+        message.extend((data.len() as u16).to_be_bytes());
+        message.extend(data);
     };
     let count = engines.len() as u16;
     let started = engines.iter().filter(|(.., started)| *started > 0).count() as u16;
     let counts = [1, count, 1, count + started].map(u16::to_be_bytes).concat();
-    let mut out = [&question[..2], &[0x84, 0], &counts, &question[12..]].concat();
+    let mut message = [&query[..2], &[0x84, 0], &counts, &query[12..]].concat();
     let target = |id: &str| [&[id.len() as u8], id.as_bytes(), b"\x01a\x05hosts\0"].concat();
-    for (id, at, drains, _) in engines {
-        let data = [&[0, u8::from(*drains), 0, 40][..], &at.port().to_be_bytes(), &target(id)].concat();
-        record(&mut out, &[0xc0, 12], 33, &data);
+    for (id, at, is_draining, _) in engines {
+        let data = [&[0, u8::from(*is_draining), 0, 40][..], &at.port().to_be_bytes(), &target(id)].concat();
+        record(&mut message, &[0xc0, 12], 33, &data);
     }
-    record(&mut out, &[0], 6, &[&[0, 0][..], &serial.to_be_bytes(), &[0; 16]].concat());
+    record(&mut message, &[0], 6, &[&[0, 0][..], &serial.to_be_bytes(), &[0; 16]].concat());
     for (id, at, _, started) in engines {
         let SocketAddr::V4(at) = at else { panic!("IPv4") };
-        record(&mut out, &target(id), 1, &at.ip().octets());
+        record(&mut message, &target(id), 1, &at.ip().octets());
         if *started > 0 {
             let text = format!("started={started}");
-            record(&mut out, &target(id), 16, &[&[text.len() as u8], text.as_bytes()].concat());
+            record(&mut message, &target(id), 16, &[&[text.len() as u8], text.as_bytes()].concat());
         }
     }
-    out
+    message
 }
 
-/// The answer of a list service: version and engines; none where it is silent.
-pub(crate) type ListAnswer = Arc<Mutex<Option<(u32, Vec<(&'static str, SocketAddr, bool)>)>>>;
+/// The list that a name service serves: serial number and engines. With `None` it doesn't answer.
+pub(crate) type ServedList = Arc<Mutex<Option<(u32, Vec<(&'static str, SocketAddr, bool)>)>>>;
 
-pub(crate) fn list_service() -> (SocketAddr, ListAnswer) {
+/// Starts a name service that answers with the list in the returned [`ServedList`], and doesn't answer until it is set.
+pub(crate) fn list_service() -> (SocketAddr, ServedList) {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    let (at, answer) = (socket.local_addr().expect("bound"), ListAnswer::default());
+    let (at, answer) = (socket.local_addr().expect("bound"), ServedList::default());
     let current = answer.clone();
     thread::spawn(move || {
         let mut bytes = [0; 512];
--- a/tests/stand/network.rs
+++ b/tests/stand/network.rs
@@ -1,4 +1,4 @@
-//! Connections: those of the system's table, and listeners that are full or absent.
+//! Helpers for the kernel's socket table, for listeners with a full accept queue, and for addresses that refuse connections.
 
 use super::waits::until_true;
 use std::collections::BTreeSet;
@@ -7,44 +7,47 @@
 use std::time::Duration;
 
 pub(super) fn connect(at: SocketAddr) -> TcpStream {
-    let stream = TcpStream::connect(at).expect("it listens");
+    let stream = TcpStream::connect(at).expect("connected");
     stream.set_read_timeout(Some(Duration::from_secs(30))).expect("set");
     stream
 }
 
-/// An IPv4 address as the system's table of connections writes it.
-pub(super) fn table_address(at: SocketAddr) -> String {
+/// Formats an IPv4 address as the kernel's socket table does.
+pub(super) fn socket_table_address(at: SocketAddr) -> String {
     let SocketAddr::V4(at) = at else { panic!("IPv4") };
     format!("{:08X}:{:04X}", u32::from_le_bytes(at.ip().octets()), at.port())
 }
 
-/// Inodes of the connections in the system's table whose columns fit.
-pub(super) fn table_inodes(fits: impl Fn(&[&str]) -> bool) -> BTreeSet<String> {
+/// Returns the inodes of the connections in the kernel's socket table whose columns match a predicate.
+pub(super) fn socket_table_inodes(matches: impl Fn(&[&str]) -> bool) -> BTreeSet<String> {
     const INODE_COLUMN: usize = 9;
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("the system's table");
+    let table = std::fs::read_to_string("/proc/net/tcp").expect("the kernel's socket table");
     let lines = table.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
-    lines.filter(|words| fits(words)).filter_map(|w| w.get(INODE_COLUMN).map(|i| (*i).to_owned())).collect()
+    lines
+        .filter(|words| matches(words))
+        .filter_map(|w| w.get(INODE_COLUMN).map(|i| (*i).to_owned()))
+        .collect()
 }
 
-/// Waits until the owner of that address has read all that has arrived on its connections.
+/// Waits until the process that owns an address has read all data that has arrived on its connections.
 pub(crate) fn until_read(at: SocketAddr) {
     const QUEUES_COLUMN: usize = 4;
-    let own = table_address(at);
+    let own = socket_table_address(at);
     let is_unread = |words: &[&str]| {
         let received = words.get(QUEUES_COLUMN).and_then(|queues| queues.split_once(':'));
         words.get(1) == Some(&&*own)
             && received.is_some_and(|(_, bytes)| bytes.bytes().any(|digit| digit != b'0'))
     };
-    until_true(|| table_inodes(is_unread).is_empty());
+    until_true(|| socket_table_inodes(is_unread).is_empty());
 }
 
-/// A listener whose queue is full: connections to it come up once there is room, at the system's next try a second later.
-/// With what fills it.
+/// Returns a listener whose accept queue is full, and the connections that fill it. Further connections are established once the
+/// queue has space and the kernel retransmits the SYN, one second later.
 pub(crate) fn full_listener() -> (TcpListener, Vec<std::io::Result<TcpStream>>) {
     let socket = rustix::net::socket(rustix::net::AddressFamily::INET, rustix::net::SocketType::STREAM, None);
     let socket = socket.expect("a socket");
-    let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-    rustix::net::bind(&socket, &any).expect("bound");
+    let any_port: SocketAddr = "127.0.0.1:0".parse().expect("an address");
+    rustix::net::bind(&socket, &any_port).expect("bound");
     rustix::net::listen(&socket, 0).expect("listens");
     let listener = TcpListener::from(socket);
     let at = listener.local_addr().expect("bound");
@@ -54,24 +57,25 @@
     (listener, filling)
 }
 
-/// Waits until a connection to that address is on its way and not up yet.
+/// Waits until a connection to an address is being opened and not established yet.
 pub(crate) fn until_coming_up(at: SocketAddr) {
     let (to, syn_sent) = (format!("0100007F:{:04X}", at.port()), "02");
-    let of = |line: &str| {
+    let is_being_opened = |line: &str| {
         let words: Vec<&str> = line.split_whitespace().collect();
         words.get(2) == Some(&to.as_str()) && words.get(3) == Some(&syn_sent)
     };
     for _ in 0..30_000 {
-        let table = std::fs::read_to_string("/proc/net/tcp").expect("the system's table");
-        if table.lines().any(of) {
+        let table = std::fs::read_to_string("/proc/net/tcp").expect("the kernel's socket table");
+        if table.lines().any(is_being_opened) {
             return;
         }
         thread::sleep(Duration::from_millis(1));
     }
-    panic!("no connection to {at} is ever on its way");
+    panic!("no connection to {at} was opened within the time limit");
 }
 
-/// An address at which nothing listens and nothing will: connections are refused for as long as the socket is held.
+/// Returns an address that refuses connections, and a socket that reserves it. Nothing can listen there until the socket is
+/// dropped.
 pub(crate) fn refusing() -> (tokio::net::TcpSocket, SocketAddr) {
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
--- a/tests/stand/waits.rs
+++ b/tests/stand/waits.rs
@@ -1,27 +1,27 @@
-//! Waits for events.
+//! Waits for events, polling every millisecond for at least 30 s.
 
 use super::engines::Log;
 use std::thread;
 use std::time::Duration;
 
-/// Waits until the log holds what is looked for: an event, not a time.
-pub(crate) fn until(log: &Log, found: impl Fn(&[Vec<String>]) -> bool) {
+/// Waits until the log satisfies a predicate. Fails if it doesn't within the polling limit.
+pub(crate) fn until(log: &Log, matches: impl Fn(&[Vec<String>]) -> bool) {
     for _ in 0..30_000 {
-        if found(&log.lock().expect("log")) {
+        if matches(&log.lock().expect("log")) {
             return;
         }
         thread::sleep(Duration::from_millis(1));
     }
-    panic!("never came: {:?}", log.lock().expect("log"));
+    panic!("the log never matched: {:?}", log.lock().expect("log"));
 }
 
-/// Waits until something has become so: an event, not a time.
-pub(crate) fn until_true(is_so: impl Fn() -> bool) {
+/// Waits until a condition holds. Fails if it doesn't within the polling limit.
+pub(crate) fn until_true(holds: impl Fn() -> bool) {
     for _ in 0..30_000 {
-        if is_so() {
+        if holds() {
             return;
         }
         thread::sleep(Duration::from_millis(1));
     }
-    panic!("it never becomes so");
+    panic!("the condition never held");
 }
--- a/tests/unsafe_requests/mod.rs
+++ b/tests/unsafe_requests/mod.rs
@@ -1,4 +1,4 @@
-//! Requests that must not run twice: their settings, and engines that answer them or hold them back.
+//! Helpers for requests that must not run more than once: configurations, and engines that answer or withhold their answers.
 #![allow(dead_code)]
 
 use crate::stand::*;
@@ -12,12 +12,12 @@
 pub(crate) const LOAD: &str = "abcdef00000000a1";
 pub(crate) const TURNED_AWAY: &str = "overloaded";
 pub(crate) const FAILED: &str = "internal";
-/// Longer than any test takes.
+/// A timeout that is longer than any test takes, in milliseconds.
 pub(crate) const LONG: u32 = 60_000;
-/// A request that waits for an engine is turned away after a quarter of this.
+/// Latency objective of the classes, in milliseconds. A request that waits for an engine is rejected after a quarter of this time.
 pub(crate) const AIM: u32 = 4_000;
 
-/// A request of a class of the settings, under its name.
+/// Encodes a named request of a configured class, with an idempotency key.
 pub(crate) fn request(seq: i32, class: &str, txn: &str, limit: u32) -> Vec<u8> {
     let limit = limit.to_string();
     let fields = [("verb", class), ("txn", txn), ("limit", limit.as_str()), ("unique", "k1")];
@@ -32,7 +32,7 @@
     })
 }
 
-/// Says nothing to a request, and answers all else.
+/// Response of an engine that doesn't answer statements, and answers all other commands.
 pub(crate) fn silent(parts: &[String]) -> Option<String> {
     if parts[0] == "want" {
         Some(String::new())
@@ -41,42 +41,44 @@
     }
 }
 
-/// How often a request arrived at an engine, over either interface.
+/// Returns the number of attempts of a request that arrived at an engine, over either protocol.
 pub(crate) fn runs(log: &Log, txn: &str) -> usize {
-    let of = |parts: &&Vec<String>| match parts[0].as_str() {
+    let is_attempt = |parts: &&Vec<String>| match parts[0].as_str() {
         "want" => parts[1] == txn,
         target => target.contains(&format!("query_id={txn}")),
     };
-    log.lock().expect("log").iter().filter(of).count()
+    log.lock().expect("log").iter().filter(is_attempt).count()
 }
 
 pub(crate) fn all_runs(logs: &[Log], txn: &str) -> usize {
     logs.iter().map(|log| runs(log, txn)).sum()
 }
 
-/// Settings in which `load` must not run twice, no retry budget binds, and requests are late after that time.
-pub(crate) fn settings(engines: &[SocketAddr], wire: &str, aim: u32) -> String {
-    let text = without_retry_budget(&at_most_once(&config(engines, wire, LONG)), 5);
-    let aim = format!(r#""on_time":{aim}"#);
-    changed(&changed(&text, r#""on_time":900"#, &aim), r#""on_time":500"#, &aim)
+/// Returns a configuration in which requests of the class `load` may run at most once, there is no retry budget, and the latency
+/// objective of both classes is `objective`, in milliseconds.
+pub(crate) fn settings(engines: &[SocketAddr], engine_protocol: &str, objective: u32) -> String {
+    let text = without_retry_budget(&at_most_once(&config(engines, engine_protocol, LONG)), 5);
+    let objective = format!(r#""on_time":{objective}"#);
+    changed(&changed(&text, r#""on_time":900"#, &objective), r#""on_time":500"#, &objective)
 }
 
-pub(crate) fn until_either(logs: &[Log], found: impl Fn(&[String]) -> bool) {
+pub(crate) fn until_either(logs: &[Log], matches: impl Fn(&[String]) -> bool) {
     for _ in 0..30_000 {
-        if logs.iter().any(|log| log.lock().expect("log").iter().any(|parts| found(parts))) {
+        if logs.iter().any(|log| log.lock().expect("log").iter().any(|parts| matches(parts))) {
             return;
         }
         thread::sleep(Duration::from_millis(1));
     }
-    panic!("never came: {logs:?}");
+    panic!("no log ever matched: {logs:?}");
 }
 
-/// An engine that holds the request back until it is released, and serves all others.
+/// Starts an engine that withholds the answer to the request [`LOAD`] until the returned flag is set, and answers all other
+/// commands immediately.
 pub(crate) fn holding() -> (SocketAddr, Log, Arc<AtomicBool>) {
     let released = Arc::new(AtomicBool::new(false));
-    let goes_on = released.clone();
+    let is_released = released.clone();
     let (at, log) = resp_engine(move |parts| {
-        while parts[0] == "want" && parts[1] == LOAD && !goes_on.load(Ordering::SeqCst) {
+        while parts[0] == "want" && parts[1] == LOAD && !is_released.load(Ordering::SeqCst) {
             thread::sleep(Duration::from_millis(1));
         }
         served(parts)
@@ -84,7 +86,7 @@
     (at, log, released)
 }
 
-/// Asks for lookups until one of them runs at that engine.
+/// Sends lookups to a gateway until one of them arrives at the given engine.
 pub(crate) fn until_used(gateway: &Gateway, log: &Log) {
     let mut client = gateway.client();
     for seq in 1..=100_000 {
@@ -95,5 +97,5 @@
             return;
         }
     }
-    panic!("the engine is never used");
+    panic!("no lookup arrived at the engine");
 }
