--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -1,4 +1,4 @@
-//! The program honours the settings of every deployment; settings that contradict themselves are rejected at the start.
+//! The program applies the settings of each deployment, and rejects contradictory settings at the start.
 
 mod stand;
 
@@ -21,7 +21,7 @@
 
 const ID: &str = "00000000000000a1";
 
-/// Two classes, two kinds and two zones, with all keys that may contradict each other.
+/// Two classes, two machine types and two zones, with every key that may contradict another.
 const SETTINGS: &str = r#"{"listen":"127.0.0.1:0","seed":"7","limits":{"cores":1.0,"memory_mb":192,"sockets":256},
  "settings":{"balancers":2,"rank":1,"zones":["east","west"],"locality":"west","skus":["std","big"],"tick":1.0,
   "classes":[
@@ -36,26 +36,26 @@
   "rules":{"answer_slack":20,"drain_grace":2000,"extra_free":2,"extra_per_request":0.2,"ratio_span":10000}}}"#;
 
 #[test]
-fn settings_without_contradiction_are_taken() {
+fn consistent_settings_are_accepted() {
     let settings = Config::read(SETTINGS).expect("it can be used").settings;
     assert_eq!(settings.zone, Some(ZoneId(1)));
-    // A key whose value is null is absent: the class may run on every kind.
+    // A key whose value is null counts as absent: the class may run on every machine type.
     let (lookup, load) = (&settings.classes[0], &settings.classes[1]);
     assert_eq!((lookup.machine_types.clone(), lookup.zones.clone()), (None, Some(vec![ZoneId(0)])));
     assert!(load.is_load && lookup.waits_for_loads);
 }
 
 #[rstest]
-#[case::cores_of_one_kind("[8,4]", "[8]", "specifics.cpu_of_kind")]
-#[case::memory_of_one_kind("[8192,4096]", "[8192]", "specifics.memory_by_kind_mb")]
-#[case::threads_of_three_classes("[1,2]", "[1,2,3]", "specifics.width_by_class")]
-#[case::loads_of_one_class("[false,true]", "[true]", "specifics.is_load")]
-#[case::load_that_is_no_flag("[false,true]", "[false,\"yes\"]", "specifics.is_load")]
-#[case::waits_of_one_class("[true,false]", "[true]", "specifics.class_waits")]
-#[case::zone_twice(r#"["east","west"]"#, r#"["east","west","east"]"#, "zones")]
-#[case::kind_twice(r#"["std","big"]"#, r#"["std","std"]"#, "skus")]
-#[case::class_twice(r#""name":"load""#, r#""name":"lookup""#, "classes.1.name")]
-#[case::tenant_twice(r#""name":"yards""#, r#""name":"docks""#, "tenants.1.name")]
+#[case::cores_for_one_machine_type("[8,4]", "[8]", "specifics.cpu_of_kind")]
+#[case::memory_for_one_machine_type("[8192,4096]", "[8192]", "specifics.memory_by_kind_mb")]
+#[case::threads_for_three_classes("[1,2]", "[1,2,3]", "specifics.width_by_class")]
+#[case::load_flag_for_one_class("[false,true]", "[true]", "specifics.is_load")]
+#[case::load_flag_not_boolean("[false,true]", "[false,\"yes\"]", "specifics.is_load")]
+#[case::waits_flag_for_one_class("[true,false]", "[true]", "specifics.class_waits")]
+#[case::duplicate_zone(r#"["east","west"]"#, r#"["east","west","east"]"#, "zones")]
+#[case::duplicate_machine_type(r#"["std","big"]"#, r#"["std","std"]"#, "skus")]
+#[case::duplicate_class(r#""name":"load""#, r#""name":"lookup""#, "classes.1.name")]
+#[case::duplicate_tenant(r#""name":"yards""#, r#""name":"docks""#, "tenants.1.name")]
 #[case::unknown_zone(r#""locality":"west""#, r#""locality":"north""#, "locality")]
 #[case::class_in_an_unknown_zone(
     r#""allowed_in":["east"]"#,
@@ -63,32 +63,36 @@
     "classes.0.allowed_in"
 )]
 #[case::class_in_no_zone(r#""allowed_in":["east"]"#, r#""allowed_in":[]"#, "classes.0.allowed_in")]
-#[case::class_on_an_unknown_kind(r#""allowed_on":null"#, r#""allowed_on":["tiny"]"#, "classes.0.allowed_on")]
-#[case::key_without_window(r#","window":12000"#, "", "classes.1.window")]
-#[case::key_of_no_time(r#""window":12000"#, r#""window":0"#, "classes.1.window")]
-#[case::worth_below_nothing(r#""worth":1"#, r#""worth":-1"#, "classes.0.worth")]
-#[case::late_worth_past_all(r#""late_worth":0.1"#, r#""late_worth":1.5"#, "classes.0.late_worth")]
-#[case::aim_past_the_deadline(r#""on_time":900"#, r#""on_time":6000"#, "classes.on_time")]
-#[case::retries_of_no_span(r#","ratio_span":10000"#, "", "rules.extra_free")]
-#[case::retries_of_an_empty_span(r#""ratio_span":10000"#, r#""ratio_span":0"#, "rules.ratio_span")]
-#[case::retries_below_none(r#""extra_free":2"#, r#""extra_free":-2"#, "rules.extra_free")]
-#[case::grant_of_nothing(r#""most_grant":0.4"#, r#""most_grant":0"#, "specifics.most_grant")]
-#[case::grant_past_all(r#""most_grant":0.4"#, r#""most_grant":1.4"#, "specifics.most_grant")]
-#[case::advice_below_nothing(
+#[case::class_on_an_unknown_machine_type(
+    r#""allowed_on":null"#,
+    r#""allowed_on":["tiny"]"#,
+    "classes.0.allowed_on"
+)]
+#[case::deduplication_without_window(r#","window":12000"#, "", "classes.1.window")]
+#[case::deduplication_window_of_zero(r#""window":12000"#, r#""window":0"#, "classes.1.window")]
+#[case::negative_worth(r#""worth":1"#, r#""worth":-1"#, "classes.0.worth")]
+#[case::late_worth_above_one(r#""late_worth":0.1"#, r#""late_worth":1.5"#, "classes.0.late_worth")]
+#[case::target_latency_above_the_deadline(r#""on_time":900"#, r#""on_time":6000"#, "classes.on_time")]
+#[case::retry_budget_without_window(r#","ratio_span":10000"#, "", "rules.extra_free")]
+#[case::retry_budget_window_of_zero(r#""ratio_span":10000"#, r#""ratio_span":0"#, "rules.ratio_span")]
+#[case::negative_retries(r#""extra_free":2"#, r#""extra_free":-2"#, "rules.extra_free")]
+#[case::memory_grant_of_zero(r#""most_grant":0.4"#, r#""most_grant":0"#, "specifics.most_grant")]
+#[case::memory_grant_above_one(r#""most_grant":0.4"#, r#""most_grant":1.4"#, "specifics.most_grant")]
+#[case::negative_retry_after(
     r#""max_retry_after":1000"#,
     r#""max_retry_after":-1"#,
     "limits.max_retry_after"
 )]
-#[case::connected_before_begun(
+#[case::negative_connect_timeout(
     r#""connect_timeout":250"#,
     r#""connect_timeout":-250"#,
     "limits.connect_timeout"
 )]
-#[case::no_attempt(r#""send_cap":3"#, r#""send_cap":0"#, "limits.send_cap")]
-#[case::probe_that_earns(r#""probe":0.01"#, r#""probe":-0.01"#, "charges.probe")]
-#[case::no_memory(r#""memory_mb":192"#, r#""memory_mb":0"#, "machine.memory_mb")]
-#[case::no_descriptors(r#""sockets":256"#, r#""sockets":0"#, "machine.sockets")]
-fn settings_that_contradict_themselves_are_refused_with_their_key(
+#[case::zero_attempts(r#""send_cap":3"#, r#""send_cap":0"#, "limits.send_cap")]
+#[case::negative_health_check_cost(r#""probe":0.01"#, r#""probe":-0.01"#, "charges.probe")]
+#[case::zero_memory(r#""memory_mb":192"#, r#""memory_mb":0"#, "machine.memory_mb")]
+#[case::zero_descriptors(r#""sockets":256"#, r#""sockets":0"#, "machine.sockets")]
+fn contradictory_settings_are_rejected_with_their_key(
     #[case] from: &str,
     #[case] to: &str,
     #[case] key: &str,
@@ -114,23 +118,27 @@
     stderr
 }
 
-/// The message names the file and the key, of the platform's configuration and of an operator's.
+/// The error message names the file and the key, for the platform's configuration and for an operator's file.
 #[test]
-fn program_does_not_start_by_settings_that_contradict_themselves() {
+fn program_does_not_start_with_contradictory_settings() {
     let platform = changed(SETTINGS, r#","window":12000"#, "");
     let stderr = stderr_of(".json", "--config", &platform);
     assert!(stderr.contains("classes.1.window") && !stderr.contains("panic"), "{stderr}");
     let example = include_str!("../deploy/clickhouse.hcl");
-    let twice = r#"["room-a", "room-b", "room-a"]"#;
-    let stderr = stderr_of(".hcl", "--operator", &changed(example, r#"["room-a", "room-b"]"#, twice));
+    let duplicate_zone = r#"["room-a", "room-b", "room-a"]"#;
+    let stderr =
+        stderr_of(".hcl", "--operator", &changed(example, r#"["room-a", "room-b"]"#, duplicate_zone));
     assert!(stderr.contains("zones") && stderr.contains("twice") && !stderr.contains("panic"), "{stderr}");
 }
 
-/// Connections have the limits of the deployment's settings.
+/// The limits of connections are read from the deployment's settings.
 #[rstest]
-#[case::one(r#"{"streams_per_conn":32,"connect_timeout":250,"idle_close":15000,"max_open":20000}"#, (32, 250, 12_000, 20_000))]
-#[case::other(r#"{"streams_per_conn":8,"connect_timeout":180,"idle_close":5000,"max_open":500}"#, (8, 180, 4_000, 500))]
-fn limits_of_connections_are_the_settings(#[case] limits: &str, #[case] expected: (usize, u64, u64, usize)) {
+#[case::large_limits(r#"{"streams_per_conn":32,"connect_timeout":250,"idle_close":15000,"max_open":20000}"#, (32, 250, 12_000, 20_000))]
+#[case::small_limits(r#"{"streams_per_conn":8,"connect_timeout":180,"idle_close":5000,"max_open":500}"#, (8, 180, 4_000, 500))]
+fn limits_of_connections_are_read_from_the_settings(
+    #[case] limits: &str,
+    #[case] expected: (usize, u64, u64, usize),
+) {
     let own = r#"{"send_cap":3,"retry_after":true,"max_retry_after":1000,"connect_timeout":250}"#;
     let limits = Config::read(&changed(SETTINGS, own, limits)).expect("it can be used").limits;
     let ms = |duration: Duration| duration.as_millis() as u64;
@@ -145,16 +153,16 @@
     );
 }
 
-/// Attempts that one connection may carry at once, as the stand-in counts them.
+/// Guards against more concurrent attempts on one engine connection than `streams_per_conn`. The test engine counts them.
 #[test]
-fn connection_to_an_engine_carries_no_more_attempts_than_the_settings_allow() {
+fn engine_connection_carries_no_more_attempts_than_the_settings_allow() {
     let open: Arc<Mutex<BTreeMap<u16, usize>>> = Arc::default();
     let released = Arc::new(AtomicBool::new(false));
     let (counts, ends_connections) = (open.clone(), released.clone());
     let (at, log) = resp_engine_that(move |parts, stream| {
         let from = stream.peer_addr().expect("connected").port();
         match parts[0].as_str() {
-            // No request is answered, so all stay in flight.
+            // The engine answers no request, so all attempts stay in flight.
             "want" => *counts.lock().expect("counts").entry(from).or_default() += 1,
             _ if ends_connections.load(Ordering::SeqCst) => return false,
             _ => {}
@@ -179,14 +187,17 @@
     assert!(open.values().all(|n| *n <= 2), "{open:?}");
 }
 
-/// Where the engine alone grants memory, the gateway requests none, whatever the estimate.
+/// The gateway requests no memory grant where the engine grants memory itself, whatever the estimate of the request is.
 #[rstest]
-#[case::heeded(true, Some("mem=154"))]
-#[case::engine_s_alone(false, None)]
-fn memory_is_granted_only_where_grants_are_heeded(#[case] heeded: bool, #[case] granted: Option<&str>) {
+#[case::grants_applied(true, Some("mem=154"))]
+#[case::grants_ignored(false, None)]
+fn memory_grant_is_sent_only_where_engines_apply_grants(
+    #[case] engines_apply_grants: bool,
+    #[case] granted: Option<&str>,
+) {
     let (at, log) = resp_engine(served);
     let text = config(&[at], "resp", 60_000);
-    let text = changed(&text, r#""grants_count":true"#, &format!(r#""grants_count":{heeded}"#));
+    let text = changed(&text, r#""grants_count":true"#, &format!(r#""grants_count":{engines_apply_grants}"#));
     let gateway = Gateway::start(&text);
     let mut client = gateway.client();
     let fields = [("verb", "lookup"), ("txn", ID), ("limit", "60000"), ("cpu", "820.0"), ("mem", "96")];
@@ -205,14 +216,14 @@
     })
 }
 
-/// Without a retry budget the cap on attempts alone binds; with one, whichever is less.
+/// Without a retry budget only the maximum number of attempts applies; with one, the smaller of both limits.
 #[rstest]
-#[case::five_without_budget(5, false, 5)]
-#[case::two_without_budget(2, false, 2)]
-#[case::five_within_a_budget_of_two(5, true, 3)]
-fn attempts_end_at_the_cap_or_the_budget(
-    #[case] cap: u32,
-    #[case] budget: bool,
+#[case::max_five_without_budget(5, false, 5)]
+#[case::max_two_without_budget(2, false, 2)]
+#[case::max_five_with_a_budget_of_two_retries(5, true, 3)]
+fn attempts_are_limited_by_their_maximum_and_the_retry_budget(
+    #[case] max_attempts: u32,
+    #[case] has_budget: bool,
     #[case] attempts: usize,
     #[values("lookup", "load")] class: &str,
 ) {
@@ -221,26 +232,26 @@
         _ => served(parts),
     });
     let text = at_most_once(&config(&[at], "resp", 60_000));
-    let text = match budget {
-        true => changed(&text, r#""send_cap":3"#, &format!(r#""send_cap":{cap}"#)),
-        false => without_retry_budget(&text, cap),
+    let text = match has_budget {
+        true => changed(&text, r#""send_cap":3"#, &format!(r#""send_cap":{max_attempts}"#)),
+        false => without_retry_budget(&text, max_attempts),
     };
     let gateway = Gateway::start(&text);
     let mut client = gateway.client();
     let fields = [("verb", class), ("txn", ID), ("limit", "60000")];
     client.write_all(&call(1, &fields, "select 1")).expect("sent");
-    assert_eq!(answer(&mut client).1, "overloaded", "nothing ran");
+    assert_eq!(answer(&mut client).1, "overloaded", "no attempt was executed");
     assert_eq!(log.lock().expect("log").iter().filter(|parts| parts[0] == "want").count(), attempts);
 }
 
-/// Load reports arrive with health checks alone on one deployment, with answers as well on another; each field that is
-/// present is read, and an absent one stays absent.
+/// Load reports arrive only with health checks in one deployment, and also with answers in another. Each field that is present is
+/// read, and an absent field stays absent.
 #[rstest]
 #[case::queue_and_util("queue:3;util:0.61", LoadReport { queue: Some(3.0), util: Some(0.61), ..LoadReport::default() })]
 #[case::inflight("inflight:7", LoadReport { inflight: Some(7.0), ..LoadReport::default() })]
 #[case::memory_and_disks("x0:0.4;x1:0.9", LoadReport { memory: Some(0.4), disks: Some(0.9), ..LoadReport::default() })]
-#[case::unknown("latency_ms:5;util:0.5", LoadReport { util: Some(0.5), ..LoadReport::default() })]
-fn load_reports_are_read_from_probes_and_from_answers(
+#[case::unknown_field("latency_ms:5;util:0.5", LoadReport { util: Some(0.5), ..LoadReport::default() })]
+fn load_reports_are_read_from_health_checks_and_from_answers(
     #[case] text: &'static str,
     #[case] expected: LoadReport,
 ) {
@@ -259,10 +270,10 @@
         let mut engines = RespEngines::new(limits, SharedState::new(1), sender);
         let (engine, mut at_once) = (EngineId("s-0".into()), Vec::new());
         engines.check_health(1, &engine, at, &mut at_once);
-        let Some(Event::HealthChecked { number: 1, succeeded: true, report: Some(probed) }) =
+        let Some(Event::HealthChecked { number: 1, succeeded: true, report: Some(checked) }) =
             events.recv().await
         else {
-            panic!("a report")
+            panic!("a successful health check")
         };
         let statement = Statement { name: ID.into(), class: "lookup".into(), ..Statement::default() };
         let send = Send {
@@ -280,23 +291,29 @@
             at: 0.0,
         };
         engines.send(send, &mut at_once);
-        let Some(Event::AttemptEnded(_, end)) = events.recv().await else { panic!("an end") };
-        assert_eq!((probed, end.report, end.work), (expected, Some(expected), Some(5.0)));
+        let Some(Event::AttemptEnded(_, end)) = events.recv().await else { panic!("the end of the attempt") };
+        assert_eq!((checked, end.report, end.work), (expected, Some(expected), Some(5.0)));
         assert!(at_once.is_empty());
     }));
 }
 
-/// Clients receive Retry-After only where the deployment gives it.
+/// Clients receive a Retry-After header only where the deployment's settings enable it.
 #[rstest]
-#[case::given(true, Some("Retry-After: 1"))]
-#[case::not_given(false, None)]
-fn refusal_over_http_advises_only_where_advice_is_given(#[case] given: bool, #[case] advice: Option<&str>) {
+#[case::enabled(true, Some("Retry-After: 1"))]
+#[case::disabled(false, None)]
+fn http_rejection_has_retry_after_only_where_it_is_enabled(
+    #[case] enabled: bool,
+    #[case] header: Option<&str>,
+) {
     let (_listener, at) = refusing();
-    let text =
-        changed(&config(&[at], "resp", 5_000), r#""retry_after":true"#, &format!(r#""retry_after":{given}"#));
+    let text = changed(
+        &config(&[at], "resp", 5_000),
+        r#""retry_after":true"#,
+        &format!(r#""retry_after":{enabled}"#),
+    );
     let gateway = Gateway::start(&text);
     let mut client = gateway.web();
     let (head, _) = ask(&mut client, "POST / HTTP/1.1\r\nContent-Length: 8\r\n\r\nselect 1");
     assert!(head.starts_with("HTTP/1.1 503"), "{head}");
-    assert_eq!(head.lines().find(|line| line.starts_with("Retry-After")), advice);
+    assert_eq!(head.lines().find(|line| line.starts_with("Retry-After")), header);
 }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,7 +1,8 @@
-//! What the gateway asked service discovery is heard, whatever happens between the question and its answer.
+//! Responses of the name service are applied although reloads, relocations of the service, failed system calls or pauses of
+//! the process fall between a poll and its response.
 //!
-//! Each gateway starts with the engine `s-0`. Version 2 of the list says that it drains and names `s-1`: the list was heard
-//! once a request arrives at `s-1`.
+//! Each gateway starts with the engine `s-0`. Version 2 of the endpoint list marks `s-0` as draining and adds `s-1`: version 2
+//! is in use once a request arrives at `s-1`.
 
 mod stand;
 
@@ -15,172 +16,178 @@
 use std::thread;
 use std::time::Duration;
 
-/// Rounds of a question, its answer and a request, after which the list should long have been heard.
+/// Maximum number of rounds, each of a poll, its response and a request, until the gateway must use version 2 of the list.
 const ROUNDS: usize = 20;
 
-struct Bed {
+struct Setup {
     gateway: Gateway,
-    before: SocketAddr,
-    after: SocketAddr,
-    after_log: Log,
-    asked: usize,
+    draining: SocketAddr,
+    added: SocketAddr,
+    added_log: Log,
+    requests: usize,
 }
 
-impl Bed {
-    /// A gateway that asks that service.
+impl Setup {
+    /// Starts a gateway that polls the given name service.
     fn start(names: SocketAddr) -> Self {
-        Self::start_by(names, Gateway::start)
+        Self::start_gateway_with(names, Gateway::start)
     }
 
-    fn start_by(names: SocketAddr, start: impl FnOnce(&str) -> Gateway) -> Self {
-        let (before, _) = resp_engine(served);
-        let (after, after_log) = resp_engine(served);
-        let gateway = start(&with_names(&config(&[before], "resp", 20_000), names));
-        Self { gateway, before, after, after_log, asked: 0 }
+    fn start_gateway_with(names: SocketAddr, start: impl FnOnce(&str) -> Gateway) -> Self {
+        let (draining, _) = resp_engine(served);
+        let (added, added_log) = resp_engine(served);
+        let gateway = start(&with_name_service(&config(&[draining], "resp", 20_000), names));
+        Self { gateway, draining, added, added_log, requests: 0 }
     }
 
     fn version_2(&self) -> [(&'static str, SocketAddr, bool); 2] {
-        [("s-0", self.before, true), ("s-1", self.after, false)]
+        [("s-0", self.draining, true), ("s-1", self.added, false)]
     }
 
-    /// Makes a request; whether version 2 of the list is in use.
-    fn has_heard(&mut self) -> bool {
-        self.asked += 1;
-        is_served(self.gateway.client(), self.asked);
-        self.after_log.lock().expect("log").iter().any(|command| command[0] == "want")
+    /// Sends a request that must be served. Returns whether the gateway uses version 2 of the list.
+    fn uses_version_2(&mut self) -> bool {
+        self.requests += 1;
+        is_served(self.gateway.client(), self.requests);
+        self.added_log.lock().expect("log").iter().any(|command| command[0] == "want")
     }
 
-    /// The service is at another address from the next reload on.
-    fn move_to(&self, names: SocketAddr) {
-        let text = with_names(&config(&[self.before], "resp", 20_000), names);
+    /// Writes another address of the name service to the configuration file, for the next reload.
+    fn relocate(&self, names: SocketAddr) {
+        let text = with_name_service(&config(&[self.draining], "resp", 20_000), names);
         let new = self.gateway.file.with_extension("new");
         std::fs::write(&new, text).expect("a file");
         std::fs::rename(&new, &self.gateway.file).expect("renamed");
     }
 
-    /// Sends SIGHUP, and returns once it is handled: what is asked after the signal is answered after the reload.
+    /// Sends SIGHUP, and returns once it is handled: requests sent after the signal are answered after the reload.
     fn reload(&mut self) {
         self.gateway.signal("-HUP");
         for _ in 0..2 {
-            self.has_heard();
+            self.uses_version_2();
         }
     }
 }
 
-fn with_names(config: &str, names: SocketAddr) -> String {
+fn with_name_service(config: &str, names: SocketAddr) -> String {
     changed(config, r#""seed":"7""#, &format!(r#""seed":"7","names":"{names}""#))
 }
 
-/// SIGHUP with an unchanged file comes between each question and its answer.
+/// Guards against a reload that discards outstanding polls: SIGHUP with an unchanged file arrives between each poll and its
+/// response.
 #[test]
-fn reload_that_changes_nothing_leaves_open_questions_open() {
+fn reload_with_an_unchanged_file_keeps_outstanding_polls() {
     let service = ScriptedService::start();
-    let mut bed = Bed::start(service.address);
+    let mut setup = Setup::start(service.address);
     for _ in 0..ROUNDS {
-        let question = service.next();
-        bed.reload();
-        service.answer(&question, 2, &bed.version_2());
-        if bed.has_heard() {
-            return ends_well(&mut bed.gateway);
+        let poll = service.next();
+        setup.reload();
+        service.answer(&poll, 2, &setup.version_2());
+        if setup.uses_version_2() {
+            return ends_well(&mut setup.gateway);
         }
     }
-    panic!("{ROUNDS} answers were not heard");
+    panic!("{ROUNDS} responses were not applied");
 }
 
-/// Each question is answered only once eight later ones were sent.
+/// Guards against discarding a response because later polls were sent: each poll is answered only after eight later ones.
 #[test]
-fn answers_that_come_after_many_further_questions_are_heard() {
-    const BEHIND: usize = 8;
+fn responses_that_arrive_after_many_later_polls_are_applied() {
+    const LATER_POLLS: usize = 8;
     let service = ScriptedService::start();
-    let mut bed = Bed::start(service.address);
-    let mut waiting = VecDeque::new();
-    for _ in 0..ROUNDS + BEHIND {
-        waiting.push_back(service.next());
-        if waiting.len() > BEHIND {
-            let question = waiting.pop_front().expect("there are many");
-            service.answer(&question, 2, &bed.version_2());
+    let mut setup = Setup::start(service.address);
+    let mut pending = VecDeque::new();
+    for _ in 0..ROUNDS + LATER_POLLS {
+        pending.push_back(service.next());
+        if pending.len() > LATER_POLLS {
+            let poll = pending.pop_front().expect("more than eight are pending");
+            service.answer(&poll, 2, &setup.version_2());
         }
-        if bed.has_heard() {
-            return ends_well(&mut bed.gateway);
+        if setup.uses_version_2() {
+            return ends_well(&mut setup.gateway);
         }
     }
-    panic!("{ROUNDS} answers were not heard");
+    panic!("{ROUNDS} responses were not applied");
 }
 
-/// The service moves between each question and its answer, back and forth between two good ones.
+/// Guards against a relocation of the name service that discards outstanding polls: reloads switch between two working
+/// addresses, each time between a poll and its response.
 #[test]
-fn moves_of_the_service_leave_open_questions_open() {
+fn relocations_of_the_name_service_keep_outstanding_polls() {
     let services = [ScriptedService::start(), ScriptedService::start()];
-    let mut bed = Bed::start(services[0].address);
+    let mut setup = Setup::start(services[0].address);
     for round in 0..ROUNDS {
         let (present, next) = (&services[round % 2], &services[(round + 1) % 2]);
-        let question = present.next();
-        bed.move_to(next.address);
-        bed.reload();
-        present.answer(&question, 2, &bed.version_2());
-        if bed.has_heard() {
-            return ends_well(&mut bed.gateway);
+        let poll = present.next();
+        setup.relocate(next.address);
+        setup.reload();
+        present.answer(&poll, 2, &setup.version_2());
+        if setup.uses_version_2() {
+            return ends_well(&mut setup.gateway);
         }
     }
-    panic!("{ROUNDS} answers were not heard");
+    panic!("{ROUNDS} responses were not applied");
 }
 
-/// The service moves while no socket can be had: it is asked with what there is.
+/// Guards against a gateway that stops polling when the name service is relocated while every call of `socket` fails: the
+/// new address is polled through a socket that is already open.
 #[test]
-fn service_that_moves_while_sockets_fail_is_asked() {
+fn relocated_name_service_is_polled_while_no_socket_can_be_opened() {
     let services = [ScriptedService::start(), ScriptedService::start()];
     let faults = Faults::new("seed=5,socket=1");
-    let mut bed = Bed::start_by(services[0].address, |config| Gateway::start_with_faults(config, &faults));
-    let question = services[0].next();
-    services[0].answer(&question, 1, &[("s-0", bed.before, false)]);
+    let mut setup =
+        Setup::start_gateway_with(services[0].address, |config| Gateway::start_with_faults(config, &faults));
+    let poll = services[0].next();
+    services[0].answer(&poll, 1, &[("s-0", setup.draining, false)]);
     faults.begin();
-    bed.move_to(services[1].address);
-    bed.gateway.signal("-HUP");
-    let question = services[1].next();
-    services[1].answer(&question, 2, &bed.version_2());
+    setup.relocate(services[1].address);
+    setup.gateway.signal("-HUP");
+    let poll = services[1].next();
+    services[1].answer(&poll, 2, &setup.version_2());
     faults.end();
     for _ in 0..ROUNDS {
-        if bed.has_heard() {
-            return ends_well(&mut bed.gateway);
+        if setup.uses_version_2() {
+            return ends_well(&mut setup.gateway);
         }
-        let question = services[1].next();
-        services[1].answer(&question, 2, &bed.version_2());
+        let poll = services[1].next();
+        services[1].answer(&poll, 2, &setup.version_2());
     }
-    panic!("{ROUNDS} answers were not heard");
+    panic!("{ROUNDS} responses were not applied");
 }
 
-/// Questions and answers that are interrupted, and questions that find no route for a moment, delay the list and no more.
+/// Guards against a temporary failure of system calls that ends polling: calls are interrupted, and half of the calls of
+/// `socket` and `connect` fail for a while. The list may arrive later, but must be applied.
 #[test]
-fn list_is_heard_where_calls_on_its_sockets_fail_for_a_moment() {
+fn list_is_applied_although_calls_on_its_sockets_fail_for_a_while() {
     let service = ScriptedService::start();
     let faults = Faults::new("seed=6,interrupt=0.5,connect=0.5,socket=0.5");
-    let mut bed = Bed::start_by(service.address, |config| Gateway::start_with_faults(config, &faults));
+    let mut setup =
+        Setup::start_gateway_with(service.address, |config| Gateway::start_with_faults(config, &faults));
     faults.begin();
     for _ in 0..ROUNDS {
-        let question = service.next();
-        service.answer(&question, 2, &bed.version_2());
+        let poll = service.next();
+        service.answer(&poll, 2, &setup.version_2());
     }
     faults.end();
-    assert!((0..ROUNDS).any(|_| bed.has_heard()), "the list was never heard");
-    ends_well(&mut bed.gateway);
+    assert!((0..ROUNDS).any(|_| setup.uses_version_2()), "the list was never applied");
+    ends_well(&mut setup.gateway);
 }
 
-/// The list is relied on until what happened since it was confirmed counts as told, and for this grace.
+/// Drain grace of 100 ms: a list remains valid until changes after its confirmation count as notified, plus this grace.
 const SHORT_GRACE: &str = r#""drain_grace":100"#;
 
 fn with_short_grace(names: SocketAddr, config: &str) -> String {
-    changed(&with_names(config, names), r#""drain_grace":2000"#, SHORT_GRACE)
+    changed(&with_name_service(config, names), r#""drain_grace":2000"#, SHORT_GRACE)
 }
 
-/// The process stands still for longer than the list may be relied on; an engine begins to drain meanwhile, and many clients
-/// ask. What the clients sent is read before the list is asked for again, and none of it goes to that engine.
+/// Guards against sending by a list that expired while the process was stopped: an engine begins to drain during the pause, and
+/// many clients send requests. The gateway reads them before it polls again, and must send none of them to that engine.
 #[test]
-fn nothing_goes_to_an_engine_that_began_to_drain_while_the_process_stood_still() {
+fn nothing_is_sent_to_an_engine_that_began_to_drain_while_the_process_was_stopped() {
     const CLIENTS: usize = 40;
-    let (first, drains_log) = resp_engine(served);
+    let (first, first_log) = resp_engine(served);
     let (second, _) = resp_engine(served);
-    let (names, said) = list_service();
-    *said.lock().expect("said") = Some((1, vec![("s-0", first, false), ("s-1", second, false)]));
+    let (names, list) = list_service();
+    *list.lock().expect("list") = Some((1, vec![("s-0", first, false), ("s-1", second, false)]));
     let mut gateway =
         Gateway::start(&with_short_grace(names, &never_late(&config(&[first, second], "resp", 60_000))));
     let mut clients: Vec<_> = (0..CLIENTS).map(|_| gateway.client()).collect();
@@ -188,21 +195,21 @@
         client.write_all(&lookup(1, n)).expect("sent");
         assert_eq!(answer(client).1, "served");
     }
-    let before = attempts(&drains_log).len();
+    let before = attempts(&first_log).len();
     assert!(before > 0, "both engines are used");
     gateway.stop();
-    *said.lock().expect("said") = Some((2, vec![("s-0", first, true), ("s-1", second, false)]));
+    *list.lock().expect("list") = Some((2, vec![("s-0", first, true), ("s-1", second, false)]));
     for (n, client) in clients.iter_mut().enumerate() {
         client.write_all(&lookup(2, CLIENTS + n)).expect("sent");
     }
-    // The length of the pause is what is tested.
+    // The pause has to outlast the validity of the list.
     thread::sleep(Duration::from_millis(2_500));
     gateway.resume();
     for client in &mut clients {
         let kind = answer(client).1;
         assert!(matches!(kind, "served" | "overloaded"), "{kind}");
     }
-    assert_eq!(attempts(&drains_log).len(), before, "sent to an engine that drains");
+    assert_eq!(attempts(&first_log).len(), before, "sent to a draining engine");
     until_true(|| {
         let mut client = gateway.client();
         client.write_all(&lookup(1, 10_000)).expect("sent");
@@ -211,12 +218,12 @@
     ends_well(&mut gateway);
 }
 
-/// The service is silent before a pause of the process and silent again after it. It may have been back in between, and an engine
-/// may have begun to drain: nothing is sent until the list is confirmed.
+/// Guards against relying on a list across a pause of the process: the name service does not answer before and after the pause,
+/// but may have published a drain in between. Nothing is sent until the list is confirmed again.
 #[test]
-fn nothing_is_sent_after_a_pause_within_a_silence_of_the_service() {
+fn nothing_is_sent_after_a_pause_until_a_silent_name_service_answers() {
     const CLIENTS: usize = 12;
-    const POLLS_OF_A_SILENCE: usize = 5;
+    const UNANSWERED_POLLS: usize = 5;
     let (first, first_log) = resp_engine(served);
     let (second, second_log) = resp_engine(served);
     let service = ScriptedService::start();
@@ -225,74 +232,78 @@
     service.answer(&service.next(), 1, &[("s-0", first, false), ("s-1", second, false)]);
     let mut clients = Vec::new();
     for n in 0..CLIENTS {
-        // The list stays confirmed, however slow the machine is.
+        // Confirms the list for each client, so that a slow machine does not let it expire.
         service.answer(&service.next(), 1, &[("s-0", first, false), ("s-1", second, false)]);
         let mut client = gateway.client();
         client.write_all(&lookup(1, n)).expect("sent");
         assert_eq!(answer(&mut client).1, "served");
         clients.push(client);
     }
-    (0..POLLS_OF_A_SILENCE).for_each(|_| drop(service.next()));
+    (0..UNANSWERED_POLLS).for_each(|_| drop(service.next()));
     gateway.stop();
     service.discard_questions();
-    let sent = || (attempts(&first_log).len(), attempts(&second_log).len());
-    let before = sent();
+    let sent_counts = || (attempts(&first_log).len(), attempts(&second_log).len());
+    let before = sent_counts();
     for (n, client) in clients.iter_mut().enumerate() {
         client.write_all(&lookup(2, CLIENTS + n)).expect("sent");
     }
-    // The length of the pause is what is tested.
+    // The pause has to outlast the validity of the list.
     thread::sleep(Duration::from_millis(2_500));
     gateway.resume();
-    (0..POLLS_OF_A_SILENCE).for_each(|_| drop(service.next()));
-    assert_eq!(sent(), before, "sent by a list that may be out of date");
+    (0..UNANSWERED_POLLS).for_each(|_| drop(service.next()));
+    assert_eq!(sent_counts(), before, "sent by a list that may be outdated");
     service.answer(&service.next(), 2, &[("s-0", first, true), ("s-1", second, false)]);
     for client in &mut clients {
         let kind = answer(client).1;
         assert!(matches!(kind, "served" | "overloaded"), "{kind}");
     }
-    assert_eq!(sent().0, before.0, "sent to an engine that drains");
+    assert_eq!(sent_counts().0, before.0, "sent to a draining engine");
     ends_well(&mut gateway);
 }
 
-/// A service that is silent for longer than the rule on drains allows: new work waits for its word. It is back, and all goes on.
+/// Guards against relying on an expired list: the name service stops answering for longer than the drain rule allows, and
+/// requests are rejected until it answers again.
 #[test]
-fn list_that_is_older_than_the_rule_allows_is_not_relied_on() {
+fn expired_list_is_not_used_until_it_is_confirmed() {
     let (at, _) = resp_engine(served);
-    let (names, said) = list_service();
-    *said.lock().expect("said") = Some((1, vec![("s-0", at, false)]));
+    let (names, list) = list_service();
+    *list.lock().expect("list") = Some((1, vec![("s-0", at, false)]));
     let mut gateway = Gateway::start(&with_short_grace(names, &config(&[at], "resp", 20_000)));
-    let becomes = |wanted: &str| {
+    let until_answered = |kind: &str| {
         until_true(|| {
             let mut client = gateway.client();
             client.write_all(&lookup(1, 1)).expect("sent");
-            answer(&mut client).1 == wanted
+            answer(&mut client).1 == kind
         });
     };
-    becomes("served");
-    *said.lock().expect("said") = None;
-    becomes("overloaded");
-    *said.lock().expect("said") = Some((1, vec![("s-0", at, false)]));
-    becomes("served");
+    until_answered("served");
+    *list.lock().expect("list") = None;
+    until_answered("overloaded");
+    *list.lock().expect("list") = Some((1, vec![("s-0", at, false)]));
+    until_answered("served");
     ends_well(&mut gateway);
 }
 
-/// One engine of the list has no address: what is told of the others counts.
+/// Guards against rejecting a whole list for one incomplete entry: one engine has no address, the other entries must apply.
 #[test]
-fn list_that_names_an_engine_without_an_address_is_heard() {
+fn list_with_an_engine_without_an_address_is_applied_to_the_others() {
     let service = ScriptedService::start();
-    let mut bed = Bed::start(service.address);
-    let [drains, live] = bed.version_2();
+    let mut setup = Setup::start(service.address);
+    let [drains, live] = setup.version_2();
     for _ in 0..ROUNDS {
-        let question = service.next();
-        let mut bytes = names_answer_of(&question.bytes, 2, &[drains, live, ("s-2", bed.after, false)]);
-        // The type of its address record becomes one that nobody knows.
-        let owner = b"\x03s-2\x01a\x05hosts\0\0\x01";
-        let at = bytes.windows(owner.len()).rposition(|window| window == owner).expect("its address");
-        bytes[at + owner.len() - 1] = 99;
-        service.send(&question, &bytes);
-        if bed.has_heard() {
-            return ends_well(&mut bed.gateway);
+        let poll = service.next();
+        let mut bytes = names_answer_of(&poll.bytes, 2, &[drains, live, ("s-2", setup.added, false)]);
+        // Changes the type of the engine's address record to an unknown one.
+        let owner_and_type = b"\x03s-2\x01a\x05hosts\0\0\x01";
+        let at = bytes
+            .windows(owner_and_type.len())
+            .rposition(|window| window == owner_and_type)
+            .expect("its address record");
+        bytes[at + owner_and_type.len() - 1] = 99;
+        service.send(&poll, &bytes);
+        if setup.uses_version_2() {
+            return ends_well(&mut setup.gateway);
         }
     }
-    panic!("{ROUNDS} answers were not heard");
+    panic!("{ROUNDS} responses were not applied");
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,6 @@
-//! Two hundred reducers before one fleet of simulated engines, in virtual time and on one seed: what no gateway can observe alone,
-//! the sums over all of them, keeps the rules while engines drain, begin in slow start and fall silent, and gateways are killed.
+//! Two hundred gateway cores with one fleet of simulated engines, in virtual time and with a fixed seed. Sums over all gateways,
+//! which no gateway can observe alone, keep the rules while engines drain, join in slow start or stop answering, and while
+//! gateways are killed.
 
 mod common;
 mod simulated_engine;
@@ -18,7 +19,7 @@
 
 const SEED: u64 = 5;
 const GATEWAYS: usize = 200;
-/// The engines at the start. The first one drains; the one after the last joins in slow start.
+/// Number of engines at the start. The first one drains; one more joins in slow start.
 const ENGINES: usize = 24;
 const DRAINING_ENGINE: usize = 0;
 const SILENT_ENGINE: usize = 3;
@@ -33,19 +34,19 @@
 const LAST_REQUEST_AT: Milliseconds = BEGIN + 14_000.0;
 const END: Milliseconds = BEGIN + 35_000.0;
 
-/// Changes of the list reach gateways within this time.
+/// Maximum time until a change of the endpoint list reaches a gateway.
 const MAX_NOTIFICATION_DELAY: Milliseconds = 1_500.0;
 const DRAIN_GRACE: Milliseconds = 2_000.0;
-/// The retry budget.
-const FREE_RETRIES: f64 = 2.0;
-const RETRIES_PER_REQUEST: f64 = 0.2;
-const RETRY_SPAN: Milliseconds = 10_000.0;
-/// The slow start: the share of the capacity at the start, its duration, and the multiple of the capacity over a span above which
-/// an engine collapses.
-const SLOW_START_FROM: f64 = 0.3;
+/// The retry budget: a minimum number of retries and a ratio of the requests, within a window.
+const MIN_RETRIES: f64 = 2.0;
+const RETRY_RATIO: f64 = 0.2;
+const RETRY_WINDOW: Milliseconds = 10_000.0;
+/// The slow start: the share of the capacity that an engine has at first, the time until it has all, and the multiple of the
+/// capacity above which work that is sent within a window makes the engine collapse.
+const INITIAL_SLOW_START_SHARE: f64 = 0.3;
 const SLOW_START_DURATION: Milliseconds = 15_000.0;
 const COLLAPSE_MULTIPLE: f64 = 3.0;
-const COLLAPSE_SPAN: Milliseconds = 2_000.0;
+const COLLAPSE_WINDOW: Milliseconds = 2_000.0;
 
 /// A request that a running gateway received.
 struct ReceivedRequest {
@@ -61,7 +62,7 @@
     incarnation: u32,
     events: Vec<Event>,
     requests: BTreeMap<RequestId, ReceivedRequest>,
-    /// When it receives each change of the list, and how many it has received.
+    /// Time at which the gateway receives each change of the list, and the number of changes received so far.
     notified_at: [Milliseconds; 2],
     notified: usize,
     received_at: Vec<Milliseconds>,
@@ -75,9 +76,9 @@
             gateways: GATEWAYS,
             gateway_index: Some(index as u64),
             retry_budget: Some(RetryBudgetSettings {
-                min_retries: FREE_RETRIES,
-                retry_ratio: RETRIES_PER_REQUEST,
-                window: RETRY_SPAN,
+                min_retries: MIN_RETRIES,
+                retry_ratio: RETRY_RATIO,
+                window: RETRY_WINDOW,
             }),
             drain_grace: DRAIN_GRACE,
             may_cancel: true,
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Hands the list changes that are due to the reducer.
+    /// Adds the events of the list changes that are due.
     fn receive_lists(&mut self, now: Milliseconds) {
         while self.notified < self.notified_at.len() && now >= self.notified_at[self.notified] {
             self.notified += 1;
@@ -113,7 +114,7 @@
         self.events.push(Event::RequestReceived(ClientRequest { details, statement }));
     }
 
-    /// Handles its events and due timers.
+    /// Handles the gateway's pending events and due timers, and returns the effects.
     fn handle_events(&mut self, now: Milliseconds) -> Vec<Effect> {
         let mut effects = Vec::new();
         if self.events.is_empty() && self.core.next_due().is_none_or(|at| at > now) {
@@ -129,14 +130,14 @@
         self.requests.entry(attempt.request).and_modify(|request| request.in_flight -= 1);
     }
 
-    /// Checks that its retries keep to the budget.
+    /// Checks that the gateway's retries stayed within the retry budget at all times.
     fn check_retry_budget(&self) {
         for (index, at) in self.retried_at.iter().enumerate() {
-            let retries = self.retried_at[..=index].iter().filter(|time| **time > at - RETRY_SPAN).count();
-            let is_recent = |time: &&Milliseconds| **time > at - RETRY_SPAN && *time <= at;
+            let retries = self.retried_at[..=index].iter().filter(|time| **time > at - RETRY_WINDOW).count();
+            let is_recent = |time: &&Milliseconds| **time > at - RETRY_WINDOW && *time <= at;
             let requests = self.received_at.iter().filter(is_recent).count();
-            let budget = FREE_RETRIES + RETRIES_PER_REQUEST * requests as f64;
-            assert!(retries as f64 <= budget, "{retries} further attempts for {requests} taken");
+            let budget = MIN_RETRIES + RETRY_RATIO * requests as f64;
+            assert!(retries as f64 <= budget, "{retries} retries for {requests} received requests");
         }
     }
 }
@@ -145,7 +146,8 @@
     EngineId(format!("s-{number:02}").into())
 }
 
-/// The list after so many changes: at the start, with the first engine draining, and with a new one that has just started.
+/// Returns the endpoint list after a number of changes: 0 for the list at the start, 1 once the first engine drains, 2 once the
+/// new engine has also joined.
 fn list_event(changes: usize) -> Event {
     let engine = |number: usize| {
         let drains = number == DRAINING_ENGINE && changes > 0;
@@ -165,9 +167,9 @@
     Event::EndpointList { version: 1 + changes as u64, endpoints: engines.map(engine).collect() }
 }
 
-/// The share of its capacity that the engine in slow start has.
+/// Returns the share of its capacity that the engine in slow start has.
 fn slow_start_share(now: Milliseconds) -> f64 {
-    SLOW_START_FROM + (1.0 - SLOW_START_FROM) * (now - STARTED_AT) / SLOW_START_DURATION
+    INITIAL_SLOW_START_SHARE + (1.0 - INITIAL_SLOW_START_SHARE) * (now - STARTED_AT) / SLOW_START_DURATION
 }
 
 /// Work that was sent to the engine in slow start.
@@ -184,7 +186,7 @@
     engines: BTreeMap<EngineId, SimulatedEngine>,
     next_request: u64,
     sent_to_starting: Vec<SentWork>,
-    /// The most threads for each core while all gateways begin.
+    /// Maximum number of threads per core during the busy period at the start.
     max_initial_threads_per_core: f64,
     sends: usize,
     served: u64,
@@ -230,7 +232,7 @@
         }
         for index in 0..GATEWAYS {
             self.gateways[index].receive_lists(now);
-            self.draw_request(index, now);
+            self.generate_request(index, now);
             for effect in self.gateways[index].handle_events(now) {
                 self.perform(index, effect, now);
             }
@@ -256,7 +258,8 @@
                 continue;
             }
             let is_starting = number == STARTING_ENGINE;
-            let share = if is_starting { slow_start_share(now).clamp(SLOW_START_FROM, 1.0) } else { 1.0 };
+            let share =
+                if is_starting { slow_start_share(now).clamp(INITIAL_SLOW_START_SHARE, 1.0) } else { 1.0 };
             let util = Some((engine.utilization * 20.0).round() / 20.0);
             for finished in engine.advance(CORES * share) {
                 let ExecutionId { gateway, incarnation, attempt } = finished.id;
@@ -281,8 +284,9 @@
         self.max_initial_threads_per_core = self.max_initial_threads_per_core.max(threads_per_core);
     }
 
-    /// Three queries a second at each gateway, one in ten of them long, are 0.6 of the fleet's capacity; 1.5 at first.
-    fn draw_request(&mut self, index: usize, now: Milliseconds) {
+    /// Generates a request at random. Each gateway receives three queries a second, one in ten of them long, which takes 0.6 of the
+    /// fleet's capacity. During the busy period at the start, the load is 1.5 times the capacity.
+    fn generate_request(&mut self, index: usize, now: Milliseconds) {
         let rate = if now < BUSY_UNTIL { 7.5 } else { 3.0 };
         if now >= LAST_REQUEST_AT || self.rng.f64() >= rate * STEP / 1_000.0 {
             return;
@@ -329,13 +333,13 @@
     fn send(&mut self, index: usize, send: &Send, now: Milliseconds) {
         let id = self.execution_id(index, send.id);
         let gateway = &mut self.gateways[index];
-        let drain_ends = gateway.notified_at[0] + DRAIN_GRACE;
-        let is_drained = send.engine == engine_id(DRAINING_ENGINE) && now > drain_ends;
-        assert!(!is_drained, "{now}: sent to an engine that drains");
+        let grace_ends = gateway.notified_at[0] + DRAIN_GRACE;
+        let is_past_grace = send.engine == engine_id(DRAINING_ENGINE) && now > grace_ends;
+        assert!(!is_past_grace, "{now}: sent to a draining engine after the drain grace");
         let request = gateway.requests.get_mut(&send.id.request).expect("received");
         request.in_flight += 1;
         let state = (request.in_flight, request.answers);
-        assert_eq!(state, (1, 0), "{now}: two attempts, or one after the answer");
+        assert_eq!(state, (1, 0), "{now}: two attempts in flight, or an attempt after the answer");
         if send.id.number > 0 {
             gateway.retried_at.push(now);
         }
@@ -363,37 +367,48 @@
         self.gateways[index].events.push(Event::HealthChecked { number, succeeded: true, report });
     }
 
-    /// Checks that the engine in slow start received no more work over any span than it withstands.
+    /// Checks that the work sent to the engine in slow start within any window stays below the limit at which it collapses.
     fn check_slow_start_budget(&self) {
         let work_within = |from: Milliseconds| -> f64 {
-            let within =
-                self.sent_to_starting.iter().filter(|sent| sent.at >= from && sent.at < from + COLLAPSE_SPAN);
+            let within = self
+                .sent_to_starting
+                .iter()
+                .filter(|sent| sent.at >= from && sent.at < from + COLLAPSE_WINDOW);
             within.map(|sent| sent.work).sum()
         };
         for sent in &self.sent_to_starting {
             let share = slow_start_share(sent.at).min(1.0);
-            let budget = COLLAPSE_MULTIPLE * share * CORES * COLLAPSE_SPAN;
+            let budget = COLLAPSE_MULTIPLE * share * CORES * COLLAPSE_WINDOW;
             let work = work_within(sent.at);
-            assert!(work <= budget, "a cold engine got {work:.0} of {budget:.0} core ms");
+            assert!(
+                work <= budget,
+                "the engine in slow start received {work:.0} core ms, the limit is {budget:.0}"
+            );
         }
     }
 }
 
+/// Guards against limits that hold for each gateway but are exceeded by the sum: overload while all gateways start, work for an
+/// engine in slow start, sends to a draining engine, and retries.
 #[test]
-fn what_two_hundred_gateways_do_together_keeps_drains_the_cold_budget_and_the_ration() {
+fn two_hundred_gateways_together_keep_drains_slow_start_and_retry_budgets() {
     let mut fleet = Fleet::new();
     fleet.run();
     let requests = fleet.gateways.iter().flat_map(|gateway| gateway.requests.values());
     let unanswered = requests.filter(|request| request.answers != 1).count();
-    assert_eq!(unanswered, 0, "each gets one final answer");
+    assert_eq!(unanswered, 0, "each request gets exactly one answer");
     for gateway in &fleet.gateways {
         gateway.check_retry_budget();
     }
     fleet.check_slow_start_budget();
-    // 15, and 1,104 served, where each gateway begins by taking itself for most of the traffic.
+    // If each gateway assumes at its start that it sends most of the traffic, there are 15 threads per core, and 1,104 requests
+    // are served.
     let threads = fleet.max_initial_threads_per_core;
-    assert!(threads < 5.0, "{threads:.2} threads a core while all begin");
+    assert!(threads < 5.0, "{threads:.2} threads per core while all gateways start");
     let (to_starting, sends, served) = (fleet.sent_to_starting.len(), fleet.sends, fleet.served);
-    assert!(to_starting > 0 && sends > 4_000, "{to_starting} to the cold engine, {sends} in all");
-    assert!(served > 5_400, "{served} of {} were served", fleet.next_request);
+    assert!(
+        to_starting > 0 && sends > 4_000,
+        "{to_starting} sends to the engine in slow start, {sends} in total"
+    );
+    assert!(served > 5_400, "{served} of {} requests were served", fleet.next_request);
 }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,4 +1,5 @@
-//! The folder that the processes of a gateway share, with several of them in one test process: locks are by open file.
+//! The folder that the processes of a gateway share. Several of these processes are simulated in one test process, which works
+//! because the locks belong to open files, not to processes.
 
 use rstest::rstest;
 use starlingplank::net::hot_restart::{ChangeError, HotRestart};
@@ -18,12 +19,13 @@
     KeySend { at, window: WINDOW }
 }
 
+/// Returns whether two records agree, apart from clock differences below 50 ms.
 fn near(a: &KeySends, b: &KeySends) -> bool {
     (a.first - b.first).abs() < 50.0 && (a.last - b.last).abs() < 50.0 && a.window == b.window
 }
 
 #[test]
-fn processes_see_how_far_the_others_are_and_when_they_end() {
+fn processes_observe_the_stages_and_exits_of_their_peers() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("shared");
     let mut first = open(&path);
@@ -47,9 +49,10 @@
     assert!(!left.iter().any(|name| name.to_string_lossy().ends_with("0001")), "{left:?}");
 }
 
-/// A repeat on the successor keeps to the window of the predecessor's send, whether it lives, left, or was killed.
+/// Guards against a repeated key that runs twice: a successor applies the deduplication window of sends by its predecessors,
+/// whether these still run, have exited or were killed.
 #[test]
-fn keys_sent_by_one_process_bind_the_next_and_the_one_after_it() {
+fn sent_keys_reach_all_later_processes() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("shared");
     let key = deduplication_window::key("k1");
@@ -61,11 +64,11 @@
         heard.len() == 1 && heard[0].0 == key && near(&heard[0].1, &KeySends::single(sent(NOW))),
         "{heard:?}"
     );
-    // One that is sent while both run is heard as well, and once.
+    // A key that is sent while both processes run is returned as well, once.
     first.record(deduplication_window::key("k2"), sent(NOW + 20.0)).expect("recorded");
     assert_eq!(second.peer_keys(NOW + 30.0).len(), 1);
     assert_eq!(second.peer_keys(NOW + 30.0).len(), 0);
-    // Written by a process that is killed before anybody looks.
+    // This key is written by a process that is killed before its peer polls again.
     first.record(deduplication_window::key("k3"), sent(NOW + 40.0)).expect("recorded");
     drop(first);
     assert_eq!(second.observe(NOW + 50.0).keys.len(), 1);
@@ -76,7 +79,7 @@
         heard.iter().map(|(k, _)| *k).collect::<Vec<_>>(),
         ["k1", "k2", "k3"].map(deduplication_window::key)
     );
-    // The deduplication window rejects what would run twice.
+    // The deduplication window rejects a key that would run twice.
     let mut deduplication = DeduplicationWindow::in_memory();
     heard.into_iter().for_each(|(k, sends)| deduplication.merge_peer_sends(k, sends, NOW + 60.0));
     let late = NOW + WINDOW - 1.0;
@@ -91,13 +94,13 @@
 }
 
 #[test]
-fn file_of_keys_stays_small_and_what_holds_is_in_it() {
+fn key_file_stays_small_and_holds_all_unexpired_keys() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("shared");
     let mut first = open(&path);
     let mut second = open(&path);
     let mut heard = 0;
-    // A load each 50 ms for an hour of this clock: 240 hold at a time.
+    // One load every 50 ms for an hour of simulated time: 240 keys are unexpired at any time.
     for n in 0..72_000_u32 {
         let at = NOW + f64::from(n) * 50.0;
         first.record(deduplication_window::key(&n.to_string()), sent(at)).expect("recorded");
@@ -114,7 +117,7 @@
 }
 
 #[test]
-fn calls_are_kept_for_the_next_process_and_followed_by_the_other() {
+fn operator_overrides_reach_peers_and_successors() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("shared");
     let mut first = open(&path);
@@ -133,14 +136,15 @@
     assert_eq!(third.overrides().excluded().collect::<Vec<_>>(), ["s-1", "s-2"]);
 }
 
-/// What cannot be read costs its knowledge, never the start; a later call writes a whole file again.
+/// Guards against a start that fails on unreadable files: only their contents are lost, and a later change of the overrides
+/// writes a complete file again.
 #[rstest]
 #[case::empty(|_: &[u8]| Vec::new())]
-#[case::torn(|bytes: &[u8]| bytes[..bytes.len() - 3].to_vec())]
-#[case::changed(|bytes: &[u8]| { let mut b = bytes.to_vec(); b[22] ^= 1; b })]
-#[case::newer(|bytes: &[u8]| { let mut b = bytes.to_vec(); b[8] = 9; b })]
-#[case::huge(|_: &[u8]| vec![7; 5 << 20])]
-fn files_that_cannot_be_read_cost_no_start(#[case] spoil: fn(&[u8]) -> Vec<u8>) {
+#[case::truncated(|bytes: &[u8]| bytes[..bytes.len() - 3].to_vec())]
+#[case::corrupted(|bytes: &[u8]| { let mut b = bytes.to_vec(); b[22] ^= 1; b })]
+#[case::newer_format(|bytes: &[u8]| { let mut b = bytes.to_vec(); b[8] = 9; b })]
+#[case::oversized(|_: &[u8]| vec![7; 5 << 20])]
+fn unreadable_files_do_not_prevent_a_start(#[case] corrupt: fn(&[u8]) -> Vec<u8>) {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("shared");
     let mut first = open(&path);
@@ -149,8 +153,8 @@
     for name in ["hand", "keys-0000000000000001", "life-0000000000000001"] {
         let file = path.join(name);
         let bytes = std::fs::read(&file).expect("there");
-        let spoilt = spoil(&[&bytes[..], &[0; 24]].concat());
-        std::fs::write(&file, spoilt).expect("written");
+        let corrupted = corrupt(&[&bytes[..], &[0; 24]].concat());
+        std::fs::write(&file, corrupted).expect("written");
     }
     drop(first);
     let mut second = open(&path);
@@ -161,7 +165,7 @@
 }
 
 #[test]
-fn file_of_keys_cut_at_every_byte_gives_what_is_whole_and_nothing_else() {
+fn key_file_truncated_or_corrupted_at_any_byte_gives_only_intact_records() {
     let name = "keys-0000000000000001";
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("first");
@@ -169,27 +173,27 @@
     (0..4)
         .for_each(|n| first.record(deduplication_window::key(&n.to_string()), sent(NOW)).expect("recorded"));
     let bytes = std::fs::read(path.join(name)).expect("there");
-    // What a process finds that starts on a folder with just these bytes of one that was killed.
-    let found = |at: usize, bytes: &[u8]| {
+    // Returns the keys that a process reads at its start if a killed process has left these bytes.
+    let read_keys = |at: usize, bytes: &[u8]| {
         let path = folder.path().join(at.to_string());
         drop(open(&path));
         std::fs::write(path.join(name), bytes).expect("written");
         open(&path).observe(NOW).keys
     };
     for at in 0..bytes.len() {
-        let whole = at.saturating_sub(16 + 40) / 40;
-        assert_eq!(found(2 * at, &bytes[..at]).len(), whole, "cut at {at}");
-        let mut changed = bytes.clone();
-        changed[at] ^= 0x10;
+        let intact = at.saturating_sub(16 + 40) / 40;
+        assert_eq!(read_keys(2 * at, &bytes[..at]).len(), intact, "truncated at byte {at}");
+        let mut corrupted = bytes.clone();
+        corrupted[at] ^= 0x10;
         let known: Vec<_> = (0..4).map(|n| deduplication_window::key(&n.to_string())).collect();
-        let keys = found(2 * at + 1, &changed);
-        assert!(keys.len() < 4 || at < 16 + 40, "changed at {at}");
-        assert!(keys.iter().all(|(key, _)| known.contains(key)), "changed at {at}");
+        let keys = read_keys(2 * at + 1, &corrupted);
+        assert!(keys.len() < 4 || at < 16 + 40, "corrupted at byte {at}");
+        assert!(keys.iter().all(|(key, _)| known.contains(key)), "corrupted at byte {at}");
     }
 }
 
 #[test]
-fn folder_that_others_may_use_is_not_used() {
+fn folder_accessible_to_other_users_is_rejected() {
     use std::os::unix::fs::PermissionsExt;
     let folder = tempfile::tempdir().expect("a folder");
     std::fs::set_permissions(folder.path(), std::fs::Permissions::from_mode(0o755)).expect("set");
--- a/tests/killed_processes.rs
+++ b/tests/killed_processes.rs
@@ -1,4 +1,4 @@
-//! Processes of one gateway that are killed at any moment, under load.
+//! Processes of one gateway that are killed at random moments under load.
 
 mod gateway_processes;
 mod stand;
@@ -13,70 +13,70 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How long an engine drops repeats of a key, in ms.
+/// Deduplication window in ms: time for which an engine discards repeats of a key.
 const WINDOW: f64 = 700.0;
 const CLIENTS: usize = 5;
 const ROUNDS: usize = 14;
 
-/// By key, the times at which something happened to it, in ms since the test began.
+/// Times of the attempts or runs of each key, in ms since the start of the test.
 type KeyTimes = BTreeMap<String, Vec<f64>>;
 
 fn ms_since(begun: Instant) -> f64 {
     begun.elapsed().as_secs_f64() * 1000.0
 }
 
-/// What the clients of [`processes_killed_at_any_moment_cost_what_they_had_open_and_nothing_else`] have met so far.
+/// Outcomes of the clients' requests in [`killed_processes_lose_only_their_open_requests`] so far.
 #[derive(Default)]
 struct Outcomes {
     answered: AtomicUsize,
-    /// Requests that were taken and whose connection ended without an answer.
+    /// Lost requests: their connection was established, but ended without an answer.
     lost: AtomicUsize,
-    /// Connections refused.
+    /// Connections that were refused.
     refused: AtomicUsize,
     stop: AtomicBool,
 }
 
 impl Outcomes {
-    fn of(count: &AtomicUsize) -> usize {
+    fn get(count: &AtomicUsize) -> usize {
         count.load(Ordering::SeqCst)
     }
 
-    fn add(count: &AtomicUsize) {
+    fn increment(count: &AtomicUsize) {
         count.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// Waits until so many more requests were answered: an event, not a time.
+    /// Waits until a number of further requests have been answered, rather than for a fixed time.
     fn wait_for_answers(&self, answers: usize) {
-        let from = Self::of(&self.answered);
+        let from = Self::get(&self.answered);
         for _ in 0..60_000 {
-            if Self::of(&self.answered) >= from + answers {
+            if Self::get(&self.answered) >= from + answers {
                 return;
             }
             std::thread::sleep(Duration::from_millis(1));
         }
-        panic!("nobody answers any more");
+        panic!("{answers} further requests were not answered");
     }
 }
 
-/// A connection of a client, and the number of its next call.
+/// A client's connection, and the sequence number of its next request.
 struct OpenConnection {
     stream: TcpStream,
     seq: i32,
 }
 
-/// A client that sends keyed and plain requests without a pause; one that is lost, or refused, is sent again under its key
-/// until it is served.
+/// A client that sends requests with and without keys without a pause. A request that is lost or refused is sent again under its
+/// key until it is served.
 struct RetryingClient {
     at: SocketAddr,
     number: usize,
     outcomes: Arc<Outcomes>,
     begun: Instant,
-    /// When each attempt of each key was begun.
+    /// Time at which each attempt of each key was started.
     attempts: KeyTimes,
 }
 
 impl RetryingClient {
-    /// Sends until it is stopped. Returns when each attempt of each key was begun.
+    /// Sends requests until the test ends. Returns the time at which each attempt of each key was started.
     fn run(mut self) -> KeyTimes {
         let mut open: Option<OpenConnection> = None;
         let (mut request, mut is_retry) = (0_u64, false);
@@ -85,7 +85,7 @@
                 return self.attempts;
             }
             let Some(mut connection) = open.take().or_else(|| self.connect()) else {
-                Outcomes::add(&self.outcomes.refused);
+                Outcomes::increment(&self.outcomes.refused);
                 std::thread::yield_now();
                 continue;
             };
@@ -93,25 +93,25 @@
             request += u64::from(!is_retry);
             if !self.send(&mut connection, step, request) {
                 is_retry = true;
-                Outcomes::add(&self.outcomes.lost);
+                Outcomes::increment(&self.outcomes.lost);
                 continue;
             }
             let OpenConnection { mut stream, seq } = connection;
             let (number, kind, _) = answer(&mut stream);
-            assert_eq!(number, seq, "one answer each, in its turn");
+            assert_eq!(number, seq, "each request gets one answer, in order");
             is_retry = kind != "served";
-            Outcomes::add(&self.outcomes.answered);
+            Outcomes::increment(&self.outcomes.answered);
             let stays_open = seq < 1 + (step % 7) as i32;
             open = stays_open.then_some(OpenConnection { stream, seq: seq + 1 });
         }
-        panic!("it was never told to stop");
+        panic!("the client was not stopped within 10,000,000 steps");
     }
 
     fn connect(&self) -> Option<OpenConnection> {
         Some(OpenConnection { stream: TcpStream::connect(self.at).ok()?, seq: 1 })
     }
 
-    /// Sends an attempt of a request, and waits for the first byte of its answer. Returns whether there is one.
+    /// Sends an attempt of a request, and waits for the first byte of its answer. Returns whether an answer arrived.
     fn send(&mut self, connection: &mut OpenConnection, step: u64, request: u64) -> bool {
         let (txn, key) = (format!("{:08x}{step:08x}", self.number), format!("{}k{request}", self.number));
         let verb = if request % 4 == 1 { "load" } else { "lookup" };
@@ -125,17 +125,18 @@
     }
 }
 
-/// An engine that drops repeats of a key for a window from its first run: its address, and when each key ran.
+/// Starts an engine that discards repeats of a key within a window from its first run. Returns its address, and the times at
+/// which each key ran.
 fn deduplicating_engine(begun: Instant) -> (SocketAddr, Arc<Mutex<KeyTimes>>) {
     let runs: Arc<Mutex<KeyTimes>> = Arc::default();
-    let seen = runs.clone();
+    let recorded = runs.clone();
     let (at, _) = resp_engine(move |parts| {
         let unique = |field: &str| field.strip_prefix("uniq=").map(str::to_owned);
         let key = (parts[0] == "want").then(|| parts[2].split(',').find_map(unique));
         if let Some(key) = key.flatten() {
             let now = ms_since(begun);
-            let mut seen = seen.lock().expect("runs");
-            let times = seen.entry(key).or_default();
+            let mut recorded = recorded.lock().expect("runs");
+            let times = recorded.entry(key).or_default();
             if times.last().is_none_or(|at| now >= at + WINDOW) {
                 times.push(now);
             }
@@ -145,18 +146,18 @@
     (at, runs)
 }
 
-/// A change of the processes of the gateway.
+/// A change to the running processes of the gateway.
 #[derive(Clone, Copy, PartialEq)]
 enum Change {
-    /// The old process is killed once the new one listens, before it is told anything.
+    /// The old process is killed once the new one listens, before it receives SIGTERM.
     OldKilledUnnotified,
-    /// The old process is killed after it was told to end.
+    /// The old process is killed after SIGTERM, possibly before it has drained.
     OldKilledWhileDraining,
-    /// The new process is killed at its start; the old one has noticed nothing.
+    /// The new process is killed during its start, and the old one goes on serving.
     NewKilledAtStart,
-    /// The only process is killed, and started again.
+    /// The only process is killed and restarted.
     OnlyOneKilled,
-    /// The old process ends by itself.
+    /// The old process receives SIGTERM, drains and exits.
     Upgrade,
 }
 
@@ -168,7 +169,7 @@
     Change::Upgrade,
 ];
 
-/// The processes of a gateway under load, changed round by round.
+/// The processes of a gateway under load, which are changed once in each round.
 struct Rounds {
     current: Process,
     site: Site,
@@ -181,18 +182,19 @@
     fn run_round(&mut self, round: usize) {
         let answers = self.random.below(40) + 1;
         self.outcomes.wait_for_answers(answers);
-        let lost_before = Outcomes::of(&self.outcomes.lost);
-        let refused_before = Outcomes::of(&self.outcomes.refused);
+        let lost_before = Outcomes::get(&self.outcomes.lost);
+        let refused_before = Outcomes::get(&self.outcomes.refused);
         let kind = self.random.below(CHANGES.len());
         let change = CHANGES[kind];
         self.apply(change);
         self.kills += usize::from(change != Change::Upgrade);
-        // Whatever a client had on a process that has ended it has noticed by then.
+        // After this many answers each client has detected the end of its connection to a process that has ended.
         self.outcomes.wait_for_answers(CLIENTS * 8);
-        let lost = Outcomes::of(&self.outcomes.lost) - lost_before;
-        let refused = Outcomes::of(&self.outcomes.refused) - refused_before;
-        // Five clients have one request open each, or are about to connect. In an upgrade each crosses the end of a
-        // connection at most once on top; that is sent again. Only where none other runs are more turned away.
+        let lost = Outcomes::get(&self.outcomes.lost) - lost_before;
+        let refused = Outcomes::get(&self.outcomes.refused) - refused_before;
+        // Each of the five clients has one open request or is about to connect. In an upgrade each client may also send one
+        // request while its connection is being closed, which it sends again. More connections are refused only while no
+        // process runs.
         assert!(lost <= CLIENTS * 2, "round {round}, kind {kind}: {lost} lost");
         let max_refused = if change == Change::Upgrade { 2 } else { 5 };
         assert!(
@@ -200,7 +202,11 @@
             "round {round}, kind {kind}: {refused} refused"
         );
         assert_eq!(self.current.request("GET /api/ready HTTP/1.1\r\n\r\n").0, 200, "round {round}");
-        assert_eq!(self.current.metric("gateway.cluster_unhealthy"), 1, "round {round}: it is still out");
+        assert_eq!(
+            self.current.metric("gateway.cluster_unhealthy"),
+            1,
+            "round {round}: the engine is still excluded"
+        );
     }
 
     fn apply(&mut self, change: Change) {
@@ -221,7 +227,7 @@
             Change::NewKilledAtStart => {
                 let mut starting = self.site.spawn();
                 self.wait_for_answers_below(300);
-                // It may listen by now, and then have requests open.
+                // The process may listen already, and may then have open requests.
                 starting.kill().expect("it runs");
                 starting.wait().expect("it ends");
             }
@@ -237,33 +243,35 @@
         }
     }
 
-    /// Waits for a random number of answers.
+    /// Waits for a random number of answers below the limit.
     fn wait_for_answers_below(&mut self, limit: usize) {
         let answers = self.random.below(limit);
         self.outcomes.wait_for_answers(answers);
     }
 }
 
-/// Checks that each further run of a key has an attempt that came when the engine had forgotten the key.
+/// Checks that each repeated run of a key follows an attempt that was started after the engine's window for the key had expired.
 fn check_repeated_runs(runs: &KeyTimes, attempts: &[KeyTimes]) {
     for (key, times) in runs.iter().filter(|(_, times)| times.len() > 1) {
         let attempts = attempts.iter().find_map(|client| client.get(key)).expect("a client sent it");
         for pair in times.windows(2) {
-            // A repeat that came while the engine knew the key ran after that.
+            // The engine must not run an attempt that the client started within the window.
             let last = attempts.iter().copied().filter(|at| *at < pair[1]).fold(0.0, f64::max);
-            assert!(last > pair[0] + WINDOW - 50.0, "{key} ran at {times:?}, and came at {attempts:?}");
+            assert!(
+                last > pair[0] + WINDOW - 50.0,
+                "{key} ran at {times:?}, its attempts were started at {attempts:?}"
+            );
         }
     }
 }
 
-/// Versions follow each other, and processes are killed outright: the old one before or after it was told to end, the
-/// new one before it listens, the only one there is. What is lost was open at a process that was killed; a key does
-/// not run twice, though clients send it again at once and for as long as it takes; nothing goes to the engine that is
-/// out by hand.
+/// Guards against lost requests, repeated keys and lost operator overrides when processes are killed during and between upgrades.
+/// Only requests open at a killed process may be lost, no key runs twice although clients retry without a pause, and nothing is
+/// sent to the excluded engine.
 #[rstest]
 #[case(1)]
 #[case(2)]
-fn processes_killed_at_any_moment_cost_what_they_had_open_and_nothing_else(#[case] seed: u64) {
+fn killed_processes_lose_only_their_open_requests(#[case] seed: u64) {
     let begun = Instant::now();
     let (first, runs) = deduplicating_engine(begun);
     let (second, log) = resp_engine(served);
@@ -285,16 +293,16 @@
     }
     rounds.outcomes.stop.store(true, Ordering::SeqCst);
     let attempts: Vec<_> =
-        clients.into_iter().map(|client| client.join().expect("no answer is missing")).collect();
-    let (kills, lost) = (rounds.kills, Outcomes::of(&rounds.outcomes.lost));
+        clients.into_iter().map(|client| client.join().expect("the client received all answers")).collect();
+    let (kills, lost) = (rounds.kills, Outcomes::get(&rounds.outcomes.lost));
     assert!(kills > 5 && lost > 0, "{kills} kills");
-    assert_eq!(wants(&log), 0, "nothing went to the engine that is out");
+    assert_eq!(wants(&log), 0, "nothing was sent to the excluded engine");
     let runs = runs.lock().expect("runs");
     assert!(runs.len() > 100, "{} keys", runs.len());
     check_repeated_runs(&runs, &attempts);
 }
 
-/// A generator of random numbers from a seed.
+/// A seeded generator of random numbers.
 struct Xorshift {
     state: u64,
 }
--- a/tests/knowledge.rs
+++ b/tests/knowledge.rs
@@ -1,4 +1,4 @@
-//! The program, its folder, and what is left of both after it was killed.
+//! The program's knowledge folder: contents after a kill, a restart, corruption or removal.
 
 mod stand;
 
@@ -7,13 +7,15 @@
 use std::path::Path;
 use std::process::{Command, Output};
 
-fn operator(folder: &Path, more: &str) -> tempfile::NamedTempFile {
+/// Returns an operator's file that sets the knowledge folder, with additional settings.
+fn operator(folder: &Path, additional: &str) -> tempfile::NamedTempFile {
     let mut file = tempfile::NamedTempFile::new().expect("a file");
-    write!(file, "knowledge {{\n  folder = {folder:?}\n  every = \"100ms\"\n{more}\n}}\n").expect("written");
+    write!(file, "knowledge {{\n  folder = {folder:?}\n  every = \"100ms\"\n{additional}\n}}\n")
+        .expect("written");
     file
 }
 
-fn answers(parts: &[String]) -> Option<String> {
+fn served(parts: &[String]) -> Option<String> {
     Some(match parts[0].as_str() {
         "want" => reply(&[&parts[1], "served", "pages=1,cost=5,need=8", "a\tb\tc\n"]),
         "busy" => reply(&[&parts[1], "green", "use=util:0.1", ""]),
@@ -41,30 +43,31 @@
     String::from_utf8_lossy(&out.stdout).into_owned()
 }
 
-/// Until the program has written what holds there.
+/// Waits until `knowledge show` prints what is searched for.
 fn until_shown(folder: &Path, found: impl Fn(&str) -> bool) {
     for _ in 0..2_000 {
         if found(&show(folder)) {
             return;
         }
     }
-    panic!("never came: {}", show(folder));
+    panic!("not shown after 2,000 tries: {}", show(folder));
 }
 
 fn wants(log: &Log) -> usize {
     log.lock().expect("log").iter().filter(|p| p[0] == "want").count()
 }
 
+/// Guards against the loss of engines and keys when the process is killed: the key's wait goes on in the restarted process.
 #[test]
-fn life_after_a_kill_knows_the_engines_and_the_keys_of_the_one_before() {
+fn restart_after_a_kill_restores_engines_and_keys() {
     let parent = tempfile::tempdir().expect("a folder");
     let folder = parent.path().join("kept");
     let operator = operator(&folder, "");
-    let (at, log) = resp_engine(answers);
+    let (at, log) = resp_engine(served);
     let config = config(&[at], "resp", 5000);
     let first = Gateway::start_with(&config, Some(operator.path()));
     let mut client = first.client();
-    // A first start trusts nobody's log: it has none. Its mark carries the time until when it may not send.
+    // The first start has no idempotency log to rely on. The mark in its new log holds the time until which no key may be sent.
     assert_eq!(load(&mut client, 1, "00000000000000a1", "k1"), "overloaded");
     assert_eq!(wants(&log), 0);
     let lookup = [("verb", "lookup"), ("txn", "00000000000000a2"), ("limit", "4000")];
@@ -80,7 +83,7 @@
     assert_eq!(
         load(&mut client, 1, "00000000000000a3", "k1"),
         "overloaded",
-        "the wait goes on through a restart"
+        "the wait for the window continues after the restart"
     );
     assert_eq!(wants(&log), 1);
     let output = second.counts();
@@ -88,11 +91,11 @@
 }
 
 #[test]
-fn second_process_in_one_folder_serves_without_it_and_sends_nothing_keyed() {
+fn second_process_on_a_locked_folder_serves_but_sends_no_keyed_requests() {
     let parent = tempfile::tempdir().expect("a folder");
     let folder = parent.path().join("kept");
     let operator = operator(&folder, "");
-    let (at, log) = resp_engine(answers);
+    let (at, log) = resp_engine(served);
     let config = config(&[at], "resp", 5000);
     let _first = Gateway::start_with(&config, Some(operator.path()));
     let second = Gateway::start_with(&config, Some(operator.path()));
@@ -105,20 +108,20 @@
 }
 
 #[test]
-fn folder_that_cannot_be_used_is_said_and_ends_a_start_only_where_it_is_required() {
+fn unusable_folder_prevents_a_start_only_where_knowledge_is_required() {
     let parent = tempfile::tempdir().expect("a folder");
     let file = parent.path().join("file");
     std::fs::write(&file, "x").expect("a file");
-    let (at, _log) = resp_engine(answers);
+    let (at, _log) = resp_engine(served);
     let config = config(&[at], "resp", 5000);
-    let may = operator(&file, "");
-    let gateway = Gateway::start_with(&config, Some(may.path()));
+    let optional = operator(&file, "");
+    let gateway = Gateway::start_with(&config, Some(optional.path()));
     let lookup = [("verb", "lookup"), ("txn", "00000000000000a2"), ("limit", "4000")];
     let mut client = gateway.client();
     client.write_all(&call(1, &lookup, "select 1")).expect("sent");
     assert_eq!(answer(&mut client).1, "served");
 
-    let must = operator(&file, "  required = true\n");
+    let required = operator(&file, "  required = true\n");
     let platform = parent.path().join("config.json");
     std::fs::write(&platform, &config).expect("a file");
     let out = run(&[
@@ -126,28 +129,32 @@
         "--config".as_ref(),
         platform.as_ref(),
         "--operator".as_ref(),
-        must.path().as_ref(),
+        required.path().as_ref(),
     ]);
     let output = String::from_utf8_lossy(&out.stderr);
     assert!(out.status.code() == Some(1) && output.contains("knowledge is required"), "{output}");
 }
 
 #[test]
-fn end_and_reload_leave_a_whole_folder() {
+fn reload_and_shutdown_leave_a_valid_folder() {
     let parent = tempfile::tempdir().expect("a folder");
     let folder = parent.path().join("kept");
     let operator = operator(&folder, "  keys = false\n");
-    let (at, log) = resp_engine(answers);
+    let (at, log) = resp_engine(served);
     let config = config(&[at], "resp", 5000);
     let gateway = Gateway::start_with(&config, Some(operator.path()));
     gateway.reload(&config);
     let mut client = gateway.client();
-    assert_eq!(load(&mut client, 1, "00000000000000a1", "k1"), "served", "without the log keys go at once");
+    assert_eq!(
+        load(&mut client, 1, "00000000000000a1", "k1"),
+        "served",
+        "without an idempotency log keys are sent immediately"
+    );
     assert_eq!(wants(&log), 1);
     gateway.counts();
     assert_eq!(verify(&folder).0, Some(0));
     assert!(show(&folder).contains("\"name\": \"load\""));
-    // One byte of the last generation: told with file and offset, and the one before is read.
+    // One byte of the newest snapshot is changed: `verify` reports file and offset, and the previous snapshot is read.
     let names = std::fs::read_dir(&folder).expect("read").map(|e| e.expect("an entry").path());
     let last = names.filter(|p| p.extension().is_some_and(|e| e == "spk")).max().expect("a snapshot");
     let mut bytes = std::fs::read(&last).expect("read");
@@ -158,17 +165,18 @@
     assert!(show(&folder).contains("\"name\": \"load\""));
 }
 
-/// Queries go on; what was not kept is the folder's loss alone, and the next start begins with nothing.
+/// Guards against failing queries when the folder is deleted while the gateway serves: only the stored knowledge is lost, and the
+/// next start begins without any.
 #[test]
-fn folder_that_goes_away_while_serving_costs_no_query() {
+fn folder_deleted_while_serving_fails_no_query() {
     let parent = tempfile::tempdir().expect("a folder");
     let folder = parent.path().join("kept");
     let operator = operator(&folder, "");
-    let (at, _log) = resp_engine(answers);
+    let (at, _log) = resp_engine(served);
     let config = config(&[at], "resp", 5000);
     let gateway = Gateway::start_with(&config, Some(operator.path()));
     until_shown(&folder, |s| s.contains("lookup"));
-    // A snapshot may be written just then.
+    // Removal fails if a snapshot is written at the same moment, so it is tried again.
     while std::fs::remove_dir_all(&folder).is_err() {}
     let mut client = gateway.client();
     for seq in 1..50 {
@@ -185,7 +193,7 @@
     assert_eq!(verify(&folder).0, Some(0));
 }
 
-/// Until the list in the folder says that of an engine.
+/// Waits until the endpoint list in the folder shows the engine as live, or as not live.
 fn until_cached(folder: &Path, id: &str, live: bool) {
     let cached = || {
         let bytes = std::fs::read(folder.join("list.spk")).ok()?;
@@ -198,33 +206,35 @@
         }
         std::thread::sleep(std::time::Duration::from_millis(1));
     }
-    panic!("it was never kept");
+    panic!("{id} was not stored with live = {live} within 30,000 tries");
 }
 
+/// Sends 30 lookups, each on a connection of its own, and returns the kinds of their answers.
 fn lookups(gateway: &Gateway, from: u32) -> Vec<&'static str> {
-    let ask = |n: u32| {
+    let send_lookup = |n: u32| {
         let mut client = gateway.client();
         let txn = format!("{n:016x}");
         let fields = [("verb", "lookup"), ("txn", txn.as_str()), ("limit", "4000")];
         client.write_all(&call(1, &fields, "select 1")).expect("sent");
         answer(&mut client).1
     };
-    (from..from + 30).map(ask).collect()
+    (from..from + 30).map(send_lookup).collect()
 }
 
-/// Killed, and started anew while the list is silent: a gateway whose configuration names no engine serves from the list
-/// that it kept, and one that names an engine which drained meanwhile sends it nothing.
+/// Guards against losing the endpoint list when a gateway is killed and restarted while the name service does not answer: a
+/// gateway without engines in its configuration serves from the stored list, and one with engines in its configuration sends
+/// nothing to an engine that the stored list shows as draining.
 #[rstest::rstest]
 #[case::no_engine_in_the_configuration(false)]
 #[case::engines_in_the_configuration(true)]
-fn life_after_a_kill_goes_by_the_list_that_the_one_before_heard(#[case] known: bool) {
+fn restart_after_a_kill_uses_the_stored_endpoint_list(#[case] has_known_engines: bool) {
     let parent = tempfile::tempdir().expect("a folder");
     let folder = parent.path().join("kept");
     let operator = operator(&folder, "");
-    let (first, used) = resp_engine(answers);
-    let (second, drained) = resp_engine(answers);
+    let (first, live_log) = resp_engine(served);
+    let (second, draining_log) = resp_engine(served);
     let (names, list) = list_service();
-    let engines = if known { vec![first, second] } else { vec![] };
+    let engines = if has_known_engines { vec![first, second] } else { vec![] };
     let config =
         config(&engines, "resp", 5000).replacen("\"known\"", &format!("\"names\":\"{names}\",\"known\""), 1);
     *list.lock().expect("list") = Some((7, vec![("s-0", first, false), ("s-1", second, true)]));
@@ -235,21 +245,26 @@
     *list.lock().expect("list") = None;
     assert_eq!(verify(&folder).0, Some(0));
     let gateway = Gateway::start_with(&config, Some(operator.path()));
-    let answered = lookups(&gateway, 0);
-    assert!(answered.iter().all(|a| *a == "served"), "{answered:?}");
-    assert!(wants(&used) > 0 && wants(&drained) == 0, "{} and {}", wants(&used), wants(&drained));
-    // The service's own word ends it.
+    let answers = lookups(&gateway, 0);
+    assert!(answers.iter().all(|kind| *kind == "served"), "{answers:?}");
+    assert!(
+        wants(&live_log) > 0 && wants(&draining_log) == 0,
+        "{} sent to the live engine, {} to the draining one",
+        wants(&live_log),
+        wants(&draining_log)
+    );
+    // A response of the name service replaces the stored list.
     *list.lock().expect("list") = Some((8, vec![("s-1", second, false)]));
     until_cached(&folder, "s-1", true);
-    let answered = lookups(&gateway, 100);
-    assert!(answered.iter().all(|a| *a == "served") && wants(&drained) > 0, "{answered:?}");
-    // A file that is none costs the list, never the start.
+    let answers = lookups(&gateway, 100);
+    assert!(answers.iter().all(|kind| *kind == "served") && wants(&draining_log) > 0, "{answers:?}");
+    // A corrupted file loses the stored list, but does not prevent the start.
     gateway.signal("-KILL");
     drop(gateway);
     std::fs::write(folder.join("list.spk"), b"SPKLIST\nspoilt").expect("written");
     assert_eq!(verify(&folder).0, Some(1));
     *list.lock().expect("list") = None;
     let gateway = Gateway::start_with(&config, Some(operator.path()));
-    let kind = if known { "served" } else { "overloaded" };
-    assert!(lookups(&gateway, 200).iter().all(|a| *a == kind));
+    let expected = if has_known_engines { "served" } else { "overloaded" };
+    assert!(lookups(&gateway, 200).iter().all(|kind| *kind == expected));
 }
--- a/tests/log_device.rs
+++ b/tests/log_device.rs
@@ -1,4 +1,4 @@
-//! A log that cannot be written: its lines are lost, and nothing else.
+//! Log lines that cannot be written are lost, and the process goes on serving.
 
 mod stand;
 
@@ -6,7 +6,7 @@
 use stand::requests::*;
 use stand::*;
 
-/// A log line that cannot be written is lost, and nothing else.
+/// Guards against failed writes of the log that cost more than the lost lines: requests and reloads must still work.
 #[test]
 fn process_serves_and_reloads_while_its_log_cannot_be_written() {
     let (at, _) = resp_engine(served);
@@ -19,18 +19,18 @@
     ends_well(&mut gateway);
 }
 
-/// The task that accepts connections has something to log.
+/// Guards against a task that stops accepting connections when `accept` fails and the line about this failure cannot be written.
 #[test]
-fn process_goes_on_listening_when_it_cannot_log_why_it_could_not_accept() {
+fn process_goes_on_accepting_when_neither_accept_nor_the_log_works() {
     let (at, _) = resp_engine(served);
     let faults = Faults::new("log=1,accept=1");
     let mut gateway = Gateway::start_with_faults(&config(&[at], "resp", 20_000), &faults);
     faults.begin();
-    let waits = gateway.client();
+    let waiting_client = gateway.client();
     faults.until_happened("accept");
     faults.until_happened("log");
     faults.end();
-    is_served(waits, 1);
+    is_served(waiting_client, 1);
     is_served(gateway.client(), 2);
     ends_well(&mut gateway);
 }
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -1,4 +1,4 @@
-//! Operators' calls to the real program: readiness, metrics, and engines that are excluded and included again.
+//! Operators' requests to the running program: readiness, metrics, and excluding and including engines.
 
 mod gateway_processes;
 mod stand;
@@ -12,14 +12,14 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// The successor read which engines were out, and did not go by it.
+/// Guards against a successor that reads the list of excluded engines but sends to them nevertheless.
 #[test]
-fn engine_out_by_hand_gets_nothing_also_after_an_upgrade_and_is_used_again_once_called_back() {
+fn engine_excluded_by_an_operator_stays_unused_through_an_upgrade_until_it_is_included() {
     let (first, _) = resp_engine(served);
     let (second, log) = resp_engine(served);
     let site = Site::new(&[first, second]);
     let old = site.start();
-    assert!(served_lookups(&old, 0, 40) == 40 && wants(&log) > 0, "both are in use");
+    assert!(served_lookups(&old, 0, 40) == 40 && wants(&log) > 0, "both engines are in use");
     assert_eq!((old.put("/api/exclude", "s-1"), old.put("/api/exclude", "s-1")), (200, 200));
     assert_eq!((old.put("/api/exclude", "s-9"), old.put("/api/include", "s-9")), (404, 404));
     assert_eq!((old.metric("gateway.cluster_size"), old.metric("gateway.cluster_unhealthy")), (2, 1));
@@ -30,16 +30,16 @@
     old.ended();
     assert_eq!(new.metric("gateway.cluster_unhealthy"), 1);
     assert_eq!(served_lookups(&new, 200, 40), 40);
-    assert_eq!(wants(&log), before, "nothing more went to the engine that is out");
+    assert_eq!(wants(&log), before, "nothing was sent to the excluded engine");
     assert_eq!(new.put("/api/include", "s-1"), 200);
     assert_eq!(new.metric("gateway.cluster_unhealthy"), 0);
     assert_eq!(served_lookups(&new, 300, 40), 40);
-    assert!(wants(&log) > before, "it is in use again");
+    assert!(wants(&log) > before, "the included engine is in use again");
 }
 
-/// Two processes are one gateway: what one was told the other goes by.
+/// Guards against overrides that only the process applies that received them: both processes are one gateway.
 #[test]
-fn call_to_either_of_two_processes_binds_both() {
+fn override_sent_to_either_of_two_processes_applies_to_both() {
     let (first, _) = resp_engine(served);
     let (second, _) = resp_engine(served);
     let site = Site::new(&[first, second]);
@@ -51,12 +51,12 @@
             break;
         }
     }
-    let back = (0..10_000).any(|_| old.metric("gateway.cluster_unhealthy") == 0);
-    assert!(back, "the call back reached the other process");
+    let is_included = (0..10_000).any(|_| old.metric("gateway.cluster_unhealthy") == 0);
+    assert!(is_included, "the other process applies the inclusion");
 }
 
 #[test]
-fn figures_are_what_clients_and_engines_saw() {
+fn metrics_match_what_clients_and_engines_observed() {
     let (at, log) = resp_engine(|parts| match (parts[0].as_str(), parts.get(3).map(String::as_str)) {
         ("want", Some("fail")) => Some(reply(&[&parts[1], "crashed", "-", ""])),
         _ => served(parts),
@@ -68,7 +68,7 @@
         let mut client = process.client();
         let (body, verb) = if n % 10 == 9 { ("fail", "lookup") } else { ("select 1", "lookup") };
         let txn = format!("{n:016x}");
-        // An unfit figure is turned away by the front itself.
+        // The frontend itself rejects a time limit that is not a number.
         let limit = if n % 20 == 5 { "none" } else { "15000" };
         client.write_all(&call(1, &[("verb", verb), ("txn", &txn), ("limit", limit)], body)).expect("sent");
         match answer(&mut client).1 {
@@ -77,8 +77,9 @@
             _ => seen[2] += 1,
         }
     }
-    let told = ["answered", "deferred", "errored"].map(|f| process.metric(&format!("gateway.{f}.lookup")));
-    assert_eq!(told, seen);
+    let reported =
+        ["answered", "deferred", "errored"].map(|f| process.metric(&format!("gateway.{f}.lookup")));
+    assert_eq!(reported, seen);
     assert!(seen.iter().sum::<u64>() == 60 && seen[0] > 0 && seen[2] >= 3, "{seen:?}");
     assert_eq!(process.metric("gateway.sends"), wants(&log) as u64);
     assert_eq!((process.metric("gateway.current"), process.metric("gateway.cluster_size")), (0, 1));
@@ -89,9 +90,9 @@
     assert!(line.ends_with(&last) && line.contains(&format!(" {} attempts", wants(&log))), "{line}");
 }
 
-/// The page for staff shows the table of figures as it is.
+/// The operators' documentation has a row for each metric, equal to the program's table of metrics.
 #[test]
-fn page_for_staff_tells_every_figure_its_unit_and_its_meaning() {
+fn operators_documentation_describes_every_metric_with_its_unit() {
     let page = include_str!("../docs/operate/day-to-day.md");
     for MetricDescription { name, unit, description } in starlingplank_admin::metrics::TABLE {
         let row = format!("| `{name}` | {unit} | {description} |");
@@ -100,16 +101,19 @@
 }
 
 #[rstest]
-#[case::path("GET /api/readiness HTTP/1.1\r\n\r\n", 404)]
-#[case::method("POST /api/exclude HTTP/1.1\r\nContent-Length: 3\r\n\r\ns-0", 405)]
+#[case::unknown_path("GET /api/readiness HTTP/1.1\r\n\r\n", 404)]
+#[case::wrong_method("POST /api/exclude HTTP/1.1\r\nContent-Length: 3\r\n\r\ns-0", 405)]
 #[case::no_body("PUT /api/exclude HTTP/1.1\r\n\r\n", 400)]
-#[case::long_body("PUT /api/exclude HTTP/1.1\r\nContent-Length: 99999999\r\n\r\ns-0", 413)]
-#[case::bad_length("PUT /api/exclude HTTP/1.1\r\nContent-Length: -1\r\n\r\ns-0", 400)]
+#[case::body_too_long("PUT /api/exclude HTTP/1.1\r\nContent-Length: 99999999\r\n\r\ns-0", 413)]
+#[case::negative_length("PUT /api/exclude HTTP/1.1\r\nContent-Length: -1\r\n\r\ns-0", 400)]
 #[case::two_lengths("PUT /api/exclude HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\ns-0", 400)]
-#[case::chunks("PUT /api/exclude HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\ns-0\r\n0\r\n\r\n", 411)]
-#[case::no_http("hello there\r\n\r\n", 400)]
-#[case::old("GET /api/ready HTTP/0.9\r\n\r\n", 400)]
-fn bad_call_is_answered_with_a_line_that_says_what_is_wrong(#[case] request: &str, #[case] status: u16) {
+#[case::chunked_body(
+    "PUT /api/exclude HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\ns-0\r\n0\r\n\r\n",
+    411
+)]
+#[case::not_http("hello there\r\n\r\n", 400)]
+#[case::http_0_9("GET /api/ready HTTP/0.9\r\n\r\n", 400)]
+fn invalid_request_is_answered_with_a_status_and_a_line_of_text(#[case] request: &str, #[case] status: u16) {
     let (at, _) = resp_engine(served);
     let site = Site::new(&[at]);
     let process = site.start();
@@ -120,7 +124,7 @@
 }
 
 #[test]
-fn head_of_a_megabyte_is_turned_away() {
+fn request_head_of_a_mebibyte_is_rejected() {
     let (at, _) = resp_engine(served);
     let site = Site::new(&[at]);
     let process = site.start();
@@ -129,13 +133,13 @@
     assert_eq!(status, 431);
 }
 
-/// Callers that hold half a call keep out nobody: the one that is unfinished longest gives way.
+/// Guards against connections with incomplete requests that lock out other operators: the oldest such connection is closed.
 #[test]
-fn callers_that_stop_half_way_keep_out_nobody() {
+fn incomplete_requests_do_not_lock_out_other_operators() {
     let (at, _) = resp_engine(served);
     let site = Site::new(&[at]);
     let process = site.start();
-    let held: Vec<TcpStream> = (0..100)
+    let incomplete: Vec<TcpStream> = (0..100)
         .map(|_| {
             let mut stream = TcpStream::connect(process.operators).expect("it listens");
             stream.write_all(b"PUT /api/exclude HTTP/1.1\r\nContent-Length: 30\r\n\r\ns-").expect("sent");
@@ -143,16 +147,17 @@
         })
         .collect();
     assert_eq!(process.request("GET /api/ready HTTP/1.1\r\n\r\n").0, 200);
-    // The first was closed to make room; the last is still waited for.
+    // The first connection was closed to make room, and the last one is still open.
     let mut byte = [0];
-    assert_eq!((&held[0]).read(&mut byte).unwrap_or(0), 0);
-    held[99].set_nonblocking(true).expect("set");
-    assert!((&held[99]).read(&mut byte).is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock));
+    assert_eq!((&incomplete[0]).read(&mut byte).unwrap_or(0), 0);
+    incomplete[99].set_nonblocking(true).expect("set");
+    assert!((&incomplete[99]).read(&mut byte).is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock));
 }
 
-/// A gateway that knows no engine answers at once, says that it is not ready, and serves once the list is heard.
+/// A gateway without known engines rejects requests immediately and reports that it is not ready; it serves once it has received
+/// the endpoint list.
 #[test]
-fn gateway_that_knows_no_engine_is_not_ready_before_the_list_is_heard() {
+fn gateway_without_known_engines_is_not_ready_before_it_receives_the_list() {
     let (at, _) = resp_engine(served);
     let (names, list) = list_service();
     let mut site = Site::new(&[]);
@@ -160,13 +165,13 @@
     let process = site.start();
     let (status, why) = process.request("GET /api/ready HTTP/1.1\r\n\r\n");
     assert_eq!((status, &*why), (503, "starting: the list of engines is awaited\n"));
-    // The whole answer to a question for health.
+    // Returns the complete answer to a client's health check.
     let health_of = |client: &mut TcpStream| {
         client.write_all(&health(1)).expect("sent");
         let mut len = [0; 4];
         client.read_exact(&mut len).expect("an answer");
         let mut frame = vec![0; u32::from_be_bytes(len) as usize];
-        client.read_exact(&mut frame).expect("all of it");
+        client.read_exact(&mut frame).expect("the complete answer");
         frame
     };
     let starting = health_of(&mut process.client());
@@ -174,23 +179,26 @@
     client.write_all(&lookup(1)).expect("sent");
     assert_eq!(answer(&mut client).1, "overloaded");
     *list.lock().expect("list") = Some((2, vec![("s-0", at, false)]));
-    assert!((0..100_000).any(|_| process.request("GET /api/ready HTTP/1.1\r\n\r\n").0 == 200), "it is ready");
-    assert_ne!(health_of(&mut process.client()), starting, "it says so to the front as well");
+    assert!(
+        (0..100_000).any(|_| process.request("GET /api/ready HTTP/1.1\r\n\r\n").0 == 200),
+        "the gateway is ready"
+    );
+    assert_ne!(health_of(&mut process.client()), starting, "clients' health checks show the change as well");
     assert_eq!(served_lookups(&process, 10, 5), 5);
 }
 
-/// Descriptors run out while an operator's call has arrived and is not answered: another connection, on which nothing has arrived, is
-/// closed in its place.
+/// Guards against closing a connection whose request has arrived but is not answered yet when descriptors run out: a connection on
+/// which nothing has arrived is closed instead.
 #[test]
-fn call_that_has_arrived_is_answered_though_descriptors_run_out() {
+fn received_operator_request_is_answered_although_descriptors_run_out() {
     let (at, _) = resp_engine(served);
     let faults = Faults::new("seed=11,accept=1");
     let text = changed(&config(&[at], "resp", 20_000), r#""listen""#, r#""operator":"127.0.0.1:0","listen""#);
     let gateway = Gateway::start_with_faults(&text, &faults);
-    let operators = gateway.operator.expect("it listens to them");
+    let operators = gateway.operator.expect("the gateway listens to operators");
     let connect = || TcpStream::connect(operators).expect("it listens");
     let mut callers: Vec<_> = (0..4).map(|_| connect()).collect();
-    // All are accepted before a later one is answered.
+    // Connections are accepted in order, so the answer on the last one shows that all are accepted.
     let mut last = connect();
     last.write_all(b"GET /api/ready HTTP/1.1\r\n\r\n").expect("sent");
     assert!(web_message(&mut BufReader::new(last)).is_some());
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's file: what is right becomes settings, every fault is reported, with file, line and key.
+//! The operator's file: a valid file is read into settings, and every error is reported with file, line and key.
 
 use rstest::rstest;
 use starlingplank::config::{Config, ConfigError, EngineWire};
@@ -7,7 +7,8 @@
 
 const EXAMPLE: &str = include_str!("../deploy/clickhouse.hcl");
 
-fn problems(text: &str, platform: Option<&str>) -> Vec<String> {
+/// Returns the errors of an operator's file that is rejected.
+fn operator_errors(text: &str, platform: Option<&str>) -> Vec<String> {
     match Config::load(platform, Some(("o.hcl", text))) {
         Err(ConfigError::Operator(all)) => all.iter().map(ToString::to_string).collect(),
         other => panic!("{other:?}"),
@@ -15,7 +16,7 @@
 }
 
 #[test]
-fn whole_example_becomes_settings() {
+fn example_file_is_read_into_settings() {
     let config = Config::load(None, Some(("o.hcl", EXAMPLE))).expect("it can be used");
     let settings = &config.settings;
     assert_eq!(
@@ -77,18 +78,18 @@
     "",
     "clickhouse.rule: must end with a rule that holds for all statements"
 )]
-fn fault_is_told_with_its_line_and_key(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
+fn error_names_its_line_and_key(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
     let text = EXAMPLE.replacen(from, to, 1);
     assert_ne!(text, EXAMPLE, "{from} is in the example");
-    let all = problems(&text, None);
+    let all = operator_errors(&text, None);
     assert!(all.iter().any(|p| p.contains(expected) && p.starts_with("o.hcl:")), "{all:#?}");
 }
 
 #[test]
-fn all_faults_are_told_at_once_in_the_order_of_lines() {
+fn all_errors_are_reported_together_in_line_order() {
     let text =
         EXAMPLE.replace("gateways      = 1", "gateways = -1").replace("worth       = 5", "worth = \"5\"");
-    let all = problems(&text.replace("most_grant = 0.4", "most_grant = 40"), None);
+    let all = operator_errors(&text.replace("most_grant = 0.4", "most_grant = 40"), None);
     assert_eq!(all.len(), 3, "{all:#?}");
     let line = |p: &String| p.split(':').nth(1).and_then(|l| l.parse::<u32>().ok()).expect("a line");
     assert!(all.windows(2).all(|w| line(&w[0]) < line(&w[1])), "{all:#?}");
@@ -99,7 +100,7 @@
   "specifics":{"cpu_of_kind":[8],"memory_by_kind_mb":[8192],"width_by_class":[1]}}}"#;
 
 #[test]
-fn file_beside_the_platform_s_adds_its_own_keys_and_none_of_the_platform_s() {
+fn operator_file_beside_the_platform_s_configuration_sets_only_its_own_keys() {
     let text = "knowledge {\n  folder = \"/tmp/k\"\n  every = \"2s\"\n}\nlog {\n  form = \"json\"\n}\n";
     let config = Config::load(Some(PLATFORM), Some(("o.hcl", text))).expect("it can be used");
     let knowledge = config.knowledge.expect("set up");
@@ -113,14 +114,14 @@
         .expect("it can be used")
         .knowledge
         .is_some());
-    let all = problems("gateways = 3\nrules {\n  drain_grace = \"9s\"\n}\n", Some(PLATFORM));
+    let all = operator_errors("gateways = 3\nrules {\n  drain_grace = \"9s\"\n}\n", Some(PLATFORM));
     assert_eq!(all.len(), 2, "{all:#?}");
     assert!(all.iter().all(|p| p.ends_with("is the platform's to give; leave it out here")), "{all:#?}");
 }
 
-/// On the platform the rules set the poll interval; elsewhere it grows to spare an overloaded service.
+/// On the platform the rules fix the poll interval. Elsewhere the interval grows to reduce the load on an overloaded name service.
 #[test]
-fn slowest_pace_of_the_list_is_the_steady_one_on_the_platform_and_slower_elsewhere() {
+fn slowest_poll_interval_is_the_steady_one_on_the_platform_and_longer_elsewhere() {
     let slowest = |platform, text: &str| {
         Config::load(platform, Some(("o.hcl", text))).expect("it can be used").limits.slowest_poll_interval
     };
@@ -128,12 +129,12 @@
     assert_eq!(Config::read(PLATFORM).expect("it can be used").limits.slowest_poll_interval, 200.0);
     assert_eq!((slowest(Some(PLATFORM), ""), slowest(Some(PLATFORM), set)), (200.0, 3_000.0));
     assert_eq!((slowest(None, EXAMPLE), slowest(None, &format!("{EXAMPLE}{set}"))), (1_250.0, 3_000.0));
-    let all = problems("pacing {\n  list_slowest = \"100ms\"\n}\n", Some(PLATFORM));
+    let all = operator_errors("pacing {\n  list_slowest = \"100ms\"\n}\n", Some(PLATFORM));
     assert!(all.len() == 1 && all[0].contains("pacing.list_slowest"), "{all:#?}");
 }
 
 #[test]
-fn check_config_ends_with_1_and_a_line_for_each_fault() {
+fn check_config_exits_with_1_and_prints_a_line_for_each_error() {
     let file = std::env::temp_dir().join(format!("starlingplank-operator-{}.hcl", std::process::id()));
     std::fs::write(
         &file,
--- a/tests/recall.rs
+++ b/tests/recall.rs
@@ -1,4 +1,4 @@
-//! What the decision module does with records of an earlier incarnation.
+//! The decision module's use of the state that an earlier incarnation has learned.
 
 mod common;
 
@@ -13,8 +13,9 @@
     actions
 }
 
-/// One engine of eight cores, `short` queries known to take 400 ms on one thread; the incarnation begins at 0.
-fn restored(from: LearnedEngine) -> Balancer {
+/// Returns a balancer, started at time 0, with this record of its one engine of eight cores. `short` queries are known to take
+/// 400 ms on one thread.
+fn restored_balancer(from: LearnedEngine) -> Balancer {
     let settings = Settings { gateways: 1, ..default_settings() };
     let mut balancer = Balancer::new(settings, 0.0).expect("sound");
     let short = LearnedClass {
@@ -34,8 +35,8 @@
     balancer
 }
 
-/// The number of queries sent within two seconds while 100 a second arrive and none is answered.
-fn sent(balancer: &mut Balancer) -> usize {
+/// Returns the number of queries sent within two seconds while 100 a second arrive and none is answered.
+fn queries_sent(balancer: &mut Balancer) -> usize {
     let mut count = 0;
     for id in 0..200_u64 {
         let now = id as f64 * 10.0;
@@ -46,24 +47,27 @@
 }
 
 #[test]
-fn perhaps_cold_engine_gets_no_more_than_a_cold_one_s_budget() {
-    let starting = sent(&mut restored(LearnedEngine { maybe_in_slow_start: true, ..Default::default() }));
-    // 0.8 of three times 0.3 of eight cores for two seconds, in queries of 400 ms; a little more as it warms.
+fn engine_possibly_in_slow_start_gets_no_more_than_the_slow_start_budget() {
+    let starting = queries_sent(&mut restored_balancer(LearnedEngine {
+        maybe_in_slow_start: true,
+        ..Default::default()
+    }));
+    // 0.8 of three times 0.3 of eight cores for two seconds, in queries of 400 ms; a little more as the capacity grows.
     let budget = 0.8 * 3.0 * 0.3 * 8.0 * 2_000.0 / 400.0;
     let max = budget * (0.3 + 0.7 * 2.0 / 15.0) / 0.3 + 1.0;
     assert!(starting >= 3 && (starting as f64) <= max, "{starting} of {max}");
-    let warm = sent(&mut restored(LearnedEngine::default()));
-    assert!(warm > 2 * starting, "{warm} against {starting}");
+    let without_slow_start = queries_sent(&mut restored_balancer(LearnedEngine::default()));
+    assert!(without_slow_start > 2 * starting, "{without_slow_start} without slow start, {starting} in it");
 }
 
 #[test]
-fn engine_whose_budget_was_spent_gets_nothing_until_the_span_is_over() {
-    let mut balancer = restored(LearnedEngine {
+fn engine_with_an_exhausted_slow_start_budget_gets_nothing_until_the_window_ends() {
+    let mut balancer = restored_balancer(LearnedEngine {
         maybe_in_slow_start: true,
         slow_start_budget_exhausted: true,
         ..Default::default()
     });
-    assert_eq!(sent(&mut balancer), 0);
+    assert_eq!(queries_sent(&mut balancer), 0);
     let details = RequestDetails { deadline: 5_000.0, ..incoming(900, 0, 0.0) };
     let later: usize = (0..20)
         .map(|cycle| {
@@ -73,26 +77,26 @@
             sends(&run_cycle(&mut balancer, now, &events)).len()
         })
         .sum();
-    assert!(later >= 1, "and then it is an engine like others");
+    assert!(later >= 1, "the engine is used again after the window");
 }
 
-/// A query that the engine runs.
+/// A query that the engine is executing.
 struct InFlight {
     sent_at: Milliseconds,
     id: u64,
 }
 
-/// The most queries in flight at once under steady load whose answers take `took`, after two seconds of such answers.
-fn max_in_flight(took: Milliseconds) -> usize {
-    let mut balancer = restored(LearnedEngine { maybe_in_slow_start: true, ..Default::default() });
+/// Returns the maximum number of queries in flight under steady load, from the third second on, if each query takes `latency`.
+fn max_in_flight(latency: Milliseconds) -> usize {
+    let mut balancer = restored_balancer(LearnedEngine { maybe_in_slow_start: true, ..Default::default() });
     let mut in_flight: Vec<InFlight> = Vec::new();
     let mut max = 0;
     for id in 0..300_u64 {
         let now = id as f64 * 10.0;
         let mut events =
             vec![Event::Request(RequestDetails { deadline: now + 2_900.0, ..incoming(id, 0, 0.0) })];
-        for ended in in_flight.extract_if(.., |query| query.sent_at + took <= now) {
-            let mut end = outcome(ended.id, 0, &engine(0), Outcome::Ok, took);
+        for ended in in_flight.extract_if(.., |query| query.sent_at + latency <= now) {
+            let mut end = outcome(ended.id, 0, &engine(0), Outcome::Ok, latency);
             if let Event::Outcome { work, .. } = &mut end {
                 *work = Some(100.0);
             }
@@ -109,14 +113,14 @@
 }
 
 #[test]
-fn answers_show_an_engine_to_be_warm_as_far_as_their_load_goes_and_slow_ones_show_nothing() {
-    let (usual, slow) = (max_in_flight(100.0), max_in_flight(900.0));
-    assert!(usual >= slow + 2, "{usual} against {slow}");
+fn slow_start_estimate_rises_with_fast_answers_but_not_with_slow_ones() {
+    let (fast, slow) = (max_in_flight(100.0), max_in_flight(900.0));
+    assert!(fast >= slow + 2, "{fast} in flight with fast answers, {slow} with slow ones");
 }
 
 #[test]
-fn figures_that_are_none_or_past_all_sense_are_left_out() {
-    let absurd = LearnedEngine {
+fn invalid_learned_values_are_discarded() {
+    let invalid = LearnedEngine {
         slowdown: f64::NAN,
         error_rate: -3.0,
         other_threads: 1e300,
@@ -125,7 +129,7 @@
         ejections: u32::MAX,
         ..Default::default()
     };
-    let balancer = restored(absurd);
+    let balancer = restored_balancer(invalid);
     let learned = &balancer.learned().engines[0];
     assert!((learned.slowdown, learned.error_rate, learned.other_threads) == (1.0, 0.0, 0.0), "{learned:?}");
     assert!(
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP at a moment at which the configuration cannot be read.
+//! SIGHUP while the configuration file cannot be read.
 
 mod stand;
 
@@ -8,9 +8,10 @@
 use std::fs;
 use std::io::Write;
 
-/// The file is missing when the signal arrives, and there a moment later: the reload is tried again.
+/// Guards against a lost reload: the file is missing when SIGHUP arrives and is restored a moment later, so the reload must be
+/// tried again.
 #[test]
-fn reload_that_cannot_read_its_file_for_a_moment_is_made_once_it_can() {
+fn reload_is_retried_until_its_file_can_be_read() {
     let (at, _) = resp_engine(served);
     let (first, list) = list_service();
     *list.lock().expect("list") = Some((1, vec![("s-0", at, false)]));
@@ -23,9 +24,9 @@
     let (_listener, refuses) = refusing();
     *list.lock().expect("list") = Some((2, vec![("s-1", refuses, false)]));
     is_served(gateway.client(), 1);
-    fs::remove_file(&gateway.file).expect("it was there");
+    fs::remove_file(&gateway.file).expect("the file existed");
     gateway.signal("-HUP");
-    // Requests that are sent after the signal are answered after the reload was tried.
+    // Requests sent after the signal are answered after the first attempt of the reload.
     is_served(gateway.client(), 2);
     is_served(gateway.client(), 3);
     let new = gateway.file.with_extension("new");
--- a/tests/shared_folder.rs
+++ b/tests/shared_folder.rs
@@ -1,4 +1,4 @@
-//! The folder that the processes of a gateway share, on a disk that fails for a while.
+//! The folder that the processes of a gateway share, on a disk that fails temporarily.
 
 mod stand;
 
@@ -12,8 +12,8 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A gateway that shares a folder with others of its name.
-struct Shared {
+/// A gateway process with a folder that it shares with later processes of the same gateway.
+struct SharingGateway {
     gateway: Gateway,
     path: std::path::PathBuf,
     errors: std::path::PathBuf,
@@ -21,7 +21,8 @@
     _port: tokio::net::TcpSocket,
 }
 
-fn shared(engine: SocketAddr, faults: &Arc<Faults>) -> Shared {
+/// Starts the process on a port that later processes may also bind.
+fn start_sharing_gateway(engine: SocketAddr, faults: &Arc<Faults>) -> SharingGateway {
     let port = tokio::net::TcpSocket::new_v4().expect("a socket");
     port.set_reuseport(true).expect("set");
     port.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
@@ -36,16 +37,16 @@
     command.stderr(File::create(&errors).expect("a file"));
     let path = folder(folder_of_test.path(), "n0", at);
     let gateway = Gateway::start_command(command, &file);
-    Shared { gateway, path, errors, _folder: folder_of_test, _port: port }
+    SharingGateway { gateway, path, errors, _folder: folder_of_test, _port: port }
 }
 
-/// The folder takes no writes for a while, and many keyed requests come.
+/// Guards against a log line for each request while writes to the folder fail: many keyed requests arrive during the failure.
 #[test]
-fn disk_that_takes_no_writes_costs_few_lines_of_log() {
+fn failing_disk_writes_cause_few_log_lines() {
     const REQUESTS: usize = 300;
     let (at, log) = resp_engine(served);
     let faults = Arc::new(Faults::new("disk=1"));
-    let shared = shared(at, &faults);
+    let shared = start_sharing_gateway(at, &faults);
     let mut client = shared.gateway.client();
     faults.begin();
     for n in 1..=REQUESTS {
@@ -53,26 +54,27 @@
         assert_eq!(answer(&mut client).1, "overloaded");
     }
     faults.end();
-    assert_eq!(attempts(&log).len(), 0, "nothing leaves that is not recorded");
+    assert_eq!(attempts(&log).len(), 0, "no key is sent without a record");
     let lines = std::fs::read_to_string(&shared.errors).expect("read").lines().count();
-    assert!(lines <= REQUESTS / 10, "{lines} lines of errors");
+    assert!(lines <= REQUESTS / 10, "{lines} log lines for {REQUESTS} requests");
     let seq = REQUESTS as i32 + 1;
     client.write_all(&load(seq, seq as usize, "after")).expect("sent");
     assert_eq!(answer(&mut client).1, "served");
 }
 
-/// The folder takes no writes as the process starts: what it sends then must be known to the next all the same.
+/// Guards against keys that are hidden from the next process: writes to the folder fail while this process starts, and keys sent
+/// after that must still be recorded in the folder.
 #[test]
-fn process_that_starts_while_the_disk_takes_no_writes_shares_the_folder_once_it_does() {
+fn process_started_while_disk_writes_fail_shares_the_folder_once_they_succeed() {
     let (at, _) = resp_engine(served);
     let faults = Arc::new(Faults::new("disk=1"));
     faults.begin();
-    let ends = faults.clone();
+    let thread_faults = faults.clone();
     let disk_recovers = std::thread::spawn(move || {
-        ends.until_happened("disk");
-        ends.end();
+        thread_faults.until_happened("disk");
+        thread_faults.end();
     });
-    let shared = shared(at, &faults);
+    let shared = start_sharing_gateway(at, &faults);
     disk_recovers.join().expect("the disk failed at the start");
     let mut client = shared.gateway.client();
     client.write_all(&load(1, 1, "early")).expect("sent");
@@ -82,12 +84,12 @@
     assert!(keys.contains(&deduplication_window::key("early")), "{keys:?}");
 }
 
-/// A record that is half written must not hide those after it.
+/// Guards against a partly written record that hides the records after it from the next process.
 #[test]
-fn key_that_is_sent_after_a_torn_record_is_heard_by_the_next_process() {
+fn key_recorded_after_a_torn_record_is_read_by_the_next_process() {
     let (at, log) = resp_engine(served);
     let faults = Arc::new(Faults::new("torn=1"));
-    let shared = shared(at, &faults);
+    let shared = start_sharing_gateway(at, &faults);
     let mut client = shared.gateway.client();
     faults.begin();
     client.write_all(&load(1, 1, "torn")).expect("sent");
--- a/tests/tenants.rs
+++ b/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! The tenant of a request: the platform's calls name it in `team`, by the names of the settings.
+//! The tenant of a request: the platform's requests name it in the field `team`, by a name from the settings.
 
 mod common;
 mod stand;
@@ -16,10 +16,10 @@
 use tokio::io::AsyncWriteExt;
 
 #[rstest]
-#[case::named(Some("yards"), Some(TenantId(1)))]
+#[case::in_the_settings(Some("yards"), Some(TenantId(1)))]
 #[case::not_in_the_settings(Some("nobody"), None)]
-#[case::not_said(None, None)]
-fn request_is_its_team_s(#[case] team: Option<&str>, #[case] tenant: Option<TenantId>) {
+#[case::no_team(None, None)]
+fn request_has_the_tenant_named_by_its_team(#[case] team: Option<&str>, #[case] tenant: Option<TenantId>) {
     let tenants = ["docks", "yards"].map(|name| Tenant { name: name.into(), quota_per_s: 1.0 });
     let settings = Settings { tenants: tenants.to_vec(), ..settings() };
     let limits = Limits::read(&Fields::new("settings", BTreeMap::new())).expect("defaults");
--- a/tests/upgrades_with_idempotency_log.rs
+++ b/tests/upgrades_with_idempotency_log.rs
@@ -1,4 +1,4 @@
-//! Upgrades of a gateway that has a folder for its idempotency log, which belongs to one process at a time.
+//! Upgrades of a gateway with an idempotency log, whose folder only one process at a time may use.
 
 mod gateway_processes;
 mod stand;
@@ -7,10 +7,10 @@
 use stand::*;
 use std::io::Write;
 
-/// The folder of what is kept belongs to one process. In an upgrade loads are served by both, and once the old one has
-/// ended the new one keeps the log: killed and started anew it trusts it.
+/// Guards against loads that are rejected during or after an upgrade because only one process may use the folder. Both processes
+/// serve loads, the new one takes the log over when the old one exits, and relies on it after a kill and restart.
 #[test]
-fn upgrade_of_a_gateway_that_keeps_keys_refuses_no_load_and_takes_the_folder_over() {
+fn upgrade_with_an_idempotency_log_rejects_no_load_and_takes_over_the_folder() {
     const WINDOW: u32 = 3_000;
     let (at, log) = resp_engine(served);
     let mut site = Site::new(&[at]);
@@ -20,26 +20,26 @@
     write!(file, "knowledge {{\n  folder = {folder:?}\n  every = \"100ms\"\n}}\n").expect("written");
     site.operator = Some(file);
     let old = site.start();
-    // A first start has no log to trust, and waits for a window.
-    assert!((0..1_000_000).any(|_| load(&old, 1) == "served"), "the first window passes");
+    // The first start has no log to rely on, and waits for one window.
+    assert!((0..1_000_000).any(|_| load(&old, 1) == "served"), "loads are served after the first window");
     let new = site.start();
-    // Either process may be met.
+    // Either process may accept these requests.
     let during: Vec<_> = (100..140).map(|n| load(&new, n)).collect();
     assert!(during.iter().all(|a| *a == "served"), "{during:?}");
     old.signal("-TERM");
     old.ended();
-    // Its end is seen within a tenth of a second; the log is begun anew with all keys.
-    let held = || {
+    // The new process detects the exit within 100 ms, and starts a new log with all keys.
+    let logged_keys = || {
         let disk = starlingplank_persistence::folder::Files::new(&folder);
         let last = starlingplank_persistence::idempotency_log::last(&disk).expect("it can be read");
         last.map_or(0, |(_, read)| read.sends.len())
     };
     let mut n = 200;
-    let whole = (0..10_000).any(|_| {
+    let holds_all = (0..10_000).any(|_| {
         n += 1;
-        load(&new, n) == "served" && held() > 40
+        load(&new, n) == "served" && logged_keys() > 40
     });
-    assert!(whole, "{} keys are in the log", held());
+    assert!(holds_all, "{} keys are in the log", logged_keys());
     let disk = starlingplank_persistence::folder::Files::new(&folder);
     let marked = || {
         starlingplank_persistence::idempotency_log::unrecorded_sends_possible(&disk).expect("it can be read")
@@ -48,18 +48,19 @@
     new.signal("-KILL");
     drop(new);
     let third = site.start();
-    // Not trusted, loads are refused for a window of 3 s; else until its own file is begun, which takes milliseconds.
-    let trusted = (10_000..10_300).any(|n| load(&third, n) == "served");
+    // Without a log to rely on, loads are rejected for a window of 3 s; with one, only until the process has started its own file,
+    // which takes milliseconds.
+    let relies_on_log = (10_000..10_300).any(|n| load(&third, n) == "served");
     third.signal("-TERM");
-    assert!(trusted, "{:?}", third.ended());
+    assert!(relies_on_log, "{:?}", third.ended());
     let sent = log.lock().expect("log").iter().filter(|p| p[0] == "want").count();
-    assert!(sent >= 42, "{sent} loads arrived");
+    assert!(sent >= 42, "{sent} loads arrived at the engine");
 }
 
-/// Two gateways and one folder: the second is not the first's next version. It serves what has no key, sends nothing
-/// keyed, and does not go by the other's log.
+/// Guards against a gateway that uses the folder of another gateway, whose successor it is not: it serves requests without a key,
+/// sends no keyed ones, and does not rely on the other's log.
 #[test]
-fn folder_of_another_gateway_is_neither_followed_nor_taken() {
+fn folder_of_another_gateway_is_neither_read_nor_taken_over() {
     let (at, log) = resp_engine(served);
     let mut sites = [Site::new(&[at]), Site::new(&[at])];
     let folder = sites[0].tmp.path().join("kept");
@@ -70,25 +71,29 @@
         site.operator = Some(file);
     }
     let first = sites[0].start();
-    assert!((0..1_000_000).any(|_| load(&first, 1) == "served"), "the first window passes");
+    assert!((0..1_000_000).any(|_| load(&first, 1) == "served"), "loads are served after the first window");
     let second = sites[1].start();
     let before = log.lock().expect("log").len();
     assert_eq!(served_lookups(&second, 0, 10), 10);
-    assert!((100..130).all(|n| load(&second, n) == "overloaded"), "nothing keyed leaves");
+    assert!((100..130).all(|n| load(&second, n) == "overloaded"), "no keyed request is sent");
     first.signal("-TERM");
     first.ended();
-    // Nor does it take the folder once it is free: looks are a tenth of a second apart, a start of another is longer.
+    // The second gateway doesn't take over the folder once it is free either: it polls the folder every 100 ms, and the start of
+    // another process takes longer.
     let third = sites[0].start();
-    assert!((0..1_000_000).any(|_| load(&third, 2) == "served"), "its own next life has it");
+    assert!(
+        (0..1_000_000).any(|_| load(&third, 2) == "served"),
+        "the first gateway's next process uses the folder"
+    );
     assert!((200..230).all(|n| load(&second, n) == "overloaded"));
     let keyed = |p: &Vec<String>| p[0] == "want" && p[2].contains("uniq=k1");
     assert_eq!(log.lock().expect("log")[before..].iter().filter(|p| keyed(p)).count(), 0);
 }
 
-/// Both versions are killed in the middle of an upgrade, and what they shared is gone: the next life finds the word that
-/// some keyed requests are in no log, and waits for a window before it sends any.
+/// Guards against keys that run twice after an aborted upgrade: both processes are killed, and the folder they shared is lost. The
+/// next process finds the marker that sent keys may be missing from the log, and waits for one window before it sends any.
 #[test]
-fn upgrade_cut_short_makes_the_next_life_wait_before_it_sends_what_is_keyed() {
+fn process_after_an_aborted_upgrade_waits_before_it_sends_keyed_requests() {
     let (at, _) = resp_engine(served);
     let mut site = Site::new(&[at]);
     site.config = site.config.replacen("\"window\":12000", "\"window\":3000", 1);
@@ -104,7 +109,7 @@
     let old = site.start();
     assert!((0..1_000_000).any(|_| load(&old, 1) == "served") && !marked());
     let new = site.start();
-    assert!(marked(), "the marker is there before anything is sent");
+    assert!(marked(), "the marker exists before anything is sent");
     assert!((100..120).all(|n| load(&new, n) == "served"));
     old.signal("-KILL");
     new.signal("-KILL");
@@ -114,12 +119,12 @@
     assert_eq!(shared.len(), 1);
     std::fs::remove_dir_all(&shared[0]).expect("removed");
     let third = site.start();
-    // Its own first file says until when nothing keyed may leave; then the word has done its part.
+    // The process's first own log file holds the time until which no key may be sent, so the marker is no longer needed.
     let mark = || starlingplank_persistence::idempotency_log::last(&disk()).ok()??.1.mark;
     assert!((0..1_000_000).any(|_| !marked()), "the marker is removed");
-    // Where the log was begun a second time at the start, its mark follows once that is durable.
+    // If the log was started a second time during the start, its mark is written once that log is durable.
     let first = (0..1_000_000).find_map(|_| mark());
     assert!(first.as_ref().is_some_and(|m| m.blocked_until > Some(m.at)), "{first:?}");
-    assert_eq!(served_lookups(&third, 0, 5), 5, "what has no key is served meanwhile");
+    assert_eq!(served_lookups(&third, 0, 5), 5, "requests without a key are served meanwhile");
     assert!((0..1_000_000).any(|_| load(&third, 200) == "served"));
 }
