--- a/tests/rules/checker.rs
+++ b/tests/rules/checker.rs
@@ -1,14 +1,15 @@
-//! A checker that knows only the rules.
+//! A checker of the sending rules that uses no code of the decision module.
 
 use crate::common::{engine, member};
 use starlingplank::interface::*;
 use std::collections::BTreeMap;
 
-/// The work of a query at least, and the cores of an engine of the list.
+/// Minimum work of a query.
 const MIN_WORK: Milliseconds = 20.0;
+/// Number of cores of each engine.
 const CORES: f64 = 8.0;
 
-/// How an attempt ended.
+/// Outcome of an attempt, and the time at which the attempt ended.
 #[derive(Clone, Copy)]
 pub(crate) struct AttemptResult {
     pub at: Milliseconds,
@@ -34,18 +35,18 @@
     }
 }
 
-pub(crate) struct SeenRequest {
+pub(crate) struct ReceivedRequest {
     pub details: RequestDetails,
     pub received_at: Milliseconds,
     pub answered_at: Option<Milliseconds>,
     pub attempts: Vec<SentAttempt>,
 }
 
-/// The rules, implemented from their wording, apart from the decision module. Engines are known by their number.
+/// Independent implementation of the rules, separate from the decision module. Identifies engines by their number.
 pub(crate) struct Checker {
     settings: Settings,
-    pub requests: BTreeMap<u64, SeenRequest>,
-    /// The requests of each ordered key, as received.
+    pub requests: BTreeMap<u64, ReceivedRequest>,
+    /// The requests of each order key, in the order in which they were received.
     order: BTreeMap<u64, Vec<u64>>,
     pub drained_at: BTreeMap<usize, Milliseconds>,
     pub started_at: BTreeMap<usize, Milliseconds>,
@@ -79,11 +80,12 @@
             self.order.entry(key.0).or_default().push(id);
         }
         self.received_times.push(now);
-        let request = SeenRequest { details, received_at: now, answered_at: None, attempts: vec![] };
+        let request = ReceivedRequest { details, received_at: now, answered_at: None, attempts: vec![] };
         self.requests.insert(id, request);
     }
 
-    /// The gateway is killed and restarts: nothing that it had open goes on.
+    /// Ends all open requests and attempts, and discards the counts for the retry budget and the order of keys: the gateway was
+    /// killed and has restarted.
     pub(crate) fn gateway_restarted(&mut self, now: Milliseconds) {
         for request in self.requests.values_mut() {
             request.answered_at.get_or_insert(now);
@@ -113,22 +115,25 @@
     }
 
     fn answer(&mut self, now: Milliseconds, id: u64) {
-        let request = self.requests.get_mut(&id).expect("a request of ours");
-        assert!(request.answered_at.is_none(), "rule 1: two answers");
+        let request = self.requests.get_mut(&id).expect("a request that was received");
+        assert!(request.answered_at.is_none(), "rule 1: a request was answered twice");
         request.answered_at = Some(now);
     }
 
     fn reject(&mut self, now: Milliseconds, id: u64, retry_after: Milliseconds) {
-        assert!(retry_after <= self.settings.max_retry_after, "advice that is not allowed");
+        assert!(retry_after <= self.settings.max_retry_after, "retry-after exceeds its maximum");
         self.answer(now, id);
         let request = &self.requests[&id];
         let may_have_run = request.attempts.iter().any(SentAttempt::may_have_run);
         match self.settings.classes[request.details.class.0].idempotency {
             Idempotency::NotIdempotent => {
-                assert!(!may_have_run, "rule 2: refused what may have run");
+                assert!(!may_have_run, "rule 2: rejected a request that is not idempotent and may have run");
             }
             Idempotency::Keyed { scope, .. } => {
-                assert!(scope == Scope::All || !may_have_run, "rule 2: refused a keyed one");
+                assert!(
+                    scope == Scope::All || !may_have_run,
+                    "rule 2: rejected a keyed request that may have run"
+                );
             }
             Idempotency::Idempotent => {}
         }
@@ -144,34 +149,43 @@
         let request = self.requests.get_mut(&id).expect("known");
         assert!(
             timeout >= 0.0 && now + timeout <= request.details.deadline + 1e-6,
-            "time-out past the deadline"
+            "the timeout ends after the deadline"
         );
         request.attempts.push(SentAttempt { at: now, engine: to, timeout, result: None });
     }
 
-    fn class_of(&self, request: &SeenRequest) -> &Class {
+    fn class_of(&self, request: &ReceivedRequest) -> &Class {
         &self.settings.classes[request.details.class.0]
     }
 
     fn check_drain(&self, now: Milliseconds, to: usize) {
         if let Some(drained) = self.drained_at.get(&to) {
-            assert!(now <= drained + self.settings.drain_grace, "rule 3: sent to one that drains");
+            assert!(now <= drained + self.settings.drain_grace, "rule 3: sent to a draining engine");
         }
     }
 
     fn check_attempt_allowed(&self, id: u64, to: &Member) {
         let request = &self.requests[&id];
         let class = self.class_of(request);
-        assert!(request.answered_at.is_none(), "rule 1: sent after the end");
-        assert!(request.attempts.len() < self.settings.max_attempts as usize, "send cap");
+        assert!(request.answered_at.is_none(), "rule 1: sent after the answer");
+        assert!(
+            request.attempts.len() < self.settings.max_attempts as usize,
+            "more attempts than the maximum"
+        );
         if let Some(kinds) = &class.machine_types {
-            assert!(kinds.contains(&to.machine_type.expect("kind")), "rule 6: kind");
+            assert!(
+                kinds.contains(&to.machine_type.expect("a machine type")),
+                "rule 6: machine type is not allowed"
+            );
         }
         if let Some(zones) = &class.zones {
-            assert!(zones.contains(&to.zone.expect("zone")), "rule 6: zone");
+            assert!(zones.contains(&to.zone.expect("a zone")), "rule 6: zone is not allowed");
         }
         let in_flight = request.attempts.iter().filter(|attempt| attempt.result.is_none()).count();
-        assert!(self.settings.may_hedge || in_flight == 0, "rule 2: two at once");
+        assert!(
+            self.settings.may_hedge || in_flight == 0,
+            "rule 2: two attempts at the same time without hedging"
+        );
     }
 
     fn check_repeats(&self, now: Milliseconds, id: u64, to: &Member) {
@@ -179,7 +193,7 @@
         for attempt in request.attempts.iter().filter(|attempt| attempt.may_have_run()) {
             match self.class_of(request).idempotency {
                 Idempotency::Idempotent => {}
-                Idempotency::NotIdempotent => panic!("rule 2: unsafe sent again"),
+                Idempotency::NotIdempotent => panic!("rule 2: a non-idempotent request was sent again"),
                 Idempotency::Keyed { scope, window } => {
                     let previous = member(attempt.engine);
                     let same_scope = match scope {
@@ -189,7 +203,7 @@
                     };
                     assert!(
                         same_scope && now <= attempt.at + window,
-                        "rule 2: keyed sent out of its group or window"
+                        "rule 2: a keyed request was sent again outside its scope or window"
                     );
                 }
             }
@@ -202,13 +216,13 @@
         let is_retry = !request.attempts.is_empty();
         for earlier_id in self.order[&key.0].iter().take_while(|earlier| **earlier != id) {
             let earlier = &self.requests[earlier_id];
-            assert!(earlier.answered_at.is_some(), "rule 5: an earlier one is unfinished");
+            assert!(earlier.answered_at.is_some(), "rule 5: an earlier request of the key has no answer");
             for attempt in &earlier.attempts {
-                let result = attempt.result.expect("rule 5: an earlier attempt is out");
+                let result = attempt.result.expect("rule 5: an earlier attempt of the key is in flight");
                 if matches!(result.outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
                     assert!(
                         is_retry || now >= result.at + self.settings.ordered_key_pause,
-                        "rule 5: the key rests"
+                        "rule 5: sent during the pause of the key"
                     );
                 }
             }
@@ -226,11 +240,12 @@
             };
             let max_retries =
                 retry_budget.min_retries + retry_budget.retry_ratio * recent(&self.received_times);
-            assert!(recent(&self.retry_times) <= max_retries, "rule 7: ration");
+            assert!(recent(&self.retry_times) <= max_retries, "rule 7: retry budget exceeded");
         }
     }
 
-    /// Checks this gateway's share of the budget, at full capacity and at least 20 ms of work a query.
+    /// Checks that the sends to an engine in slow start stay within this gateway's share of the budget. The bound is that of an
+    /// engine at full capacity, with the minimum work for each query.
     fn check_slow_start_budget(&mut self, now: Milliseconds, to: usize) {
         let settings = &self.settings;
         if self.started_at.get(&to).is_none_or(|at| now >= at + settings.slow_start_duration) {
@@ -241,16 +256,16 @@
         let span = settings.overload_collapse_after;
         let recent = sends.iter().filter(|at| **at > now - span).count() as f64;
         let share = settings.overload_collapse_multiple * CORES * span / settings.gateways as f64;
-        assert!(recent * MIN_WORK <= share, "rule 4: a burst into a cold engine");
+        assert!(recent * MIN_WORK <= share, "rule 4: a burst to an engine in slow start");
     }
 
-    /// Checks that no request is past its deadline without an answer.
+    /// Checks that every request whose deadline has passed by more than the grace period has an answer.
     pub(crate) fn check_deadlines(&self, now: Milliseconds) {
         for request in self.requests.values() {
             let due = request.details.deadline + self.settings.answer_grace;
             assert!(
                 request.answered_at.is_some() || now < due,
-                "rule 1: taken at {}, no answer",
+                "rule 1: no answer to the request received at {}",
                 request.received_at
             );
         }
@@ -258,5 +273,5 @@
 }
 
 fn engine_number(id: &EngineId) -> usize {
-    (0..32).find(|number| engine(*number) == *id).expect("an engine of the list")
+    (0..32).find(|number| engine(*number) == *id).expect("an engine of the endpoint list")
 }
--- a/tests/rules/day.rs
+++ b/tests/rules/day.rs
@@ -1,52 +1,55 @@
-//! A random day of one gateway, its clients and its engines.
+//! Randomized run of one gateway with its clients and engines.
 
 use crate::checker::{AttemptResult, Checker};
 use crate::common::{engine, incoming, member};
-use crate::settings::{draw_settings, DaySettings};
+use crate::settings::{draw_settings, RandomSettings};
 use starlingplank::decide::Balancer;
 use starlingplank::interface::*;
 
+/// Time between two decision cycles.
 const STEP: Milliseconds = 5.0;
-/// After the last arrival a day continues past the longest deadline, 5,050 ms later.
+/// Number of decision cycles of a run. After the last request the run continues beyond the longest deadline, 5,050 ms later.
 const CYCLES: u32 = 3_100;
+/// First cycle in which no request arrives.
 const LAST_REQUEST_CYCLE: u32 = 2_000;
-/// The cycle in which the gateway of each third day is killed.
+/// Cycle in which the gateway is killed and restarts, in every third run.
 const RESTART_CYCLE: u32 = 1_200;
 const ENGINES: usize = 6;
 
-/// What a day came to.
-pub(crate) struct DayTotals {
+/// Numbers of received requests and of sent attempts in a run.
+pub(crate) struct RunTotals {
     pub received: usize,
     pub sent: usize,
 }
 
-/// A day as far as it has come.
-pub(crate) struct Day {
+/// State of a run.
+pub(crate) struct RandomRun {
     rng: fastrand::Rng,
     settings: Settings,
     reports_load: bool,
     balancer: Balancer,
     checker: Checker,
-    /// The share of attempts that succeed among those that end in time.
+    /// Share of successful attempts among those that end before their timeout.
     ok_share: f64,
     next_request: u64,
 }
 
-impl Day {
-    /// Runs the day of a seed, and panics where a rule is broken.
-    pub(crate) fn run(seed: u64) -> DayTotals {
+impl RandomRun {
+    /// Performs the run of a seed. Panics if a rule is broken.
+    pub(crate) fn run(seed: u64) -> RunTotals {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let DaySettings { settings, reports_load } = draw_settings(&mut rng);
-        let balancer = Balancer::new(settings.clone(), 0.0).expect("settings are good");
+        let RandomSettings { settings, reports_load } = draw_settings(&mut rng);
+        let balancer = Balancer::new(settings.clone(), 0.0).expect("settings are valid");
         let checker = Checker::new(settings.clone());
         let ok_share = 0.7 + 0.3 * rng.f64();
-        let mut day = Self { rng, settings, reports_load, balancer, checker, ok_share, next_request: 0 };
+        let mut random_run =
+            Self { rng, settings, reports_load, balancer, checker, ok_share, next_request: 0 };
         for cycle in 0..CYCLES {
-            day.run_cycle(cycle, cycle == RESTART_CYCLE && seed.is_multiple_of(3));
+            random_run.run_cycle(cycle, cycle == RESTART_CYCLE && seed.is_multiple_of(3));
         }
-        let sent = day.checker.requests.values().map(|request| request.attempts.len()).sum();
-        assert_eq!(day.balancer.open_requests(), 0, "something is kept for what is over");
-        DayTotals { received: day.checker.requests.len(), sent }
+        let sent = random_run.checker.requests.values().map(|request| request.attempts.len()).sum();
+        assert_eq!(random_run.balancer.open_requests(), 0, "the balancer keeps state of finished requests");
+        RunTotals { received: random_run.checker.requests.len(), sent }
     }
 
     fn run_cycle(&mut self, cycle: u32, restarts: bool) {
@@ -99,15 +102,15 @@
         } else {
             self.checker.drained_at.entry(number).or_insert(now);
         }
-        // Later updates of an engine keep the time of its start.
+        // Later updates of an engine keep its start time.
         update.started = self.checker.started_at.get(&number).copied();
         update
     }
 
-    /// The gateway is killed and restarts with its last list, which is returned; clients retry what was in flight.
+    /// Kills and restarts the gateway. Returns the event with its last endpoint list, which it restarts with.
     fn restart(&mut self, now: Milliseconds) -> Event {
         let settings = Settings { seed: self.rng.u64(..), ..self.settings.clone() };
-        self.balancer = Balancer::new(settings, now).expect("good");
+        self.balancer = Balancer::new(settings, now).expect("settings are valid");
         self.checker.gateway_restarted(now);
         let checker = &self.checker;
         let last_known = |number| {
@@ -134,7 +137,7 @@
         Event::Request(details)
     }
 
-    /// Ends some attempts, and all whose timeout has passed. A few clients disconnect.
+    /// Ends random attempts and all whose timeout has passed, and disconnects a few clients.
     fn end_attempts_and_clients(&mut self, now: Milliseconds, events: &mut Vec<Event>) {
         for (id, request) in &mut self.checker.requests {
             let id = RequestId(*id);
@@ -171,7 +174,7 @@
     }
 }
 
-/// Draws how an attempt that ends in time does so.
+/// Draws the outcome of an attempt that ends before its timeout.
 fn draw_outcome(rng: &mut fastrand::Rng, ok_share: f64) -> Outcome {
     if rng.f64() < ok_share {
         Outcome::Ok
--- a/tests/rules/settings.rs
+++ b/tests/rules/settings.rs
@@ -1,21 +1,23 @@
-//! Settings that differ from day to day.
+//! Random settings for the runs.
 
 use crate::common::settings as default_settings;
 use starlingplank::interface::*;
 
-const RETRY_SPANS: [Milliseconds; 2] = [2_000.0, 5_000.0];
+/// Windows of the retry budget.
+const RETRY_WINDOWS: [Milliseconds; 2] = [2_000.0, 5_000.0];
 const DRAIN_GRACES: [Milliseconds; 3] = [0.0, 250.0, 1_000.0];
 const ORDERED_KEY_PAUSES: [Milliseconds; 2] = [0.0, 500.0];
+/// Deduplication window of keyed requests.
 const KEY_WINDOW: Milliseconds = 800.0;
 
-/// The settings of a day, and whether engines report their load with answers.
-pub(crate) struct DaySettings {
+/// The settings of a run, and whether engines attach load reports to their answers.
+pub(crate) struct RandomSettings {
     pub(crate) settings: Settings,
     pub(crate) reports_load: bool,
 }
 
-/// Draws the settings of a day.
-pub(crate) fn draw_settings(rng: &mut fastrand::Rng) -> DaySettings {
+/// Draws the settings of a run.
+pub(crate) fn draw_settings(rng: &mut fastrand::Rng) -> RandomSettings {
     let mut settings = default_settings();
     settings.seed = rng.u64(..);
     settings.gateways = rng.usize(1..6);
@@ -27,11 +29,11 @@
     settings.max_attempts = rng.u32(1..6);
     settings.subscribes_to_endpoints = rng.bool();
     let reports_load = rng.usize(..3) == 0;
-    let span = RETRY_SPANS[rng.usize(..2)];
+    let retry_window = RETRY_WINDOWS[rng.usize(..2)];
     settings.retry_budget = rng.bool().then_some(RetryBudgetSettings {
         min_retries: rng.f64() * 4.0,
         retry_ratio: 0.1,
-        window: span,
+        window: retry_window,
     });
     settings.drain_grace = DRAIN_GRACES[rng.usize(..3)];
     settings.overload_collapse_multiple = 2.5 + rng.f64();
@@ -44,7 +46,7 @@
     for class in &mut settings.classes {
         draw_class_terms(class, rng);
     }
-    DaySettings { settings, reports_load }
+    RandomSettings { settings, reports_load }
 }
 
 fn draw_class_terms(class: &mut Class, rng: &mut fastrand::Rng) {
