--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,6 +1,7 @@
-//! What all gateways together send to an engine in slow start, in virtual time. Each has far more to send than the engine
-//! may get, and no other engine. Any span of the settings' length holds no more than the budget of N usual requests and
-//! 2 x root of N + 2, at any size of the fleet.
+//! The total work that all gateways send to an engine in slow start, in virtual time. Each gateway has far more requests than
+//! the engine may receive, and no other engine. In any span of `overload_collapse_after`, the work sent must not exceed that of
+//! N + 2 x sqrt(N) + 2 mean requests, where N is the budget in mean requests and the rest is a margin for chance, for any number of
+//! gateways.
 
 mod common;
 
@@ -10,33 +11,37 @@
 use starlingplank::interface::*;
 use std::collections::BTreeMap;
 
+/// Time at which the engine restarts and slow start begins.
 const STARTED_AT: Milliseconds = 30_000.0;
+/// Time between two steps of the simulation.
 const STEP: Milliseconds = 10.0;
-const USUAL_WORK: [Milliseconds; 2] = [250.0, 1_000.0];
+/// Expected work of the requests of each class.
+const EXPECTED_WORK: [Milliseconds; 2] = [250.0, 1_000.0];
 
-/// Work that was sent to the engine in slow start.
+/// A request that was sent to the engine in slow start.
 struct SentWork {
     at: Milliseconds,
     work: Milliseconds,
 }
 
-/// An event that reaches a gateway at its time.
+/// An event that the gateway receives at the given time.
 struct DueEvent {
     at: Milliseconds,
     event: Event,
 }
 
+/// A gateway under test, with its pending events.
 struct TestGateway {
     balancer: Balancer,
     next_request: u64,
     due: Vec<DueEvent>,
-    /// The class of each request.
+    /// Class of each request, by the request's identifier.
     classes: BTreeMap<u64, usize>,
 }
 
 impl TestGateway {
     fn new(settings: Settings) -> Self {
-        let mut balancer = Balancer::new(settings, 0.0).expect("settings are good");
+        let mut balancer = Balancer::new(settings, 0.0).expect("settings are valid");
         let list = Event::EndpointListReceived { complete: true, members: vec![member(0)] };
         balancer.run_cycle(0.0, &[list], &mut Vec::new());
         Self { balancer, next_request: 1, due: Vec::new(), classes: BTreeMap::new() }
@@ -48,15 +53,15 @@
         request
     }
 
-    /// Learns the usual work of both classes while the engine is warm.
-    fn learn_usual_work(&mut self) {
+    /// Serves requests of both classes before the engine restarts, so that the gateway learns their expected work.
+    fn learn_expected_work(&mut self) {
         for round in 0..200 {
             let (now, class) = (f64::from(round) * 100.0, usize::from(round % 2 == 1));
             let request = self.request(class, now + 2_000.0);
             let mut actions = Vec::new();
             self.balancer.run_cycle(now, &[request], &mut actions);
             for (id, engine) in sends(&actions) {
-                let end = outcome(id, 0, &engine, Outcome::Ok, USUAL_WORK[class]);
+                let end = outcome(id, 0, &engine, Outcome::Ok, EXPECTED_WORK[class]);
                 self.balancer.run_cycle(now + 50.0, &[end], &mut Vec::new());
             }
         }
@@ -66,14 +71,14 @@
         self.due.extract_if(.., |due| due.at <= now).map(|due| due.event).collect()
     }
 
-    /// Runs a decision cycle. Returns the work that it sends.
+    /// Runs a decision cycle. Returns the requests that it sends, and schedules their answers.
     fn run_cycle(&mut self, now: Milliseconds, events: &[Event]) -> Vec<SentWork> {
         let mut actions = Vec::new();
         self.balancer.run_cycle(now, events, &mut actions);
         let mut sent = Vec::new();
         for (id, engine) in sends(&actions) {
-            // The answer comes soon, so that only the budget limits the next request.
-            let work = USUAL_WORK[self.classes[&id]];
+            // Answers arrive after 40 ms, so that only the slow-start budget limits the next request.
+            let work = EXPECTED_WORK[self.classes[&id]];
             sent.push(SentWork { at: now, work });
             let answer = outcome(id, 0, &engine, Outcome::Ok, work);
             self.due.push(DueEvent { at: now + 40.0, event: answer });
@@ -82,27 +87,28 @@
     }
 }
 
-/// A fleet before one engine, which starts at [`STARTED_AT`].
+/// A fleet of gateways in front of one engine, which restarts at [`STARTED_AT`].
 struct Scenario {
     gateways: usize,
-    /// The size of the fleet that each gateway is configured for.
+    /// Number of gateways that each gateway is configured with.
     configured_gateways: usize,
     cores: f64,
     seed: u64,
-    /// The share of long requests.
+    /// Share of requests of the long class.
     long_share: f64,
-    /// No request arrives before.
+    /// Time of the first arrivals.
     from: Milliseconds,
+    /// End of the simulation.
     until: Milliseconds,
 }
 
 impl Scenario {
-    /// Returns what the engine is sent.
+    /// Runs the simulation. Returns the requests that were sent to the engine.
     fn run(&self) -> Vec<SentWork> {
         let mut rng = fastrand::Rng::with_seed(self.seed);
         let mut fleet = self.start_gateways(&mut rng);
         for gateway in &mut fleet {
-            gateway.learn_usual_work();
+            gateway.learn_expected_work();
         }
         let starting = Member { started: Some(STARTED_AT), ..member(0) };
         for gateway in &mut fleet {
@@ -136,7 +142,7 @@
 
     fn step(&self, gateway: &mut TestGateway, rng: &mut fastrand::Rng, now: Milliseconds) -> Vec<SentWork> {
         let mut events = gateway.take_due_events(now);
-        // More than the budget allows, but few enough to wait.
+        // Requests arrive faster than the budget allows, but few enough wait at a time that they are not rejected.
         if now >= self.from && rng.f64() < 0.2 && gateway.balancer.open_requests() < 8 {
             let class = usize::from(rng.f64() < self.long_share);
             gateway.classes.insert(gateway.next_request, class);
@@ -149,20 +155,21 @@
     }
 }
 
-/// The budget that the settings allow in a span that ends then, in usual requests of that much work.
-fn budget(cores: f64, at: Milliseconds, usual_work: Milliseconds) -> f64 {
+/// Returns the slow-start budget for a span that ends at the time `at`, in requests whose work is `mean_work`.
+fn budget(cores: f64, at: Milliseconds, mean_work: Milliseconds) -> f64 {
     let settings = default_settings();
-    let warmth = settings.slow_start_initial_share
+    let capacity_share = settings.slow_start_initial_share
         + (1.0 - settings.slow_start_initial_share)
             * ((at - STARTED_AT) / settings.slow_start_duration).min(1.0);
-    settings.overload_collapse_multiple * warmth * cores * settings.overload_collapse_after / usual_work
+    settings.overload_collapse_multiple * capacity_share * cores * settings.overload_collapse_after
+        / mean_work
 }
 
-/// How the work that was sent compares with the budget.
+/// Comparison of the work that was sent with the slow-start budget N, in mean requests.
 struct BudgetUse {
-    /// The most work in any span, as a share of N + 2 x root of N + 2.
-    worst: f64,
-    /// The mean over all spans, as a share of N.
+    /// Maximum work in any span, as a share of N + 2 x sqrt(N) + 2.
+    max: f64,
+    /// Mean work over all spans, as a share of N.
     mean: f64,
 }
 
@@ -170,45 +177,46 @@
     fn of(scenario: &Scenario) -> Self {
         let sent = scenario.run();
         let span = default_settings().overload_collapse_after;
-        let usual_work = sent.iter().map(|sent| sent.work).sum::<f64>() / sent.len().max(1) as f64;
-        let mut worst: f64 = 0.0;
+        let mean_work = sent.iter().map(|sent| sent.work).sum::<f64>() / sent.len().max(1) as f64;
+        let mut max: f64 = 0.0;
         for (index, first) in sent.iter().enumerate() {
             let mut sum = 0.0;
             for SentWork { at, work } in sent[index..].iter().take_while(|sent| sent.at < first.at + span) {
-                sum += work / usual_work;
-                let n = budget(scenario.cores, *at, usual_work);
-                worst = worst.max(sum / (n + 2.0 * n.sqrt() + 2.0));
+                sum += work / mean_work;
+                let n = budget(scenario.cores, *at, mean_work);
+                max = max.max(sum / (n + 2.0 * n.sqrt() + 2.0));
             }
         }
         let spans = (scenario.until - scenario.from) / span;
-        let n = budget(scenario.cores, (scenario.from + scenario.until) / 2.0, usual_work);
-        let mean = sent.iter().map(|sent| sent.work / usual_work).sum::<f64>() / spans / n;
-        Self { worst, mean }
+        let n = budget(scenario.cores, (scenario.from + scenario.until) / 2.0, mean_work);
+        let mean = sent.iter().map(|sent| sent.work / mean_work).sum::<f64>() / spans / n;
+        Self { max, mean }
     }
 }
 
 #[rstest]
-#[case::of_three(3, 8.0, 20)]
-#[case::of_three_small(3, 1.0, 20)]
-#[case::of_twenty(20, 8.0, 20)]
-#[case::of_twenty_small(20, 1.0, 20)]
-#[case::of_thirty(30, 8.0, 20)]
-#[case::of_thirty_large(30, 32.0, 10)]
-#[case::of_three_hundred(300, 8.0, 10)]
-#[case::of_three_hundred_large(300, 32.0, 10)]
-fn sum_of_all_gateways_at_a_cold_engine_stays_within_the_budget_and_its_chance(
+#[case::three_gateways(3, 8.0, 20)]
+#[case::three_gateways_small_engine(3, 1.0, 20)]
+#[case::twenty_gateways(20, 8.0, 20)]
+#[case::twenty_gateways_small_engine(20, 1.0, 20)]
+#[case::thirty_gateways(30, 8.0, 20)]
+#[case::thirty_gateways_large_engine(30, 32.0, 10)]
+#[case::three_hundred_gateways(300, 8.0, 10)]
+#[case::three_hundred_gateways_large_engine(300, 32.0, 10)]
+fn work_of_all_gateways_stays_within_the_slow_start_budget_of_an_engine(
     #[case] gateways: usize,
     #[case] cores: f64,
     #[case] seeds: u64,
 ) {
     for seed in 0..seeds {
         for long_share in [0.0, 0.2] {
-            // Work waits when the start is learned; or arrives at once after a lull, during which no budget may be saved up.
-            for lull in [0.0, 4_000.0] {
-                let from = STARTED_AT + lull;
+            // Requests arrive from the time of the restart, or only after a period without traffic. Budget must not accumulate
+            // during that period.
+            for idle_time in [0.0, 4_000.0] {
+                let from = STARTED_AT + idle_time;
                 let until = from + 6_000.0;
                 let configured_gateways = gateways;
-                let BudgetUse { worst, mean } = BudgetUse::of(&Scenario {
+                let BudgetUse { max, mean } = BudgetUse::of(&Scenario {
                     gateways,
                     configured_gateways,
                     cores,
@@ -217,17 +225,18 @@
                     from,
                     until,
                 });
-                println!("{gateways} {cores} {seed} {long_share} {lull}: worst {worst:.2} mean {mean:.2}");
-                assert!(worst <= 1.0, "seed {seed}, long {long_share}, lull {lull}: {worst:.2}");
-                assert!(mean > 0.1, "a cold engine is used: {mean:.2}");
+                println!("{gateways} {cores} {seed} {long_share} {idle_time}: max {max:.2} mean {mean:.2}");
+                assert!(max <= 1.0, "seed {seed}, long_share {long_share}, idle_time {idle_time}: {max:.2}");
+                assert!(mean > 0.1, "the engine in slow start is hardly used: {mean:.2}");
             }
         }
     }
 }
 
-/// The check can fail: here each gateway takes itself for one of a third as many.
+/// Shows that the check detects an excess: each gateway is configured with a third of the real number of gateways, so their
+/// shares add up to three times the budget.
 #[test]
-fn fleet_whose_size_is_told_wrong_pushes_a_cold_engine_over() {
+fn gateways_configured_with_too_small_a_fleet_exceed_the_slow_start_budget() {
     let scenario = Scenario {
         gateways: 30,
         configured_gateways: 10,
@@ -237,5 +246,5 @@
         from: STARTED_AT,
         until: STARTED_AT + 6_000.0,
     };
-    assert!(BudgetUse::of(&scenario).worst > 1.0);
+    assert!(BudgetUse::of(&scenario).max > 1.0);
 }
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -1,4 +1,4 @@
-//! The reducer by itself: no sockets, and the clock is a number.
+//! Tests of the reducer without sockets, in virtual time.
 
 mod common;
 mod reducer;
@@ -12,7 +12,7 @@
 use starlingplank_persistence::snapshot_records::Snapshot;
 
 #[test]
-fn a_late_answer_to_an_attempt_given_up_is_not_the_next_one_s() {
+fn late_answer_to_an_ended_attempt_is_not_taken_for_the_next_attempt() {
     let mut harness = Harness::new(settings());
     harness.list(1, &["a", "b"]);
     let first = sent(&harness.take(1, None)).expect("sent");
@@ -28,25 +28,25 @@
     );
     assert!(
         answers(&harness.step(Event::AttemptEnded(second, AttemptEnd::from_outcome(Outcome::Ok)))).is_empty(),
-        "a second answer"
+        "the request was answered twice"
     );
 }
 
 #[test]
-fn a_list_that_came_late_changes_nothing_and_one_that_is_new_shuts_what_left() {
+fn older_endpoint_list_is_ignored_and_a_newer_one_drops_removed_engines() {
     let mut harness = Harness::new(settings());
     harness.list(5, &["a"]);
     assert!(!harness.list(4, &[]).iter().any(|e| matches!(e, Effect::DropQueued(_))));
     let first = sent(&harness.take(1, None)).expect("sent");
     assert!(harness.list(6, &[]).iter().any(|e| matches!(e, Effect::DropQueued(_))));
-    // What ran there can end no more: it is given up soon, not at its deadline.
+    // The attempt on the removed engine can no longer end. It is aborted soon, and not only at its deadline.
     harness.now += 300.0;
     let effects = harness.step(Event::TimersDue);
     assert!(effects.iter().any(|e| matches!(e, Effect::AbortAttempt { attempt, .. } if *attempt == first)));
 }
 
 #[test]
-fn a_client_that_leaves_ends_its_attempts_at_once() {
+fn disconnect_of_a_client_aborts_its_attempts_at_once() {
     let mut harness = Harness::new(settings());
     harness.list(1, &["a"]);
     let first = sent(&harness.take(1, None)).expect("sent");
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_deadline_is_answered_once_and_in_time() {
+fn request_is_answered_once_and_before_its_deadline() {
     let mut harness = Harness::new(settings());
     harness.list(1, &["a"]);
     assert!(sent(&harness.take(1, None)).is_some());
@@ -66,9 +66,10 @@
     assert!(answers(&harness.step(Event::TimersDue)).is_empty());
 }
 
-/// At the end of its time an attempt was followed by two more that could not leave, both counted as sent.
+/// Guards against attempts that start in the time reserved for the answer, just before the deadline. Two such attempts were
+/// counted as sent, although they could not be written any more.
 #[test]
-fn nothing_is_sent_in_the_time_kept_for_the_answer() {
+fn no_attempt_starts_in_the_time_reserved_for_the_answer() {
     let mut harness = Harness::new(settings());
     harness.list(1, &["a", "b"]);
     assert!(sent(&harness.take(1, None)).is_some());
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn a_repeat_of_a_key_does_not_leave_once_the_engines_may_have_forgotten_it() {
+fn repeat_of_a_key_is_not_sent_around_the_end_of_its_deduplication_window() {
     let mut s = settings();
     s.classes[0].idempotency = Idempotency::Keyed { scope: Scope::All, window: 1_000.0 };
     let mut harness = Harness::new(s);
@@ -94,19 +95,22 @@
     assert!(sent(&harness.take(3, Some("other"))).is_some());
     harness.now += 100.0;
     let late = harness.take(4, Some("k"));
-    assert!(sent(&late).is_none() && matches!(answers(&late)[..], [Answer::Rejected(_)]), "engines may lag");
+    assert!(
+        sent(&late).is_none() && matches!(answers(&late)[..], [Answer::Rejected(_)]),
+        "attempts may arrive late at engines"
+    );
     harness.now += deduplication_window::MAX_ARRIVAL_DELAY;
-    assert!(sent(&harness.take(5, Some("k"))).is_some(), "past the window it is a load of its own");
+    assert!(sent(&harness.take(5, Some("k"))).is_some(), "after the window the request counts as a new one");
 }
 
-/// A harness whose keys go through a log, which was begun.
-fn logged() -> Harness {
+/// Returns a harness with an idempotency log that has been rewritten once and is in use.
+fn harness_with_log() -> Harness {
     let mut s = settings();
     s.classes[0].idempotency = Idempotency::Keyed { scope: Scope::All, window: 12_000.0 };
     let mut harness = Harness::new(s);
-    let mut gate = DeduplicationWindow::new(LogState::Open { required: false }, 12_000.0, 100, harness.now);
-    gate.restore(TrustedLog::default(), harness.now);
-    harness.core.resume(gate, None);
+    let mut window = DeduplicationWindow::new(LogState::Open { required: false }, 12_000.0, 100, harness.now);
+    window.restore(TrustedLog::default(), harness.now);
+    harness.core.resume(window, None);
     harness.list(1, &["a", "b"]);
     assert!(harness.step(Event::MaintenanceTick).iter().any(|e| matches!(e, Effect::RewriteLog(_))));
     assert!(harness
@@ -116,100 +120,109 @@
     harness
 }
 
-fn record(effects: &[Effect]) -> Option<u64> {
+fn written_record(effects: &[Effect]) -> Option<u64> {
     effects.iter().find_map(|e| if let Effect::WriteRecord { number, .. } = e { Some(*number) } else { None })
 }
 
 #[test]
-fn keyed_send_leaves_once_its_record_is_durable_and_not_before() {
-    let mut harness = logged();
+fn keyed_attempt_is_sent_once_and_only_after_its_log_record_is_durable() {
+    let mut harness = harness_with_log();
     let effects = harness.take(1, Some("k"));
-    let number = record(&effects).expect("a record");
+    let number = written_record(&effects).expect("a record");
     assert_eq!(sent(&effects), None);
-    assert!(sent(&harness.take(2, None)).is_some(), "what has no key waits for no record");
+    assert!(sent(&harness.take(2, None)).is_some(), "a request without a key does not wait for a record");
     assert_eq!(
         sent(&harness.step(Event::RecordsDurable(vec![number]))),
         Some(AttemptId { request: RequestId(1), number: 0 })
     );
-    assert_eq!(sent(&harness.step(Event::RecordsDurable(vec![number]))), None, "once");
+    assert_eq!(sent(&harness.step(Event::RecordsDurable(vec![number]))), None, "the attempt was sent twice");
 }
 
 #[test]
-fn engine_that_drains_while_a_record_is_written_gets_nothing() {
-    let mut harness = logged();
-    let number = record(&harness.take(1, Some("k"))).expect("a record");
+fn attempt_is_not_sent_if_its_engine_is_removed_while_the_log_record_is_written() {
+    let mut harness = harness_with_log();
+    let number = written_record(&harness.take(1, Some("k"))).expect("a record");
     harness.list(2, &[]);
     let effects = harness.step(Event::RecordsDurable(vec![number]));
     assert_eq!(sent(&effects), None);
-    assert_eq!(harness.core.counts()[0].outcomes[Outcome::NotExecuted as usize], 1, "it never ran");
+    assert_eq!(
+        harness.core.counts()[0].outcomes[Outcome::NotExecuted as usize],
+        1,
+        "the attempt counts as not executed"
+    );
 }
 
-/// The window counts from when the request was taken, and what is left of it goes along with the attempt.
+/// An attempt that is written late could arrive after its deduplication window. The window begins when the request is
+/// accepted, and the attempt carries the time that remains of it.
 #[test]
-fn keyed_send_says_until_when_it_may_leave() {
+fn keyed_attempt_carries_the_time_within_which_it_may_be_sent() {
     let mut s = settings();
     s.classes[0].idempotency = Idempotency::Keyed { scope: Scope::All, window: 800.0 };
     let mut harness = Harness::new(s);
     harness.list(1, &["a"]);
-    let within = |effects: &[Effect]| {
+    let transmit_within = |effects: &[Effect]| {
         let sends =
             effects
                 .iter()
                 .filter_map(|e| if let Effect::Send(s) = e { Some(s.transmit_within) } else { None });
         sends.collect::<Vec<_>>()
     };
-    // 20 ms are kept for the way.
-    assert_eq!(within(&harness.take(1, Some("k"))), [Some(780.0)]);
+    // 20 ms are reserved for the transmission to the engine.
+    assert_eq!(transmit_within(&harness.take(1, Some("k"))), [Some(780.0)]);
     let unkeyed = harness.take(2, None);
-    assert_eq!(within(&unkeyed), [None]);
+    assert_eq!(transmit_within(&unkeyed), [None]);
 }
 
 #[test]
-fn client_that_leaves_before_there_is_an_engine_sends_nothing_once_there_is_one() {
+fn waiting_request_of_a_disconnected_client_is_not_sent_when_an_engine_is_added() {
     let mut harness = Harness::new(settings());
     harness.list(1, &[]);
-    assert_eq!(sent(&harness.take(1, None)), None, "it waits");
+    assert_eq!(sent(&harness.take(1, None)), None, "the request waits for an engine");
     harness.step(Event::ClientDisconnected(RequestId(1)));
     assert_eq!(sent(&harness.list(2, &["a"])), None);
-    // One that stays is sent then.
+    // The request of a client that stays connected is sent when an engine is added.
     harness.list(3, &[]);
     assert_eq!(sent(&harness.take(2, None)), None);
     assert_eq!(sent(&harness.list(4, &["a"])), Some(AttemptId { request: RequestId(2), number: 0 }));
 }
 
 #[test]
-fn client_that_leaves_while_its_record_is_written_sends_nothing() {
-    let mut harness = logged();
-    let number = record(&harness.take(1, Some("k"))).expect("a record");
+fn attempt_is_not_sent_if_its_client_disconnects_while_the_log_record_is_written() {
+    let mut harness = harness_with_log();
+    let number = written_record(&harness.take(1, Some("k"))).expect("a record");
     harness.step(Event::ClientDisconnected(RequestId(1)));
     assert_eq!(sent(&harness.step(Event::RecordsDurable(vec![number]))), None);
 }
 
 #[test]
-fn disk_that_hangs_costs_keyed_requests_alone_and_they_are_answered_at_once() {
-    let mut harness = logged();
-    let number = record(&harness.take(1, Some("k"))).expect("a record");
+fn hanging_disk_affects_only_keyed_requests_which_are_rejected_at_once() {
+    let mut harness = harness_with_log();
+    let number = written_record(&harness.take(1, Some("k"))).expect("a record");
     let mut effects = Vec::new();
     for _ in 0..400 {
         effects.extend(harness.step(Event::TimersDue));
     }
     assert!(sent(&effects).is_none() && answers(&effects).len() == 1, "one answer: {effects:?}");
-    assert_eq!(sent(&harness.step(Event::RecordsDurable(vec![number]))), None, "too late to be of use");
+    assert_eq!(
+        sent(&harness.step(Event::RecordsDurable(vec![number]))),
+        None,
+        "the attempt was sent after the answer"
+    );
     let refused = harness.take(2, Some("other"));
-    assert!(matches!(answers(&refused)[..], [Answer::Rejected(_)]) && record(&refused).is_none());
+    assert!(matches!(answers(&refused)[..], [Answer::Rejected(_)]) && written_record(&refused).is_none());
     assert!(sent(&harness.take(3, None)).is_some());
-    // The disk goes on: the log is begun anew, and keys leave again once that is durable.
+    // The disk works again. The log is rewritten, and keyed attempts are sent again once that is durable.
     let effects = harness.step(Event::MaintenanceTick);
     let keys =
         effects.iter().find_map(|e| if let Effect::RewriteLog(w) = e { Some(w.clone()) } else { None });
-    let rewrite = keys.expect("begun anew");
-    assert_eq!(rewrite.mark, None, "a log that failed carries no mark until it is whole");
+    let rewrite = keys.expect("the log is rewritten");
+    assert_eq!(rewrite.mark, None, "a log that failed gets no mark until it is complete");
     harness.step(Event::LogRewritten(rewrite.keys));
-    assert!(record(&harness.take(4, Some("third"))).is_some());
+    assert!(written_record(&harness.take(4, Some("third"))).is_some());
 }
 
 #[test]
-fn recalled_engines_follow_the_list_that_names_them() {
+fn restored_engine_state_is_used_once_the_endpoint_list_names_the_engines() {
     let mut first = Harness::new(settings());
     first.list(1, &["a", "b"]);
     let send = sent(&first.take(1, None)).expect("sent");
@@ -221,17 +234,22 @@
 
     let mut second = Harness::new(settings());
     second.now = first.now + 500.0;
-    let recall = RestoredState::new(&snapshot, second.now, recovery::DEFAULT).expect("it counts");
-    second.core.resume(DeduplicationWindow::in_memory(), Some(recall));
+    let restored_state =
+        RestoredState::new(&snapshot, second.now, recovery::DEFAULT).expect("the snapshot is recent enough");
+    second.core.resume(DeduplicationWindow::in_memory(), Some(restored_state));
     second.list(1, &["a", "b"]);
-    let back = second.core.learned(second.now);
-    assert!(back.classes[0].bands.iter().any(|b| b.samples > 0.5), "{back:?}");
-    let doubted: Vec<_> = back.engines.iter().filter(|e| e.maybe_in_slow_start).collect();
-    assert_eq!(doubted.len(), 1, "the one that was never heard of: {back:?}");
+    let restored = second.core.learned(second.now);
+    assert!(restored.classes[0].bands.iter().any(|b| b.samples > 0.5), "{restored:?}");
+    let maybe_in_slow_start: Vec<_> = restored.engines.iter().filter(|e| e.maybe_in_slow_start).collect();
+    assert_eq!(
+        maybe_in_slow_start.len(),
+        1,
+        "only the engine that never answered may be in slow start: {restored:?}"
+    );
 }
 
 #[test]
-fn the_end_answers_what_is_open_and_then_exits() {
+fn shutdown_answers_open_requests_and_then_exits() {
     let mut harness = Harness::new(settings());
     harness.list(1, &["a"]);
     harness.take(1, None);
@@ -244,9 +262,10 @@
     assert!(effects.iter().any(|e| matches!(e, Effect::Exit)));
 }
 
-/// SIGTERM arrives in a pause of the process: SIGKILL follows the signal, not the end of the pause.
+/// SIGTERM arrives during a pause of the process. The time until SIGKILL runs from the signal and not from the end of the
+/// pause, so the gateway must count it from there to answer open requests in time.
 #[test]
-fn the_end_that_was_requested_in_a_pause_answers_what_is_open_in_time() {
+fn shutdown_requested_during_a_pause_answers_open_requests_in_time() {
     let mut harness = Harness::new(settings());
     harness.list(1, &["a"]);
     harness.now += 2_500.0;
@@ -258,9 +277,10 @@
     assert!(effects.iter().any(|e| matches!(e, Effect::Exit)));
 }
 
-/// The pause outlasts the time for answers: requests are still taken for a while, and rejected at once.
+/// The process pause is longer than the shutdown's time for answers. Clients may not have noticed the shutdown, so the
+/// gateway still accepts requests for a while and rejects them at once, instead of exiting.
 #[test]
-fn the_end_that_is_noticed_after_its_time_answers_all_and_accepts_for_a_while() {
+fn shutdown_noticed_after_its_time_answers_open_requests_and_still_rejects_new_ones() {
     let mut harness = Harness::new(settings());
     harness.list(1, &["a"]);
     harness.now += 10_000.0;
@@ -268,17 +288,20 @@
     let mut effects = harness.step(Event::Terminate { requested_at: harness.now - 10_000.0 });
     effects.extend(harness.step(Event::TimersDue));
     assert_eq!(answers(&effects).len(), 1);
-    assert!(!effects.iter().any(|e| matches!(e, Effect::Exit)), "clients may not know of it yet");
+    assert!(
+        !effects.iter().any(|e| matches!(e, Effect::Exit)),
+        "clients may not have noticed the shutdown yet"
+    );
     let effects = harness.take(2, None);
     assert!(effects.iter().any(|e| matches!(e, Effect::Answer(RequestId(2), Answer::Rejected(_)))));
 }
 
 #[test]
-fn what_comes_after_the_last_answers_is_refused_at_once() {
+fn request_after_the_end_of_the_shutdown_time_is_rejected_at_once() {
     let mut harness = Harness::new(settings());
     harness.list(1, &["a"]);
     harness.step(Event::Terminate { requested_at: harness.now });
-    assert!(sent(&harness.take(1, None)).is_some(), "there is time left");
+    assert!(sent(&harness.take(1, None)).is_some(), "a request is sent while shutdown time is left");
     harness.now += 60_000.0;
     harness.step(Event::TimersDue);
     let effects = harness.take(2, None);
@@ -286,9 +309,10 @@
     assert!(sent(&effects).is_none());
 }
 
-/// A repeat of what another process of this gateway sent keeps to the window of that.
+/// Another process of this gateway sent a request with the same key, for example before a hot restart. A repeat must not be
+/// sent at the end of the deduplication window of that request, when engines may no longer recognize the key.
 #[test]
-fn key_that_another_process_sent_is_not_sent_after_its_window() {
+fn key_sent_by_another_process_is_not_sent_again_at_the_end_of_its_window() {
     let mut s = settings();
     s.classes[0].idempotency = Idempotency::Keyed { scope: Scope::All, window: 12_000.0 };
     let mut harness = Harness::new(s);
--- a/tests/gate.rs
+++ b/tests/gate.rs
@@ -1,4 +1,4 @@
-//! One small case for each rule that an attempt must keep before it is sent.
+//! One test for each rule that the decision module checks before it sends an attempt.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use starlingplank::interface::*;
 
 fn start(settings: Settings, engines: usize) -> Balancer {
-    let mut balancer = Balancer::new(settings, 0.0).expect("settings are good");
+    let mut balancer = Balancer::new(settings, 0.0).expect("settings are valid");
     balancer.run_cycle(0.0, &[fleet(engines)], &mut Vec::new());
     balancer
 }
@@ -23,12 +23,12 @@
 }
 
 #[test]
-fn rule_1_an_answer_comes_even_if_the_time_out_does_not() {
+fn rule_1_request_is_answered_after_its_deadline_even_without_an_outcome_of_its_attempt() {
     let mut balancer = start(default_settings(), 1);
     run_cycle(&mut balancer, 0.0, &[Event::Request(incoming(1, 0, 100.0))]);
     let actions = run_cycle(&mut balancer, 111.0, &[Event::Timer(0)]);
     assert!(actions.iter().any(|action| matches!(action, Action::Reject { id: RequestId(1), .. })));
-    // The late outcome ends the record and brings no second answer.
+    // The late outcome ends the attempt and does not cause a second answer.
     let late = outcome(1, 0, &engine(0), Outcome::Timeout, 112.0);
     assert!(run_cycle(&mut balancer, 112.0, &[late])
         .iter()
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn rule_2_unsafe_goes_again_only_after_proof() {
+fn rule_2_request_that_is_not_idempotent_is_retried_only_if_it_did_not_run() {
     for (result, is_retried) in
         [(Outcome::Full, true), (Outcome::ConnectFailed, true), (Outcome::Reset, false)]
     {
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn rule_2_keyed_stays_in_its_cell_and_window() {
+fn rule_2_keyed_request_is_retried_only_in_its_cell_and_window() {
     for (after, is_retried) in [(100.0, true), (900.0, false)] {
         let mut settings = default_settings();
         settings.classes[0].idempotency = Idempotency::Keyed { scope: Scope::Cell, window: 800.0 };
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn rule_3_nothing_goes_to_what_drains_or_is_gone() {
+fn rule_3_nothing_is_sent_to_draining_or_removed_engines() {
     let mut balancer = start(default_settings(), 3);
     run_cycle(
         &mut balancer,
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn rule_5_a_key_runs_in_turn_and_rests_after_a_reset() {
+fn rule_5_requests_of_a_key_run_one_after_another_and_pause_after_a_reset() {
     let mut settings = default_settings();
     settings.classes[0].ordered = true;
     settings.max_attempts = 1;
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn rule_6_placement_holds_even_when_the_place_is_down() {
+fn rule_6_request_stays_in_its_zone_and_machine_type_even_if_no_engine_there_is_left() {
     let mut settings = default_settings();
     settings.classes[0].zones = Some(vec![ZoneId(1)]);
     settings.classes[0].machine_types = Some(vec![MachineTypeId(0)]);
@@ -113,21 +113,21 @@
 }
 
 #[test]
-fn rule_7_further_attempts_stay_in_the_ration() {
+fn rule_7_retries_stay_within_the_retry_budget() {
     let mut settings = default_settings();
     settings.retry_budget =
         Some(RetryBudgetSettings { min_retries: 2.0, retry_ratio: 0.0, window: 10_000.0 });
     let mut balancer = start(settings, 6);
-    let mut is_retried = 0;
+    let mut retries = 0;
     for id in 0..6 {
         let at = id as f64 * 50.0;
         let first = sends(&run_cycle(&mut balancer, at, &[Event::Request(incoming(id, 0, 3_000.0))]));
         let failed = outcome(id, 0, &first[0].1, Outcome::Full, 1.0);
         let second = sends(&run_cycle(&mut balancer, at + 1.0, &[failed]));
-        is_retried += second.len();
+        retries += second.len();
         if let Some((_, engine_id)) = second.first() {
             run_cycle(&mut balancer, at + 2.0, &[outcome(id, 1, engine_id, Outcome::Ok, 1.0)]);
         }
     }
-    assert_eq!(is_retried, 2);
+    assert_eq!(retries, 2);
 }
