--- a/tests/unsafe_classes.rs
+++ b/tests/unsafe_classes.rs
@@ -1,5 +1,6 @@
-//! Requests that must not run twice, on loopback: whatever ends an attempt, another goes out only where the one before
-//! surely never ran. What may have run is answered as failed, never as refused: a refusal invites a retry.
+//! Requests that must not run twice, over loopback connections. However an attempt ends, the request is sent again only if
+//! the attempt certainly did not run. A request that may have run is answered as failed and never as rejected, because
+//! clients retry rejected requests.
 
 mod stand;
 mod unsafe_requests;
@@ -11,51 +12,51 @@
 use std::sync::{Arc, Mutex};
 use unsafe_requests::*;
 
-/// How an engine ends an attempt.
+/// The way in which an engine ends an attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum End {
-    /// Turned away unseen.
+    /// The engine rejects the attempt because of overload, without running it.
     Overload,
-    /// Over already, never run.
+    /// The engine answers that the attempt has ended and never ran.
     Nobody,
-    /// An error.
+    /// The engine answers with an error.
     Crashed,
-    /// The connection ends under it.
+    /// The connection is closed without an answer.
     Reset,
-    /// Progress, then the connection ends.
+    /// The engine reports progress, then the connection is closed.
     ProgressThenReset,
-    /// It waits for a load, then the connection ends.
+    /// The engine reports that the attempt waits for a load, then the connection is closed.
     WaitsThenReset,
-    /// Half of its result, of the rest nothing is known.
+    /// The engine sends half of the result and answers the request for the rest with an error.
     HalfThenCrashed,
-    /// Half of its result, then it is said never to have run.
+    /// The engine sends half of the result, then answers that the attempt never ran.
     HalfThenNobody,
-    /// Half of its result, then it is said to have been turned away.
+    /// The engine sends half of the result, then answers that it rejected the attempt because of overload.
     HalfThenOverload,
-    /// Half of its result, then the connection ends.
+    /// The engine sends half of the result, then the connection is closed.
     HalfThenReset,
-    /// Half of its result, and no more.
+    /// The engine sends half of the result, then does not answer.
     HalfThenSilence,
 }
 
 impl End {
-    /// What the platform's engines say to a command.
+    /// Returns the reply to a command of the platform's protocol, `None` to close the connection.
     fn resp(self, parts: &[String]) -> Option<String> {
-        let half = || reply(&[&parts[1], "served", "pages=2,cost=5,need=8", "1\t\t\n"]);
-        let says = |word| Some(reply(&[&parts[1], word, "-", ""]));
+        let half_of_result = || reply(&[&parts[1], "served", "pages=2,cost=5,need=8", "1\t\t\n"]);
+        let reply_with = |word| Some(reply(&[&parts[1], word, "-", ""]));
         match (parts[0].as_str(), self) {
-            ("want", End::Overload) | ("turn", End::HalfThenOverload) => says("overload"),
-            ("want", End::Nobody) | ("turn", End::HalfThenNobody) => says("nobody"),
-            ("want", End::Crashed) | ("turn", End::HalfThenCrashed) => says("crashed"),
+            ("want", End::Overload) | ("turn", End::HalfThenOverload) => reply_with("overload"),
+            ("want", End::Nobody) | ("turn", End::HalfThenNobody) => reply_with("nobody"),
+            ("want", End::Crashed) | ("turn", End::HalfThenCrashed) => reply_with("crashed"),
             ("want", End::Reset) | ("turn", End::HalfThenReset) => None,
             ("want", End::ProgressThenReset | End::WaitsThenReset) => Some(String::new()),
-            ("want", _) => Some(half()),
+            ("want", _) => Some(half_of_result()),
             ("turn", End::HalfThenSilence) => Some(String::new()),
             _ => served(parts),
         }
     }
 
-    /// What an engine of the ClickHouse interface says to a request.
+    /// Returns the response to a request of the ClickHouse interface, `None` to close the connection.
     fn http(self, target: &str) -> Option<String> {
         if target.starts_with("/ping") {
             return Some(web_answer("200 OK", "", "Ok.\n"));
@@ -72,8 +73,8 @@
     }
 }
 
-/// An engine that ends attempts so, over the platform's interface.
-fn ending(end: End) -> (SocketAddr, Log) {
+/// Starts an engine that ends attempts in the given way, over the platform's protocol.
+fn engine_that_ends(end: End) -> (SocketAddr, Log) {
     let update = match end {
         End::ProgressThenReset => "detail=p,v=0.5",
         End::WaitsThenReset => "detail=w,v=2",
@@ -81,21 +82,22 @@
     };
     resp_engine_that(move |parts, stream| {
         let runs = parts[0] == "want";
-        let said = if runs { Some(reply(&[&parts[1], "update", update, ""])) } else { served(parts) };
-        stream.write_all(said.unwrap_or_default().as_bytes()).is_ok() && !runs
+        let reply = if runs { Some(reply(&[&parts[1], "update", update, ""])) } else { served(parts) };
+        stream.write_all(reply.unwrap_or_default().as_bytes()).is_ok() && !runs
     })
 }
 
-/// Sends one request to a gateway before two engines that end attempts alike; its answer, and how often it ran.
-fn sent_to_two(end: End, wire: &str, class: &str) -> (&'static str, usize) {
-    let start = || match wire {
-        "resp" => ending(end),
+/// Sends one request to a gateway in front of two engines that end attempts in the given way. Returns the kind of the answer
+/// and the number of attempts that arrived at the engines.
+fn send_to_two_engines(end: End, protocol: &str, class: &str) -> (&'static str, usize) {
+    let start = || match protocol {
+        "resp" => engine_that_ends(end),
         _ => http_engine(move |target, _| end.http(target)),
     };
     let engines = [start(), start()];
     let at = engines.each_ref().map(|e| e.0);
     let logs = engines.each_ref().map(|e| e.1.clone());
-    let gateway = Gateway::start(&settings(&at, wire, AIM));
+    let gateway = Gateway::start(&settings(&at, protocol, AIM));
     let mut client = gateway.client();
     client.write_all(&request(1, class, LOAD, LONG)).expect("sent");
     let (seq, kind, _) = answer(&mut client);
@@ -107,9 +109,12 @@
 #[case::overload(End::Overload, "resp")]
 #[case::nobody(End::Nobody, "resp")]
 #[case::too_many_queries(End::Overload, "clickhouse")]
-fn what_surely_never_ran_is_sent_again_and_refused_at_last(#[case] end: End, #[case] wire: &str) {
-    let (kind, sent) = sent_to_two(end, wire, "load");
-    assert_eq!(kind, TURNED_AWAY, "trying again is harmless");
+fn request_that_certainly_did_not_run_is_sent_again_and_rejected_in_the_end(
+    #[case] end: End,
+    #[case] protocol: &str,
+) {
+    let (kind, sent) = send_to_two_engines(end, protocol, "load");
+    assert_eq!(kind, TURNED_AWAY, "the client may safely retry");
     assert!(sent >= 2, "sent {sent} times");
 }
 
@@ -123,47 +128,48 @@
 #[case::half_then_overload(End::HalfThenOverload, "resp")]
 #[case::half_then_reset(End::HalfThenReset, "resp")]
 #[case::half_then_silence(End::HalfThenSilence, "resp")]
-#[case::error_of_the_engine(End::Crashed, "clickhouse")]
+#[case::error_over_http(End::Crashed, "clickhouse")]
 #[case::reset_over_http(End::Reset, "clickhouse")]
-fn what_may_have_run_is_never_sent_again_and_fails(#[case] end: End, #[case] wire: &str) {
-    assert_eq!(sent_to_two(end, wire, "load"), (FAILED, 1));
-    // The same end of a safe request is followed by another attempt: it is the class that forbids it.
-    let (_, sent) = sent_to_two(end, wire, "lookup");
-    assert!(sent >= 2, "a safe request was sent {sent} times");
+fn request_that_may_have_run_is_not_sent_again_and_fails(#[case] end: End, #[case] protocol: &str) {
+    assert_eq!(send_to_two_engines(end, protocol, "load"), (FAILED, 1));
+    // An idempotent request whose attempt ends in the same way is sent again, so the class is what prevents it above.
+    let (_, sent) = send_to_two_engines(end, protocol, "lookup");
+    assert!(sent >= 2, "an idempotent request was sent {sent} times");
 }
 
-/// Nobody listens, or the connection never comes up: nothing ran, and the client may try again.
+/// The engine's address refuses connections, or the connection is never established. The request certainly did not run, so it
+/// is rejected and the client may retry. Its text must not be sent if the connection is established later.
 #[rstest]
 #[case::refused(false, "resp")]
-#[case::never_up(true, "resp")]
+#[case::never_established(true, "resp")]
 #[case::refused_over_http(false, "clickhouse")]
-#[case::never_up_over_http(true, "clickhouse")]
-fn request_whose_connection_never_comes_up_is_refused_and_never_leaves(
+#[case::never_established_over_http(true, "clickhouse")]
+fn request_without_an_established_connection_is_rejected_and_never_sent(
     #[case] hangs: bool,
-    #[case] wire: &str,
+    #[case] protocol: &str,
 ) {
     let (_held, refusing) = refusing();
     let (listener, filling) = full_listener();
     let at = if hangs { listener.local_addr().expect("bound") } else { refusing };
-    let gateway = Gateway::start(&settings(&[at], wire, AIM));
+    let gateway = Gateway::start(&settings(&[at], protocol, AIM));
     let mut client = gateway.client();
     client.write_all(&request(1, "load", LOAD, LONG)).expect("sent");
     assert_eq!(answer(&mut client).1, TURNED_AWAY);
-    // Whatever did come up later has nothing to say.
+    // Connections that are established later must not carry the request.
     drop(filling);
     drop(gateway);
     listener.set_nonblocking(true).expect("set");
-    let mut said = String::new();
+    let mut received = String::new();
     while let Ok((mut stream, _)) = listener.accept() {
         stream.set_nonblocking(false).expect("set");
-        let _ = stream.read_to_string(&mut said);
+        let _ = stream.read_to_string(&mut received);
     }
-    assert!(!said.contains(LOAD), "{said}");
+    assert!(!received.contains(LOAD), "{received}");
 }
 
-/// One engine takes no connection; the attempt moves on to the one that does, and runs there once.
+/// One engine refuses connections. Each request must run exactly once at the other engine.
 #[test]
-fn request_that_met_a_refused_connection_runs_at_another_engine() {
+fn request_with_a_refused_connection_runs_once_at_another_engine() {
     let (_held, refusing) = refusing();
     let (good, log) = resp_engine(served);
     let gateway = Gateway::start(&settings(&[refusing, good], "resp", LONG));
@@ -176,12 +182,12 @@
     }
 }
 
-/// An engine says nothing until the client's time is over.
+/// An engine does not answer before the client's deadline. The request may have run, so it must fail and not be sent again.
 #[rstest]
 #[case::resp("resp")]
 #[case::clickhouse("clickhouse")]
-fn request_that_times_out_fails_and_is_not_sent_again(#[case] wire: &str) {
-    let start = || match wire {
+fn request_that_times_out_fails_and_is_not_sent_again(#[case] protocol: &str) {
+    let start = || match protocol {
         "resp" => resp_engine(silent),
         _ => http_engine(|target, _| {
             let answer = || web_answer("200 OK", "", "Ok.\n");
@@ -189,64 +195,65 @@
         }),
     };
     let engines = [start(), start()];
-    let gateway = Gateway::start(&settings(&[engines[0].0, engines[1].0], wire, LONG));
+    let gateway = Gateway::start(&settings(&[engines[0].0, engines[1].0], protocol, LONG));
     let mut client = gateway.client();
     client.write_all(&request(1, "load", LOAD, 400)).expect("sent");
     assert_eq!(answer(&mut client).1, FAILED);
     assert_eq!(runs(&engines[0].1, LOAD) + runs(&engines[1].1, LOAD), 1);
 }
 
-/// The client withdraws what runs: it is given up there, and goes nowhere else.
+/// The client cancels its request or disconnects while an attempt runs. The attempt is cancelled, and the request must not be
+/// sent to another engine.
 #[rstest]
 #[case::cancel(true)]
 #[case::close(false)]
-fn request_that_its_client_gave_up_is_not_sent_again(#[case] says_so: bool) {
+fn request_cancelled_by_its_client_is_not_sent_again(#[case] sends_cancel: bool) {
     let engines = [resp_engine(silent), resp_engine(silent)];
     let logs = engines.each_ref().map(|e| e.1.clone());
     let gateway = Gateway::start(&settings(&[engines[0].0, engines[1].0], "resp", LONG));
     let mut client = gateway.client();
     client.write_all(&request(1, "load", LOAD, LONG)).expect("sent");
     until_either(&logs, |parts| parts[0] == "want");
-    if says_so {
+    if sends_cancel {
         client.write_all(&cancel(1)).expect("sent");
     } else {
         drop(client);
     }
     until_either(&logs, |parts| parts[0] == "never_mind" && parts[1] == LOAD);
-    // Another request has passed since: whatever the first had left to do is done.
+    // Once another request has been answered, the gateway has completed its processing of the first one.
     let mut after = gateway.client();
     after.write_all(&request(1, "lookup", "abcdef00000000b1", 200)).expect("sent");
     answer(&mut after);
     assert_eq!(all_runs(&logs, LOAD), 1);
 }
 
-/// An engine says twice that an attempt never ran, the second time after the next attempt has reached it: the copy answers
-/// the first, not the one that runs.
+/// An engine answers twice that an attempt never ran, the second time after the next attempt has arrived. The duplicate
+/// belongs to the first attempt and must not end the second one, or the request would be sent a third time while it runs.
 #[rstest]
 #[case::nobody("nobody")]
 #[case::overload("overload")]
-fn copy_of_an_answer_does_not_end_the_next_attempt(#[case] word: &'static str) {
+fn duplicate_answer_does_not_end_the_next_attempt(#[case] word: &'static str) {
     let first: Arc<Mutex<Option<TcpStream>>> = Arc::default();
     let (at, log) = resp_engine_that(move |parts, stream| {
-        let never_ran = || reply(&[&parts[1], word, "-", ""]);
+        let never_ran_reply = || reply(&[&parts[1], word, "-", ""]);
         if parts[0] != "want" || parts[1] != LOAD {
             return stream.write_all(served(parts).unwrap_or_default().as_bytes()).is_ok();
         }
         let mut first = first.lock().expect("first");
-        // The second attempt runs on; what is said again is said where it was said before.
-        let mut says = first.take().unwrap_or_else(|| stream.try_clone().expect("cloned"));
-        let said = says.write_all(never_ran().as_bytes()).is_ok();
-        *first = Some(says);
-        said
+        // The second attempt keeps running. The duplicate is written to the connection of the first attempt.
+        let mut connection = first.take().unwrap_or_else(|| stream.try_clone().expect("cloned"));
+        let is_written = connection.write_all(never_ran_reply().as_bytes()).is_ok();
+        *first = Some(connection);
+        is_written
     });
     let gateway = Gateway::start(&settings(&[at], "resp", LONG));
     let mut client = gateway.client();
     client.write_all(&request(1, "load", LOAD, LONG)).expect("sent");
     until(&log, |l| l.iter().filter(|p| p[0] == "want" && p[1] == LOAD).count() >= 2);
-    // What follows on the same connection is read after the copy.
+    // Later answers on the same connection are read after the duplicate.
     for seq in 2..10 {
         client.write_all(&request(seq, "lookup", &format!("{seq:016x}"), LONG)).expect("sent");
         answer(&mut client);
     }
-    assert_eq!(runs(&log, LOAD), 2, "the second attempt runs, and a third was sent");
+    assert_eq!(runs(&log, LOAD), 2, "expected two attempts, the second of which runs");
 }
--- a/tests/unsafe_classes_through_changes.rs
+++ b/tests/unsafe_classes_through_changes.rs
@@ -1,5 +1,5 @@
-//! Requests that must not run twice, on loopback, while their engine leaves the list, the gateway reloads its configuration, or
-//! its process ends: they are not sent again.
+//! Requests that must not run twice, over loopback connections: they are not sent again when their engine leaves the endpoint
+//! list, the gateway reloads its configuration, or its process ends.
 
 mod stand;
 mod unsafe_requests;
@@ -11,124 +11,129 @@
 use std::sync::atomic::Ordering;
 use unsafe_requests::*;
 
-/// What the list says of an engine.
+/// The way in which an engine leaves the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Leaves {
-    Drains,
-    IsGone,
+enum Departure {
+    Draining,
+    Removed,
 }
 
-impl Leaves {
-    /// A list in which that engine leaves and another is there.
+impl Departure {
+    /// Returns a list, with its version, in which the engine `old` drains or is missing and the engine `new` is live.
     fn list(self, old: SocketAddr, new: SocketAddr) -> (u32, Vec<(&'static str, SocketAddr, bool)>) {
-        let others = vec![("s-1", new, false)];
-        let drained = vec![("s-0", old, true), ("s-1", new, false)];
-        (2, if self == Leaves::Drains { drained } else { others })
+        let without_old = vec![("s-1", new, false)];
+        let with_old_draining = vec![("s-0", old, true), ("s-1", new, false)];
+        (2, if self == Departure::Draining { with_old_draining } else { without_old })
     }
 }
 
-/// A request waits for a connection that is not up when its engine leaves the list: it never left, runs at another engine,
-/// and the connection that comes up at last brings nothing.
+/// A request waits for a connection to be established when its engine leaves the list. It has not been sent, so it must run at
+/// another engine, and the connection must not carry it when it is established later.
 #[rstest]
-#[case::drains(Leaves::Drains)]
-#[case::is_gone(Leaves::IsGone)]
-fn request_that_waits_for_a_connection_moves_when_its_engine_leaves(#[case] how: Leaves) {
+#[case::draining(Departure::Draining)]
+#[case::removed(Departure::Removed)]
+fn request_that_waits_for_a_connection_runs_elsewhere_if_its_engine_leaves(#[case] departure: Departure) {
     let (listener, filling) = full_listener();
     let old = listener.local_addr().expect("bound");
     let (new, log) = resp_engine(served);
-    let (names, said) = list_service();
+    let (name_service, list_answer) = list_service();
     let text = changed(
         &settings(&[old], "resp", LONG),
         r#""connect_timeout":250"#,
         &format!(r#""connect_timeout":{LONG}"#),
     );
-    let gateway = Gateway::start(&text.replacen('{', &format!(r#"{{"names":"{names}","#), 1));
+    let gateway = Gateway::start(&text.replacen('{', &format!(r#"{{"names":"{name_service}","#), 1));
     let mut client = gateway.client();
     client.write_all(&request(1, "load", LOAD, LONG)).expect("sent");
     until_coming_up(old);
-    *said.lock().expect("said") = Some(how.list(old, new));
+    *list_answer.lock().expect("not poisoned") = Some(departure.list(old, new));
     assert_eq!(answer(&mut client).1, "served");
     let late = resp_engine_at(listener, served);
     drop(filling);
-    // What filled the queue ends, and so does the gateway's connection: it is up by then, and had nothing to say.
+    // The connection that filled the queue is closed, and so is the gateway's, which has been established and carried no
+    // request.
     until(&late, |l| l.iter().filter(|p| p[0] == "closed").count() == 2);
     assert_eq!((runs(&log, LOAD), runs(&late, LOAD)), (1, 0));
 }
 
-/// A request runs on an engine that leaves the list. One that drains ends what it has; what was out on one that has gone
-/// may have run, and fails.
+/// A request runs on an engine that leaves the list. A draining engine finishes it. On a removed engine the request may have
+/// run, so it must fail. It is not sent again in either case.
 #[rstest]
-#[case::drains(Leaves::Drains, "served")]
-#[case::is_gone(Leaves::IsGone, FAILED)]
-fn request_that_runs_where_its_engine_leaves_is_not_sent_again(#[case] how: Leaves, #[case] ends: &str) {
+#[case::draining(Departure::Draining, "served")]
+#[case::removed(Departure::Removed, FAILED)]
+fn request_that_runs_while_its_engine_leaves_is_not_sent_again(
+    #[case] departure: Departure,
+    #[case] expected_answer: &str,
+) {
     let (old, old_log, released) = holding();
     let (new, new_log) = resp_engine(served);
-    let (names, said) = list_service();
+    let (name_service, list_answer) = list_service();
     let text = settings(&[old], "resp", LONG);
-    let gateway = Gateway::start(&text.replacen('{', &format!(r#"{{"names":"{names}","#), 1));
+    let gateway = Gateway::start(&text.replacen('{', &format!(r#"{{"names":"{name_service}","#), 1));
     let mut client = gateway.client();
     client.write_all(&request(1, "load", LOAD, LONG)).expect("sent");
     until(&old_log, |l| l.iter().any(|p| p[0] == "want"));
-    *said.lock().expect("said") = Some(how.list(old, new));
+    *list_answer.lock().expect("not poisoned") = Some(departure.list(old, new));
     until_used(&gateway, &new_log);
-    released.store(how == Leaves::Drains, Ordering::SeqCst);
-    assert_eq!(answer(&mut client).1, ends);
+    released.store(departure == Departure::Draining, Ordering::SeqCst);
+    assert_eq!(answer(&mut client).1, expected_answer);
     assert_eq!((runs(&old_log, LOAD), runs(&new_log, LOAD)), (1, 0));
 }
 
-/// A new configuration is read while a request runs: it stays where it is.
+/// A reload of the configuration, which adds an engine, must not move a request that runs.
 #[test]
 fn request_that_runs_through_a_reload_is_not_sent_again() {
     let (old, old_log, released) = holding();
     let (new, new_log) = resp_engine(served);
-    let (names, said) = list_service();
+    let (name_service, list_answer) = list_service();
     let text = settings(&[old], "resp", LONG);
     let gateway = Gateway::start(&text);
     let mut client = gateway.client();
     client.write_all(&request(1, "load", LOAD, LONG)).expect("sent");
     until(&old_log, |l| l.iter().any(|p| p[0] == "want"));
-    *said.lock().expect("said") = Some((2, vec![("s-0", old, false), ("s-1", new, false)]));
-    gateway.reload(&text.replacen('{', &format!(r#"{{"names":"{names}","#), 1));
+    *list_answer.lock().expect("not poisoned") = Some((2, vec![("s-0", old, false), ("s-1", new, false)]));
+    gateway.reload(&text.replacen('{', &format!(r#"{{"names":"{name_service}","#), 1));
     until_used(&gateway, &new_log);
     released.store(true, Ordering::SeqCst);
     assert_eq!(answer(&mut client).1, "served");
     assert_eq!((runs(&old_log, LOAD), runs(&new_log, LOAD)), (1, 0));
 }
 
-/// The process is told to end while a request is out that its engine never answers. What may have run fails; what is safe
-/// to repeat is refused.
+/// The process receives SIGTERM while an attempt is in flight that its engine never answers. A request that may have run must
+/// fail; an idempotent one is rejected, so that its client retries it.
 #[rstest]
 #[case::must_not_run_twice("load", FAILED)]
-#[case::safe("lookup", TURNED_AWAY)]
-fn request_that_is_out_as_the_process_ends_fails_and_is_not_sent_again(
+#[case::idempotent("lookup", TURNED_AWAY)]
+fn request_in_flight_when_the_process_ends_is_not_sent_again(
     #[case] class: &str,
-    #[case] ends: &str,
+    #[case] expected_answer: &str,
 ) {
     let engines = [resp_engine(silent), resp_engine(silent)];
     let logs = engines.each_ref().map(|e| e.1.clone());
-    // What is open at SIGTERM is answered by the longest deadline; the client waits longer than that.
+    // Requests that are open at SIGTERM are answered within the longest client timeout of the settings; the client's own limit
+    // is longer.
     let text = without_retry_budget(&at_most_once(&config(&[engines[0].0, engines[1].0], "resp", 900)), 5);
-    // Nothing but the end gives an attempt up.
+    // Without cancelling, only the end of the process ends an attempt early.
     let text = changed(&text, r#""cancelling":true"#, r#""cancelling":false"#);
     let mut gateway = Gateway::start(&text);
     let mut client = gateway.client();
     client.write_all(&request(1, class, LOAD, 9_000)).expect("sent");
     until_either(&logs, |parts| parts[0] == "want");
     gateway.terminate();
-    assert_eq!(answer(&mut client).1, ends);
+    assert_eq!(answer(&mut client).1, expected_answer);
     drop(client);
-    assert!(gateway.child.wait().expect("it ends").success());
+    assert!(gateway.child.wait().expect("the process exits").success());
     assert_eq!(all_runs(&logs, LOAD), 1);
 }
 
-/// Two processes of one gateway, with what they share.
-struct Pair {
+/// Configuration, port and folder that two processes of one gateway share.
+struct SharedState {
     config: String,
     folder: tempfile::TempDir,
     _port: tokio::net::TcpSocket,
 }
 
-impl Pair {
+impl SharedState {
     fn new(engines: &[SocketAddr]) -> Self {
         let port = tokio::net::TcpSocket::new_v4().expect("a socket");
         port.set_reuseport(true).expect("set");
@@ -145,53 +150,54 @@
     }
 }
 
-/// Sockets that listen at an address, of all processes of this machine.
+/// Returns the number of sockets of all processes of this machine that listen at an address.
 fn listeners(at: SocketAddr) -> usize {
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the system's table");
     let (own, listens) = (format!("0100007F:{:04X}", at.port()), "0A");
     let of = |line: &&str| {
-        let words: Vec<&str> = line.split_whitespace().collect();
-        words.get(1) == Some(&own.as_str()) && words.get(3) == Some(&listens)
+        let columns: Vec<&str> = line.split_whitespace().collect();
+        columns.get(1) == Some(&own.as_str()) && columns.get(3) == Some(&listens)
     };
     table.lines().filter(of).count()
 }
 
-/// Another process takes over while a request runs: the old one answers it, and the new one does not send it.
+/// A new process takes over in a hot restart while a request runs. The old process must answer it, and the new one must not
+/// send it again.
 #[test]
-fn request_that_runs_through_a_handover_is_answered_by_the_old_process_and_not_sent_again() {
+fn request_that_runs_through_a_hot_restart_is_answered_by_the_old_process_and_not_sent_again() {
     let (at, log, released) = holding();
-    let pair = Pair::new(&[at]);
-    let mut old = pair.start();
+    let shared = SharedState::new(&[at]);
+    let mut old = shared.start();
     let mut client = old.client();
     client.write_all(&request(1, "load", LOAD, LONG)).expect("sent");
     until(&log, |l| l.iter().any(|p| p[0] == "want"));
-    let new = pair.start();
+    let new = shared.start();
     assert_eq!(listeners(old.thrift), 2);
     old.terminate();
-    assert!((0..1_000_000).any(|_| listeners(old.thrift) == 1), "the old one has left");
+    assert!((0..1_000_000).any(|_| listeners(old.thrift) == 1), "the old process still listens");
     until_used(&new, &log);
     released.store(true, Ordering::SeqCst);
     assert_eq!(answer(&mut client).1, "served");
     drop(client);
-    assert!(old.child.wait().expect("it ends").success());
+    assert!(old.child.wait().expect("the process exits").success());
     assert_eq!(runs(&log, LOAD), 1);
 }
 
-/// The process is killed while a request runs. Its client hears nothing that invites a retry, and the next process of this
-/// gateway does not send it.
+/// The process is killed while a request runs. Its client must not receive an answer that invites a retry, and the next
+/// process of this gateway must not send the request.
 #[test]
-fn request_that_runs_as_the_process_is_killed_is_not_sent_by_the_next() {
+fn request_that_runs_when_the_process_is_killed_is_not_sent_by_the_next_process() {
     let (at, log, _released) = holding();
-    let pair = Pair::new(&[at]);
-    let mut old = pair.start();
+    let shared = SharedState::new(&[at]);
+    let mut old = shared.start();
     let mut client = old.client();
     client.write_all(&request(1, "load", LOAD, LONG)).expect("sent");
     until(&log, |l| l.iter().any(|p| p[0] == "want"));
     old.signal("-KILL");
-    old.child.wait().expect("it ends");
-    let mut said = Vec::new();
-    let _ = client.read_to_end(&mut said);
-    assert!(said.is_empty(), "{said:?}");
-    until_used(&pair.start(), &log);
+    old.child.wait().expect("the process exits");
+    let mut received = Vec::new();
+    let _ = client.read_to_end(&mut received);
+    assert!(received.is_empty(), "{received:?}");
+    until_used(&shared.start(), &log);
     assert_eq!(runs(&log, LOAD), 1);
 }
