--- a/crates/storage/src/framed.rs
+++ b/crates/storage/src/framed.rs
@@ -49,7 +49,7 @@
     #[error("at byte 8: version {0} does not exist")]
     UnknownVersion(u32),
     /// The contents were changed after they had been written.
-    #[error("at byte 16: the checksum does not fit")]
+    #[error("at byte 16: the checksum does not match")]
     Checksum,
     /// The records cannot be encoded, or they cannot be decoded although the checksum is correct.
     #[error("at byte {HEADER_BYTES}: the records cannot be decoded or encoded: {0}")]
--- a/src/bin/starlingplank-wirehost.rs
+++ b/src/bin/starlingplank-wirehost.rs
@@ -28,7 +28,7 @@
     #[error("the line is outside a turn")]
     OutsideTurn,
     /// A turn begins before the previous one has ended.
-    #[error("TURN: the turn before was never closed")]
+    #[error("TURN: the previous turn was never closed")]
     TurnOpen,
     /// An `ENTRY` line follows no `PAGE` line that expects entries.
     #[error("ENTRY: no PAGE is open")]
--- a/src/config/operator/problem.rs
+++ b/src/config/operator/problem.rs
@@ -40,13 +40,13 @@
     #[error("is a key: write {0} = ...")]
     IsKey(String),
     /// The schema does not contain the name at this place.
-    #[error("is not known here{}", .similar.map(|name| format!("; {name} is")).unwrap_or_default())]
+    #[error("is not a key or block here{}", .similar.map(|name| format!("; did you mean {name}?")).unwrap_or_default())]
     Unknown {
         /// A similar name that the schema contains, as a suggestion.
         similar: Option<&'static str>,
     },
     /// The key or block belongs in the platform's configuration.
-    #[error("is the platform's to give; leave it out here")]
+    #[error("belongs in the platform's configuration; remove it here")]
     GivenByPlatform,
     /// The label contains a space, a comma or a control character, or is empty.
     #[error("has a label with a space or comma in it")]
@@ -58,7 +58,7 @@
     #[error("must not have a label")]
     UnexpectedLabel,
     /// The block must not be repeated. Contains the line of its first occurrence.
-    #[error("stands already in line {0}")]
+    #[error("is already defined in line {0}")]
     Repeated(usize),
     /// A required key is missing from its block or from the top level.
     #[error("is missing")]
@@ -73,7 +73,7 @@
     #[error("is missing: at least one {0} \"...\" block is required")]
     BlockMissing(&'static str),
     /// The file refers to a name that it does not define.
-    #[error("{name:?} is no {category} of this file")]
+    #[error("{name:?} is not a {category} defined in this file")]
     NotDefined {
         /// Name that is not defined.
         name: String,
@@ -81,10 +81,10 @@
         category: &'static str,
     },
     /// The last rule does not match all statements.
-    #[error("must end with a rule that holds for all statements: one with neither verbs nor users")]
+    #[error("must end with a rule that matches all statements: one with neither verbs nor users")]
     NoRuleForAll,
     /// The latency objective (`aim`) is longer than the client timeout (`give_up`).
-    #[error("lies past give_up")]
+    #[error("is longer than give_up")]
     PastTimeout,
     /// The deduplication window of a class with idempotency keys is missing.
     #[error("is missing: the time for which engines drop repeats of an idempotency key")]
@@ -93,6 +93,6 @@
     #[error("applies only with repeat = \"keyed\"")]
     OnlyWhereKeyed,
     /// The time window of the retry budget (`ratio_span`) is missing.
-    #[error("needs ratio_span beside it")]
+    #[error("requires ratio_span")]
     SpanMissing,
 }
--- a/tests/knowledge.rs
+++ b/tests/knowledge.rs
@@ -165,7 +165,7 @@
     bytes[40] ^= 1;
     std::fs::write(&last, bytes).expect("written");
     let (code, output) = verify(&folder);
-    assert!(code == Some(1) && output.contains("at byte 16: the checksum does not fit"), "{output}");
+    assert!(code == Some(1) && output.contains("at byte 16: the checksum does not match"), "{output}");
     assert!(show(&folder).contains("\"name\": \"load\""));
 }
 
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -49,7 +49,11 @@
 )]
 #[case("\"6s\"", "\"6 sec\"", "class \"lookup\".give_up: must be text of a number and ms")]
 #[case("\"192MiB\"", "\"192MB\"", "machine.memory: must be text of a number and KiB, MiB or GiB")]
-#[case("send_cap        = 3", "send_capp = 3", "limits.send_capp: is not known here; send_cap is")]
+#[case(
+    "send_cap        = 3",
+    "send_capp = 3",
+    "limits.send_capp: is not a key or block here; did you mean send_cap?"
+)]
 #[case("cancel          = true", "cancel = \"yes\"", "limits.cancel: must be true or false")]
 #[case(
     "repeat      = \"keyed\"",
@@ -57,15 +61,19 @@
     "class \"load\".repeat: must be one of safe, keyed, unsafe"
 )]
 #[case("window      = \"12s\"", "", "class \"load\".window: is missing")]
-#[case("class = \"load\"", "class = \"loads\"", "clickhouse.rule.class: \"loads\" is no class of this file")]
+#[case(
+    "class = \"load\"",
+    "class = \"loads\"",
+    "clickhouse.rule.class: \"loads\" is not a class defined in this file"
+)]
 #[case(
     "kind    = \"std-12\"\n}\n\nengine",
     "kind    = \"std\"\n}\n\nengine",
-    "engine \"ch-1\".kind: \"std\" is no kind of this file"
+    "engine \"ch-1\".kind: \"std\" is not a kind defined in this file"
 )]
-#[case("engine \"ch-2\"", "engine \"ch-1\"", "engine \"ch-1\": stands already in line")]
-#[case("ratio_span        = \"10s\"", "", "rules.extra_free: needs ratio_span beside it")]
-#[case("aim             = \"1200ms\"", "aim = \"7s\"", "class \"lookup\".aim: lies past give_up")]
+#[case("engine \"ch-2\"", "engine \"ch-1\"", "engine \"ch-1\": is already defined in line")]
+#[case("ratio_span        = \"10s\"", "", "rules.extra_free: requires ratio_span")]
+#[case("aim             = \"1200ms\"", "aim = \"7s\"", "class \"lookup\".aim: is longer than give_up")]
 #[case(
     "listen        = \"127.0.0.1:9090\"",
     "listen = \"localhost\"",
@@ -76,7 +84,7 @@
 #[case(
     "  rule {\n    class = \"lookup\"\n  }\n",
     "",
-    "clickhouse.rule: must end with a rule that holds for all statements"
+    "clickhouse.rule: must end with a rule that matches all statements"
 )]
 fn error_names_its_line_and_key(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
     let text = EXAMPLE.replacen(from, to, 1);
@@ -116,7 +124,10 @@
         .is_some());
     let all = operator_errors("gateways = 3\nrules {\n  drain_grace = \"9s\"\n}\n", Some(PLATFORM));
     assert_eq!(all.len(), 2, "{all:#?}");
-    assert!(all.iter().all(|p| p.ends_with("is the platform's to give; leave it out here")), "{all:#?}");
+    assert!(
+        all.iter().all(|p| p.ends_with("belongs in the platform's configuration; remove it here")),
+        "{all:#?}"
+    );
 }
 
 /// On the platform the rules fix the poll interval. Elsewhere the interval grows to reduce the load on an overloaded name service.
@@ -151,7 +162,8 @@
     let stderr = String::from_utf8_lossy(&run.stderr);
     assert_eq!(run.status.code(), Some(1));
     assert!(
-        stderr.contains("limits.cancel") && stderr.contains("zoen: is not known here; zone is"),
+        stderr.contains("limits.cancel")
+            && stderr.contains("zoen: is not a key or block here; did you mean zone?"),
         "{stderr}"
     );
     assert_eq!(stderr.lines().count(), 2, "{stderr}");
