--- a/crates/experiments/src/experiments.rs
+++ b/crates/experiments/src/experiments.rs
@@ -10,12 +10,12 @@
 mod warm_start;
 
 use crate::harness::{Failure, RunOptions};
-use crate::report::Figures;
+use crate::report::ExperimentResult;
 use std::future::Future;
 use std::pin::Pin;
 use std::time::Duration;
 
-type Run<'a> = Pin<Box<dyn Future<Output = Result<Figures, Failure>> + 'a>>;
+type Run<'a> = Pin<Box<dyn Future<Output = Result<ExperimentResult, Failure>> + 'a>>;
 
 /// An experiment that can be run from the command line.
 pub struct Experiment {
--- a/crates/experiments/src/experiments/cold_return.rs
+++ b/crates/experiments/src/experiments/cold_return.rs
@@ -9,7 +9,7 @@
 use crate::harness::gateway::GatewayProcess;
 use crate::harness::workload::{arrivals, Job};
 use crate::harness::{knowledge_block, Failure, RunOptions};
-use crate::report::Figures;
+use crate::report::ExperimentResult;
 use serde_json::{json, Value};
 use starlingplank_test_doubles::capacity_model::EngineSpec;
 use starlingplank_test_doubles::engine::Engine;
@@ -126,7 +126,7 @@
 }
 
 /// Runs the experiment and its baselines concurrently.
-pub(super) async fn run(options: &RunOptions) -> Result<Figures, Failure> {
+pub(super) async fn run(options: &RunOptions) -> Result<ExperimentResult, Failure> {
     let (with_aging, trusted, without_snapshot) = tokio::join!(
         run_once(options, "aged", Some("")),
         run_once(options, "believed", Some("  restart_within = \"1h\"")),
@@ -140,5 +140,5 @@
         "baseline_believed": trusted.json(),
         "baseline_without_knowledge": without_snapshot.json(),
     });
-    Ok(Figures { json, chart: None })
+    Ok(ExperimentResult { json, chart: None })
 }
--- a/crates/experiments/src/experiments/cold_start.rs
+++ b/crates/experiments/src/experiments/cold_start.rs
@@ -3,7 +3,7 @@
 
 use crate::fleet::{run_scenario, FleetOptions};
 use crate::harness::{Failure, RunOptions};
-use crate::report::{Chart, Figures, Series};
+use crate::report::{Chart, ExperimentResult, Series};
 use crate::scenario::{self, Scenario};
 use serde_json::{Map, Value};
 
@@ -30,7 +30,7 @@
 }
 
 /// Runs each scenario with the program, and with the baseline if one is given.
-pub(super) async fn run(options: &RunOptions) -> Result<Figures, Failure> {
+pub(super) async fn run(options: &RunOptions) -> Result<ExperimentResult, Failure> {
     let programs = [("now", Some(&options.program)), ("before", options.baseline.as_ref())];
     let (mut json, mut series) = (Map::new(), Vec::new());
     for NamedScenario { name, scenario } in load(&options.only)? {
@@ -60,5 +60,5 @@
         y_label: "in 100 ms".into(),
         series,
     };
-    Ok(Figures { json: Value::Object(json), chart: Some(chart) })
+    Ok(ExperimentResult { json: Value::Object(json), chart: Some(chart) })
 }
--- a/crates/experiments/src/experiments/cost.rs
+++ b/crates/experiments/src/experiments/cost.rs
@@ -8,7 +8,7 @@
 use crate::harness::gateway::GatewayProcess;
 use crate::harness::workload::{arrivals, CLASSES};
 use crate::harness::{knowledge_block, Failure, RunOptions};
-use crate::report::Figures;
+use crate::report::ExperimentResult;
 use hdrhistogram::Histogram;
 use serde_json::{json, Value};
 use starlingplank_persistence::recovery::{self, EndpointIdentity, RestoredState};
@@ -153,7 +153,7 @@
 }
 
 /// Runs the experiment and its baseline concurrently, then restores a large snapshot.
-pub(super) async fn run(options: &RunOptions) -> Result<Figures, Failure> {
+pub(super) async fn run(options: &RunOptions) -> Result<ExperimentResult, Failure> {
     let (on, off) = tokio::join!(run_once(options, "on", true), run_once(options, "off", false));
     let (on, off) = (on?, off?);
     let restored = restore(RESTORED_ENGINES)?;
@@ -166,5 +166,5 @@
         "read_1000_engines_ms": restored.milliseconds,
         "read_1000_engines_bytes": restored.bytes,
     });
-    Ok(Figures { json, chart: None })
+    Ok(ExperimentResult { json, chart: None })
 }
--- a/crates/experiments/src/experiments/idle.rs
+++ b/crates/experiments/src/experiments/idle.rs
@@ -5,7 +5,7 @@
 use crate::harness::engines::Engines;
 use crate::harness::gateway::GatewayProcess;
 use crate::harness::{Failure, RunOptions};
-use crate::report::Figures;
+use crate::report::ExperimentResult;
 use hdrhistogram::Histogram;
 use serde_json::{json, Value};
 use starlingplank_test_doubles::capacity_model::EngineSpec;
@@ -133,7 +133,7 @@
         let sent_at = Instant::now();
         let answer = client.query(&format!("{:016x}", (number << 32) + query), work).await?;
         let _ = result.latencies.record(sent_at.elapsed().as_nanos() as u64);
-        result.refused += u64::from(matches!(answer, Answer::Refused(_)));
+        result.refused += u64::from(matches!(answer, Answer::Rejected(_)));
         result.failed += u64::from(matches!(answer, Answer::Failed | Answer::Lost));
     }
     Ok(result)
@@ -151,7 +151,7 @@
 async fn run_case(options: &RunOptions, case: &Case) -> Result<CaseResult, Failure> {
     let is_resp = case.protocol == EngineProtocol::Resp;
     let spec = EngineSpec {
-        answers_at_once: case.speed == EngineSpeed::Fast,
+        answers_immediately: case.speed == EngineSpeed::Fast,
         reports_load: is_resp,
         ..EngineSpec::default()
     };
@@ -200,7 +200,7 @@
 }
 
 /// Runs all cases sequentially and combines their metrics.
-pub(super) async fn run(options: &RunOptions) -> Result<Figures, Failure> {
+pub(super) async fn run(options: &RunOptions) -> Result<ExperimentResult, Failure> {
     let mut results = Vec::new();
     for case in cases(options.queries) {
         results.push(run_case(options, &case).await?);
@@ -212,5 +212,5 @@
         "added_p99_us": results.iter().map(|result| result.added_p99_us).fold(0.0, f64::max),
         "rows": results.into_iter().map(|result| result.row).collect::<Vec<_>>(),
     });
-    Ok(Figures { json, chart: None })
+    Ok(ExperimentResult { json, chart: None })
 }
--- a/crates/experiments/src/experiments/restart.rs
+++ b/crates/experiments/src/experiments/restart.rs
@@ -8,7 +8,7 @@
 use crate::harness::gateway::GatewayProcess;
 use crate::harness::workload::{arrivals, Job, CLASSES, KEYED_CLASS};
 use crate::harness::{knowledge_block, Failure, RunOptions};
-use crate::report::Figures;
+use crate::report::ExperimentResult;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::{json, Value};
@@ -94,7 +94,7 @@
     while job.key.is_some() && attempts.len() < MAX_CLIENT_ATTEMPTS {
         let wait = match attempts.last().and_then(|attempt| attempt.answer) {
             Some(Answer::Served) => break,
-            Some(Answer::Refused(retry_after)) => retry_after / 1000.0 + 0.05,
+            Some(Answer::Rejected(retry_after)) => retry_after / 1000.0 + 0.05,
             _ => rng.random_range(0.1..6.0),
         };
         let at = if rng.random_bool(WINDOW_END_SHARE) { last } else { Instant::now() + seconds(wait) };
@@ -255,7 +255,7 @@
         "attempts_overlapping": engines.fleet.overlaps(),
         "requests": clients.attempts.len(),
         "served": clients.count(|answer| *answer == Answer::Served),
-        "refused": clients.count(|answer| matches!(answer, Answer::Refused(_))),
+        "refused": clients.count(|answer| matches!(answer, Answer::Rejected(_))),
         "failed": clients.count(|answer| *answer == Answer::Failed),
         "lost_by_kills": clients.count(|answer| *answer == Answer::Lost),
         "lost_answers_beyond_kill": clients.lost_without_kill(),
@@ -264,7 +264,7 @@
 }
 
 /// Runs the series with the idempotency log and the baseline without it concurrently.
-pub(super) async fn run(options: &RunOptions) -> Result<Figures, Failure> {
+pub(super) async fn run(options: &RunOptions) -> Result<ExperimentResult, Failure> {
     let (with_log, without_log) =
         tokio::join!(run_series(options, "restart", true), run_series(options, "restart-off", false));
     let (mut json, baseline) = (with_log?, without_log?);
@@ -273,5 +273,5 @@
         "loads_run": baseline["loads_run"],
         "loads_run_twice": baseline["loads_run_twice"],
     });
-    Ok(Figures { json, chart: None })
+    Ok(ExperimentResult { json, chart: None })
 }
--- a/crates/experiments/src/experiments/turns.rs
+++ b/crates/experiments/src/experiments/turns.rs
@@ -2,7 +2,7 @@
 //! number. Only the decision module runs, without sockets.
 
 use crate::harness::Failure;
-use crate::report::Figures;
+use crate::report::ExperimentResult;
 use serde_json::json;
 use starlingplank_decision::decide::Balancer;
 use starlingplank_decision::interface::*;
@@ -185,7 +185,7 @@
 }
 
 /// Measures all numbers of engines, each for one of many gateways and for a single gateway.
-pub(super) fn run(seed: u64) -> Result<Figures, Failure> {
+pub(super) fn run(seed: u64) -> Result<ExperimentResult, Failure> {
     let mut rows = Vec::new();
     for gateways_per_engine in GATEWAYS_PER_ENGINE {
         let mut baseline = None;
@@ -206,5 +206,5 @@
         }
     }
     let json = json!({ "rows": rows, "rounds": ROUNDS, "out": MAX_IN_FLIGHT });
-    Ok(Figures { json, chart: None })
+    Ok(ExperimentResult { json, chart: None })
 }
--- a/crates/experiments/src/experiments/warm_start.rs
+++ b/crates/experiments/src/experiments/warm_start.rs
@@ -8,7 +8,7 @@
 use crate::harness::gateway::GatewayProcess;
 use crate::harness::workload::{arrivals, CLASSES};
 use crate::harness::{knowledge_block, Failure, RunOptions};
-use crate::report::{Chart, Figures, Series};
+use crate::report::{Chart, ExperimentResult, Series};
 use serde_json::{json, Value};
 use starlingplank_test_doubles::capacity_model::EngineSpec;
 use starlingplank_test_doubles::thrift::Answer;
@@ -93,7 +93,7 @@
         "in_aim_5s": share_in_objective(completed, 0.0, FIRST_SPAN),
         "in_aim_60s": share_in_objective(completed, 0.0, SPAN_AFTER),
         "in_aim_5s_by_class": share_by_class(completed, FIRST_SPAN),
-        "refused": count(|answer| matches!(answer, Answer::Refused(_))),
+        "refused": count(|answer| matches!(answer, Answer::Rejected(_))),
         "failed": count(|answer| answer == Answer::Failed),
         "requests": completed.len(),
     })
@@ -108,7 +108,7 @@
 }
 
 /// Runs the experiment and its baseline concurrently.
-pub(super) async fn run(options: &RunOptions) -> Result<Figures, Failure> {
+pub(super) async fn run(options: &RunOptions) -> Result<ExperimentResult, Failure> {
     let (with, without) = tokio::join!(run_once(options, "with", true), run_once(options, "without", false));
     let (with, without) = (with?, without?);
     let chart = Chart {
@@ -118,5 +118,5 @@
         series: vec![series("with knowledge", &with), series("without", &without)],
     };
     let json = json!({ "with_knowledge": metrics(&with), "baseline_without": metrics(&without) });
-    Ok(Figures { json, chart: Some(chart) })
+    Ok(ExperimentResult { json, chart: Some(chart) })
 }
--- a/crates/experiments/src/fleet/clients.rs
+++ b/crates/experiments/src/fleet/clients.rs
@@ -60,8 +60,8 @@
     /// Returns the pause before the next attempt, or `None` if the answer is final or did not arrive in time.
     fn pause_after(&self, answer: Option<Answer>) -> Option<Duration> {
         match answer? {
-            Answer::Refused(_) if self.ignores_retry_after => Some(PAUSE_WITHOUT_RETRY_AFTER),
-            Answer::Refused(retry_after) => {
+            Answer::Rejected(_) if self.ignores_retry_after => Some(PAUSE_WITHOUT_RETRY_AFTER),
+            Answer::Rejected(retry_after) => {
                 let pause = retry_after.clamp(MIN_PAUSE_MS, MAX_PAUSE_MS);
                 Some(Duration::from_secs_f64(pause / 1000.0))
             }
--- a/crates/experiments/src/fleet/setup.rs
+++ b/crates/experiments/src/fleet/setup.rs
@@ -67,7 +67,7 @@
     let addresses = engine_addresses(&engines.all, &engine_paths);
     let endpoint_list = endpoint_entries(&addresses, scenario);
     set_engine_states(&engines.all, scenario);
-    let first = ListVersion { from: 0.0, serial: FIRST_VERSION, engines: endpoint_list.clone() };
+    let first = ListVersion { served_from: 0.0, serial: FIRST_VERSION, engines: endpoint_list.clone() };
     let name_service = NameService::start(service_script(scenario, options.gateways), vec![first])?;
     let mut file = operator_file(&engines, options.seed, None);
     for (engine, address) in engines.all.iter().zip(&addresses) {
@@ -102,7 +102,7 @@
     };
     let spec = EngineSpec {
         cores: scenario.engines.cores,
-        chance_allowance_work: mean_work(&CLASSES),
+        independent_gateway_allowance_work: mean_work(&CLASSES),
         ..EngineSpec::default()
     };
     Engines::start(vec![spec; count], options.seed)
--- a/crates/experiments/src/fleet/steps.rs
+++ b/crates/experiments/src/fleet/steps.rs
@@ -27,20 +27,20 @@
             Step::PauseGateway(gateway) => self.pause_gateway(gateway, now)?,
             Step::ResumeGateway(gateway) => self.resume_gateway(gateway, now)?,
             Step::BeginPathFault { gateway, kind, amount } => {
-                self.gateways.borrow()[gateway].path.set(|fault| begin_fault(fault, kind, amount));
+                self.gateways.borrow()[gateway].path.update_faults(|fault| begin_fault(fault, kind, amount));
             }
             Step::EndPathFault { gateway, kind } => {
-                self.gateways.borrow()[gateway].path.set(|fault| end_fault(fault, kind));
+                self.gateways.borrow()[gateway].path.update_faults(|fault| end_fault(fault, kind));
             }
             Step::BeginEnginePathFault { engine, kind: FaultKind::EngineReset, .. } => {
                 self.engine_paths[engine].reset();
             }
             Step::BeginEnginePathFault { engine, kind, amount } => {
-                self.engine_paths[engine].set(|fault| begin_fault(fault, kind, amount));
+                self.engine_paths[engine].update_faults(|fault| begin_fault(fault, kind, amount));
             }
             Step::EndEnginePathFault { kind: FaultKind::EngineReset, .. } => {}
             Step::EndEnginePathFault { engine, kind } => {
-                self.engine_paths[engine].set(|fault| end_fault(fault, kind));
+                self.engine_paths[engine].update_faults(|fault| end_fault(fault, kind));
             }
             Step::Drain => self.drain_first_engine(),
             Step::StopEngine(engine) => {
--- a/crates/experiments/src/harness/clients.rs
+++ b/crates/experiments/src/harness/clients.rs
@@ -84,12 +84,12 @@
     fn request_on_open(&self, fields: &[(&str, &str)], statement: &str) -> Option<oneshot::Receiver<Answer>> {
         let mut pool = self.0.borrow_mut();
         // The gateway closes idle connections.
-        pool.clients.retain(|client| !client.ended());
+        pool.clients.retain(|client| !client.has_ended());
         let is_full = pool.clients.len() >= MAX_CONNECTIONS;
         let max_requests =
             if is_full { MAX_REQUESTS_PER_CONNECTION } else { PREFERRED_REQUESTS_PER_CONNECTION };
-        let client = pool.clients.iter_mut().min_by_key(|client| client.open())?;
-        (client.open() < max_requests).then(|| client.send(fields, statement))
+        let client = pool.clients.iter_mut().min_by_key(|client| client.pending_count())?;
+        (client.pending_count() < max_requests).then(|| client.send(fields, statement))
     }
 
     /// Sends a request and waits for its answer. A request that is lost because the gateway closes the idle connection meanwhile is sent
--- a/crates/experiments/src/ledger.rs
+++ b/crates/experiments/src/ledger.rs
@@ -326,7 +326,7 @@
         "served": count(|attempt| attempt.answer == Some(Answer::Served)),
         "in_aim": count(|attempt| attempt.meets_objective),
         "late": count(|attempt| attempt.is_late),
-        "refused": count(|attempt| matches!(attempt.answer, Some(Answer::Refused(_)))),
+        "refused": count(|attempt| matches!(attempt.answer, Some(Answer::Rejected(_)))),
         "failed": count(|attempt| attempt.answer == Some(Answer::Failed)),
         "no_connection": count(|attempt| !attempt.connected),
         "most_tries_in_100_ms": max_within(&times, 0.1),
--- a/crates/experiments/src/ledger/tests.rs
+++ b/crates/experiments/src/ledger/tests.rs
@@ -22,7 +22,7 @@
 fn rule_violations_are_reported() {
     let valid = [
         client_attempt(0, "a", 1.0, Some(Answer::Served)),
-        client_attempt(1, "b", 1.0, Some(Answer::Refused(5.0))),
+        client_attempt(1, "b", 1.0, Some(Answer::Rejected(5.0))),
     ];
     assert!(check_lost_answers(&valid, |_| false).is_empty());
     let lost = [
--- a/crates/experiments/src/report.rs
+++ b/crates/experiments/src/report.rs
@@ -34,7 +34,7 @@
 }
 
 /// Result of an experiment's run.
-pub struct Figures {
+pub struct ExperimentResult {
     /// Metrics of the run as a JSON object, keyed by name. Metrics of one case, scenario, engine group or baseline are nested in an object
     /// under its name.
     pub json: Value,
@@ -72,7 +72,7 @@
 ///
 /// # Errors
 /// A file or the folder cannot be written.
-pub fn save(folder: &Path, name: &str, seed: u64, result: &Figures) -> Result<(), Failure> {
+pub fn save(folder: &Path, name: &str, seed: u64, result: &ExperimentResult) -> Result<(), Failure> {
     std::fs::create_dir_all(folder)?;
     append_metrics(&folder.join(format!("{name}.csv")), seed, &result.json)?;
     if let Some(chart) = &result.chart {
--- a/crates/experiments/src/soak/client.rs
+++ b/crates/experiments/src/soak/client.rs
@@ -296,7 +296,7 @@
     stream.read_exact(&mut frame).await.ok()?;
     match thrift::parse_reply(&frame)?.answer {
         ThriftAnswer::Served => Some(Answer::Served),
-        ThriftAnswer::Refused(_) => Some(Answer::Rejected),
+        ThriftAnswer::Rejected(_) => Some(Answer::Rejected),
         ThriftAnswer::Failed => Some(Answer::Failed),
         ThriftAnswer::Lost => None,
     }
--- a/crates/experiments/src/soak/mod.rs
+++ b/crates/experiments/src/soak/mod.rs
@@ -24,7 +24,7 @@
 pub use run::{run_soak, SoakResult};
 
 use crate::harness::{Failure, RunOptions};
-use crate::report::Figures;
+use crate::report::ExperimentResult;
 use oracle::{RetryBudget, RuleParameters, SlowStart};
 
 /// Deduplication window of engines in the gateways' settings, in milliseconds.
@@ -71,7 +71,7 @@
 }
 
 /// Runs the experiment `soak`: one soak test, whose violations are printed and counted in the figures.
-pub(crate) async fn experiment(options: &RunOptions) -> Result<Figures, Failure> {
+pub(crate) async fn experiment(options: &RunOptions) -> Result<ExperimentResult, Failure> {
     let folder = tempfile::tempdir()?;
     let is_too_many = options.gateways > MAX_GATEWAYS;
     let soak = SoakOptions {
@@ -85,5 +85,5 @@
     };
     let result = run_soak(&soak).await?;
     report::print_violations(&result);
-    Ok(Figures { json: report::figures(&soak, &result), chart: None })
+    Ok(ExperimentResult { json: report::figures(&soak, &result), chart: None })
 }
--- a/crates/persistence/tests/crash.rs
+++ b/crates/persistence/tests/crash.rs
@@ -46,9 +46,9 @@
         };
         for at in 0..calls {
             let disk = FaultyDisk::new(seed * 1_000 + at as u64);
-            disk.fault(at, fault);
+            disk.inject_fault(at, fault);
             let durable = save(&disk, 0, 4);
-            assert!(disk.stopped());
+            assert!(disk.has_stopped());
             disk.restart();
             let (taken, faults) = latest(&disk);
             // The snapshot that was being saved at the stop may be complete, although it was not reported as durable.
@@ -63,11 +63,11 @@
     for first in 0..12 {
         for second in 0..12 {
             let disk = FaultyDisk::new(first * 100 + second);
-            disk.fault(6 + first as usize, Fault::StopAfter);
+            disk.inject_fault(6 + first as usize, Fault::StopAfter);
             let durable = save(&disk, 0, 4);
             disk.restart();
             let (before, _) = latest(&disk);
-            disk.fault(second as usize, Fault::StopBefore);
+            disk.inject_fault(second as usize, Fault::StopBefore);
             let durable_after_restart = save(&disk, before, 2);
             disk.restart();
             let (after, faults) = latest(&disk);
@@ -89,7 +89,7 @@
         let (mut store, _) =
             SnapshotStore::open(Box::new(disk.clone()), MAX_BYTES).expect("the folder can be read");
         store.save(&snapshot(1.0, 2)).expect("the disk works");
-        disk.fault(at, fault);
+        disk.inject_fault(at, fault);
         let second = store.save(&snapshot(2.0, 2));
         let (taken, faults) = latest(&disk);
         assert!(
@@ -110,7 +110,7 @@
 #[test]
 fn short_writes_are_continued_until_all_bytes_are_written() {
     let disk = FaultyDisk::new(1);
-    disk.short_writes(7);
+    disk.limit_appends(7);
     assert_eq!((save(&disk, 0, 2), latest(&disk)), (2, (2, 0)));
 }
 
@@ -182,7 +182,7 @@
         };
         for at in 0..calls {
             let disk = FaultyDisk::new(seed * 1_000 + at as u64);
-            disk.fault(at, fault);
+            disk.inject_fault(at, fault);
             let durable = write_log(&disk);
             disk.restart();
             let recovered = recover(&disk, 30.0, Some(BOOT));
--- a/crates/persistence/tests/twice/restarts.rs
+++ b/crates/persistence/tests/twice/restarts.rs
@@ -67,7 +67,7 @@
         self.may_stop_within_a_write();
         let mut waiting = Vec::new();
         let mut maintained_at = started;
-        while self.now < end && !self.disk.stopped() {
+        while self.now < end && !self.disk.has_stopped() {
             self.now += self.rng.random_range(1.0..120.0);
             if self.now >= maintained_at + MAINTENANCE_INTERVAL {
                 maintained_at = self.now;
@@ -104,7 +104,7 @@
         if self.rng.random_bool(0.3) {
             let call = self.rng.random_range(0..30);
             let fault = if self.rng.random() { Fault::StopBefore } else { Fault::StopAfter };
-            self.disk.fault(call, fault);
+            self.disk.inject_fault(call, fault);
         }
     }
 
@@ -112,7 +112,7 @@
         if self.disk_is == Disk::Bad && self.rng.random_bool(0.05) {
             let faults = [Fault::Fail, Fault::FailAfter, Fault::Full];
             let call = self.rng.random_range(0..4);
-            self.disk.fault(call, faults[self.rng.random_range(0..3)]);
+            self.disk.inject_fault(call, faults[self.rng.random_range(0..3)]);
         }
     }
 
--- a/crates/persistence/tests/writers.rs
+++ b/crates/persistence/tests/writers.rs
@@ -126,7 +126,7 @@
     assert!(writer.rewrite(first_file()));
     assert!(matches!(outcomes.recv(), Ok((IdempotencyLogEvent::Rewritten(_), _))));
     let send = KeySend { at: 5.0, window: 12_000.0 };
-    disk.fault(0, Fault::Full);
+    disk.inject_fault(0, Fault::Full);
     for ticket in 0..2 {
         assert!(writer.record(ticket, key("a"), send));
         assert!(matches!(outcomes.recv(), Ok((IdempotencyLogEvent::Failed(t, _), _)) if t == [ticket]));
--- a/crates/test-doubles/src/capacity_model.rs
+++ b/crates/test-doubles/src/capacity_model.rs
@@ -24,7 +24,7 @@
     /// Mean work of a query, for engines to which many gateways send independently. An engine with a budget of N such queries
     /// then accepts N + 2 sqrt(N) + 2 of them, which is the users' rule for the sum over all gateways. With 0 it accepts no more
     /// than its budget.
-    pub chance_allowance_work: f64,
+    pub independent_gateway_allowance_work: f64,
     /// Factor by which the work of every query is multiplied.
     pub slowdown: f64,
     /// Share of queries that fail immediately.
@@ -34,7 +34,7 @@
     /// Whether answers contain a load report.
     pub reports_load: bool,
     /// Whether queries are answered immediately, regardless of their work.
-    pub answers_at_once: bool,
+    pub answers_immediately: bool,
 }
 
 impl Default for EngineSpec {
@@ -45,12 +45,12 @@
             slow_start_duration: 15_000.0,
             overload_collapse_multiple: 3.0,
             overload_collapse_after: 2_000.0,
-            chance_allowance_work: 0.0,
+            independent_gateway_allowance_work: 0.0,
             slowdown: 1.0,
             error_share: 0.0,
             background_threads: 0.0,
             reports_load: true,
-            answers_at_once: false,
+            answers_immediately: false,
         }
     }
 }
@@ -180,7 +180,7 @@
     fn collapse_ratio(&self, now: f64) -> f64 {
         let span = self.spec.overload_collapse_after;
         let budget = self.budget(now - span, span).max(1.0);
-        let allowance = self.spec.chance_allowance_work;
+        let allowance = self.spec.independent_gateway_allowance_work;
         1.0 + 2.0 * (allowance / budget).sqrt() + 2.0 * allowance / budget
     }
 
--- a/crates/test-doubles/src/capacity_model/tests.rs
+++ b/crates/test-doubles/src/capacity_model/tests.rs
@@ -24,8 +24,11 @@
     assert!((0..20).all(|n| cold.start(n, query(1_000.0, 1.0), 1_000.0)));
     assert!(!(0..10).all(|n| cold.start(n, query(1_000.0, 1.0), 1_100.0)) && cold.collapsed_at.is_some());
     // With the allowance for independent gateways, a budget of 29 queries accepts about 42 of them.
-    let mut shared =
-        CapacityModel::new(EngineSpec { chance_allowance_work: 777.0, ..EngineSpec::default() }, 0.0, 0.0);
+    let mut shared = CapacityModel::new(
+        EngineSpec { independent_gateway_allowance_work: 777.0, ..EngineSpec::default() },
+        0.0,
+        0.0,
+    );
     let accepted = (0..100).take_while(|n| shared.start(*n, query(777.0, 1.0), 1_000.0)).count();
     assert!(
         (40..=44).contains(&accepted) && shared.max_overload_ratio > 1.35,
--- a/crates/test-doubles/src/client.rs
+++ b/crates/test-doubles/src/client.rs
@@ -47,12 +47,12 @@
     }
 
     /// Returns the number of requests that await an answer.
-    pub fn open(&self) -> usize {
+    pub fn pending_count(&self) -> usize {
         self.pending.borrow().as_ref().map_or(0, HashMap::len)
     }
 
     /// Returns whether the connection has ended.
-    pub fn ended(&self) -> bool {
+    pub fn has_ended(&self) -> bool {
         self.pending.borrow().is_none()
     }
 
--- a/crates/test-doubles/src/closed_loop.rs
+++ b/crates/test-doubles/src/closed_loop.rs
@@ -114,7 +114,7 @@
     let end = head_end + HEAD_END.len() + http_content_length(head)?;
     let answer = match head.split(' ').nth(1) {
         Some("200") => Answer::Served,
-        Some("503") => Answer::Refused(0.0),
+        Some("503") => Answer::Rejected(0.0),
         _ => Answer::Failed,
     };
     (bytes.len() >= end).then_some(ParsedAnswer { answer, length: end })
--- a/crates/test-doubles/src/disk.rs
+++ b/crates/test-doubles/src/disk.rs
@@ -82,13 +82,13 @@
     }
 
     /// Injects a fault into a later call that changes or syncs something; the next such call has the number 0.
-    pub fn fault(&self, call: usize, fault: Fault) {
+    pub fn inject_fault(&self, call: usize, fault: Fault) {
         let mut state = self.state();
         state.fault = Some((state.calls + call, fault));
     }
 
     /// Limits the number of bytes that one append writes.
-    pub fn short_writes(&self, max_append: usize) {
+    pub fn limit_appends(&self, max_append: usize) {
         self.state().max_append = max_append;
     }
 
@@ -98,7 +98,7 @@
     }
 
     /// Returns whether a fault has stopped the program.
-    pub fn stopped(&self) -> bool {
+    pub fn has_stopped(&self) -> bool {
         self.state().stopped
     }
 
--- a/crates/test-doubles/src/engine/execution.rs
+++ b/crates/test-doubles/src/engine/execution.rs
@@ -58,7 +58,7 @@
         let is_duplicate = attempt.key.is_some_and(|key| self.fleet.is_duplicate(key, now));
         let error_share = state.model.spec.error_share;
         let is_failed = state.rng.random_bool(error_share);
-        if is_duplicate || is_failed || state.model.spec.answers_at_once {
+        if is_duplicate || is_failed || state.model.spec.answers_immediately {
             self.fleet.end_attempt(attempt.request, now);
             let load = state.model.load_report();
             return Some(match is_failed && !is_duplicate {
--- a/crates/test-doubles/src/name_service.rs
+++ b/crates/test-doubles/src/name_service.rs
@@ -77,7 +77,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct ListVersion {
     /// Time from which this version is served, in seconds since the start of the service.
-    pub from: f64,
+    pub served_from: f64,
     /// Serial number of the version, from 1. The outdated list has the number 0.
     pub serial: u32,
     /// Engines of this version.
@@ -151,8 +151,8 @@
 
     /// Publishes a version of the list, which is served from now on.
     pub fn publish(&self, serial: u32, engines: Vec<EndpointEntry>) {
-        let from = self.started_at.elapsed().as_secs_f64();
-        lock(&self.shared.versions).push(ListVersion { from, serial, engines });
+        let served_from = self.started_at.elapsed().as_secs_f64();
+        lock(&self.shared.versions).push(ListVersion { served_from, serial, engines });
     }
 }
 
@@ -206,8 +206,8 @@
         while self.queue.front().is_some_and(|query| query.due <= now) {
             let Some(query) = self.queue.pop_front() else { return };
             let versions = lock(&self.shared.versions);
-            let outdated = ListVersion { from: 0.0, serial: 0, engines: Vec::new() };
-            let newest = versions.iter().rev().find(|version| version.from <= now);
+            let outdated = ListVersion { served_from: 0.0, serial: 0, engines: Vec::new() };
+            let newest = versions.iter().rev().find(|version| version.served_from <= now);
             let version = newest.filter(|_| now >= self.script.stale_until).unwrap_or(&outdated);
             let mut queries = lock(&self.shared.queries);
             let received = &mut queries[query.index];
--- a/crates/test-doubles/src/relay.rs
+++ b/crates/test-doubles/src/relay.rs
@@ -103,7 +103,7 @@
     }
 
     /// Changes the faults of the path.
-    pub fn set(&self, change: impl FnOnce(&mut PathFault)) {
+    pub fn update_faults(&self, change: impl FnOnce(&mut PathFault)) {
         self.fault.send_modify(change);
     }
 
@@ -125,7 +125,7 @@
 
     /// Resets all open connections.
     pub fn reset(&self) {
-        self.set(|fault| fault.resets += 1);
+        self.update_faults(|fault| fault.resets += 1);
     }
 }
 
--- a/crates/test-doubles/src/relay/tests.rs
+++ b/crates/test-doubles/src/relay/tests.rs
@@ -32,7 +32,7 @@
 fn data_withheld_by_a_cut_arrives_once_the_path_is_restored() -> io::Result<()> {
     run(async {
         let (relay, mut client, mut server) = connected().await?;
-        relay.set(|fault| fault.cut_to_server = true);
+        relay.update_faults(|fault| fault.cut_to_server = true);
         client.write_all(b"b").await?;
         // The other direction is not cut. Data that arrives over it was sent after the data that the cut withholds.
         for _ in 0..20 {
@@ -40,7 +40,7 @@
             assert_eq!(client.read_u8().await?, b'c');
         }
         assert!(server.try_read(&mut [0]).is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock));
-        relay.set(|fault| fault.cut_to_server = false);
+        relay.update_faults(|fault| fault.cut_to_server = false);
         assert_eq!(server.read_u8().await?, b'b');
         Ok(())
     })
@@ -55,7 +55,7 @@
         client.connect(relay.address).await?;
         let mut bytes = [0; 8];
         for (id, cut) in [(1_u16, false), (2, true), (3, false)] {
-            relay.set(|fault| fault.cut_to_client = cut);
+            relay.update_faults(|fault| fault.cut_to_client = cut);
             client.send(&id.to_be_bytes()).await?;
             let (_, port) = server.recv_from(&mut bytes).await?;
             assert_eq!(relay.relay_addresses(), [port]);
--- a/crates/test-doubles/src/thrift.rs
+++ b/crates/test-doubles/src/thrift.rs
@@ -16,7 +16,7 @@
     /// The rows of the result were received.
     Served,
     /// The gateway rejected the request. The value is the time after which to retry, in milliseconds.
-    Refused(f64),
+    Rejected(f64),
     /// The request failed.
     Failed,
     /// The connection ended before an answer was received.
@@ -61,7 +61,7 @@
     let sequence = i32::from_be_bytes(rest.get(..4)?.try_into().ok()?);
     let answer = match (frame[3], *rest.get(6)?) {
         (REPLY, SUCCESS_FIELD) => Answer::Served,
-        (REPLY, ERROR_FIELD) => Answer::Refused(retry_after(&String::from_utf8_lossy(rest))),
+        (REPLY, ERROR_FIELD) => Answer::Rejected(retry_after(&String::from_utf8_lossy(rest))),
         _ => Answer::Failed,
     };
     Some(Reply { sequence, answer })
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -14,7 +14,7 @@
 
 pub use error::ConfigError;
 pub use files::{ConfigFiles, LoadError};
-pub use raw::describe;
+pub use raw::to_member;
 
 use crate::core::Endpoint;
 use crate::interface::{Milliseconds, Settings};
@@ -100,14 +100,14 @@
 
 /// Protocol of the engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EngineWire {
+pub enum EngineProtocol {
     /// The platform's commands, in RESP.
     Resp,
     /// The ClickHouse HTTP interface.
     ClickHouse,
 }
 
-impl EngineWire {
+impl EngineProtocol {
     fn read(fields: &Fields) -> Result<Self, ConfigError> {
         match fields.opt("engines") {
             None | Some("resp") => Ok(Self::Resp),
@@ -136,7 +136,7 @@
     /// Listener for clients of the ClickHouse HTTP interface, if configured.
     pub clickhouse: Option<ClickHouseListener>,
     /// Protocol of the engines.
-    pub engine_wire: EngineWire,
+    pub engine_protocol: EngineProtocol,
     /// Address of the name service. Without one, the endpoint list at the start does not change.
     pub name_service: Option<SocketAddr>,
     /// Version of the endpoint list in `endpoints`.
@@ -150,7 +150,7 @@
     /// Format and level of the log.
     pub log: LogSettings,
     /// Settings of the persistence of learned state. Without them, learned state is lost when the program exits.
-    pub knowledge: Option<PersistenceSettings>,
+    pub persistence: Option<PersistenceSettings>,
     /// Listening address for operators' calls, if configured. Hot restarts require it.
     pub operator: Option<SocketAddr>,
 }
@@ -214,18 +214,18 @@
                 Some(ClickHouseListener { address: parse_address(address, "clickhouse.listen")?, rules })
             }
         };
-        let engine_wire = EngineWire::read(&fields)?;
+        let engine_protocol = EngineProtocol::read(&fields)?;
         let log = LogSettings::read(&fields)?;
         Ok(Self {
             name: fields.opt("gateway.name").unwrap_or("starlingplank").to_owned(),
             listen: parse_address(listen, "listen")?,
             clickhouse,
-            engine_wire,
+            engine_protocol,
             name_service: name_service.map(|address| parse_address(address, "names")).transpose()?,
             endpoints_version: raw.endpoints_version,
             endpoints: read_endpoints(&raw.engines, &settings)?,
             log,
-            knowledge: PersistenceSettings::read(&fields)?,
+            persistence: PersistenceSettings::read(&fields)?,
             operator: fields
                 .opt("gateway.operator")
                 .map(|address| parse_address(address, "operator"))
--- a/src/config/raw.rs
+++ b/src/config/raw.rs
@@ -34,7 +34,7 @@
             "gone" => Availability::Removed,
             _ => return None,
         };
-        let member = describe(
+        let member = to_member(
             settings,
             &self.id,
             &self.zone,
@@ -59,7 +59,7 @@
 }
 
 /// Describes an engine as a member of the endpoint list, with the zone and machine type resolved to entries of the settings.
-pub fn describe(
+pub fn to_member(
     settings: &Settings,
     id: &str,
     zone: &str,
--- a/src/main.rs
+++ b/src/main.rs
@@ -155,7 +155,7 @@
             let config = ConfigFiles { platform: None, operator }.load()?;
             let overload_collapse_after = config.settings.overload_collapse_after;
             config
-                .knowledge
+                .persistence
                 .map(|knowledge| persistence::recovery_settings(&knowledge, overload_collapse_after))
         }
         None => None,
--- a/src/net/discovery/message.rs
+++ b/src/net/discovery/message.rs
@@ -1,6 +1,6 @@
 //! Messages of service discovery: DNS over UDP (RFC 1035), a query for SRV records and the endpoint list in its response.
 
-use crate::config::describe;
+use crate::config::to_member;
 use crate::core::Endpoint;
 use crate::interface::{Availability, Settings};
 use std::collections::BTreeMap;
@@ -133,7 +133,7 @@
         let cell = self.number(&owner, "cell") as u64;
         let started = self.number(&owner, "started");
         let availability = if *priority == 0 { Availability::Live } else { Availability::Draining };
-        let member = describe(settings, engine, zone, kind, cell, availability, started);
+        let member = to_member(settings, engine, zone, kind, cell, availability, started);
         Some(Endpoint { member, address })
     }
 
--- a/src/net/persistence/endpoint_cache.rs
+++ b/src/net/persistence/endpoint_cache.rs
@@ -1,6 +1,6 @@
 //! The cached endpoint list: conversion from and to the reducer's endpoints, and its loading at the start.
 
-use crate::config::{describe, PersistenceSettings};
+use crate::config::{to_member, PersistenceSettings};
 use crate::core::Endpoint;
 use crate::interface::{Availability, Milliseconds, Settings};
 use starlingplank_persistence::cached_endpoints::{self, CachedEndpoint, CachedEndpoints};
@@ -13,7 +13,7 @@
     let endpoint = |cached: &CachedEndpoint| {
         let availability = if cached.live { Availability::Live } else { Availability::Draining };
         let CachedEndpoint { id, zone, machine_type, .. } = cached;
-        let member = describe(settings, id, zone, machine_type, cached.cell, availability, cached.started);
+        let member = to_member(settings, id, zone, machine_type, cached.cell, availability, cached.started);
         Some(Endpoint { member, address: cached.address.parse().ok()? })
     };
     cached.endpoints.iter().filter_map(endpoint).collect()
--- a/src/net/persistence/mod.rs
+++ b/src/net/persistence/mod.rs
@@ -196,7 +196,7 @@
         now: Milliseconds,
         events: &Sender<Event>,
     ) -> Result<Self, PersistenceError> {
-        let Some(settings) = &config.knowledge else { return Ok(Self::disabled()) };
+        let Some(settings) = &config.persistence else { return Ok(Self::disabled()) };
         let window = longest_window(config);
         let keyed = settings.logs_keys && window > 0.0;
         let opening = FolderOpening { config, settings, window, keyed, now };
--- a/src/net/persistence/takeover.rs
+++ b/src/net/persistence/takeover.rs
@@ -31,7 +31,7 @@
     /// further send of either process is recorded in the shared folder. If the folder is required, keyed requests are rejected
     /// until this process has taken it over.
     pub fn use_owner_log(&mut self, config: &Config, core: &mut Core, now: Milliseconds) {
-        let Some(settings) = &config.knowledge else { return };
+        let Some(settings) = &config.persistence else { return };
         if !self.awaits_folder || !settings.logs_keys || settings.required {
             return;
         }
@@ -82,7 +82,7 @@
     /// The folder is required.
     pub fn serve_without_folder(&mut self, config: &Config) -> Result<(), PersistenceError> {
         self.awaits_folder = false;
-        let Some(settings) = &config.knowledge else { return Ok(()) };
+        let Some(settings) = &config.persistence else { return Ok(()) };
         let reason = FolderError::Locked { path: settings.folder.clone() };
         if settings.required {
             return Err(PersistenceError::Required(reason));
@@ -103,7 +103,7 @@
         now: Milliseconds,
         events: &Sender<Event>,
     ) -> bool {
-        let Some(settings) = &config.knowledge else { return false };
+        let Some(settings) = &config.persistence else { return false };
         let folder = match Folder::open(&settings.folder) {
             Err(FolderError::Locked { .. }) => return false,
             opened => opened,
--- a/src/net/runtime/mod.rs
+++ b/src/net/runtime/mod.rs
@@ -75,7 +75,7 @@
     reload: impl Fn() -> Result<Config, LoadError>,
 ) -> Result<(), ServeError> {
     let Started { events, calls, failed_tasks, mut runtime } = startup::start(config).await?;
-    let timers = Timers::start(&runtime.frontend.limits, runtime.config.knowledge.as_ref());
+    let timers = Timers::start(&runtime.frontend.limits, runtime.config.persistence.as_ref());
     let mut inputs = Inputs { signals, events, calls, failed_tasks, timers };
     runtime.run(&mut inputs, &reload).await?;
     runtime.shut_down(inputs).await;
--- a/src/net/runtime/reload.rs
+++ b/src/net/runtime/reload.rs
@@ -71,7 +71,7 @@
 fn needs_restart(old: &Config, new: &Config) -> bool {
     // A different seed alone is not reported: the seed of the start stays in use.
     let settings = Settings { seed: old.settings.seed, ..new.settings.clone() };
-    (new.listen, new.operator, &new.limits, &new.knowledge)
-        != (old.listen, old.operator, &old.limits, &old.knowledge)
+    (new.listen, new.operator, &new.limits, &new.persistence)
+        != (old.listen, old.operator, &old.limits, &old.persistence)
         || settings != old.settings
 }
--- a/src/net/runtime/startup.rs
+++ b/src/net/runtime/startup.rs
@@ -1,6 +1,6 @@
 //! Startup: opens all resources and recovers stored and inherited state before the event loop begins.
 
-use crate::config::{Config, EngineWire};
+use crate::config::{Config, EngineProtocol};
 use crate::core::{Core, Endpoint, Event};
 use crate::limits::Limits;
 use crate::net::admin::{self, PendingCall};
@@ -54,7 +54,8 @@
     let mut core = Core::new(config.settings.clone(), config.limits.clone(), frontend.clock.now())?;
     core.set_rule_counters(frontend.shared.rule_counters.clone());
     let persistence = Persistence::open(&config, &mut core, frontend.clock.now(), &sender)?;
-    let engines = open_engines(config.engine_wire, limits.clone(), frontend.shared.clone(), sender.clone());
+    let engines =
+        open_engines(config.engine_protocol, limits.clone(), frontend.shared.clone(), sender.clone());
     let (call_sender, calls) = mpsc::channel(limits.max_admin_connections);
     let operator_count = Rc::new(Cell::new(0));
     let (tasks, failed_tasks) = Tasks::new();
@@ -101,14 +102,14 @@
 }
 
 fn open_engines(
-    wire: EngineWire,
+    engine_protocol: EngineProtocol,
     limits: Rc<Limits>,
     shared: Rc<SharedState>,
     events: Sender<Event>,
 ) -> Box<dyn Engines> {
-    match wire {
-        EngineWire::Resp => Box::new(RespEngines::new(limits, shared, events)),
-        EngineWire::ClickHouse => Box::new(HttpEngines::new(limits, shared, events)),
+    match engine_protocol {
+        EngineProtocol::Resp => Box::new(RespEngines::new(limits, shared, events)),
+        EngineProtocol::ClickHouse => Box::new(HttpEngines::new(limits, shared, events)),
     }
 }
 
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -1,7 +1,7 @@
 //! The operator's file: a valid file is read into settings, and every error is reported with file, line and key.
 
 use rstest::rstest;
-use starlingplank::config::{Config, ConfigError, EngineWire};
+use starlingplank::config::{Config, ConfigError, EngineProtocol};
 use starlingplank::interface::{Idempotency, Scope};
 use std::process::Command;
 
@@ -23,7 +23,7 @@
         (config.name.as_str(), settings.seed, settings.gateways),
         ("gateway-1", 0x5f2c_9a1e_77d0_4b36, 1)
     );
-    assert_eq!((config.engine_wire, config.endpoints.len()), (EngineWire::ClickHouse, 2));
+    assert_eq!((config.engine_protocol, config.endpoints.len()), (EngineProtocol::ClickHouse, 2));
     assert_eq!(settings.machine_types[0].memory_mb, 24_576.0);
     assert_eq!(settings.classes[2].idempotency, Idempotency::Keyed { scope: Scope::All, window: 12_000.0 });
     assert!(
@@ -37,7 +37,7 @@
         settings.retry_budget.map(|budget| (budget.min_retries, budget.retry_ratio, budget.window)),
         Some((2.0, 0.2, 10_000.0))
     );
-    assert!(config.clickhouse.is_some() && config.knowledge.is_none());
+    assert!(config.clickhouse.is_some() && config.persistence.is_none());
 }
 
 #[rstest]
@@ -111,7 +111,7 @@
 fn operator_file_beside_the_platform_s_configuration_sets_only_its_own_keys() {
     let text = "knowledge {\n  folder = \"/tmp/k\"\n  every = \"2s\"\n}\nlog {\n  form = \"json\"\n}\n";
     let config = Config::load(Some(PLATFORM), Some(("o.hcl", text))).expect("it can be used");
-    let knowledge = config.knowledge.expect("set up");
+    let knowledge = config.persistence.expect("set up");
     assert_eq!(
         (knowledge.snapshot_interval, knowledge.logs_keys, knowledge.required),
         (2_000.0, true, false)
@@ -120,7 +120,7 @@
     let example = include_str!("../deploy/knowledge.hcl");
     assert!(Config::load(Some(PLATFORM), Some(("o.hcl", example)))
         .expect("it can be used")
-        .knowledge
+        .persistence
         .is_some());
     let all = operator_errors("gateways = 3\nrules {\n  drain_grace = \"9s\"\n}\n", Some(PLATFORM));
     assert_eq!(all.len(), 2, "{all:#?}");
