--- a/tests/clickhouse.rs
+++ b/tests/clickhouse.rs
@@ -13,13 +13,13 @@
 fn answer_query(target: &str, body: &str) -> Option<String> {
     let headers = "X-ClickHouse-Query-Id: engine\r\nX-ClickHouse-Format: TabSeparated\r\nX-Other: no\r\n";
     Some(match (target, body) {
-        ("/ping", _) => web_answer("200 OK", "", "Ok.\n"),
-        (_, "select bad") => web_answer(
+        ("/ping", _) => encode_http("200 OK", "", "Ok.\n"),
+        (_, "select bad") => encode_http(
             "400 Bad Request",
             "X-ClickHouse-Exception-Code: 62\r\n",
             "Code: 62. DB::Exception: Syntax error. (SYNTAX_ERROR)\n",
         ),
-        _ => web_answer("200 OK", headers, "1\t2\n"),
+        _ => encode_http("200 OK", headers, "1\t2\n"),
     })
 }
 
@@ -31,16 +31,16 @@
 fn query_is_forwarded_with_its_parameters_and_answered_under_its_query_id() {
     let (address, log) = http_engine(answer_query);
     let gateway = Gateway::start(&config(&[address], "clickhouse", 5000));
-    let mut http_client = gateway.web();
+    let mut http_client = gateway.http_client();
     let get_request = "GET /?query=select%201&query_id=q7&database=d&max_execution_time=2 HTTP/1.1\r\nX-ClickHouse-User: u\r\n\r\n";
-    let (head, body) = ask(&mut http_client, get_request);
+    let (head, body) = http_request(&mut http_client, get_request);
     assert!(head.starts_with("HTTP/1.1 200") && head.contains("X-ClickHouse-Query-Id: q7"), "{head}");
     assert!(head.contains("X-ClickHouse-Format: TabSeparated") && !head.contains("X-Other"), "{head}");
     assert_eq!(body, "1\t2\n");
     // The same connection serves further requests, and their bodies may be chunked.
     let chunked = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n7\r\nselect \r\n1\r\n2\r\n0\r\n\r\n";
-    assert_eq!(ask(&mut http_client, chunked).1, "1\t2\n");
-    assert_eq!(ask(&mut http_client, "GET /ping HTTP/1.1\r\n\r\n").1, "Ok.\n");
+    assert_eq!(http_request(&mut http_client, chunked).1, "1\t2\n");
+    assert_eq!(http_request(&mut http_client, "GET /ping HTTP/1.1\r\n\r\n").1, "Ok.\n");
     let log = log.lock().expect("log");
     let sent: Vec<_> = log.iter().filter(|line| line[0].starts_with("/?")).collect();
     assert!(
@@ -54,7 +54,7 @@
 fn statement_error_of_the_engine_is_passed_on_and_not_retried() {
     let (address, log) = http_engine(answer_query);
     let gateway = Gateway::start(&config(&[address], "clickhouse", 5000));
-    let (head, body) = ask(&mut gateway.web(), &post("/", "select bad"));
+    let (head, body) = http_request(&mut gateway.http_client(), &post("/", "select bad"));
     assert!(head.starts_with("HTTP/1.1 400") && head.contains("X-ClickHouse-Exception-Code: 62"), "{head}");
     assert!(body.contains("SYNTAX_ERROR"));
     assert_eq!(log.lock().expect("log").iter().filter(|line| line[1] == "select bad").count(), 1);
@@ -64,7 +64,7 @@
 fn rejection_is_503_with_a_retry_after() {
     let refusing_address = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
     let gateway = Gateway::start(&config(&[refusing_address], "clickhouse", 5000));
-    let (head, body) = ask(&mut gateway.web(), &post("/", "select 1"));
+    let (head, body) = http_request(&mut gateway.http_client(), &post("/", "select 1"));
     assert!(head.starts_with("HTTP/1.1 503") && head.contains("Retry-After: 1"), "{head}");
     assert!(
         head.contains("X-ClickHouse-Exception-Code: 202") && body.contains("TOO_MANY_SIMULTANEOUS_QUERIES")
@@ -78,9 +78,9 @@
             |target, _| if target == "/ping" { answer_query(target, "") } else { Some(String::new()) },
         );
     let gateway = Gateway::start(&config(&[address], "clickhouse", 20_000));
-    let (head, _) = ask(&mut gateway.web(), &post("/?max_execution_time=0.3", "select 1"));
+    let (head, _) = http_request(&mut gateway.http_client(), &post("/?max_execution_time=0.3", "select 1"));
     assert!(head.starts_with("HTTP/1.1 503") || head.starts_with("HTTP/1.1 408"), "{head}");
-    until(&log, |log| log.iter().any(|line| line[0] == "closed"));
+    wait_for_log(&log, |log| log.iter().any(|line| line[0] == "closed"));
 }
 
 #[test]
@@ -100,7 +100,7 @@
     let gateway = Gateway::start(&config(&[address], "clickhouse", 5000));
     let load = |data| post("/?query=insert%20into%20s_1.t%20format%20TSV&database=d", data);
     for data in ["1\n", "1\n", "2\n"] {
-        assert!(ask(&mut gateway.web(), &load(data)).0.starts_with("HTTP/1.1 200"));
+        assert!(http_request(&mut gateway.http_client(), &load(data)).0.starts_with("HTTP/1.1 200"));
     }
     assert_eq!(runs.load(Ordering::SeqCst), 2);
 }
@@ -118,13 +118,13 @@
             |target, _| if target == "/ping" { answer_query(target, "") } else { Some(result_without_end()) },
         );
     let gateway = Gateway::start(&config(&[address], "clickhouse", 20_000));
-    let mut http_client = gateway.web();
+    let mut http_client = gateway.http_client();
     http_client.write_all(post("/", "select 1").as_bytes()).expect("sent");
     // The client disconnects after the first part of the result.
     assert!(std::io::Read::read(&mut http_client, &mut [0; 64]).expect("a head") > 0);
     drop(http_client);
-    until(&log, |log| log.iter().any(|line| line[0] == "closed"));
-    let counts = gateway.counts();
+    wait_for_log(&log, |log| log.iter().any(|line| line[0] == "closed"));
+    let counts = gateway.request_counts();
     assert_eq!(
         counts[0],
         "lookup: 1 received, 1 attempts, outcomes [0, 0, 0, 0, 0, 0, 1, 0], answered [0, 0, 0, 1]"
@@ -139,7 +139,7 @@
         _ => Some(result_without_end() + "not a chunk\r\n"),
     });
     let gateway = Gateway::start(&config(&[address], "clickhouse", 20_000));
-    let (head, body) = ask(&mut gateway.web(), &post("/", "select 1"));
+    let (head, body) = http_request(&mut gateway.http_client(), &post("/", "select 1"));
     assert!(head.starts_with("HTTP/1.1 200") && body.ends_with("<cut>"), "{head}");
 }
 
@@ -155,7 +155,7 @@
 fn invalid_request_is_answered_with_its_http_status(#[case] request: &str, #[case] status: &str) {
     let (address, _) = http_engine(answer_query);
     let gateway = Gateway::start(&config(&[address], "clickhouse", 5000));
-    let (head, _) = ask(&mut gateway.web(), request);
+    let (head, _) = http_request(&mut gateway.http_client(), request);
     assert!(head.starts_with(&format!("HTTP/1.1 {status}")), "{head}");
 }
 
@@ -163,7 +163,7 @@
 fn request_counts(thrift: bool, http: bool) -> Vec<String> {
     let (address, _) = http_engine(answer_query);
     let gateway = Gateway::start(&config(&[address], "clickhouse", 5000));
-    let (mut thrift_client, mut http_client) = (gateway.client(), gateway.web());
+    let (mut thrift_client, mut http_client) = (gateway.thrift_client(), gateway.http_client());
     for (seq, statement) in
         [(1, "select 1"), (2, "insert into s_1.t values (1)"), (3, "select bad"), (4, "select 4")]
     {
@@ -178,10 +178,10 @@
         if http {
             let mut reader = BufReader::new(http_client.try_clone().expect("cloned"));
             http_client.write_all(post("/", statement).as_bytes()).expect("sent");
-            assert!(web_message(&mut reader).is_some());
+            assert!(read_http(&mut reader).is_some());
         }
     }
-    gateway.counts()
+    gateway.request_counts()
 }
 
 #[test]
--- a/tests/clients_leaving_in_pauses.rs
+++ b/tests/clients_leaving_in_pauses.rs
@@ -80,7 +80,7 @@
 
 /// Starts an engine that serves each attempt after [`SERVICE_TIME`], concurrently with the others on its connection.
 fn start_resp_engine(recorder: EngineRecorder) -> SocketAddr {
-    let (address, _) = resp_engine_that(move |parts, stream| {
+    let (address, _) = resp_engine_with_handler(move |parts, stream| {
         let answer = served(parts).unwrap_or_default();
         if parts[0] != "want" {
             return stream.write_all(answer.as_bytes()).is_ok();
@@ -103,7 +103,7 @@
             recorder.record(name);
             sleep(SERVICE_TIME);
         }
-        Some(web_answer("200 OK", "", "a\tb\tc\n"))
+        Some(encode_http("200 OK", "", "a\tb\tc\n"))
     });
     address
 }
@@ -157,7 +157,7 @@
     fn receive(&self, mut stream: &TcpStream) -> bool {
         match self.protocol {
             Protocol::Thrift => receive_frame(&mut stream).is_ok(),
-            Protocol::Http => web_message(&mut BufReader::new(stream)).is_some(),
+            Protocol::Http => read_http(&mut BufReader::new(stream)).is_some(),
         }
     }
 }
@@ -217,7 +217,7 @@
         // The length of the pause is part of the test, so that there is no event to wait for.
         sleep(PAUSE_AFTER);
         // An attempt that was sent before the pause must not count as one after it, however late an engine reads it.
-        self.engines.iter().copied().for_each(until_read);
+        self.engines.iter().copied().for_each(wait_until_read);
         sleep(RECORD_TIME);
         self.pauses_ended.fetch_add(1, Ordering::SeqCst);
         self.gateway.resume();
@@ -248,7 +248,7 @@
     fn end(&mut self) {
         self.has_test_ended.store(true, Ordering::SeqCst);
         self.leave(Departure::Close);
-        ends_well(&mut self.gateway);
+        terminate_and_expect_success(&mut self.gateway);
         for client in self.clients.drain(..) {
             client.join().expect("the client thread ends");
         }
--- a/tests/core_membership.rs
+++ b/tests/core_membership.rs
@@ -17,19 +17,19 @@
 #[test]
 fn engine_out_by_hand_drains_until_it_is_called_back() {
     let mut harness = Harness::new(settings());
-    harness.list(1, &["a"]);
-    assert!(sent(&harness.take(1, None)).is_some());
+    harness.receive_list(1, &["a"]);
+    assert!(sent(&harness.receive_request(1, None)).is_some());
     let mut hand = OperatorOverrides::default();
     hand.exclude("a", true, harness.now).expect("listed");
     let effects = harness.step(Event::OperatorOverrides(hand.clone()));
     assert!(effects.iter().any(|e| matches!(e, Effect::DropQueued(engine) if &*engine.0 == "a")));
     assert_eq!(harness.core.member_counts(), (1, 1));
-    assert!(sent(&harness.take(2, None)).is_none());
+    assert!(sent(&harness.receive_request(2, None)).is_none());
     // A new event of the list, one without it, and one with it again.
     for (serial, engines) in [(2, &["a", "b"][..]), (3, &["b"]), (4, &["a", "b"])] {
-        harness.list(serial, engines);
+        harness.receive_list(serial, engines);
         for id in 0..20 {
-            let effects = harness.take(serial * 100 + id, None);
+            let effects = harness.receive_request(serial * 100 + id, None);
             let to =
                 effects
                     .iter()
@@ -37,15 +37,15 @@
             assert!(to.is_none_or(|engine| &*engine.0 == "b"));
         }
     }
-    harness.list(5, &["a"]);
-    assert!(sent(&harness.take(1_000, None)).is_none());
+    harness.receive_list(5, &["a"]);
+    assert!(sent(&harness.receive_request(1_000, None)).is_none());
     hand.include("a", true, harness.now).expect("out");
     harness.step(Event::OperatorOverrides(hand));
     assert_eq!(harness.core.member_counts(), (1, 0));
     // It is cold, and its budget lets the first request in once a draw allows it.
     let used = (0..500).any(|n| {
         harness.now += 10.0;
-        sent(&harness.take(2_000 + n, None)).is_some()
+        sent(&harness.receive_request(2_000 + n, None)).is_some()
     });
     assert!(used);
 }
@@ -59,11 +59,11 @@
     let mut harness = Harness::new(settings());
     let now = harness.now;
     harness.step(Event::InheritedMembership(InheritedMembership::new(now, ["b".to_owned()])));
-    harness.list(1, &["a", "b"]);
+    harness.receive_list(1, &["a", "b"]);
     let live = |harness: &Harness| harness.core.member_counts();
     assert_eq!(live(&harness), (2, 1));
     // A stale answer frees nothing.
-    harness.list(0, &["a", "b"]);
+    harness.receive_list(0, &["a", "b"]);
     assert_eq!(live(&harness), (2, 1));
     // It is passed on to the next successor as it came.
     assert_eq!(
@@ -71,7 +71,7 @@
         Some(InheritedMembership::new(now, ["b".to_owned()]))
     );
     if speaks {
-        harness.list(1, &["a", "b"]);
+        harness.receive_list(1, &["a", "b"]);
     } else {
         harness.now += 60_000.0;
         harness.step(Event::TimersDue);
@@ -85,11 +85,11 @@
 #[test]
 fn what_comes_before_the_first_list_is_refused_at_once_and_spread() {
     let mut harness = Harness::new(Settings { max_retry_after: 10_000.0, ..settings() });
-    harness.list(0, &[]);
+    harness.receive_list(0, &[]);
     harness.core.await_endpoint_list(harness.now);
     harness.now += 1_000.0;
     let waits: Vec<f64> = (0..20)
-        .map(|id| match answers(&harness.take(id, None))[..] {
+        .map(|id| match answers(&harness.receive_request(id, None))[..] {
             [Answer::Rejected(ms)] => *ms,
             ref other => panic!("{other:?}"),
         })
@@ -97,8 +97,8 @@
     assert!(waits.iter().all(|ms| (1_000.0..2_600.0).contains(ms)), "{waits:?}");
     let apart = |w: &[f64]| (w[0] - w[1]).abs() > 1.0;
     assert!(waits.windows(2).filter(|w| apart(w)).count() > 15, "{waits:?}");
-    harness.list(0, &["a"]);
-    assert!(!harness.core.awaits_endpoint_list() && sent(&harness.take(100, None)).is_some());
+    harness.receive_list(0, &["a"]);
+    assert!(!harness.core.awaits_endpoint_list() && sent(&harness.receive_request(100, None)).is_some());
 }
 
 /// Of 300 that start together this one's probes leave at its place, 150 ms on; requests wait for none of it.
@@ -113,8 +113,8 @@
     let begun = harness.now;
     let probed =
         |effects: &[Effect]| effects.iter().filter(|e| matches!(e, Effect::CheckHealth { .. })).count();
-    let mut early = probed(&harness.list(1, &["a", "b", "c"]));
-    let effects = harness.take(1, None);
+    let mut early = probed(&harness.receive_list(1, &["a", "b", "c"]));
+    let effects = harness.receive_request(1, None);
     assert!(sent(&effects).is_some(), "a request does not wait for its gateway's place");
     early += probed(&effects);
     while harness.now < begun + 140.0 {
@@ -142,10 +142,10 @@
 #[test]
 fn nothing_is_sent_while_the_list_may_not_be_relied_on() {
     let mut harness = Harness::new(settings());
-    harness.list(1, &["a"]);
+    harness.receive_list(1, &["a"]);
     let until = harness.now + 1_000.0;
     assert_eq!(told_reliable(&harness.step(Event::EndpointListLease(until))), None);
-    let effects = harness.take(1, None);
+    let effects = harness.receive_request(1, None);
     let permit = permits(&effects)[0].clone();
     assert_eq!(permit.check(until - 1.0), Ok(()));
     // The writer asks by itself, also before the reducer's timer has fired.
@@ -154,7 +154,7 @@
     let effects = harness.step(Event::TimersDue);
     assert_eq!(told_reliable(&effects), Some(false));
     assert!(!effects.iter().any(|e| matches!(e, Effect::DropQueued(_))), "connections stay");
-    assert!(sent(&harness.take(2, None)).is_none());
+    assert!(sent(&harness.receive_request(2, None)).is_none());
     let until = harness.now + 1_000.0;
     let effects = harness.step(Event::EndpointListLease(until));
     assert_eq!(told_reliable(&effects), Some(true));
@@ -167,16 +167,16 @@
 #[test]
 fn renewed_list_is_relied_on_past_its_former_end() {
     let mut harness = Harness::new(settings());
-    harness.list(1, &["a"]);
+    harness.receive_list(1, &["a"]);
     for _ in 0..100 {
         let effects = harness.step(Event::EndpointListLease(harness.now + 3_500.0));
         assert_eq!(told_reliable(&effects), None);
         harness.now += 200.0;
     }
-    assert!(sent(&harness.take(1, None)).is_some());
+    assert!(sent(&harness.receive_request(1, None)).is_some());
     // The end comes forward: what was confirmed no longer counts.
     assert_eq!(told_reliable(&harness.step(Event::EndpointListLease(harness.now))), Some(false));
-    assert!(sent(&harness.take(2, None)).is_none());
+    assert!(sent(&harness.receive_request(2, None)).is_none());
 }
 
 /// A service that has moved says an older version than its former address has said since: the version is taken, and what the
@@ -184,22 +184,22 @@
 #[test]
 fn drains_that_a_former_address_told_bind_until_the_present_one_says_as_much() {
     let mut harness = Harness::new(settings());
-    harness.list(1, &["a", "b"]);
+    harness.receive_list(1, &["a", "b"]);
     let drains = |id| endpoint(id, Availability::Draining);
     let live = |id| endpoint(id, Availability::Live);
-    harness.list(1, &["a", "b"]);
+    harness.receive_list(1, &["a", "b"]);
     harness.step(Event::EndpointList { version: 9, endpoints: vec![drains("a"), live("b")] });
-    harness.list(9, &["a", "b"]);
+    harness.receive_list(9, &["a", "b"]);
     harness.step(Event::PreviousAddressSuperseded);
-    harness.list(2, &["a", "b", "c"]);
+    harness.receive_list(2, &["a", "b", "c"]);
     assert_eq!((harness.core.membership_version(), harness.core.draining()), (Some(2), vec!["a"]));
-    harness.list(8, &["a", "c"]);
+    harness.receive_list(8, &["a", "c"]);
     assert_eq!(harness.core.draining(), ["a"]);
-    harness.list(9, &["a", "c"]);
+    harness.receive_list(9, &["a", "c"]);
     assert!(harness.core.draining().is_empty());
     harness.step(Event::EndpointList { version: 10, endpoints: vec![drains("a"), live("b")] });
     harness.step(Event::PreviousAddressSuperseded);
-    harness.list(9, &["a"]);
+    harness.receive_list(9, &["a"]);
     assert_eq!(harness.core.draining(), ["a"]);
     harness.now += 61_000.0;
     harness.step(Event::TimersDue);
--- a/tests/deadlines.rs
+++ b/tests/deadlines.rs
@@ -70,19 +70,19 @@
 fn deadline_excludes_the_wait_for_the_engine_connection(#[case] requests: usize) {
     let (listener, filling) = full_listener();
     let address = listener.local_addr().expect("bound");
-    let text = changed(
-        &never_late(&config(&[address], "resp", 60_000)),
+    let text = with_replacement(
+        &with_long_latency_objectives(&config(&[address], "resp", 60_000)),
         r#""connect_timeout":250"#,
         r#""connect_timeout":6000"#,
     );
     let gateway = Gateway::start(&text);
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     let sent = Instant::now();
     for n in 1..=requests {
         let fields = [("verb", "lookup"), ("txn", &*name(n)), ("limit", &*CLIENT_TIMEOUT_MS.to_string())];
         client.write_all(&call(n as i32, &fields, "select 1")).expect("sent");
     }
-    until_coming_up(address);
+    wait_until_connecting(address);
     let arrived = Arc::new(Mutex::new(Vec::new()));
     let recorder = arrived.clone();
     drop(filling);
@@ -107,14 +107,14 @@
 fn deadline_counts_from_the_arrival_of_the_request_and_not_from_its_read(#[case] uses_idle_connection: bool) {
     const PAUSE: Duration = Duration::from_millis(600);
     let (address, arrived) = recording_engine();
-    let gateway = Gateway::start(&never_late(&config(&[address], "resp", 60_000)));
-    let mut idle_client = uses_idle_connection.then(|| gateway.client());
+    let gateway = Gateway::start(&with_long_latency_objectives(&config(&[address], "resp", 60_000)));
+    let mut idle_client = uses_idle_connection.then(|| gateway.thrift_client());
     if let Some(client) = &mut idle_client {
         client.write_all(&health(1)).expect("sent");
         assert_eq!(answer(client).0, 1);
     }
     gateway.stop();
-    let mut client = idle_client.unwrap_or_else(|| gateway.client());
+    let mut client = idle_client.unwrap_or_else(|| gateway.thrift_client());
     let seq = if uses_idle_connection { 2 } else { 1 };
     let fields = [("verb", "lookup"), ("txn", &*name(1)), ("limit", &*CLIENT_TIMEOUT_MS.to_string())];
     let sent = Instant::now();
@@ -145,16 +145,19 @@
         }
         served(parts)
     });
-    let text =
-        changed(&never_late(&config(&[address], "resp", 60_000)), r#""sockets":256"#, r#""sockets":64"#);
-    let text = changed(&text, r#""cpu_of_kind":[8]"#, r#""cpu_of_kind":[64]"#);
+    let text = with_replacement(
+        &with_long_latency_objectives(&config(&[address], "resp", 60_000)),
+        r#""sockets":256"#,
+        r#""sockets":64"#,
+    );
+    let text = with_replacement(&text, r#""cpu_of_kind":[8]"#, r#""cpu_of_kind":[64]"#);
     let gateway = Gateway::start(&text);
-    let mut held_clients: Vec<_> = (1..=CAPACITY).map(|_| gateway.client()).collect();
+    let mut held_clients: Vec<_> = (1..=CAPACITY).map(|_| gateway.thrift_client()).collect();
     for (n, client) in held_clients.iter_mut().enumerate() {
         client.write_all(&lookup(1, n + 1)).expect("sent");
     }
-    until(&log, |log| log.iter().filter(|parts| parts[0] == "want").count() == CAPACITY);
-    let mut client = gateway.client();
+    wait_for_log(&log, |log| log.iter().filter(|parts| parts[0] == "want").count() == CAPACITY);
+    let mut client = gateway.thrift_client();
     let fields = [("verb", "lookup"), ("txn", last.as_str()), ("limit", &*CLIENT_TIMEOUT_MS.to_string())];
     let sent = Instant::now();
     client.write_all(&call(1, &fields, "select 1")).expect("sent");
@@ -170,8 +173,8 @@
 fn idle_time_before_a_request_does_not_shorten_its_deadline() {
     const IDLE: Duration = Duration::from_millis(1_200);
     let (address, arrived) = recording_engine();
-    let gateway = Gateway::start(&never_late(&config(&[address], "resp", 60_000)));
-    let mut client = gateway.client();
+    let gateway = Gateway::start(&with_long_latency_objectives(&config(&[address], "resp", 60_000)));
+    let mut client = gateway.thrift_client();
     std::thread::sleep(IDLE);
     let fields = [("verb", "lookup"), ("txn", &*name(1)), ("limit", &*CLIENT_TIMEOUT_MS.to_string())];
     let sent = Instant::now();
@@ -192,17 +195,17 @@
     const FAILING: Duration = Duration::from_millis(120);
     let (address, arrived) = recording_engine();
     let faults = Faults::new("accept=1");
-    let config = never_late(&config(&[address], "resp", 60_000));
+    let config = with_long_latency_objectives(&config(&[address], "resp", 60_000));
     let gateway = Gateway::start_with_faults(&config, &faults);
     gateway.stop();
     faults.begin();
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     let fields = [("verb", "lookup"), ("txn", &*name(1)), ("limit", &*CLIENT_TIMEOUT_MS.to_string())];
     let sent = Instant::now();
     client.write_all(&call(1, &fields, "select 1")).expect("sent");
     std::thread::sleep(PAUSE);
     gateway.resume();
-    faults.until_happened("accept");
+    faults.wait_for_fault("accept");
     std::thread::sleep(FAILING);
     faults.end();
     assert_eq!(answer(&mut client).1, "served");
@@ -216,10 +219,10 @@
 #[case::under_a_second("0.4")]
 #[case::whole("2")]
 fn http_deadline_is_not_rounded_up_past_the_remaining_time(#[case] limit: &str) {
-    let (address, log) = http_engine(|_, _| Some(web_answer("200 OK", "", "a\tb\tc\n")));
-    let gateway = Gateway::start(&never_late(&config(&[address], "clickhouse", 60_000)));
+    let (address, log) = http_engine(|_, _| Some(encode_http("200 OK", "", "a\tb\tc\n")));
+    let gateway = Gateway::start(&with_long_latency_objectives(&config(&[address], "clickhouse", 60_000)));
     let head = format!("POST /?max_execution_time={limit} HTTP/1.1\r\nContent-Length: 8\r\n\r\nselect 1");
-    let (status, _) = ask(&mut gateway.web(), &head);
+    let (status, _) = http_request(&mut gateway.http_client(), &head);
     assert!(status.starts_with("HTTP/1.1 200"), "{status}");
     let log = log.lock().expect("log");
     let target = &log.iter().find(|line| line[0].contains("query_id")).expect("sent")[0];
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -97,7 +97,8 @@
     #[case] to: &str,
     #[case] key: &str,
 ) {
-    let error = Config::read(&changed(SETTINGS, from, to)).expect_err("it cannot be used").to_string();
+    let error =
+        Config::read(&with_replacement(SETTINGS, from, to)).expect_err("it cannot be used").to_string();
     assert!(error.contains(key), "{error}");
 }
 
@@ -121,13 +122,16 @@
 /// The error message names the file and the key, for the platform's configuration and for an operator's file.
 #[test]
 fn program_does_not_start_with_contradictory_settings() {
-    let platform = changed(SETTINGS, r#","window":12000"#, "");
+    let platform = with_replacement(SETTINGS, r#","window":12000"#, "");
     let stderr = stderr_of(".json", "--config", &platform);
     assert!(stderr.contains("classes.1.window") && !stderr.contains("panic"), "{stderr}");
     let example = include_str!("../deploy/clickhouse.hcl");
     let duplicate_zone = r#"["room-a", "room-b", "room-a"]"#;
-    let stderr =
-        stderr_of(".hcl", "--operator", &changed(example, r#"["room-a", "room-b"]"#, duplicate_zone));
+    let stderr = stderr_of(
+        ".hcl",
+        "--operator",
+        &with_replacement(example, r#"["room-a", "room-b"]"#, duplicate_zone),
+    );
     assert!(stderr.contains("zones") && stderr.contains("twice") && !stderr.contains("panic"), "{stderr}");
 }
 
@@ -140,7 +144,7 @@
     #[case] expected: (usize, u64, u64, usize),
 ) {
     let own = r#"{"send_cap":3,"retry_after":true,"max_retry_after":1000,"connect_timeout":250}"#;
-    let limits = Config::read(&changed(SETTINGS, own, limits)).expect("it can be used").limits;
+    let limits = Config::read(&with_replacement(SETTINGS, own, limits)).expect("it can be used").limits;
     let ms = |duration: Duration| duration.as_millis() as u64;
     assert_eq!(
         (
@@ -159,7 +163,7 @@
     let open: Arc<Mutex<BTreeMap<u16, usize>>> = Arc::default();
     let released = Arc::new(AtomicBool::new(false));
     let (counts, ends_connections) = (open.clone(), released.clone());
-    let (at, log) = resp_engine_that(move |parts, stream| {
+    let (at, log) = resp_engine_with_handler(move |parts, stream| {
         let from = stream.peer_addr().expect("connected").port();
         match parts[0].as_str() {
             // The engine answers no request, so all attempts stay in flight.
@@ -169,19 +173,19 @@
         }
         true
     });
-    let text = changed(
+    let text = with_replacement(
         &config(&[at], "resp", 60_000),
         r#""connect_timeout":250"#,
         r#""connect_timeout":250,"streams_per_conn":2"#,
     );
-    let text = changed(&text, r#""on_time":500"#, r#""on_time":60000"#);
+    let text = with_replacement(&text, r#""on_time":500"#, r#""on_time":60000"#);
     let gateway = Gateway::start(&text);
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     for seq in 1..=6 {
         let fields = [("verb", "lookup"), ("txn", &*format!("{seq:016x}")), ("limit", "60000")];
         client.write_all(&call(seq, &fields, "select 1")).expect("sent");
     }
-    until(&log, |log| log.iter().filter(|parts| parts[0] == "want").count() == 6);
+    wait_for_log(&log, |log| log.iter().filter(|parts| parts[0] == "want").count() == 6);
     released.store(true, Ordering::SeqCst);
     let open = open.lock().expect("counts");
     assert!(open.values().all(|n| *n <= 2), "{open:?}");
@@ -197,9 +201,13 @@
 ) {
     let (at, log) = resp_engine(served);
     let text = config(&[at], "resp", 60_000);
-    let text = changed(&text, r#""grants_count":true"#, &format!(r#""grants_count":{engines_apply_grants}"#));
+    let text = with_replacement(
+        &text,
+        r#""grants_count":true"#,
+        &format!(r#""grants_count":{engines_apply_grants}"#),
+    );
     let gateway = Gateway::start(&text);
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     let fields = [("verb", "lookup"), ("txn", ID), ("limit", "60000"), ("cpu", "820.0"), ("mem", "96")];
     client.write_all(&call(1, &fields, "select 1")).expect("sent");
     assert_eq!(answer(&mut client).1, "served");
@@ -231,13 +239,13 @@
         "want" => Some(reply(&[&parts[1], "nobody", "-", ""])),
         _ => served(parts),
     });
-    let text = at_most_once(&config(&[at], "resp", 60_000));
+    let text = with_non_idempotent_loads(&config(&[at], "resp", 60_000));
     let text = match has_budget {
-        true => changed(&text, r#""send_cap":3"#, &format!(r#""send_cap":{max_attempts}"#)),
+        true => with_replacement(&text, r#""send_cap":3"#, &format!(r#""send_cap":{max_attempts}"#)),
         false => without_retry_budget(&text, max_attempts),
     };
     let gateway = Gateway::start(&text);
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     let fields = [("verb", class), ("txn", ID), ("limit", "60000")];
     client.write_all(&call(1, &fields, "select 1")).expect("sent");
     assert_eq!(answer(&mut client).1, "overloaded", "no attempt was executed");
@@ -305,15 +313,15 @@
     #[case] enabled: bool,
     #[case] header: Option<&str>,
 ) {
-    let (_listener, at) = refusing();
-    let text = changed(
+    let (_listener, at) = refused_address();
+    let text = with_replacement(
         &config(&[at], "resp", 5_000),
         r#""retry_after":true"#,
         &format!(r#""retry_after":{enabled}"#),
     );
     let gateway = Gateway::start(&text);
-    let mut client = gateway.web();
-    let (head, _) = ask(&mut client, "POST / HTTP/1.1\r\nContent-Length: 8\r\n\r\nselect 1");
+    let mut client = gateway.http_client();
+    let (head, _) = http_request(&mut client, "POST / HTTP/1.1\r\nContent-Length: 8\r\n\r\nselect 1");
     assert!(head.starts_with("HTTP/1.1 503"), "{head}");
     assert_eq!(head.lines().find(|line| line.starts_with("Retry-After")), header);
 }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -47,7 +47,7 @@
     /// Sends a request that must be served. Returns whether the gateway uses version 2 of the list.
     fn uses_version_2(&mut self) -> bool {
         self.requests += 1;
-        is_served(self.gateway.client(), self.requests);
+        assert_served(self.gateway.thrift_client(), self.requests);
         self.added_log.lock().expect("log").iter().any(|command| command[0] == "want")
     }
 
@@ -69,7 +69,7 @@
 }
 
 fn with_name_service(config: &str, names: SocketAddr) -> String {
-    changed(config, r#""seed":"7""#, &format!(r#""seed":"7","names":"{names}""#))
+    with_replacement(config, r#""seed":"7""#, &format!(r#""seed":"7","names":"{names}""#))
 }
 
 /// Guards against a reload that discards outstanding polls: SIGHUP with an unchanged file arrives between each poll and its
@@ -79,11 +79,11 @@
     let service = ScriptedService::start();
     let mut setup = Setup::start(service.address);
     for _ in 0..ROUNDS {
-        let poll = service.next();
+        let poll = service.next_poll();
         setup.reload();
         service.answer(&poll, 2, &setup.version_2());
         if setup.uses_version_2() {
-            return ends_well(&mut setup.gateway);
+            return terminate_and_expect_success(&mut setup.gateway);
         }
     }
     panic!("{ROUNDS} responses were not applied");
@@ -97,13 +97,13 @@
     let mut setup = Setup::start(service.address);
     let mut pending = VecDeque::new();
     for _ in 0..ROUNDS + LATER_POLLS {
-        pending.push_back(service.next());
+        pending.push_back(service.next_poll());
         if pending.len() > LATER_POLLS {
             let poll = pending.pop_front().expect("more than eight are pending");
             service.answer(&poll, 2, &setup.version_2());
         }
         if setup.uses_version_2() {
-            return ends_well(&mut setup.gateway);
+            return terminate_and_expect_success(&mut setup.gateway);
         }
     }
     panic!("{ROUNDS} responses were not applied");
@@ -117,12 +117,12 @@
     let mut setup = Setup::start(services[0].address);
     for round in 0..ROUNDS {
         let (present, next) = (&services[round % 2], &services[(round + 1) % 2]);
-        let poll = present.next();
+        let poll = present.next_poll();
         setup.relocate(next.address);
         setup.reload();
         present.answer(&poll, 2, &setup.version_2());
         if setup.uses_version_2() {
-            return ends_well(&mut setup.gateway);
+            return terminate_and_expect_success(&mut setup.gateway);
         }
     }
     panic!("{ROUNDS} responses were not applied");
@@ -136,19 +136,19 @@
     let faults = Faults::new("seed=5,socket=1");
     let mut setup =
         Setup::start_gateway_with(services[0].address, |config| Gateway::start_with_faults(config, &faults));
-    let poll = services[0].next();
+    let poll = services[0].next_poll();
     services[0].answer(&poll, 1, &[("s-0", setup.draining, false)]);
     faults.begin();
     setup.relocate(services[1].address);
     setup.gateway.signal("-HUP");
-    let poll = services[1].next();
+    let poll = services[1].next_poll();
     services[1].answer(&poll, 2, &setup.version_2());
     faults.end();
     for _ in 0..ROUNDS {
         if setup.uses_version_2() {
-            return ends_well(&mut setup.gateway);
+            return terminate_and_expect_success(&mut setup.gateway);
         }
-        let poll = services[1].next();
+        let poll = services[1].next_poll();
         services[1].answer(&poll, 2, &setup.version_2());
     }
     panic!("{ROUNDS} responses were not applied");
@@ -164,19 +164,19 @@
         Setup::start_gateway_with(service.address, |config| Gateway::start_with_faults(config, &faults));
     faults.begin();
     for _ in 0..ROUNDS {
-        let poll = service.next();
+        let poll = service.next_poll();
         service.answer(&poll, 2, &setup.version_2());
     }
     faults.end();
     assert!((0..ROUNDS).any(|_| setup.uses_version_2()), "the list was never applied");
-    ends_well(&mut setup.gateway);
+    terminate_and_expect_success(&mut setup.gateway);
 }
 
 /// Drain grace of 100 ms: a list remains valid until changes after its confirmation count as notified, plus this grace.
 const SHORT_GRACE: &str = r#""drain_grace":100"#;
 
 fn with_short_grace(names: SocketAddr, config: &str) -> String {
-    changed(&with_name_service(config, names), r#""drain_grace":2000"#, SHORT_GRACE)
+    with_replacement(&with_name_service(config, names), r#""drain_grace":2000"#, SHORT_GRACE)
 }
 
 /// Guards against sending by a list that expired while the process was stopped: an engine begins to drain during the pause, and
@@ -188,9 +188,11 @@
     let (second, _) = resp_engine(served);
     let (names, list) = list_service();
     *list.lock().expect("list") = Some((1, vec![("s-0", first, false), ("s-1", second, false)]));
-    let mut gateway =
-        Gateway::start(&with_short_grace(names, &never_late(&config(&[first, second], "resp", 60_000))));
-    let mut clients: Vec<_> = (0..CLIENTS).map(|_| gateway.client()).collect();
+    let mut gateway = Gateway::start(&with_short_grace(
+        names,
+        &with_long_latency_objectives(&config(&[first, second], "resp", 60_000)),
+    ));
+    let mut clients: Vec<_> = (0..CLIENTS).map(|_| gateway.thrift_client()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client.write_all(&lookup(1, n)).expect("sent");
         assert_eq!(answer(client).1, "served");
@@ -210,12 +212,12 @@
         assert!(matches!(kind, "served" | "overloaded"), "{kind}");
     }
     assert_eq!(attempts(&first_log).len(), before, "sent to a draining engine");
-    until_true(|| {
-        let mut client = gateway.client();
+    wait_until(|| {
+        let mut client = gateway.thrift_client();
         client.write_all(&lookup(1, 10_000)).expect("sent");
         answer(&mut client).1 == "served"
     });
-    ends_well(&mut gateway);
+    terminate_and_expect_success(&mut gateway);
 }
 
 /// Guards against relying on a list across a pause of the process: the name service does not answer before and after the pause,
@@ -227,21 +229,21 @@
     let (first, first_log) = resp_engine(served);
     let (second, second_log) = resp_engine(served);
     let service = ScriptedService::start();
-    let config = never_late(&config(&[first, second], "resp", 60_000));
+    let config = with_long_latency_objectives(&config(&[first, second], "resp", 60_000));
     let mut gateway = Gateway::start(&with_short_grace(service.address, &config));
-    service.answer(&service.next(), 1, &[("s-0", first, false), ("s-1", second, false)]);
+    service.answer(&service.next_poll(), 1, &[("s-0", first, false), ("s-1", second, false)]);
     let mut clients = Vec::new();
     for n in 0..CLIENTS {
         // Confirms the list for each client, so that a slow machine does not let it expire.
-        service.answer(&service.next(), 1, &[("s-0", first, false), ("s-1", second, false)]);
-        let mut client = gateway.client();
+        service.answer(&service.next_poll(), 1, &[("s-0", first, false), ("s-1", second, false)]);
+        let mut client = gateway.thrift_client();
         client.write_all(&lookup(1, n)).expect("sent");
         assert_eq!(answer(&mut client).1, "served");
         clients.push(client);
     }
-    (0..UNANSWERED_POLLS).for_each(|_| drop(service.next()));
+    (0..UNANSWERED_POLLS).for_each(|_| drop(service.next_poll()));
     gateway.stop();
-    service.discard_questions();
+    service.discard_polls();
     let sent_counts = || (attempts(&first_log).len(), attempts(&second_log).len());
     let before = sent_counts();
     for (n, client) in clients.iter_mut().enumerate() {
@@ -250,15 +252,15 @@
     // The pause has to outlast the validity of the list.
     thread::sleep(Duration::from_millis(2_500));
     gateway.resume();
-    (0..UNANSWERED_POLLS).for_each(|_| drop(service.next()));
+    (0..UNANSWERED_POLLS).for_each(|_| drop(service.next_poll()));
     assert_eq!(sent_counts(), before, "sent by a list that may be outdated");
-    service.answer(&service.next(), 2, &[("s-0", first, true), ("s-1", second, false)]);
+    service.answer(&service.next_poll(), 2, &[("s-0", first, true), ("s-1", second, false)]);
     for client in &mut clients {
         let kind = answer(client).1;
         assert!(matches!(kind, "served" | "overloaded"), "{kind}");
     }
     assert_eq!(sent_counts().0, before.0, "sent to a draining engine");
-    ends_well(&mut gateway);
+    terminate_and_expect_success(&mut gateway);
 }
 
 /// Guards against relying on an expired list: the name service stops answering for longer than the drain rule allows, and
@@ -270,8 +272,8 @@
     *list.lock().expect("list") = Some((1, vec![("s-0", at, false)]));
     let mut gateway = Gateway::start(&with_short_grace(names, &config(&[at], "resp", 20_000)));
     let until_answered = |kind: &str| {
-        until_true(|| {
-            let mut client = gateway.client();
+        wait_until(|| {
+            let mut client = gateway.thrift_client();
             client.write_all(&lookup(1, 1)).expect("sent");
             answer(&mut client).1 == kind
         });
@@ -281,7 +283,7 @@
     until_answered("overloaded");
     *list.lock().expect("list") = Some((1, vec![("s-0", at, false)]));
     until_answered("served");
-    ends_well(&mut gateway);
+    terminate_and_expect_success(&mut gateway);
 }
 
 /// Guards against rejecting a whole list for one incomplete entry: one engine has no address, the other entries must apply.
@@ -291,8 +293,9 @@
     let mut setup = Setup::start(service.address);
     let [drains, live] = setup.version_2();
     for _ in 0..ROUNDS {
-        let poll = service.next();
-        let mut bytes = names_answer_of(&poll.bytes, 2, &[drains, live, ("s-2", setup.added, false)]);
+        let poll = service.next_poll();
+        let mut bytes =
+            names_answer_with_draining(&poll.bytes, 2, &[drains, live, ("s-2", setup.added, false)]);
         // Changes the type of the engine's address record to an unknown one.
         let owner_and_type = b"\x03s-2\x01a\x05hosts\0\0\x01";
         let at = bytes
@@ -302,7 +305,7 @@
         bytes[at + owner_and_type.len() - 1] = 99;
         service.send(&poll, &bytes);
         if setup.uses_version_2() {
-            return ends_well(&mut setup.gateway);
+            return terminate_and_expect_success(&mut setup.gateway);
         }
     }
     panic!("{ROUNDS} responses were not applied");
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -35,19 +35,19 @@
 
 fn engine_with_held_request() -> (SocketAddr, Log, Arc<Barrier>) {
     let answer = reply(&[HELD_REQUEST, "served", "pages=1,cost=5,need=8", "a\tb\tc\n"]);
-    resp_engine_that_holds(HELD_REQUEST, answer, served)
+    resp_engine_withholding(HELD_REQUEST, answer, served)
 }
 
 /// Sends SIGTERM and pauses the process until its shutdown window is over. An open request keeps the process from exiting before
 /// it is paused; the engine's answer to it has arrived when the process is resumed. Returns the connection of that request.
 fn pause_past_the_shutdown_window(gateway: &Gateway, log: &Log, answer_held: &Barrier) -> TcpStream {
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     client.write_all(&lookup_within(HELD_REQUEST, 60_000)).expect("sent");
-    until(log, |log| log.iter().any(|parts| parts[0] == "want" && parts[1] == HELD_REQUEST));
-    let mut health_checker = gateway.web();
+    wait_for_log(log, |log| log.iter().any(|parts| parts[0] == "want" && parts[1] == HELD_REQUEST));
+    let mut health_checker = gateway.http_client();
     gateway.terminate();
     let terminated_at = Instant::now();
-    while !ask(&mut health_checker, "GET /ping HTTP/1.1\r\n\r\n").0.starts_with("HTTP/1.1 503") {}
+    while !http_request(&mut health_checker, "GET /ping HTTP/1.1\r\n\r\n").0.starts_with("HTTP/1.1 503") {}
     gateway.stop();
     answer_held.wait();
     answer_held.wait();
@@ -61,14 +61,14 @@
 #[test]
 fn requests_that_arrive_as_the_shutdown_window_ends_are_answered() {
     let (address, log, answer_held) = engine_with_held_request();
-    let mut gateway = Gateway::start(&never_late(&config(&[address], "resp", 60_000)));
-    let mut idle_clients: Vec<_> = (0..8).map(|_| gateway.client()).collect();
+    let mut gateway = Gateway::start(&with_long_latency_objectives(&config(&[address], "resp", 60_000)));
+    let mut idle_clients: Vec<_> = (0..8).map(|_| gateway.thrift_client()).collect();
     for client in &mut idle_clients {
         client.write_all(&health(1)).expect("sent");
         assert_eq!(answer(client).0, 1);
     }
     let mut held_client = pause_past_the_shutdown_window(&gateway, &log, &answer_held);
-    let mut new_clients: Vec<_> = (0..8).map(|_| gateway.client()).collect();
+    let mut new_clients: Vec<_> = (0..8).map(|_| gateway.thrift_client()).collect();
     for (i, client) in idle_clients.iter_mut().chain(&mut new_clients).enumerate() {
         let seq = if i < 8 { 2 } else { 1 };
         let fields = [("verb", "lookup"), ("txn", &*format!("{i:016x}")), ("limit", "5000")];
@@ -89,10 +89,10 @@
 fn connections_pending_as_the_shutdown_window_ends_are_accepted_despite_accept_errors() {
     let (address, log, answer_held) = engine_with_held_request();
     let faults = Faults::new("seed=9,accept=0.7");
-    let config = never_late(&config(&[address], "resp", 60_000));
+    let config = with_long_latency_objectives(&config(&[address], "resp", 60_000));
     let mut gateway = Gateway::start_with_faults(&config, &faults);
     let mut held_client = pause_past_the_shutdown_window(&gateway, &log, &answer_held);
-    let mut new_clients: Vec<_> = (0..16).map(|_| gateway.client()).collect();
+    let mut new_clients: Vec<_> = (0..16).map(|_| gateway.thrift_client()).collect();
     for (i, client) in new_clients.iter_mut().enumerate() {
         client.write_all(&lookup_within(&format!("{i:016x}"), 5000)).expect("sent");
     }
@@ -112,7 +112,7 @@
 fn idle_client_is_closed_at_shutdown_and_its_later_request_is_never_forwarded() {
     let (address, log) = resp_engine(served);
     let mut gateway = Gateway::start(&config(&[address], "resp", 5000));
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     client.write_all(&lookup_within("00000000000000a1", 5000)).expect("sent");
     assert_eq!(answer(&mut client).1, "served");
     gateway.terminate();
@@ -132,7 +132,7 @@
 fn answer_is_not_lost_to_invalid_bytes_that_follow_its_request(#[case] thrift: bool) {
     let (address, _) = resp_engine(served);
     let gateway = Gateway::start(&config(&[address], "resp", 5000));
-    let mut client = if thrift { gateway.client() } else { gateway.web() };
+    let mut client = if thrift { gateway.thrift_client() } else { gateway.http_client() };
     client.write_all(&if thrift { health(1) } else { b"GET /ping HTTP/1.1\r\n\r\n".to_vec() }).expect("sent");
     // The answer has arrived; it stays unread until the connection is closed.
     assert!(client.peek(&mut [0; 1]).expect("answered") > 0);
@@ -149,15 +149,15 @@
 fn disconnect_of_an_http_client_is_noticed_behind_pipelined_requests() {
     let (address, log) =
         resp_engine(|parts| if parts[0] == "want" { Some(String::new()) } else { served(parts) });
-    let gateway = Gateway::start(&never_late(&config(&[address], "resp", 60_000)));
-    let mut client = gateway.web();
+    let gateway = Gateway::start(&with_long_latency_objectives(&config(&[address], "resp", 60_000)));
+    let mut client = gateway.http_client();
     client.write_all(b"POST / HTTP/1.1\r\nContent-Length: 8\r\n\r\nselect 1").expect("sent");
-    until(&log, |log| log.iter().any(|parts| parts[0] == "want"));
+    wait_for_log(&log, |log| log.iter().any(|parts| parts[0] == "want"));
     client.write_all(&b"GET /ping HTTP/1.1\r\n\r\n".repeat(4_000)).expect("sent");
     drop(client);
-    until(&log, |log| log.iter().any(|parts| parts[0] == "never_mind"));
+    wait_for_log(&log, |log| log.iter().any(|parts| parts[0] == "never_mind"));
     // The attempt was cancelled because its client had disconnected, not to be retried on another engine.
-    let counts = gateway.counts();
+    let counts = gateway.request_counts();
     assert!(counts[0].contains("answered [0, 0, 0, 1]"), "{counts:?}");
 }
 
@@ -181,8 +181,10 @@
                 continue;
             }
             let list = [("s-0", first_engine, has_drain_begun), ("s-1", second_engine, false)];
-            let _ = name_service
-                .send_to(&names_answer_of(&bytes[..len], if has_drain_begun { 3 } else { 2 }, &list), from);
+            let _ = name_service.send_to(
+                &names_answer_with_draining(&bytes[..len], if has_drain_begun { 3 } else { 2 }, &list),
+                from,
+            );
         }
     });
     let text = config(&[first_engine, second_engine], "resp", 5_000).replacen(
@@ -191,7 +193,7 @@
         1,
     );
     let gateway = Gateway::start(&text);
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     let mut send_lookup = |seq: i32| {
         let fields = [("verb", "lookup"), ("txn", &*format!("{seq:016x}")), ("limit", "5000")];
         client.write_all(&call(seq, &fields, "select 1")).expect("sent");
@@ -226,13 +228,13 @@
     let name_service_address = name_service.local_addr().expect("bound");
     let (address, _) = resp_engine(served);
     let extra_settings = format!(r#"{{"names":"{name_service_address}","operator":"127.0.0.1:0","#);
-    let text = never_late(&config(&[], "resp", 60_000)).replacen('{', &extra_settings, 1);
+    let text = with_long_latency_objectives(&config(&[], "resp", 60_000)).replacen('{', &extra_settings, 1);
     // The configuration allows more descriptors than the system does.
-    let gateway = Gateway::start_after(&text, "ulimit -n 64");
+    let gateway = Gateway::start_after_command(&text, "ulimit -n 64");
     let operator = gateway.operator.expect("set up");
     let idle_clients: Vec<_> = (0..150)
         .map(|_| {
-            let client = gateway.client();
+            let client = gateway.thrift_client();
             let mut writer = client.try_clone().expect("cloned");
             writer.write_all(&health(1)).expect("sent");
             client
@@ -248,14 +250,14 @@
     for _ in 0..10_000 {
         let mut operator_client = TcpStream::connect(operator).expect("the gateway listens");
         operator_client.set_read_timeout(Some(Duration::from_secs(30))).expect("set");
-        let (head, _) = ask(&mut operator_client, "GET /api/ready HTTP/1.1\r\n\r\n");
+        let (head, _) = http_request(&mut operator_client, "GET /api/ready HTTP/1.1\r\n\r\n");
         ready = head.starts_with("HTTP/1.1 200");
         if ready {
             break;
         }
     }
     assert!(ready, "the list was received and the operators' address answers");
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     client.write_all(&lookup_within("00000000000000a1", 5_000)).expect("sent");
     assert_eq!(answer(&mut client).1, "served");
     drop(idle_clients);
@@ -266,8 +268,8 @@
 #[test]
 fn requests_read_together_with_a_disconnect_are_never_forwarded() {
     let (address, log) = resp_engine(served);
-    let gateway = Gateway::start(&never_late(&config(&[address], "resp", 60_000)));
-    let mut client = gateway.client();
+    let gateway = Gateway::start(&with_long_latency_objectives(&config(&[address], "resp", 60_000)));
+    let mut client = gateway.thrift_client();
     client.write_all(&health(1)).expect("sent");
     assert_eq!(answer(&mut client).0, 1);
     gateway.stop();
@@ -279,9 +281,9 @@
     client.write_all(&requests.collect::<Vec<_>>()).expect("sent");
     let address = client.local_addr().expect("connected");
     drop(client);
-    gateway.until_stream_end_arrived(address);
+    gateway.wait_for_stream_end(address);
     gateway.resume();
-    let mut other_client = gateway.client();
+    let mut other_client = gateway.thrift_client();
     other_client.write_all(&lookup_within("00000000000000a1", 20_000)).expect("sent");
     assert_eq!(answer(&mut other_client).1, "served");
     let sent = log.lock().expect("log").iter().filter(|parts| parts[0] == "want").count();
@@ -306,7 +308,7 @@
     }
     gateway.resume();
     for caller in operator_clients {
-        let (head, _) = web_message(&mut std::io::BufReader::new(caller)).expect("an answer");
+        let (head, _) = read_http(&mut std::io::BufReader::new(caller)).expect("an answer");
         assert!(head[0].starts_with("HTTP/1.1 503"), "{head:?}");
     }
     assert!(gateway.child.wait().expect("the process exits").success());
@@ -319,14 +321,14 @@
     const CLIENTS: i32 = 8;
     let (address, _) = resp_engine(served);
     let mut gateway = Gateway::start(&config(&[address], "resp", 1_000));
-    let mut clients: Vec<_> = (0..CLIENTS).map(|_| gateway.client()).collect();
+    let mut clients: Vec<_> = (0..CLIENTS).map(|_| gateway.thrift_client()).collect();
     for client in &mut clients {
         client.write_all(&health(1)).expect("sent");
         assert_eq!(answer(client).0, 1);
     }
     gateway.terminate();
     // Requests that are sent after the signal are answered after the signal was handled.
-    let mut last = gateway.client();
+    let mut last = gateway.thrift_client();
     for seq in 1..=3 {
         let fields = [("verb", "lookup"), ("txn", &*format!("{:016x}", 100 + seq)), ("limit", "1000")];
         last.write_all(&call(seq, &fields, "select 1")).expect("sent");
--- a/tests/engine_endings.rs
+++ b/tests/engine_endings.rs
@@ -43,12 +43,12 @@
 ) {
     let name = "00000000000000a1";
     let overloaded = reply(&[name, "overload", "-", ""]);
-    let (address, log, answer_held) = resp_engine_that_holds(name, overloaded, served);
-    let gateway = Gateway::start(&never_late(&config(&[address], "resp", 60_000)));
-    let mut client = if thrift { gateway.client() } else { gateway.web() };
+    let (address, log, answer_held) = resp_engine_withholding(name, overloaded, served);
+    let gateway = Gateway::start(&with_long_latency_objectives(&config(&[address], "resp", 60_000)));
+    let mut client = if thrift { gateway.thrift_client() } else { gateway.http_client() };
     let head = format!("POST /?query_id={name} HTTP/1.1\r\nContent-Length: 8\r\n\r\nselect 1");
     client.write_all(&if thrift { lookup_within(name, 60_000) } else { head.into_bytes() }).expect("sent");
-    until(&log, |log| log.iter().any(|parts| parts[0] == "want"));
+    wait_for_log(&log, |log| log.iter().any(|parts| parts[0] == "want"));
     gateway.stop();
     answer_held.wait();
     answer_held.wait();
@@ -59,11 +59,11 @@
     } else {
         let address = client.local_addr().expect("connected");
         drop(client);
-        gateway.until_stream_end_arrived(address);
+        gateway.wait_for_stream_end(address);
         gateway.resume();
     }
     // The gateway reads in the order of arrival: once this call is answered, the cancellation or disconnect has been read.
-    let mut other_client = gateway.client();
+    let mut other_client = gateway.thrift_client();
     other_client.write_all(&health(1)).expect("sent");
     assert_eq!(answer(&mut other_client).0, 1);
     // The engine serves other requests again; the cancelled one is never sent to it.
@@ -109,24 +109,24 @@
     let text =
         config(&[address], "resp", 60_000).replace(r#""connect_timeout":250"#, r#""connect_timeout":30000"#);
     let gateway = Gateway::start(&text);
-    let mut first_client = if thrift { gateway.client() } else { gateway.web() };
+    let mut first_client = if thrift { gateway.thrift_client() } else { gateway.http_client() };
     let name = "abcdef00000000a1";
     let head = format!("POST /?query_id={name} HTTP/1.1\r\nContent-Length: 8\r\n\r\nselect 1");
     first_client
         .write_all(&if thrift { lookup_within(name, 60_000) } else { head.into_bytes() })
         .expect("sent");
     // The attempt waits for its connection to be established.
-    until_true(|| gateway.connections_coming_up(address) == 1);
+    wait_until(|| gateway.connecting_count(address) == 1);
     if sends_cancel {
         first_client.write_all(&cancel(1)).expect("sent");
     } else {
         drop(first_client);
     }
     // The gateway reads in the order of arrival: once this call is answered, the cancellation or disconnect has been read.
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     client.write_all(&health(1)).expect("sent");
     assert_eq!(answer(&mut client).0, 1);
-    assert_eq!(gateway.connections_coming_up(address), 1, "the connection is not established yet");
+    assert_eq!(gateway.connecting_count(address), 1, "the connection is not established yet");
     // From now on the connection can be established; only the next request may be sent on it.
     let received = serve_and_record(listener);
     drop(filling);
@@ -147,10 +147,10 @@
         // The attempt must not count as late, so that nothing else ends it before its window expires.
         .replace(r#""on_time":900"#, r#""on_time":60000"#);
     let gateway = Gateway::start(&text);
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     let fields = [("verb", "load"), ("txn", "abcdef00000000a1"), ("limit", "60000"), ("unique", "k1")];
     client.write_all(&call(1, &fields, "insert into s_1.t")).expect("sent");
-    until_true(|| gateway.connections_coming_up(address) == 1);
+    wait_until(|| gateway.connecting_count(address) == 1);
     // The system repeats the connection request 1 s after the first one, long after the window of 200 ms has expired.
     let received = serve_and_record(listener);
     drop(filling);
@@ -172,14 +172,14 @@
         .replace(r#""connect_timeout":250"#, r#""connect_timeout":30000"#)
         .replace(r#""cancelling":true"#, r#""cancelling":true,"probes":true"#);
     let gateway = Gateway::start(&text);
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     // Each lookup ends at its deadline of 100 ms, so that only health checks wait for connections any longer.
     for seq in 1..30 {
         let fields = [("verb", "lookup"), ("txn", &*format!("{seq:016x}")), ("limit", "100")];
         client.write_all(&call(seq, &fields, "select 1")).expect("sent");
         assert_eq!(answer(&mut client).0, seq);
         // Two health checks and one attempt may be in flight.
-        let pending = gateway.connections_coming_up(address);
+        let pending = gateway.connecting_count(address);
         assert!(pending <= 3, "{pending} connections are being established");
     }
 }
@@ -249,7 +249,7 @@
     let text = config(&[address], "resp", 60_000)
         .replace(r#""cancelling":true"#, r#""cancelling":true,"probes":false"#);
     let gateway = Gateway::start(&text);
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     client.write_all(&lookup_within("00000000000000a1", 300)).expect("sent");
     assert_ne!(answer(&mut client).1, "served");
     for seq in 2..8 {
@@ -279,12 +279,12 @@
             thread::spawn(move || {
                 let mut stream = stream;
                 let mut reader = std::io::BufReader::new(stream.try_clone().expect("cloned"));
-                while let Some((head, _)) = web_message(&mut reader) {
+                while let Some((head, _)) = read_http(&mut reader) {
                     if head[0].contains("/ping") {
                         health_check_count.fetch_add(1, Ordering::SeqCst);
                         continue;
                     }
-                    if stream.write_all(web_answer("200 OK", "", "1\n").as_bytes()).is_err() {
+                    if stream.write_all(encode_http("200 OK", "", "1\n").as_bytes()).is_err() {
                         break;
                     }
                 }
@@ -292,11 +292,11 @@
             });
         }
     });
-    let text = never_late(&config(&[address], "clickhouse", 60_000));
+    let text = with_long_latency_objectives(&config(&[address], "clickhouse", 60_000));
     let gateway = Gateway::start(&text.replace(r#""cancelling":true"#, r#""cancelling":true,"probes":true"#));
-    let mut client = gateway.web();
+    let mut client = gateway.http_client();
     for _ in 0..200_000 {
-        let (status, _) = ask(&mut client, "POST / HTTP/1.1\r\nContent-Length: 8\r\n\r\nselect 1");
+        let (status, _) = http_request(&mut client, "POST / HTTP/1.1\r\nContent-Length: 8\r\n\r\nselect 1");
         assert!(status.starts_with("HTTP/1.1 200"), "{status}");
         if health_checks.load(Ordering::SeqCst) >= 6 {
             break;
@@ -334,8 +334,8 @@
         .replace(r#""cancelling":true"#, r#""cancelling":true,"probes":true"#)
         .replace(r#""on_time":500"#, r#""on_time":60000"#);
     let gateway = Gateway::start(&text);
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     client.write_all(&lookup_within("00000000000000a1", 60_000)).expect("sent");
-    until(&log, |log| log.iter().any(|parts| parts[1].contains("00000000000000a1")));
-    until(&log, |log| log.iter().any(|parts| parts[0] == "1" && parts[1].contains("busy")));
+    wait_for_log(&log, |log| log.iter().any(|parts| parts[1].contains("00000000000000a1")));
+    wait_for_log(&log, |log| log.iter().any(|parts| parts[0] == "1" && parts[1].contains("busy")));
 }
--- a/tests/gateway_processes/mod.rs
+++ b/tests/gateway_processes/mod.rs
@@ -27,7 +27,7 @@
 }
 
 /// The configuration, shared folder and address of a gateway.
-pub(crate) struct Site {
+pub(crate) struct SharedGateway {
     pub config: String,
     pub tmp: tempfile::TempDir,
     pub at: SocketAddr,
@@ -36,7 +36,7 @@
     _port: TcpSocket,
 }
 
-impl Site {
+impl SharedGateway {
     pub(crate) fn new(engines: &[SocketAddr]) -> Self {
         let (port, at) = shared_port();
         let config = config(engines, "resp", 20_000)
@@ -88,7 +88,7 @@
         stream.set_read_timeout(Some(Duration::from_secs(30))).expect("set");
         // The process may answer and close the connection before the whole request is sent.
         let _ = stream.write_all(request.as_bytes());
-        let (head, body) = web_message(&mut BufReader::new(stream)).expect("an answer");
+        let (head, body) = read_http(&mut BufReader::new(stream)).expect("an answer");
         (head[0].split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status"), body)
     }
 
@@ -115,7 +115,7 @@
     }
 
     /// Waits until the process has exited successfully, and returns its output.
-    pub(crate) fn ended(mut self) -> Vec<String> {
+    pub(crate) fn wait_for_exit(mut self) -> Vec<String> {
         assert!(self.child.wait().expect("the process exits").success());
         self.output.take().expect("output is taken once").join().expect("read")
     }
@@ -136,7 +136,7 @@
     })
 }
 
-pub(crate) fn wants(log: &Log) -> usize {
+pub(crate) fn attempt_count(log: &Log) -> usize {
     log.lock().expect("log").iter().filter(|p| p[0] == "want").count()
 }
 
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -20,7 +20,7 @@
 }
 
 /// Returns whether two records agree, apart from clock differences below 50 ms.
-fn near(a: &KeySends, b: &KeySends) -> bool {
+fn nearly_equal(a: &KeySends, b: &KeySends) -> bool {
     (a.first - b.first).abs() < 50.0 && (a.last - b.last).abs() < 50.0 && a.window == b.window
 }
 
@@ -33,8 +33,8 @@
     let mut second = open(&path);
     second.observe(NOW);
     assert_eq!(second.peers(), [PeerProcess { incarnation: 1, stage: Stage::Listening }]);
-    assert_eq!(first.observe(NOW).waiting_successors, [2], "it waits for what was learned");
-    assert_eq!(first.observe(NOW).waiting_successors, [0; 0], "it was told once");
+    assert_eq!(first.observe(NOW).waiting_successors, [2], "the successor waits for the learned state");
+    assert_eq!(first.observe(NOW).waiting_successors, [0; 0], "the waiting successor is reported once");
     second.publish_stage(Stage::Listening).expect("written");
     first.observe(NOW);
     assert_eq!(first.peers(), [PeerProcess { incarnation: 2, stage: Stage::Listening }]);
@@ -59,10 +59,12 @@
     let mut first = open(&path);
     first.record(key, sent(NOW)).expect("recorded");
     let mut second = open(&path);
-    let heard = second.observe(NOW + 10.0).keys;
+    let peer_keys = second.observe(NOW + 10.0).keys;
     assert!(
-        heard.len() == 1 && heard[0].0 == key && near(&heard[0].1, &KeySends::single(sent(NOW))),
-        "{heard:?}"
+        peer_keys.len() == 1
+            && peer_keys[0].0 == key
+            && nearly_equal(&peer_keys[0].1, &KeySends::single(sent(NOW))),
+        "{peer_keys:?}"
     );
     // A key that is sent while both processes run is returned as well, once.
     first.record(deduplication_window::key("k2"), sent(NOW + 20.0)).expect("recorded");
@@ -73,15 +75,15 @@
     drop(first);
     assert_eq!(second.observe(NOW + 50.0).keys.len(), 1);
     let mut third = open(&path);
-    let mut heard = third.observe(NOW + 60.0).keys;
-    heard.sort_by(|a, b| a.1.first.total_cmp(&b.1.first));
+    let mut peer_keys = third.observe(NOW + 60.0).keys;
+    peer_keys.sort_by(|a, b| a.1.first.total_cmp(&b.1.first));
     assert_eq!(
-        heard.iter().map(|(k, _)| *k).collect::<Vec<_>>(),
+        peer_keys.iter().map(|(k, _)| *k).collect::<Vec<_>>(),
         ["k1", "k2", "k3"].map(deduplication_window::key)
     );
     // The deduplication window rejects a key that would run twice.
     let mut deduplication = DeduplicationWindow::in_memory();
-    heard.into_iter().for_each(|(k, sends)| deduplication.merge_peer_sends(k, sends, NOW + 60.0));
+    peer_keys.into_iter().for_each(|(k, sends)| deduplication.merge_peer_sends(k, sends, NOW + 60.0));
     let late = NOW + WINDOW - 1.0;
     assert!(matches!(
         deduplication.admit(&key, WINDOW, late, 20.0),
@@ -99,16 +101,16 @@
     let path = folder.path().join("shared");
     let mut first = open(&path);
     let mut second = open(&path);
-    let mut heard = 0;
+    let mut peer_key_count = 0;
     // One load every 50 ms for an hour of simulated time: 240 keys are unexpired at any time.
     for n in 0..72_000_u32 {
         let at = NOW + f64::from(n) * 50.0;
         first.record(deduplication_window::key(&n.to_string()), sent(at)).expect("recorded");
         if n % 1_000 == 999 {
-            heard += second.peer_keys(at).len();
+            peer_key_count += second.peer_keys(at).len();
         }
     }
-    assert!(heard >= 72 * 240, "{heard}");
+    assert!(peer_key_count >= 72 * 240, "{peer_key_count}");
     let size = |n: u64| std::fs::metadata(path.join(format!("keys-{n:016x}"))).expect("there").len();
     assert!(size(1) < 200_000, "{}", size(1));
     drop(first);
--- a/tests/killed_processes.rs
+++ b/tests/killed_processes.rs
@@ -172,7 +172,7 @@
 /// The processes of a gateway under load, which are changed once in each round.
 struct Rounds {
     current: Process,
-    site: Site,
+    shared_gateway: SharedGateway,
     outcomes: Arc<Outcomes>,
     random: Xorshift,
     kills: usize,
@@ -212,20 +212,20 @@
     fn apply(&mut self, change: Change) {
         match change {
             Change::OldKilledUnnotified => {
-                let next = self.site.start();
+                let next = self.shared_gateway.start();
                 self.wait_for_answers_below(20);
                 self.current.signal("-KILL");
                 self.current = next;
             }
             Change::OldKilledWhileDraining => {
-                let next = self.site.start();
+                let next = self.shared_gateway.start();
                 self.current.signal("-TERM");
                 self.wait_for_answers_below(200);
                 self.current.signal("-KILL");
                 self.current = next;
             }
             Change::NewKilledAtStart => {
-                let mut starting = self.site.spawn();
+                let mut starting = self.shared_gateway.spawn();
                 self.wait_for_answers_below(300);
                 // The process may listen already, and may then have open requests.
                 starting.kill().expect("it runs");
@@ -233,12 +233,12 @@
             }
             Change::OnlyOneKilled => {
                 self.current.signal("-KILL");
-                self.current = self.site.start();
+                self.current = self.shared_gateway.start();
             }
             Change::Upgrade => {
-                let next = self.site.start();
+                let next = self.shared_gateway.start();
                 self.current.signal("-TERM");
-                std::mem::replace(&mut self.current, next).ended();
+                std::mem::replace(&mut self.current, next).wait_for_exit();
             }
         }
     }
@@ -275,19 +275,20 @@
     let begun = Instant::now();
     let (first, runs) = deduplicating_engine(begun);
     let (second, log) = resp_engine(served);
-    let mut site = Site::new(&[first, second]);
-    site.config = site.config.replacen("\"window\":12000", &format!("\"window\":{WINDOW}"), 1);
-    let current = site.start();
+    let mut shared_gateway = SharedGateway::new(&[first, second]);
+    shared_gateway.config =
+        shared_gateway.config.replacen("\"window\":12000", &format!("\"window\":{WINDOW}"), 1);
+    let current = shared_gateway.start();
     assert_eq!(current.put("/api/exclude", "s-1"), 200);
     let outcomes = Arc::new(Outcomes::default());
     let clients: Vec<_> = (0..CLIENTS)
         .map(|number| {
-            let (at, outcomes) = (site.at, outcomes.clone());
+            let (at, outcomes) = (shared_gateway.at, outcomes.clone());
             let client = RetryingClient { at, number, outcomes, begun, attempts: KeyTimes::new() };
             std::thread::spawn(move || client.run())
         })
         .collect();
-    let mut rounds = Rounds { current, site, outcomes, random: Xorshift::new(seed), kills: 0 };
+    let mut rounds = Rounds { current, shared_gateway, outcomes, random: Xorshift::new(seed), kills: 0 };
     for round in 0..ROUNDS {
         rounds.run_round(round);
     }
@@ -296,7 +297,7 @@
         clients.into_iter().map(|client| client.join().expect("the client received all answers")).collect();
     let (kills, lost) = (rounds.kills, Outcomes::get(&rounds.outcomes.lost));
     assert!(kills > 5 && lost > 0, "{kills} kills");
-    assert_eq!(wants(&log), 0, "nothing was sent to the excluded engine");
+    assert_eq!(attempt_count(&log), 0, "nothing was sent to the excluded engine");
     let runs = runs.lock().expect("runs");
     assert!(runs.len() > 100, "{} keys", runs.len());
     check_repeated_runs(&runs, &attempts);
--- a/tests/knowledge.rs
+++ b/tests/knowledge.rs
@@ -53,7 +53,7 @@
     panic!("not shown after 2,000 tries: {}", show(folder));
 }
 
-fn wants(log: &Log) -> usize {
+fn attempt_count(log: &Log) -> usize {
     log.lock().expect("log").iter().filter(|p| p[0] == "want").count()
 }
 
@@ -66,10 +66,10 @@
     let (at, log) = resp_engine(served);
     let config = config(&[at], "resp", 5000);
     let first = Gateway::start_with(&config, Some(operator.path()));
-    let mut client = first.client();
+    let mut client = first.thrift_client();
     // The first start has no idempotency log to rely on. The mark in its new log holds the time until which no key may be sent.
     assert_eq!(load(&mut client, 1, "00000000000000a1", "k1"), "overloaded");
-    assert_eq!(wants(&log), 0);
+    assert_eq!(attempt_count(&log), 0);
     let lookup = [("verb", "lookup"), ("txn", "00000000000000a2"), ("limit", "4000")];
     client.write_all(&call(2, &lookup, "select 1")).expect("sent");
     assert_eq!(answer(&mut client).1, "served");
@@ -79,14 +79,14 @@
     assert_eq!(verify(&folder).0, Some(0));
 
     let second = Gateway::start_with(&config, Some(operator.path()));
-    let mut client = second.client();
+    let mut client = second.thrift_client();
     assert_eq!(
         load(&mut client, 1, "00000000000000a3", "k1"),
         "overloaded",
         "the wait for the window continues after the restart"
     );
-    assert_eq!(wants(&log), 1);
-    let output = second.counts();
+    assert_eq!(attempt_count(&log), 1);
+    let output = second.request_counts();
     assert!(output[1].starts_with("load: 1 received, 0 attempts"), "{output:?}");
 }
 
@@ -99,12 +99,12 @@
     let config = config(&[at], "resp", 5000);
     let _first = Gateway::start_with(&config, Some(operator.path()));
     let second = Gateway::start_with(&config, Some(operator.path()));
-    let mut client = second.client();
+    let mut client = second.thrift_client();
     assert_eq!(load(&mut client, 1, "00000000000000a1", "k1"), "overloaded");
     let lookup = [("verb", "lookup"), ("txn", "00000000000000a2"), ("limit", "4000")];
     client.write_all(&call(2, &lookup, "select 1")).expect("sent");
     assert_eq!(answer(&mut client).1, "served");
-    assert_eq!(wants(&log), 1);
+    assert_eq!(attempt_count(&log), 1);
 }
 
 #[test]
@@ -117,7 +117,7 @@
     let optional = operator(&file, "");
     let gateway = Gateway::start_with(&config, Some(optional.path()));
     let lookup = [("verb", "lookup"), ("txn", "00000000000000a2"), ("limit", "4000")];
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     client.write_all(&call(1, &lookup, "select 1")).expect("sent");
     assert_eq!(answer(&mut client).1, "served");
 
@@ -148,14 +148,14 @@
     let config = config(&[at], "resp", 5000);
     let gateway = Gateway::start_with(&config, Some(operator.path()));
     gateway.reload(&config);
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     assert_eq!(
         load(&mut client, 1, "00000000000000a1", "k1"),
         "served",
         "without an idempotency log keys are sent immediately"
     );
-    assert_eq!(wants(&log), 1);
-    gateway.counts();
+    assert_eq!(attempt_count(&log), 1);
+    gateway.request_counts();
     assert_eq!(verify(&folder).0, Some(0));
     assert!(show(&folder).contains("\"name\": \"load\""));
     // One byte of the newest snapshot is changed: `verify` reports file and offset, and the previous snapshot is read.
@@ -182,18 +182,18 @@
     until_shown(&folder, |s| s.contains("lookup"));
     // Removal fails if a snapshot is written at the same moment, so it is tried again.
     while std::fs::remove_dir_all(&folder).is_err() {}
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     for seq in 1..50 {
         let txn = format!("{seq:016x}");
         let lookup = [("verb", "lookup"), ("txn", txn.as_str()), ("limit", "4000")];
         client.write_all(&call(seq, &lookup, "select 1")).expect("sent");
         assert_eq!(answer(&mut client).1, "served");
     }
-    gateway.counts();
+    gateway.request_counts();
     assert_eq!(verify(&folder).0, Some(2));
     let second = Gateway::start_with(&config, Some(operator.path()));
     until_shown(&folder, |s| s.contains("lookup"));
-    second.counts();
+    second.request_counts();
     assert_eq!(verify(&folder).0, Some(0));
 }
 
@@ -216,7 +216,7 @@
 /// Sends 30 lookups, each on a connection of its own, and returns the kinds of their answers.
 fn lookups(gateway: &Gateway, from: u32) -> Vec<&'static str> {
     let send_lookup = |n: u32| {
-        let mut client = gateway.client();
+        let mut client = gateway.thrift_client();
         let txn = format!("{n:016x}");
         let fields = [("verb", "lookup"), ("txn", txn.as_str()), ("limit", "4000")];
         client.write_all(&call(1, &fields, "select 1")).expect("sent");
@@ -252,16 +252,16 @@
     let answers = lookups(&gateway, 0);
     assert!(answers.iter().all(|kind| *kind == "served"), "{answers:?}");
     assert!(
-        wants(&live_log) > 0 && wants(&draining_log) == 0,
+        attempt_count(&live_log) > 0 && attempt_count(&draining_log) == 0,
         "{} sent to the live engine, {} to the draining one",
-        wants(&live_log),
-        wants(&draining_log)
+        attempt_count(&live_log),
+        attempt_count(&draining_log)
     );
     // A response of the name service replaces the stored list.
     *list.lock().expect("list") = Some((8, vec![("s-1", second, false)]));
     until_cached(&folder, "s-1", true);
     let answers = lookups(&gateway, 100);
-    assert!(answers.iter().all(|kind| *kind == "served") && wants(&draining_log) > 0, "{answers:?}");
+    assert!(answers.iter().all(|kind| *kind == "served") && attempt_count(&draining_log) > 0, "{answers:?}");
     // A corrupted file loses the stored list, but does not prevent the start.
     gateway.signal("-KILL");
     drop(gateway);
--- a/tests/large_list.rs
+++ b/tests/large_list.rs
@@ -15,7 +15,7 @@
 #[case::eight_hundred(800)]
 fn list_of_hundreds_of_engines_in_one_datagram_is_received(#[case] engines: usize) {
     let (address, _) = resp_engine(served);
-    let (_refusing_socket, refusing_address) = refusing();
+    let (_refusing_socket, refusing_address) = refused_address();
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
     let name_service = socket.local_addr().expect("bound");
     let ids: Vec<String> = (0..engines).map(|n| format!("e-{n:04}")).collect();
@@ -26,13 +26,13 @@
             let _ = socket.send_to(&names_answer(&request[..len], 2, &list), from);
         }
     });
-    let text = changed(
+    let text = with_replacement(
         &config(&[refusing_address], "resp", 20_000),
         r#""seed":"7""#,
         &format!(r#""seed":"7","names":"{name_service}""#),
     );
     let gateway = Gateway::start(&text);
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     let is_served = (1..100).any(|n| {
         client.write_all(&lookup(n, n as usize)).expect("sent");
         answer(&mut client).1 == "served"
--- a/tests/log_device.rs
+++ b/tests/log_device.rs
@@ -14,9 +14,9 @@
     let mut gateway = Gateway::start_with_faults(&config(&[at], "resp", 20_000), &faults);
     faults.begin();
     gateway.signal("-HUP");
-    faults.until_happened("log");
-    is_served(gateway.client(), 1);
-    ends_well(&mut gateway);
+    faults.wait_for_fault("log");
+    assert_served(gateway.thrift_client(), 1);
+    terminate_and_expect_success(&mut gateway);
 }
 
 /// Guards against a task that stops accepting connections when `accept` fails and the line about this failure cannot be written.
@@ -26,11 +26,11 @@
     let faults = Faults::new("log=1,accept=1");
     let mut gateway = Gateway::start_with_faults(&config(&[at], "resp", 20_000), &faults);
     faults.begin();
-    let waiting_client = gateway.client();
-    faults.until_happened("accept");
-    faults.until_happened("log");
+    let waiting_client = gateway.thrift_client();
+    faults.wait_for_fault("accept");
+    faults.wait_for_fault("log");
     faults.end();
-    is_served(waiting_client, 1);
-    is_served(gateway.client(), 2);
-    ends_well(&mut gateway);
+    assert_served(waiting_client, 1);
+    assert_served(gateway.thrift_client(), 2);
+    terminate_and_expect_success(&mut gateway);
 }
--- a/tests/notes.rs
+++ b/tests/notes.rs
@@ -63,7 +63,7 @@
         })
     });
     let gateway = Gateway::start(&config(&[address], "resp", 60_000));
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     for seq in 1..=3 {
         let id = format!("00000000000000b{seq}");
         let fields = [("verb", "lookup"), ("txn", &*id), ("limit", "60000")];
@@ -93,7 +93,7 @@
         })
     });
     let gateway = Gateway::start(&config(&[address], "resp", 60_000));
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     client.write_all(&call(1, &LOOKUP, "select 1")).expect("sent");
     assert_eq!(answer(&mut client), (1, "served", "1\t\t\n2\t\t\n".into()));
     let fields = [("verb", "lookup"), ("txn", "00000000000000a2"), ("limit", "60000")];
@@ -119,11 +119,11 @@
         })
     });
     let gateway = Gateway::start(&config(&[address], "resp", 60_000));
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     client.write_all(&call(1, &LOOKUP, "select 1")).expect("sent");
-    until(&log, |log| log.iter().any(|parts| parts[0] == "want"));
+    wait_for_log(&log, |log| log.iter().any(|parts| parts[0] == "want"));
     client.write_all(&cancel(1)).expect("sent");
-    until(&log, |log| log.iter().any(|parts| parts[0] == "never_mind"));
+    wait_for_log(&log, |log| log.iter().any(|parts| parts[0] == "never_mind"));
     let fields = [("verb", "lookup"), ("txn", "00000000000000a2"), ("limit", "60000")];
     client.write_all(&call(2, &fields, "select 1")).expect("sent");
     assert_eq!(answer(&mut client), (2, "served", "a\tb\tc\n".into()));
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -17,24 +17,24 @@
 fn engine_excluded_by_an_operator_stays_unused_through_an_upgrade_until_it_is_included() {
     let (first, _) = resp_engine(served);
     let (second, log) = resp_engine(served);
-    let site = Site::new(&[first, second]);
-    let old = site.start();
-    assert!(served_lookups(&old, 0, 40) == 40 && wants(&log) > 0, "both engines are in use");
+    let shared_gateway = SharedGateway::new(&[first, second]);
+    let old = shared_gateway.start();
+    assert!(served_lookups(&old, 0, 40) == 40 && attempt_count(&log) > 0, "both engines are in use");
     assert_eq!((old.put("/api/exclude", "s-1"), old.put("/api/exclude", "s-1")), (200, 200));
     assert_eq!((old.put("/api/exclude", "s-9"), old.put("/api/include", "s-9")), (404, 404));
     assert_eq!((old.metric("gateway.cluster_size"), old.metric("gateway.cluster_unhealthy")), (2, 1));
-    let before = wants(&log);
+    let before = attempt_count(&log);
     assert_eq!(served_lookups(&old, 100, 40), 40);
-    let new = site.start();
+    let new = shared_gateway.start();
     old.signal("-TERM");
-    old.ended();
+    old.wait_for_exit();
     assert_eq!(new.metric("gateway.cluster_unhealthy"), 1);
     assert_eq!(served_lookups(&new, 200, 40), 40);
-    assert_eq!(wants(&log), before, "nothing was sent to the excluded engine");
+    assert_eq!(attempt_count(&log), before, "nothing was sent to the excluded engine");
     assert_eq!(new.put("/api/include", "s-1"), 200);
     assert_eq!(new.metric("gateway.cluster_unhealthy"), 0);
     assert_eq!(served_lookups(&new, 300, 40), 40);
-    assert!(wants(&log) > before, "the included engine is in use again");
+    assert!(attempt_count(&log) > before, "the included engine is in use again");
 }
 
 /// Guards against overrides that only the process applies that received them: both processes are one gateway.
@@ -42,8 +42,8 @@
 fn override_sent_to_either_of_two_processes_applies_to_both() {
     let (first, _) = resp_engine(served);
     let (second, _) = resp_engine(served);
-    let site = Site::new(&[first, second]);
-    let (old, new) = (site.start(), site.start());
+    let shared_gateway = SharedGateway::new(&[first, second]);
+    let (old, new) = (shared_gateway.start(), shared_gateway.start());
     assert_eq!(old.put("/api/exclude", "s-1"), 200);
     for _ in 0..10_000 {
         if new.metric("gateway.cluster_unhealthy") == 1 {
@@ -61,8 +61,8 @@
         ("want", Some("fail")) => Some(reply(&[&parts[1], "crashed", "-", ""])),
         _ => served(parts),
     });
-    let site = Site::new(&[at]);
-    let process = site.start();
+    let shared_gateway = SharedGateway::new(&[at]);
+    let process = shared_gateway.start();
     let mut seen = [0_u64; 3];
     for n in 0..60 {
         let mut client = process.client();
@@ -81,14 +81,14 @@
         ["answered", "deferred", "errored"].map(|f| process.metric(&format!("gateway.{f}.lookup")));
     assert_eq!(reported, seen);
     assert!(seen.iter().sum::<u64>() == 60 && seen[0] > 0 && seen[2] >= 3, "{seen:?}");
-    assert_eq!(process.metric("gateway.sends"), wants(&log) as u64);
+    assert_eq!(process.metric("gateway.sends"), attempt_count(&log) as u64);
     assert_eq!((process.metric("gateway.current"), process.metric("gateway.cluster_size")), (0, 1));
     process.signal("-TERM");
-    let output = process.ended();
+    let output = process.wait_for_exit();
     let line =
         output.iter().find(|l| l.contains("lookup: 57 received")).unwrap_or_else(|| panic!("{output:?}"));
     let last = format!("answered [{}, {}, {}, 0]", seen[0], seen[1], seen[2]);
-    assert!(line.ends_with(&last) && line.contains(&format!(" {} attempts", wants(&log))), "{line}");
+    assert!(line.ends_with(&last) && line.contains(&format!(" {} attempts", attempt_count(&log))), "{line}");
 }
 
 /// The operators' documentation has a row for each metric, equal to the program's table of metrics.
@@ -116,8 +116,8 @@
 #[case::http_0_9("GET /api/ready HTTP/0.9\r\n\r\n", 400)]
 fn invalid_request_is_answered_with_a_status_and_a_line_of_text(#[case] request: &str, #[case] status: u16) {
     let (at, _) = resp_engine(served);
-    let site = Site::new(&[at]);
-    let process = site.start();
+    let shared_gateway = SharedGateway::new(&[at]);
+    let process = shared_gateway.start();
     let (got, body) = process.request(request);
     assert_eq!(got, status, "{body}");
     assert!(body.ends_with('\n') && body.len() > 10, "{body:?}");
@@ -127,8 +127,8 @@
 #[test]
 fn request_head_of_a_mebibyte_is_rejected() {
     let (at, _) = resp_engine(served);
-    let site = Site::new(&[at]);
-    let process = site.start();
+    let shared_gateway = SharedGateway::new(&[at]);
+    let process = shared_gateway.start();
     let (status, _) =
         process.request(&format!("GET /api/ready HTTP/1.1\r\nX: {}\r\n\r\n", "a".repeat(1 << 20)));
     assert_eq!(status, 431);
@@ -138,8 +138,8 @@
 #[test]
 fn incomplete_requests_do_not_lock_out_other_operators() {
     let (at, _) = resp_engine(served);
-    let site = Site::new(&[at]);
-    let process = site.start();
+    let shared_gateway = SharedGateway::new(&[at]);
+    let process = shared_gateway.start();
     let incomplete: Vec<TcpStream> = (0..100)
         .map(|_| {
             let mut stream = TcpStream::connect(process.operators).expect("it listens");
@@ -161,9 +161,10 @@
 fn gateway_without_known_engines_is_not_ready_before_it_receives_the_list() {
     let (at, _) = resp_engine(served);
     let (names, list) = list_service();
-    let mut site = Site::new(&[]);
-    site.config = site.config.replacen("\"known\"", &format!("\"names\":\"{names}\",\"known\""), 1);
-    let process = site.start();
+    let mut shared_gateway = SharedGateway::new(&[]);
+    shared_gateway.config =
+        shared_gateway.config.replacen("\"known\"", &format!("\"names\":\"{names}\",\"known\""), 1);
+    let process = shared_gateway.start();
     let (status, why) = process.request("GET /api/ready HTTP/1.1\r\n\r\n");
     assert_eq!((status, &*why), (503, "starting: the list of engines is awaited\n"));
     // Returns the complete answer to a client's health check.
@@ -194,7 +195,11 @@
 fn received_operator_request_is_answered_although_descriptors_run_out() {
     let (at, _) = resp_engine(served);
     let faults = Faults::new("seed=11,accept=1");
-    let text = changed(&config(&[at], "resp", 20_000), r#""listen""#, r#""operator":"127.0.0.1:0","listen""#);
+    let text = with_replacement(
+        &config(&[at], "resp", 20_000),
+        r#""listen""#,
+        r#""operator":"127.0.0.1:0","listen""#,
+    );
     let gateway = Gateway::start_with_faults(&text, &faults);
     let operators = gateway.operator.expect("the gateway listens to operators");
     let connect = || TcpStream::connect(operators).expect("it listens");
@@ -202,7 +207,7 @@
     // Connections are accepted in order, so the answer on the last one shows that all are accepted.
     let mut last = connect();
     last.write_all(b"GET /api/ready HTTP/1.1\r\n\r\n").expect("sent");
-    assert!(web_message(&mut BufReader::new(last)).is_some());
+    assert!(read_http(&mut BufReader::new(last)).is_some());
     gateway.stop();
     faults.begin();
     for caller in &mut callers {
@@ -211,9 +216,9 @@
     }
     let _waiting = connect();
     gateway.resume();
-    faults.until_happened("accept");
+    faults.wait_for_fault("accept");
     for caller in callers {
-        let (head, _) = web_message(&mut BufReader::new(caller)).expect("an answer");
+        let (head, _) = read_http(&mut BufReader::new(caller)).expect("an answer");
         assert!(head[0].starts_with("HTTP/1.1 200"), "{head:?}");
     }
     faults.end();
--- a/tests/reducer/mod.rs
+++ b/tests/reducer/mod.rs
@@ -29,12 +29,12 @@
         effects
     }
 
-    pub(crate) fn list(&mut self, version: u64, engines: &[&str]) -> Vec<Effect> {
+    pub(crate) fn receive_list(&mut self, version: u64, engines: &[&str]) -> Vec<Effect> {
         let live = |id: &&str| endpoint(id, Availability::Live);
         self.step(Event::EndpointList { version, endpoints: engines.iter().map(live).collect() })
     }
 
-    pub(crate) fn take(&mut self, id: u64, key: Option<&str>) -> Vec<Effect> {
+    pub(crate) fn receive_request(&mut self, id: u64, key: Option<&str>) -> Vec<Effect> {
         let details = RequestDetails {
             id: RequestId(id),
             class: ClassId(0),
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -17,27 +17,31 @@
     *list.lock().expect("list") = Some((1, vec![("s-0", at, false)]));
     let (second, list) = list_service();
     let text = |names: std::net::SocketAddr| {
-        changed(&config(&[at], "resp", 20_000), r#""seed":"7""#, &format!(r#""seed":"7","names":"{names}""#))
+        with_replacement(
+            &config(&[at], "resp", 20_000),
+            r#""seed":"7""#,
+            &format!(r#""seed":"7","names":"{names}""#),
+        )
     };
     let mut gateway = Gateway::start(&text(first));
     // The second service lists another engine, which refuses connections.
-    let (_listener, refuses) = refusing();
+    let (_listener, refuses) = refused_address();
     *list.lock().expect("list") = Some((2, vec![("s-1", refuses, false)]));
-    is_served(gateway.client(), 1);
+    assert_served(gateway.thrift_client(), 1);
     fs::remove_file(&gateway.file).expect("the file existed");
     gateway.signal("-HUP");
     // Requests sent after the signal are answered after the first attempt of the reload.
-    is_served(gateway.client(), 2);
-    is_served(gateway.client(), 3);
+    assert_served(gateway.thrift_client(), 2);
+    assert_served(gateway.thrift_client(), 3);
     let new = gateway.file.with_extension("new");
     fs::write(&new, text(second)).expect("a file");
     fs::rename(&new, &gateway.file).expect("renamed");
     let last_lookup = Cell::new(3);
-    until_true(|| {
+    wait_until(|| {
         last_lookup.set(last_lookup.get() + 1);
-        let mut client = gateway.client();
+        let mut client = gateway.thrift_client();
         client.write_all(&lookup(1, last_lookup.get())).expect("sent");
         answer(&mut client).1 != "served"
     });
-    ends_well(&mut gateway);
+    terminate_and_expect_success(&mut gateway);
 }
--- a/tests/shared_folder.rs
+++ b/tests/shared_folder.rs
@@ -28,7 +28,7 @@
     port.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let at = port.local_addr().expect("bound");
     let listen = format!(r#""listen":"{at}","operator":"127.0.0.1:0""#);
-    let text = changed(&config(&[engine], "resp", 20_000), r#""listen":"127.0.0.1:0""#, &listen);
+    let text = with_replacement(&config(&[engine], "resp", 20_000), r#""listen":"127.0.0.1:0""#, &listen);
     let folder_of_test = tempfile::tempdir().expect("a folder");
     let (file, errors) = (folder_of_test.path().join("config.json"), folder_of_test.path().join("errors"));
     std::fs::write(&file, text).expect("a file");
@@ -47,7 +47,7 @@
     let (at, log) = resp_engine(served);
     let faults = Arc::new(Faults::new("disk=1"));
     let shared = start_sharing_gateway(at, &faults);
-    let mut client = shared.gateway.client();
+    let mut client = shared.gateway.thrift_client();
     faults.begin();
     for n in 1..=REQUESTS {
         client.write_all(&load(n as i32, n, &format!("k{n}"))).expect("sent");
@@ -71,12 +71,12 @@
     faults.begin();
     let thread_faults = faults.clone();
     let disk_recovers = std::thread::spawn(move || {
-        thread_faults.until_happened("disk");
+        thread_faults.wait_for_fault("disk");
         thread_faults.end();
     });
     let shared = start_sharing_gateway(at, &faults);
     disk_recovers.join().expect("the disk failed at the start");
-    let mut client = shared.gateway.client();
+    let mut client = shared.gateway.thrift_client();
     client.write_all(&load(1, 1, "early")).expect("sent");
     assert_eq!(answer(&mut client).1, "served");
     let mut next = HotRestart::open(&shared.path, 1_000_000.0).expect("the folder");
@@ -90,11 +90,11 @@
     let (at, log) = resp_engine(served);
     let faults = Arc::new(Faults::new("torn=1"));
     let shared = start_sharing_gateway(at, &faults);
-    let mut client = shared.gateway.client();
+    let mut client = shared.gateway.thrift_client();
     faults.begin();
     client.write_all(&load(1, 1, "torn")).expect("sent");
     assert_eq!(answer(&mut client).1, "overloaded");
-    faults.until_happened("torn");
+    faults.wait_for_fault("torn");
     faults.end();
     client.write_all(&load(2, 2, "whole")).expect("sent");
     assert_eq!(answer(&mut client).1, "served");
--- a/tests/slow_clients.rs
+++ b/tests/slow_clients.rs
@@ -16,7 +16,7 @@
 fn message_that_begins_late_on_a_new_connection_is_answered() {
     let (address, _) = resp_engine(served);
     let gateway = Gateway::start(&config(&[address], "resp", 20_000));
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     let message = lookup(1, 1);
     let (first_half, second_half) = message.split_at(message.len() / 2);
     sleep(MAX_SILENCE * 4 / 5);
@@ -32,7 +32,7 @@
     const PARTS: usize = 4;
     let (address, _) = resp_engine(served);
     let gateway = Gateway::start(&config(&[address], "resp", 20_000));
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     let message = lookup(1, 1);
     for part in message.chunks(message.len().div_ceil(PARTS)) {
         client.write_all(part).expect("sent");
@@ -47,9 +47,9 @@
     // A configured limit of 20 descriptors leaves the minimum of 16 for connections, and clients may use three fifths of them.
     const CAPACITY: usize = 9;
     let (address, _) = resp_engine(served);
-    let text = changed(&config(&[address], "resp", 20_000), r#""sockets":256"#, r#""sockets":20"#);
+    let text = with_replacement(&config(&[address], "resp", 20_000), r#""sockets":256"#, r#""sockets":20"#);
     let gateway = Gateway::start(&text);
-    let mut incomplete = gateway.client();
+    let mut incomplete = gateway.thrift_client();
     incomplete.write_all(&health(1)).expect("sent");
     assert_eq!(answer(&mut incomplete).0, 1);
     let message = lookup(2, 1);
@@ -57,7 +57,7 @@
     incomplete.write_all(first_half).expect("sent");
     let clients: Vec<_> = (0..CAPACITY + 4)
         .map(|n| {
-            let mut client = gateway.client();
+            let mut client = gateway.thrift_client();
             client.write_all(&lookup(1, 100 + n)).expect("sent");
             assert_eq!(answer(&mut client).1, "served", "client {n}");
             client
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -32,7 +32,7 @@
         })
     });
     let gateway = Gateway::start(&config(&[address], "resp", 5000));
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     let fields = [("verb", "load"), ("txn", "00000000000000a1"), ("limit", "4000"), ("unique", "k1")];
     client.write_all(&call(1, &fields, "insert into s_1.t\r\n")).expect("sent");
     assert_eq!(answer(&mut client), (1, "served", "1\t\t\n2\t\t\n3\t\t\n".into()));
@@ -54,7 +54,7 @@
         })
     });
     let gateway = Gateway::start(&config(&[address], "resp", 5000));
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     client.write_all(&call(1, &LOOKUP, "select 1")).expect("sent");
     let (_, kind, body) = answer(&mut client);
     // The failure ejects the only engine for a while: the answer is a rejection or all rows of a retry, never a partial result.
@@ -66,7 +66,7 @@
 fn refused_connection_is_answered_as_overloaded_with_a_retry_after() {
     let refusing_address = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
     let gateway = Gateway::start(&config(&[refusing_address], "resp", 5000));
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     client.write_all(&call(1, &LOOKUP, "select 1")).expect("sent");
     let (seq, kind, body) = answer(&mut client);
     assert_eq!((seq, kind), (1, "overloaded"));
@@ -78,13 +78,13 @@
     let (address, log) =
         resp_engine(|parts| if parts[0] == "want" { Some(String::new()) } else { served(parts) });
     let gateway = Gateway::start(&config(&[address], "resp", 5000));
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     client
         .write_all(&call(1, &[("verb", "lookup"), ("txn", "a1"), ("limit", "300")], "select 1"))
         .expect("sent");
     let (seq, kind, _) = answer(&mut client);
     assert!(seq == 1 && kind != "served", "{kind}");
-    until(&log, |log| log.iter().any(|parts| parts[0] == "never_mind"));
+    wait_for_log(&log, |log| log.iter().any(|parts| parts[0] == "never_mind"));
     // The next frame belongs to the next call: the first call was answered only once.
     client.write_all(&health(2)).expect("sent");
     assert_eq!(answer(&mut client).0, 2);
@@ -97,15 +97,17 @@
     let (address, log) =
         resp_engine(|parts| if parts[0] == "want" { Some(String::new()) } else { served(parts) });
     let gateway = Gateway::start(&config(&[address], "resp", 20_000));
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     client.write_all(&call(1, &LOOKUP, "select 1")).expect("sent");
-    until(&log, |log| log.iter().any(|parts| parts[0] == "want"));
+    wait_for_log(&log, |log| log.iter().any(|parts| parts[0] == "want"));
     if sends_cancel {
         client.write_all(&cancel(1)).expect("sent");
     } else {
         drop(client);
     }
-    until(&log, |log| log.iter().any(|parts| parts[0] == "never_mind" && parts[1] == "00000000000000a1"));
+    wait_for_log(&log, |log| {
+        log.iter().any(|parts| parts[0] == "never_mind" && parts[1] == "00000000000000a1")
+    });
 }
 
 #[rstest]
@@ -114,7 +116,7 @@
 fn invalid_frame_closes_only_its_own_connection(#[case] bytes: Vec<u8>) {
     let (address, _) = resp_engine(served);
     let gateway = Gateway::start(&config(&[address], "resp", 5000));
-    let (mut invalid_client, mut valid_client) = (gateway.client(), gateway.client());
+    let (mut invalid_client, mut valid_client) = (gateway.thrift_client(), gateway.thrift_client());
     invalid_client.write_all(&bytes).expect("sent");
     assert_eq!(std::io::Read::read(&mut invalid_client, &mut [0; 16]).unwrap_or(0), 0);
     valid_client.write_all(&call(1, &LOOKUP, "select 1")).expect("sent");
@@ -126,11 +128,11 @@
     let (address, log) =
         resp_engine(|parts| if parts[0] == "want" { Some(String::new()) } else { served(parts) });
     let mut gateway = Gateway::start(&config(&[address], "resp", 20_000));
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     client
         .write_all(&call(1, &[("verb", "lookup"), ("txn", "a1"), ("limit", "20000")], "select 1"))
         .expect("sent");
-    until(&log, |log| log.iter().any(|parts| parts[0] == "want"));
+    wait_for_log(&log, |log| log.iter().any(|parts| parts[0] == "want"));
     gateway.terminate();
     assert_eq!(answer(&mut client).1, "overloaded");
     assert!(gateway.child.wait().expect("the process exits").success());
@@ -160,7 +162,7 @@
         )
     };
     let gateway = Gateway::start(&config_with_service(0));
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     let mut send_lookup = |seq| {
         client.write_all(&call(seq, &LOOKUP, "select 1")).expect("sent");
         answer(&mut client)
@@ -219,7 +221,7 @@
     };
     let mut clients: Vec<_> = (1..=30)
         .map(|n| {
-            let mut client = gateway.client();
+            let mut client = gateway.thrift_client();
             assert_eq!(send_lookup(&mut client, 1, n), "served", "client {n}");
             client
         })
@@ -235,7 +237,7 @@
 fn silent_client_is_disconnected(#[case] bytes: Vec<u8>) {
     let (address, _) = resp_engine(served);
     let gateway = Gateway::start(&config(&[address], "resp", 5000));
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     client.write_all(&bytes).expect("sent");
     assert!(is_closed(&mut client), "the gateway closes the connection before the read times out");
 }
@@ -255,7 +257,7 @@
 fn request_with_an_invalid_field_is_an_error_and_is_never_forwarded(#[case] fields: &[(&str, &str)]) {
     let (address, log) = resp_engine(served);
     let gateway = Gateway::start(&config(&[address], "resp", 5000));
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     client.write_all(&call(1, fields, "select 1")).expect("sent");
     assert_eq!(answer(&mut client).1, "internal");
     assert!(log.lock().expect("log").iter().all(|parts| parts[0] != "want"));
@@ -269,9 +271,9 @@
     let (address, log) =
         resp_engine(|parts| if parts[0] == "want" { Some(String::new()) } else { served(parts) });
     let gateway = Gateway::start(&config(&[address], "resp", 5000));
-    let (mut client, mut other) = (gateway.client(), gateway.client());
+    let (mut client, mut other) = (gateway.thrift_client(), gateway.thrift_client());
     client.write_all(&call(1, &LOOKUP, "select 1")).expect("sent");
-    until(&log, |log| log.iter().any(|parts| parts[0] == "want"));
+    wait_for_log(&log, |log| log.iter().any(|parts| parts[0] == "want"));
     other.write_all(&call(1, &LOOKUP, "select 2")).expect("sent");
     assert_eq!(
         answer(&mut other).1,
@@ -281,7 +283,7 @@
     let fields = [("verb", "lookup"), ("txn", txn), ("limit", "5000")];
     client.write_all(&call(seq, &fields, "select 2")).expect("sent");
     assert!(is_closed(&mut client));
-    until(&log, |log| log.iter().any(|parts| parts[0] == "never_mind"));
+    wait_for_log(&log, |log| log.iter().any(|parts| parts[0] == "never_mind"));
 }
 
 /// Sequence numbers start at 1 and increase on each connection. A duplicate of another client's request arrives on a connection
@@ -294,7 +296,7 @@
 fn call_with_an_out_of_order_number_is_never_forwarded_and_closes_its_connection(#[case] numbers: &[i32]) {
     let (address, log) = resp_engine(served);
     let gateway = Gateway::start(&config(&[address], "resp", 5000));
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     let (out_of_order, before) = numbers.split_last().expect("a number");
     for (n, seq) in before.iter().enumerate() {
         let txn = format!("{n:016x}");
@@ -304,7 +306,7 @@
     }
     client.write_all(&call(*out_of_order, &LOOKUP, "select 1")).expect("sent");
     assert!(is_closed(&mut client));
-    let mut other = gateway.client();
+    let mut other = gateway.thrift_client();
     other.write_all(&call(1, &LOOKUP, "select 1")).expect("sent");
     assert_eq!(answer(&mut other).1, "served");
     let attempts_sent = log.lock().expect("log").iter().filter(|parts| parts[0] == "want").count();
@@ -330,16 +332,16 @@
         _ => Some(String::new()),
     });
     let gateway = Gateway::start(&config(&[address], "resp", 60_000));
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     let fields = [("verb", "lookup"), ("txn", "00000000000000a2"), ("limit", "60000")];
     client.write_all(&call(1, &fields, "select 1")).expect("sent");
-    until(&log, |log| log.iter().any(|parts| parts[0] == "want"));
+    wait_for_log(&log, |log| log.iter().any(|parts| parts[0] == "want"));
     let fields = [("verb", "load"), ("txn", ID), ("limit", "60000"), ("unique", "k1")];
     client.write_all(&call(2, &fields, "insert into s_1.t")).expect("sent");
     // Both requests were in flight on the connection, so both end with it and are answered.
     let kinds = [answer(&mut client).1, answer(&mut client).1];
     assert!(!kinds.contains(&"served"), "{kinds:?}");
-    until(&log, |log| log.iter().any(|parts| parts[0] == "closed"));
+    wait_for_log(&log, |log| log.iter().any(|parts| parts[0] == "closed"));
 }
 
 /// A duplicate page is ignored. Guards against a duplicate of the first page failing its request although all pages arrive.
@@ -355,8 +357,8 @@
             _ => return served(parts),
         })
     });
-    let gateway = Gateway::start(&never_late(&config(&[address], "resp", 60_000)));
-    let mut client = gateway.client();
+    let gateway = Gateway::start(&with_long_latency_objectives(&config(&[address], "resp", 60_000)));
+    let mut client = gateway.thrift_client();
     let fields = [("verb", "lookup"), ("txn", ID), ("limit", "60000")];
     client.write_all(&call(1, &fields, "select 1")).expect("sent");
     assert_eq!(answer(&mut client), (1, "served", "a\tb\tc\nd\te\tf\n".into()));
@@ -377,13 +379,13 @@
 #[test]
 fn withheld_page_ends_its_attempt() {
     let (address, log) = resp_engine(first_page_only);
-    let text = without_retry_budget(&never_late(&config(&[address], "resp", 60_000)), 1);
+    let text = without_retry_budget(&with_long_latency_objectives(&config(&[address], "resp", 60_000)), 1);
     let gateway = Gateway::start(&text);
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     let fields = [("verb", "lookup"), ("txn", ID), ("limit", "60000")];
     client.write_all(&call(1, &fields, "select 1")).expect("sent");
     assert_eq!(answer(&mut client).1, "overloaded");
-    until(&log, |log| log.iter().any(|parts| parts[0] == "shut"));
+    wait_for_log(&log, |log| log.iter().any(|parts| parts[0] == "shut"));
     let log = log.lock().expect("log");
     let commands: Vec<&str> = log.iter().map(|parts| parts[0].as_str()).collect();
     assert_eq!(commands, ["want", "turn", "shut"]);
@@ -394,12 +396,12 @@
 #[test]
 fn cancel_between_pages_releases_the_result() {
     let (address, log) = resp_engine(first_page_only);
-    let gateway = Gateway::start(&never_late(&config(&[address], "resp", 60_000)));
-    let mut client = gateway.client();
+    let gateway = Gateway::start(&with_long_latency_objectives(&config(&[address], "resp", 60_000)));
+    let mut client = gateway.thrift_client();
     let fields = [("verb", "lookup"), ("txn", ID), ("limit", "60000")];
     client.write_all(&call(1, &fields, "select 1")).expect("sent");
-    until(&log, |log| log.iter().any(|parts| parts[0] == "turn"));
+    wait_for_log(&log, |log| log.iter().any(|parts| parts[0] == "turn"));
     client.write_all(&cancel(1)).expect("sent");
-    until(&log, |log| log.iter().any(|parts| parts[0] == "shut" && parts[1] == ID));
+    wait_for_log(&log, |log| log.iter().any(|parts| parts[0] == "shut" && parts[1] == ID));
     assert!(log.lock().expect("log").iter().all(|parts| parts[0] != "never_mind"));
 }
--- a/tests/stand/config.rs
+++ b/tests/stand/config.rs
@@ -32,26 +32,26 @@
 }
 
 /// Replaces the first occurrence of `from` in a text, and fails if there is none.
-pub(crate) fn changed(text: &str, from: &str, to: &str) -> String {
+pub(crate) fn with_replacement(text: &str, from: &str, to: &str) -> String {
     assert!(text.contains(from), "the text does not contain {from}");
     text.replacen(from, to, 1)
 }
 
 /// Makes requests of the class `load` non-idempotent: each may run at most once.
-pub(crate) fn at_most_once(config: &str) -> String {
+pub(crate) fn with_non_idempotent_loads(config: &str) -> String {
     let keyed = r#""idempotency":"deduplicated","dedup_scope":"all","window":12000"#;
-    changed(config, keyed, r#""idempotency":"at_most_once""#)
+    with_replacement(config, keyed, r#""idempotency":"at_most_once""#)
 }
 
 /// Raises the latency objectives to 60 s, so that no request is late before its own timeout and attempts end only by events
 /// that the test causes.
-pub(crate) fn never_late(config: &str) -> String {
-    let text = changed(config, r#""on_time":500"#, r#""on_time":60000"#);
-    changed(&text, r#""on_time":900"#, r#""on_time":60000"#)
+pub(crate) fn with_long_latency_objectives(config: &str) -> String {
+    let text = with_replacement(config, r#""on_time":500"#, r#""on_time":60000"#);
+    with_replacement(&text, r#""on_time":900"#, r#""on_time":60000"#)
 }
 
 /// Removes the retry budget, and sets the maximum number of attempts per request.
 pub(crate) fn without_retry_budget(config: &str, max_attempts: u32) -> String {
-    let text = changed(config, r#","extra_free":2,"extra_per_request":0.2,"ratio_span":10000"#, "");
-    changed(&text, r#""send_cap":3"#, &format!(r#""send_cap":{max_attempts}"#))
+    let text = with_replacement(config, r#","extra_free":2,"extra_per_request":0.2,"ratio_span":10000"#, "");
+    with_replacement(&text, r#""send_cap":3"#, &format!(r#""send_cap":{max_attempts}"#))
 }
--- a/tests/stand/discovery.rs
+++ b/tests/stand/discovery.rs
@@ -1,13 +1,13 @@
 //! A name service for which the test determines each answer.
 
-use super::names_answer_of;
+use super::names_answer_with_draining;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A query that was received and not answered yet.
+/// A poll of the endpoint list that was received and not answered yet.
 #[derive(Debug, Clone)]
-pub(crate) struct ReceivedQuery {
+pub(crate) struct ReceivedPoll {
     pub(crate) bytes: Vec<u8>,
     /// Address of the gateway's socket.
     pub(crate) from: SocketAddr,
@@ -27,27 +27,27 @@
         Self { address: socket.local_addr().expect("bound"), socket: Arc::new(socket) }
     }
 
-    /// Receives the next query, within 30 s.
-    pub(crate) fn next(&self) -> ReceivedQuery {
+    /// Receives the next poll, within 30 s.
+    pub(crate) fn next_poll(&self) -> ReceivedPoll {
         let mut bytes = [0; 512];
-        let (len, from) = self.socket.recv_from(&mut bytes).expect("a query within 30 s");
-        ReceivedQuery { bytes: bytes[..len].to_vec(), from }
+        let (len, from) = self.socket.recv_from(&mut bytes).expect("a poll within 30 s");
+        ReceivedPoll { bytes: bytes[..len].to_vec(), from }
     }
 
-    /// Discards the queries that have arrived and were not received.
-    pub(crate) fn discard_questions(&self) {
+    /// Discards the polls that have arrived and were not received.
+    pub(crate) fn discard_polls(&self) {
         self.socket.set_nonblocking(true).expect("set");
         while self.socket.recv(&mut [0; 512]).is_ok() {}
         self.socket.set_nonblocking(false).expect("set");
     }
 
-    /// Answers a query with an endpoint list. Each engine has an id, an address, and a flag for whether it is draining.
-    pub(crate) fn answer(&self, query: &ReceivedQuery, serial: u32, engines: &[(&str, SocketAddr, bool)]) {
-        self.send(query, &names_answer_of(&query.bytes, serial, engines));
+    /// Answers a poll with an endpoint list. Each engine has an id, an address, and a flag for whether it is draining.
+    pub(crate) fn answer(&self, poll: &ReceivedPoll, serial: u32, engines: &[(&str, SocketAddr, bool)]) {
+        self.send(poll, &names_answer_with_draining(&poll.bytes, serial, engines));
     }
 
-    /// Answers a query with arbitrary bytes.
-    pub(crate) fn send(&self, query: &ReceivedQuery, bytes: &[u8]) {
-        self.socket.send_to(bytes, query.from).expect("sent");
+    /// Answers a poll with arbitrary bytes.
+    pub(crate) fn send(&self, poll: &ReceivedPoll, bytes: &[u8]) {
+        self.socket.send_to(bytes, poll.from).expect("sent");
     }
 }
--- a/tests/stand/engines.rs
+++ b/tests/stand/engines.rs
@@ -1,6 +1,6 @@
 //! Test doubles of platform engines and ClickHouse engines, which record the commands that they receive.
 
-use super::http::web_message;
+use super::http::read_http;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -38,11 +38,11 @@
 pub(crate) fn resp_engine(
     respond: impl Fn(&[String]) -> Option<String> + Send + Sync + 'static,
 ) -> (SocketAddr, Log) {
-    resp_engine_that(replying(respond))
+    resp_engine_with_handler(replying(respond))
 }
 
 /// Starts a platform engine that passes each command and its connection to `handle`, and closes the connection on `false`.
-pub(crate) fn resp_engine_that(
+pub(crate) fn resp_engine_with_handler(
     handle: impl Fn(&[String], &mut TcpStream) -> bool + Send + Sync + 'static,
 ) -> (SocketAddr, Log) {
     serve(commands(handle))
@@ -72,7 +72,7 @@
 ) -> (SocketAddr, Log) {
     serve(move |stream, log| {
         let mut reader = BufReader::new(stream.try_clone().expect("cloned"));
-        while let Some((head, body)) = web_message(&mut reader) {
+        while let Some((head, body)) = read_http(&mut reader) {
             let target = head[0].split(' ').nth(1).expect("a target").to_owned();
             log.lock().expect("log").push(vec![target.clone(), body.clone()]);
             let Some(response) = respond(&target, &body) else { return };
@@ -115,14 +115,14 @@
 
 /// Starts a platform engine that withholds its first answer to the command `want` of the given name. It sends that answer after
 /// the first [`Barrier::wait`], and then joins the second one. All other commands are answered with the result of `respond`.
-pub(crate) fn resp_engine_that_holds(
+pub(crate) fn resp_engine_withholding(
     name: &'static str,
     held_answer: String,
     respond: impl Fn(&[String]) -> Option<String> + Send + Sync + 'static,
 ) -> (SocketAddr, Log, Arc<Barrier>) {
     let barrier = Arc::new(Barrier::new(2));
     let (engine_barrier, is_first, respond) = (barrier.clone(), AtomicBool::new(true), replying(respond));
-    let (address, log) = resp_engine_that(move |parts, stream| {
+    let (address, log) = resp_engine_with_handler(move |parts, stream| {
         let is_held = parts[0] == "want" && parts[1] == name && is_first.swap(false, Ordering::SeqCst);
         if !is_held {
             return respond(parts, stream);
--- a/tests/stand/faults.rs
+++ b/tests/stand/faults.rs
@@ -39,9 +39,9 @@
     }
 
     /// Waits until a fault with the given name has occurred.
-    pub(crate) fn until_happened(&self, fault: &str) {
+    pub(crate) fn wait_for_fault(&self, fault: &str) {
         let report = self.folder.path().join(format!("on.{fault}"));
-        super::until_true(|| report.exists());
+        super::wait_until(|| report.exists());
     }
 
     /// Sets up a command so that its process runs with these faults.
--- a/tests/stand/gateway.rs
+++ b/tests/stand/gateway.rs
@@ -1,7 +1,7 @@
 //! The gateway as a child process.
 
 use super::network::{connect, socket_table_address, socket_table_inodes};
-use super::waits::until_true;
+use super::waits::wait_until;
 use rustix::process::{kill_process, Pid, Signal};
 use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader};
@@ -50,7 +50,7 @@
     }
 
     /// Starts a gateway from a shell that executes another command first.
-    pub(crate) fn start_after(config: &str, setup: &str) -> Self {
+    pub(crate) fn start_after_command(config: &str, setup: &str) -> Self {
         let config_file = std::env::temp_dir().join(format!(
             "starlingplank-{}-{:?}",
             std::process::id(),
@@ -98,7 +98,7 @@
     /// Stops the process with SIGSTOP, and returns once all of its threads have stopped.
     pub(crate) fn stop(&self) {
         self.send_signal(Signal::STOP);
-        until_true(|| self.has_stopped());
+        wait_until(|| self.has_stopped());
     }
 
     /// Resumes a stopped process.
@@ -124,7 +124,7 @@
     ///
     /// The kernel's socket table is read in parts, so it may list a connection twice, and it holds the connections of all
     /// processes. Each connection therefore counts once, and only if this process still has it open after the table was read.
-    pub(crate) fn connections_coming_up(&self, at: SocketAddr) -> usize {
+    pub(crate) fn connecting_count(&self, at: SocketAddr) -> usize {
         let (to, syn_sent) = (socket_table_address(at), "02");
         let inodes =
             socket_table_inodes(|words| words.get(2) == Some(&&*to) && words.get(3) == Some(&syn_sent));
@@ -144,10 +144,10 @@
     }
 
     /// Waits until the end of a client's stream has arrived in the process's receive queue, after all that the client sent.
-    pub(crate) fn until_stream_end_arrived(&self, client: SocketAddr) {
+    pub(crate) fn wait_for_stream_end(&self, client: SocketAddr) {
         let (from, close_wait) = (socket_table_address(client), "08");
         let arrived = |words: &[&str]| words.get(2) == Some(&&*from) && words.get(3) == Some(&close_wait);
-        until_true(|| !socket_table_inodes(arrived).is_empty());
+        wait_until(|| !socket_table_inodes(arrived).is_empty());
     }
 
     /// Writes a new configuration and makes the gateway reload it with SIGHUP.
@@ -157,7 +157,7 @@
     }
 
     /// Terminates the gateway, and returns the counts of each class that it logs on exit.
-    pub(crate) fn counts(mut self) -> Vec<String> {
+    pub(crate) fn request_counts(mut self) -> Vec<String> {
         self.terminate();
         assert!(self.child.wait().expect("the process exits").success());
         let output = self.output.take().expect("once").join().expect("read");
@@ -169,11 +169,11 @@
             .collect()
     }
 
-    pub(crate) fn client(&self) -> TcpStream {
+    pub(crate) fn thrift_client(&self) -> TcpStream {
         connect(self.thrift)
     }
 
-    pub(crate) fn web(&self) -> TcpStream {
+    pub(crate) fn http_client(&self) -> TcpStream {
         connect(self.http.expect("an HTTP address"))
     }
 }
--- a/tests/stand/http.rs
+++ b/tests/stand/http.rs
@@ -6,7 +6,7 @@
 
 /// Reads an HTTP message. Returns the lines of its head, and its body. If a chunked body is truncated, the part that was received
 /// is followed by `<cut>`.
-pub(crate) fn web_message(reader: &mut impl BufRead) -> Option<(Vec<String>, String)> {
+pub(crate) fn read_http(reader: &mut impl BufRead) -> Option<(Vec<String>, String)> {
     let mut head: Vec<String> = Vec::new();
     loop {
         let mut line = String::new();
@@ -48,14 +48,14 @@
 }
 
 /// Encodes an HTTP response.
-pub(crate) fn web_answer(status: &str, headers: &str, body: &str) -> String {
+pub(crate) fn encode_http(status: &str, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
 /// Sends a request and reads the response. Returns the status line and headers as one text, and the body.
-pub(crate) fn ask(stream: &mut TcpStream, request: &str) -> (String, String) {
+pub(crate) fn http_request(stream: &mut TcpStream, request: &str) -> (String, String) {
     stream.write_all(request.as_bytes()).expect("sent");
     let mut reader = BufReader::new(stream);
-    let (head, body) = web_message(&mut reader).expect("an answer");
+    let (head, body) = read_http(&mut reader).expect("an answer");
     (head.join("\n"), body)
 }
--- a/tests/stand/names.rs
+++ b/tests/stand/names.rs
@@ -7,16 +7,20 @@
 /// Encodes the answer of the name service to a query: an endpoint list with a serial number, in which no engine is draining.
 pub(crate) fn names_answer(query: &[u8], serial: u32, engines: &[(&str, SocketAddr)]) -> Vec<u8> {
     let all: Vec<_> = engines.iter().map(|(id, at)| (*id, *at, false)).collect();
-    names_answer_of(query, serial, &all)
+    names_answer_with_draining(query, serial, &all)
 }
 
 /// Encodes the answer to a query as [`names_answer`] does, with a flag per engine for whether it is draining.
-pub(crate) fn names_answer_of(query: &[u8], serial: u32, engines: &[(&str, SocketAddr, bool)]) -> Vec<u8> {
+pub(crate) fn names_answer_with_draining(
+    query: &[u8],
+    serial: u32,
+    engines: &[(&str, SocketAddr, bool)],
+) -> Vec<u8> {
     let all: Vec<_> = engines.iter().map(|(id, at, is_draining)| (*id, *at, *is_draining, 0)).collect();
     names_answer_with_starts(query, serial, &all)
 }
 
-/// Encodes the answer to a query as [`names_answer_of`] does, with the start time of each engine in Unix milliseconds, or 0 if it
+/// Encodes the answer to a query as [`names_answer_with_draining`] does, with the start time of each engine in Unix milliseconds, or 0 if it
 /// started long ago.
 pub(crate) fn names_answer_with_starts(
     query: &[u8],
@@ -62,7 +66,7 @@
         let mut bytes = [0; 512];
         while let Ok((len, from)) = socket.recv_from(&mut bytes) {
             if let Some((serial, list)) = &*current.lock().expect("list") {
-                let _ = socket.send_to(&names_answer_of(&bytes[..len], *serial, list), from);
+                let _ = socket.send_to(&names_answer_with_draining(&bytes[..len], *serial, list), from);
             }
         }
     });
--- a/tests/stand/network.rs
+++ b/tests/stand/network.rs
@@ -1,6 +1,6 @@
 //! Helpers for the kernel's socket table, for listeners with a full accept queue, and for addresses that refuse connections.
 
-use super::waits::until_true;
+use super::waits::wait_until;
 use std::collections::BTreeSet;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::thread;
@@ -30,7 +30,7 @@
 }
 
 /// Waits until the process that owns an address has read all data that has arrived on its connections.
-pub(crate) fn until_read(at: SocketAddr) {
+pub(crate) fn wait_until_read(at: SocketAddr) {
     const QUEUES_COLUMN: usize = 4;
     let own = socket_table_address(at);
     let is_unread = |words: &[&str]| {
@@ -38,7 +38,7 @@
         words.get(1) == Some(&&*own)
             && received.is_some_and(|(_, bytes)| bytes.bytes().any(|digit| digit != b'0'))
     };
-    until_true(|| socket_table_inodes(is_unread).is_empty());
+    wait_until(|| socket_table_inodes(is_unread).is_empty());
 }
 
 /// Returns a listener whose accept queue is full, and the connections that fill it. Further connections are established once the
@@ -58,7 +58,7 @@
 }
 
 /// Waits until a connection to an address is being opened and not established yet.
-pub(crate) fn until_coming_up(at: SocketAddr) {
+pub(crate) fn wait_until_connecting(at: SocketAddr) {
     let (to, syn_sent) = (format!("0100007F:{:04X}", at.port()), "02");
     let is_being_opened = |line: &str| {
         let words: Vec<&str> = line.split_whitespace().collect();
@@ -76,7 +76,7 @@
 
 /// Returns an address that refuses connections, and a socket that reserves it. Nothing can listen there until the socket is
 /// dropped.
-pub(crate) fn refusing() -> (tokio::net::TcpSocket, SocketAddr) {
+pub(crate) fn refused_address() -> (tokio::net::TcpSocket, SocketAddr) {
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let at = socket.local_addr().expect("bound");
--- a/tests/stand/requests.rs
+++ b/tests/stand/requests.rs
@@ -50,13 +50,13 @@
 }
 
 /// Sends one request on a connection and asserts that it is served.
-pub(crate) fn is_served(mut client: TcpStream, n: usize) {
+pub(crate) fn assert_served(mut client: TcpStream, n: usize) {
     client.write_all(&lookup(1, n)).expect("sent");
     assert_eq!(answer(&mut client).1, "served");
 }
 
 /// Terminates the process with SIGTERM and asserts that it exits with code 0.
-pub(crate) fn ends_well(gateway: &mut Gateway) {
+pub(crate) fn terminate_and_expect_success(gateway: &mut Gateway) {
     gateway.terminate();
     assert!(gateway.child.wait().expect("the process exits").success());
 }
--- a/tests/stand/waits.rs
+++ b/tests/stand/waits.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 /// Waits until the log satisfies a predicate. Fails if it doesn't within the polling limit.
-pub(crate) fn until(log: &Log, matches: impl Fn(&[Vec<String>]) -> bool) {
+pub(crate) fn wait_for_log(log: &Log, matches: impl Fn(&[Vec<String>]) -> bool) {
     for _ in 0..30_000 {
         if matches(&log.lock().expect("log")) {
             return;
@@ -16,7 +16,7 @@
 }
 
 /// Waits until a condition holds. Fails if it doesn't within the polling limit.
-pub(crate) fn until_true(holds: impl Fn() -> bool) {
+pub(crate) fn wait_until(holds: impl Fn() -> bool) {
     for _ in 0..30_000 {
         if holds() {
             return;
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -21,12 +21,15 @@
     const REQUESTS: usize = 40;
     let (address, log) = match protocol {
         "resp" => resp_engine(served),
-        _ => http_engine(|_, _| Some(web_answer("200 OK", "", "a\tb\tc\n"))),
+        _ => http_engine(|_, _| Some(encode_http("200 OK", "", "a\tb\tc\n"))),
     };
     let faults = Faults::new("seed=3,interrupt=0.2,short=0.05");
-    let mut gateway = Gateway::start_with_faults(&never_late(&config(&[address], protocol, 60_000)), &faults);
+    let mut gateway = Gateway::start_with_faults(
+        &with_long_latency_objectives(&config(&[address], protocol, 60_000)),
+        &faults,
+    );
     faults.begin();
-    let clients: Vec<_> = (0..CLIENTS).map(|_| gateway.client()).collect();
+    let clients: Vec<_> = (0..CLIENTS).map(|_| gateway.thrift_client()).collect();
     let clients = clients.into_iter().enumerate().map(|(number, mut client)| {
         thread::spawn(move || {
             for seq in 1..=REQUESTS {
@@ -38,7 +41,7 @@
     for client in clients.collect::<Vec<_>>() {
         client.join().expect("each request is served");
     }
-    ends_well(&mut gateway);
+    terminate_and_expect_success(&mut gateway);
     let queries =
         |log: &Log| log.lock().expect("log").iter().filter(|line| line[0].contains("query_id")).count();
     match protocol {
@@ -56,17 +59,20 @@
 fn engine_is_not_ejected_when_sockets_and_connects_fail_for_a_moment() {
     const REQUESTS: usize = 30;
     // The engine closes its connection after each answer, so that each request needs a new one.
-    let (address, log) = resp_engine_that(|parts, stream| {
+    let (address, log) = resp_engine_with_handler(|parts, stream| {
         let reply = served(parts).unwrap_or_default();
         stream.write_all(reply.as_bytes()).is_ok() && parts[0] != "want"
     });
     let faults = Faults::new("seed=5,socket=0.3,connect=0.3");
-    let mut gateway = Gateway::start_with_faults(&never_late(&config(&[address], "resp", 60_000)), &faults);
+    let mut gateway = Gateway::start_with_faults(
+        &with_long_latency_objectives(&config(&[address], "resp", 60_000)),
+        &faults,
+    );
     faults.begin();
     for n in 1..=REQUESTS {
-        is_served(gateway.client(), n);
+        assert_served(gateway.thrift_client(), n);
     }
-    ends_well(&mut gateway);
+    terminate_and_expect_success(&mut gateway);
     assert_eq!(attempts(&log).values().sum::<usize>(), REQUESTS);
 }
 
@@ -76,7 +82,7 @@
     let (address, _) = resp_engine(served);
     let faults = Faults::new("socket_first=3");
     let gateway = Gateway::start_with_faults(&config(&[address], "resp", 20_000), &faults);
-    is_served(gateway.client(), 1);
+    assert_served(gateway.thrift_client(), 1);
 }
 
 /// The configuration file is a pipe, so that the process waits in the read of it until the test writes; SIGHUP arrives meanwhile.
--- a/tests/unsafe_classes.rs
+++ b/tests/unsafe_classes.rs
@@ -58,14 +58,14 @@
     /// What an engine of the ClickHouse interface says to a request.
     fn http(self, target: &str) -> Option<String> {
         if target.starts_with("/ping") {
-            return Some(web_answer("200 OK", "", "Ok.\n"));
+            return Some(encode_http("200 OK", "", "Ok.\n"));
         }
         match self {
             End::Overload => {
-                Some(web_answer("503 Busy", "X-ClickHouse-Exception-Code: 202\r\n", "Code: 202."))
+                Some(encode_http("503 Busy", "X-ClickHouse-Exception-Code: 202\r\n", "Code: 202."))
             }
             End::Crashed => {
-                Some(web_answer("500 Error", "X-ClickHouse-Exception-Code: 241\r\n", "Code: 241."))
+                Some(encode_http("500 Error", "X-ClickHouse-Exception-Code: 241\r\n", "Code: 241."))
             }
             _ => None,
         }
@@ -79,7 +79,7 @@
         End::WaitsThenReset => "detail=w,v=2",
         _ => return resp_engine(move |parts| end.resp(parts)),
     };
-    resp_engine_that(move |parts, stream| {
+    resp_engine_with_handler(move |parts, stream| {
         let runs = parts[0] == "want";
         let said = if runs { Some(reply(&[&parts[1], "update", update, ""])) } else { served(parts) };
         stream.write_all(said.unwrap_or_default().as_bytes()).is_ok() && !runs
@@ -95,12 +95,12 @@
     let engines = [start(), start()];
     let at = engines.each_ref().map(|e| e.0);
     let logs = engines.each_ref().map(|e| e.1.clone());
-    let gateway = Gateway::start(&settings(&at, wire, AIM));
-    let mut client = gateway.client();
-    client.write_all(&request(1, class, LOAD, LONG)).expect("sent");
+    let gateway = Gateway::start(&settings(&at, wire, LATENCY_OBJECTIVE_MS));
+    let mut client = gateway.thrift_client();
+    client.write_all(&request(1, class, LOAD, LONG_TIMEOUT_MS)).expect("sent");
     let (seq, kind, _) = answer(&mut client);
     assert_eq!(seq, 1);
-    (kind, all_runs(&logs, LOAD))
+    (kind, total_attempt_count(&logs, LOAD))
 }
 
 #[rstest]
@@ -109,7 +109,7 @@
 #[case::too_many_queries(End::Overload, "clickhouse")]
 fn what_surely_never_ran_is_sent_again_and_refused_at_last(#[case] end: End, #[case] wire: &str) {
     let (kind, sent) = sent_to_two(end, wire, "load");
-    assert_eq!(kind, TURNED_AWAY, "trying again is harmless");
+    assert_eq!(kind, REJECTED, "trying again is harmless");
     assert!(sent >= 2, "sent {sent} times");
 }
 
@@ -142,13 +142,13 @@
     #[case] hangs: bool,
     #[case] wire: &str,
 ) {
-    let (_held, refusing) = refusing();
+    let (_held, refusing) = refused_address();
     let (listener, filling) = full_listener();
     let at = if hangs { listener.local_addr().expect("bound") } else { refusing };
-    let gateway = Gateway::start(&settings(&[at], wire, AIM));
-    let mut client = gateway.client();
-    client.write_all(&request(1, "load", LOAD, LONG)).expect("sent");
-    assert_eq!(answer(&mut client).1, TURNED_AWAY);
+    let gateway = Gateway::start(&settings(&[at], wire, LATENCY_OBJECTIVE_MS));
+    let mut client = gateway.thrift_client();
+    client.write_all(&request(1, "load", LOAD, LONG_TIMEOUT_MS)).expect("sent");
+    assert_eq!(answer(&mut client).1, REJECTED);
     // Whatever did come up later has nothing to say.
     drop(filling);
     drop(gateway);
@@ -164,15 +164,15 @@
 /// One engine takes no connection; the attempt moves on to the one that does, and runs there once.
 #[test]
 fn request_that_met_a_refused_connection_runs_at_another_engine() {
-    let (_held, refusing) = refusing();
+    let (_held, refusing) = refused_address();
     let (good, log) = resp_engine(served);
-    let gateway = Gateway::start(&settings(&[refusing, good], "resp", LONG));
-    let mut client = gateway.client();
+    let gateway = Gateway::start(&settings(&[refusing, good], "resp", LONG_TIMEOUT_MS));
+    let mut client = gateway.thrift_client();
     for seq in 1..=20 {
         let txn = format!("{seq:016x}");
-        client.write_all(&request(seq, "load", &txn, LONG)).expect("sent");
+        client.write_all(&request(seq, "load", &txn, LONG_TIMEOUT_MS)).expect("sent");
         assert_eq!(answer(&mut client).1, "served");
-        assert_eq!(runs(&log, &txn), 1);
+        assert_eq!(attempt_count(&log, &txn), 1);
     }
 }
 
@@ -182,18 +182,18 @@
 #[case::clickhouse("clickhouse")]
 fn request_that_times_out_fails_and_is_not_sent_again(#[case] wire: &str) {
     let start = || match wire {
-        "resp" => resp_engine(silent),
+        "resp" => resp_engine(unresponsive_engine),
         _ => http_engine(|target, _| {
-            let answer = || web_answer("200 OK", "", "Ok.\n");
+            let answer = || encode_http("200 OK", "", "Ok.\n");
             Some(if target.starts_with("/ping") { answer() } else { String::new() })
         }),
     };
     let engines = [start(), start()];
-    let gateway = Gateway::start(&settings(&[engines[0].0, engines[1].0], wire, LONG));
-    let mut client = gateway.client();
+    let gateway = Gateway::start(&settings(&[engines[0].0, engines[1].0], wire, LONG_TIMEOUT_MS));
+    let mut client = gateway.thrift_client();
     client.write_all(&request(1, "load", LOAD, 400)).expect("sent");
     assert_eq!(answer(&mut client).1, FAILED);
-    assert_eq!(runs(&engines[0].1, LOAD) + runs(&engines[1].1, LOAD), 1);
+    assert_eq!(attempt_count(&engines[0].1, LOAD) + attempt_count(&engines[1].1, LOAD), 1);
 }
 
 /// The client withdraws what runs: it is given up there, and goes nowhere else.
@@ -201,23 +201,23 @@
 #[case::cancel(true)]
 #[case::close(false)]
 fn request_that_its_client_gave_up_is_not_sent_again(#[case] says_so: bool) {
-    let engines = [resp_engine(silent), resp_engine(silent)];
+    let engines = [resp_engine(unresponsive_engine), resp_engine(unresponsive_engine)];
     let logs = engines.each_ref().map(|e| e.1.clone());
-    let gateway = Gateway::start(&settings(&[engines[0].0, engines[1].0], "resp", LONG));
-    let mut client = gateway.client();
-    client.write_all(&request(1, "load", LOAD, LONG)).expect("sent");
-    until_either(&logs, |parts| parts[0] == "want");
+    let gateway = Gateway::start(&settings(&[engines[0].0, engines[1].0], "resp", LONG_TIMEOUT_MS));
+    let mut client = gateway.thrift_client();
+    client.write_all(&request(1, "load", LOAD, LONG_TIMEOUT_MS)).expect("sent");
+    wait_for_any_log(&logs, |parts| parts[0] == "want");
     if says_so {
         client.write_all(&cancel(1)).expect("sent");
     } else {
         drop(client);
     }
-    until_either(&logs, |parts| parts[0] == "never_mind" && parts[1] == LOAD);
+    wait_for_any_log(&logs, |parts| parts[0] == "never_mind" && parts[1] == LOAD);
     // Another request has passed since: whatever the first had left to do is done.
-    let mut after = gateway.client();
+    let mut after = gateway.thrift_client();
     after.write_all(&request(1, "lookup", "abcdef00000000b1", 200)).expect("sent");
     answer(&mut after);
-    assert_eq!(all_runs(&logs, LOAD), 1);
+    assert_eq!(total_attempt_count(&logs, LOAD), 1);
 }
 
 /// An engine says twice that an attempt never ran, the second time after the next attempt has reached it: the copy answers
@@ -227,7 +227,7 @@
 #[case::overload("overload")]
 fn copy_of_an_answer_does_not_end_the_next_attempt(#[case] word: &'static str) {
     let first: Arc<Mutex<Option<TcpStream>>> = Arc::default();
-    let (at, log) = resp_engine_that(move |parts, stream| {
+    let (at, log) = resp_engine_with_handler(move |parts, stream| {
         let never_ran = || reply(&[&parts[1], word, "-", ""]);
         if parts[0] != "want" || parts[1] != LOAD {
             return stream.write_all(served(parts).unwrap_or_default().as_bytes()).is_ok();
@@ -239,14 +239,14 @@
         *first = Some(says);
         said
     });
-    let gateway = Gateway::start(&settings(&[at], "resp", LONG));
-    let mut client = gateway.client();
-    client.write_all(&request(1, "load", LOAD, LONG)).expect("sent");
-    until(&log, |l| l.iter().filter(|p| p[0] == "want" && p[1] == LOAD).count() >= 2);
+    let gateway = Gateway::start(&settings(&[at], "resp", LONG_TIMEOUT_MS));
+    let mut client = gateway.thrift_client();
+    client.write_all(&request(1, "load", LOAD, LONG_TIMEOUT_MS)).expect("sent");
+    wait_for_log(&log, |l| l.iter().filter(|p| p[0] == "want" && p[1] == LOAD).count() >= 2);
     // What follows on the same connection is read after the copy.
     for seq in 2..10 {
-        client.write_all(&request(seq, "lookup", &format!("{seq:016x}"), LONG)).expect("sent");
+        client.write_all(&request(seq, "lookup", &format!("{seq:016x}"), LONG_TIMEOUT_MS)).expect("sent");
         answer(&mut client);
     }
-    assert_eq!(runs(&log, LOAD), 2, "the second attempt runs, and a third was sent");
+    assert_eq!(attempt_count(&log, LOAD), 2, "the second attempt runs, and a third was sent");
 }
--- a/tests/unsafe_classes_through_changes.rs
+++ b/tests/unsafe_classes_through_changes.rs
@@ -37,22 +37,22 @@
     let old = listener.local_addr().expect("bound");
     let (new, log) = resp_engine(served);
     let (names, said) = list_service();
-    let text = changed(
-        &settings(&[old], "resp", LONG),
+    let text = with_replacement(
+        &settings(&[old], "resp", LONG_TIMEOUT_MS),
         r#""connect_timeout":250"#,
-        &format!(r#""connect_timeout":{LONG}"#),
+        &format!(r#""connect_timeout":{LONG_TIMEOUT_MS}"#),
     );
     let gateway = Gateway::start(&text.replacen('{', &format!(r#"{{"names":"{names}","#), 1));
-    let mut client = gateway.client();
-    client.write_all(&request(1, "load", LOAD, LONG)).expect("sent");
-    until_coming_up(old);
+    let mut client = gateway.thrift_client();
+    client.write_all(&request(1, "load", LOAD, LONG_TIMEOUT_MS)).expect("sent");
+    wait_until_connecting(old);
     *said.lock().expect("said") = Some(how.list(old, new));
     assert_eq!(answer(&mut client).1, "served");
     let late = resp_engine_at(listener, served);
     drop(filling);
     // What filled the queue ends, and so does the gateway's connection: it is up by then, and had nothing to say.
-    until(&late, |l| l.iter().filter(|p| p[0] == "closed").count() == 2);
-    assert_eq!((runs(&log, LOAD), runs(&late, LOAD)), (1, 0));
+    wait_for_log(&late, |l| l.iter().filter(|p| p[0] == "closed").count() == 2);
+    assert_eq!((attempt_count(&log, LOAD), attempt_count(&late, LOAD)), (1, 0));
 }
 
 /// A request runs on an engine that leaves the list. One that drains ends what it has; what was out on one that has gone
@@ -61,64 +61,67 @@
 #[case::drains(Leaves::Drains, "served")]
 #[case::is_gone(Leaves::IsGone, FAILED)]
 fn request_that_runs_where_its_engine_leaves_is_not_sent_again(#[case] how: Leaves, #[case] ends: &str) {
-    let (old, old_log, released) = holding();
+    let (old, old_log, released) = withholding_engine();
     let (new, new_log) = resp_engine(served);
     let (names, said) = list_service();
-    let text = settings(&[old], "resp", LONG);
+    let text = settings(&[old], "resp", LONG_TIMEOUT_MS);
     let gateway = Gateway::start(&text.replacen('{', &format!(r#"{{"names":"{names}","#), 1));
-    let mut client = gateway.client();
-    client.write_all(&request(1, "load", LOAD, LONG)).expect("sent");
-    until(&old_log, |l| l.iter().any(|p| p[0] == "want"));
+    let mut client = gateway.thrift_client();
+    client.write_all(&request(1, "load", LOAD, LONG_TIMEOUT_MS)).expect("sent");
+    wait_for_log(&old_log, |l| l.iter().any(|p| p[0] == "want"));
     *said.lock().expect("said") = Some(how.list(old, new));
-    until_used(&gateway, &new_log);
+    send_until_used(&gateway, &new_log);
     released.store(how == Leaves::Drains, Ordering::SeqCst);
     assert_eq!(answer(&mut client).1, ends);
-    assert_eq!((runs(&old_log, LOAD), runs(&new_log, LOAD)), (1, 0));
+    assert_eq!((attempt_count(&old_log, LOAD), attempt_count(&new_log, LOAD)), (1, 0));
 }
 
 /// A new configuration is read while a request runs: it stays where it is.
 #[test]
 fn request_that_runs_through_a_reload_is_not_sent_again() {
-    let (old, old_log, released) = holding();
+    let (old, old_log, released) = withholding_engine();
     let (new, new_log) = resp_engine(served);
     let (names, said) = list_service();
-    let text = settings(&[old], "resp", LONG);
+    let text = settings(&[old], "resp", LONG_TIMEOUT_MS);
     let gateway = Gateway::start(&text);
-    let mut client = gateway.client();
-    client.write_all(&request(1, "load", LOAD, LONG)).expect("sent");
-    until(&old_log, |l| l.iter().any(|p| p[0] == "want"));
+    let mut client = gateway.thrift_client();
+    client.write_all(&request(1, "load", LOAD, LONG_TIMEOUT_MS)).expect("sent");
+    wait_for_log(&old_log, |l| l.iter().any(|p| p[0] == "want"));
     *said.lock().expect("said") = Some((2, vec![("s-0", old, false), ("s-1", new, false)]));
     gateway.reload(&text.replacen('{', &format!(r#"{{"names":"{names}","#), 1));
-    until_used(&gateway, &new_log);
+    send_until_used(&gateway, &new_log);
     released.store(true, Ordering::SeqCst);
     assert_eq!(answer(&mut client).1, "served");
-    assert_eq!((runs(&old_log, LOAD), runs(&new_log, LOAD)), (1, 0));
+    assert_eq!((attempt_count(&old_log, LOAD), attempt_count(&new_log, LOAD)), (1, 0));
 }
 
 /// The process is told to end while a request is out that its engine never answers. What may have run fails; what is safe
 /// to repeat is refused.
 #[rstest]
 #[case::must_not_run_twice("load", FAILED)]
-#[case::safe("lookup", TURNED_AWAY)]
+#[case::safe("lookup", REJECTED)]
 fn request_that_is_out_as_the_process_ends_fails_and_is_not_sent_again(
     #[case] class: &str,
     #[case] ends: &str,
 ) {
-    let engines = [resp_engine(silent), resp_engine(silent)];
+    let engines = [resp_engine(unresponsive_engine), resp_engine(unresponsive_engine)];
     let logs = engines.each_ref().map(|e| e.1.clone());
     // What is open at SIGTERM is answered by the longest deadline; the client waits longer than that.
-    let text = without_retry_budget(&at_most_once(&config(&[engines[0].0, engines[1].0], "resp", 900)), 5);
+    let text = without_retry_budget(
+        &with_non_idempotent_loads(&config(&[engines[0].0, engines[1].0], "resp", 900)),
+        5,
+    );
     // Nothing but the end gives an attempt up.
-    let text = changed(&text, r#""cancelling":true"#, r#""cancelling":false"#);
+    let text = with_replacement(&text, r#""cancelling":true"#, r#""cancelling":false"#);
     let mut gateway = Gateway::start(&text);
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     client.write_all(&request(1, class, LOAD, 9_000)).expect("sent");
-    until_either(&logs, |parts| parts[0] == "want");
+    wait_for_any_log(&logs, |parts| parts[0] == "want");
     gateway.terminate();
     assert_eq!(answer(&mut client).1, ends);
     drop(client);
     assert!(gateway.child.wait().expect("it ends").success());
-    assert_eq!(all_runs(&logs, LOAD), 1);
+    assert_eq!(total_attempt_count(&logs, LOAD), 1);
 }
 
 /// Two processes of one gateway, with what they share.
@@ -134,9 +137,9 @@
         port.set_reuseport(true).expect("set");
         port.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
         let at = port.local_addr().expect("bound");
-        let text = settings(engines, "resp", LONG);
+        let text = settings(engines, "resp", LONG_TIMEOUT_MS);
         let listens = format!(r#""listen":"{at}","operator":"127.0.0.1:0""#);
-        let config = changed(&text, r#""listen":"127.0.0.1:0""#, &listens);
+        let config = with_replacement(&text, r#""listen":"127.0.0.1:0""#, &listens);
         Self { config, folder: tempfile::tempdir().expect("a folder"), _port: port }
     }
 
@@ -159,39 +162,39 @@
 /// Another process takes over while a request runs: the old one answers it, and the new one does not send it.
 #[test]
 fn request_that_runs_through_a_handover_is_answered_by_the_old_process_and_not_sent_again() {
-    let (at, log, released) = holding();
+    let (at, log, released) = withholding_engine();
     let pair = Pair::new(&[at]);
     let mut old = pair.start();
-    let mut client = old.client();
-    client.write_all(&request(1, "load", LOAD, LONG)).expect("sent");
-    until(&log, |l| l.iter().any(|p| p[0] == "want"));
+    let mut client = old.thrift_client();
+    client.write_all(&request(1, "load", LOAD, LONG_TIMEOUT_MS)).expect("sent");
+    wait_for_log(&log, |l| l.iter().any(|p| p[0] == "want"));
     let new = pair.start();
     assert_eq!(listeners(old.thrift), 2);
     old.terminate();
     assert!((0..1_000_000).any(|_| listeners(old.thrift) == 1), "the old one has left");
-    until_used(&new, &log);
+    send_until_used(&new, &log);
     released.store(true, Ordering::SeqCst);
     assert_eq!(answer(&mut client).1, "served");
     drop(client);
     assert!(old.child.wait().expect("it ends").success());
-    assert_eq!(runs(&log, LOAD), 1);
+    assert_eq!(attempt_count(&log, LOAD), 1);
 }
 
 /// The process is killed while a request runs. Its client hears nothing that invites a retry, and the next process of this
 /// gateway does not send it.
 #[test]
 fn request_that_runs_as_the_process_is_killed_is_not_sent_by_the_next() {
-    let (at, log, _released) = holding();
+    let (at, log, _released) = withholding_engine();
     let pair = Pair::new(&[at]);
     let mut old = pair.start();
-    let mut client = old.client();
-    client.write_all(&request(1, "load", LOAD, LONG)).expect("sent");
-    until(&log, |l| l.iter().any(|p| p[0] == "want"));
+    let mut client = old.thrift_client();
+    client.write_all(&request(1, "load", LOAD, LONG_TIMEOUT_MS)).expect("sent");
+    wait_for_log(&log, |l| l.iter().any(|p| p[0] == "want"));
     old.signal("-KILL");
     old.child.wait().expect("it ends");
     let mut said = Vec::new();
     let _ = client.read_to_end(&mut said);
     assert!(said.is_empty(), "{said:?}");
-    until_used(&pair.start(), &log);
-    assert_eq!(runs(&log, LOAD), 1);
+    send_until_used(&pair.start(), &log);
+    assert_eq!(attempt_count(&log, LOAD), 1);
 }
--- a/tests/unsafe_requests/mod.rs
+++ b/tests/unsafe_requests/mod.rs
@@ -10,12 +10,12 @@
 use std::time::Duration;
 
 pub(crate) const LOAD: &str = "abcdef00000000a1";
-pub(crate) const TURNED_AWAY: &str = "overloaded";
+pub(crate) const REJECTED: &str = "overloaded";
 pub(crate) const FAILED: &str = "internal";
 /// A timeout that is longer than any test takes, in milliseconds.
-pub(crate) const LONG: u32 = 60_000;
+pub(crate) const LONG_TIMEOUT_MS: u32 = 60_000;
 /// Latency objective of the classes, in milliseconds. A request that waits for an engine is rejected after a quarter of this time.
-pub(crate) const AIM: u32 = 4_000;
+pub(crate) const LATENCY_OBJECTIVE_MS: u32 = 4_000;
 
 /// Encodes a named request of a configured class, with an idempotency key.
 pub(crate) fn request(seq: i32, class: &str, txn: &str, limit: u32) -> Vec<u8> {
@@ -33,7 +33,7 @@
 }
 
 /// Response of an engine that doesn't answer statements, and answers all other commands.
-pub(crate) fn silent(parts: &[String]) -> Option<String> {
+pub(crate) fn unresponsive_engine(parts: &[String]) -> Option<String> {
     if parts[0] == "want" {
         Some(String::new())
     } else {
@@ -42,7 +42,7 @@
 }
 
 /// Returns the number of attempts of a request that arrived at an engine, over either protocol.
-pub(crate) fn runs(log: &Log, txn: &str) -> usize {
+pub(crate) fn attempt_count(log: &Log, txn: &str) -> usize {
     let is_attempt = |parts: &&Vec<String>| match parts[0].as_str() {
         "want" => parts[1] == txn,
         target => target.contains(&format!("query_id={txn}")),
@@ -50,19 +50,22 @@
     log.lock().expect("log").iter().filter(is_attempt).count()
 }
 
-pub(crate) fn all_runs(logs: &[Log], txn: &str) -> usize {
-    logs.iter().map(|log| runs(log, txn)).sum()
+pub(crate) fn total_attempt_count(logs: &[Log], txn: &str) -> usize {
+    logs.iter().map(|log| attempt_count(log, txn)).sum()
 }
 
 /// Returns a configuration in which requests of the class `load` may run at most once, there is no retry budget, and the latency
 /// objective of both classes is `objective`, in milliseconds.
 pub(crate) fn settings(engines: &[SocketAddr], engine_protocol: &str, objective: u32) -> String {
-    let text = without_retry_budget(&at_most_once(&config(engines, engine_protocol, LONG)), 5);
+    let text = without_retry_budget(
+        &with_non_idempotent_loads(&config(engines, engine_protocol, LONG_TIMEOUT_MS)),
+        5,
+    );
     let objective = format!(r#""on_time":{objective}"#);
-    changed(&changed(&text, r#""on_time":900"#, &objective), r#""on_time":500"#, &objective)
+    with_replacement(&with_replacement(&text, r#""on_time":900"#, &objective), r#""on_time":500"#, &objective)
 }
 
-pub(crate) fn until_either(logs: &[Log], matches: impl Fn(&[String]) -> bool) {
+pub(crate) fn wait_for_any_log(logs: &[Log], matches: impl Fn(&[String]) -> bool) {
     for _ in 0..30_000 {
         if logs.iter().any(|log| log.lock().expect("log").iter().any(|parts| matches(parts))) {
             return;
@@ -74,7 +77,7 @@
 
 /// Starts an engine that withholds the answer to the request [`LOAD`] until the returned flag is set, and answers all other
 /// commands immediately.
-pub(crate) fn holding() -> (SocketAddr, Log, Arc<AtomicBool>) {
+pub(crate) fn withholding_engine() -> (SocketAddr, Log, Arc<AtomicBool>) {
     let released = Arc::new(AtomicBool::new(false));
     let is_released = released.clone();
     let (at, log) = resp_engine(move |parts| {
@@ -87,13 +90,13 @@
 }
 
 /// Sends lookups to a gateway until one of them arrives at the given engine.
-pub(crate) fn until_used(gateway: &Gateway, log: &Log) {
-    let mut client = gateway.client();
+pub(crate) fn send_until_used(gateway: &Gateway, log: &Log) {
+    let mut client = gateway.thrift_client();
     for seq in 1..=100_000 {
         let txn = format!("{seq:016x}");
         client.write_all(&request(seq, "lookup", &txn, 1_000)).expect("sent");
         answer(&mut client);
-        if runs(log, &txn) > 0 {
+        if attempt_count(log, &txn) > 0 {
             return;
         }
     }
--- a/tests/upgrades.rs
+++ b/tests/upgrades.rs
@@ -14,20 +14,20 @@
 #[test]
 fn process_with_a_successor_keeps_its_open_requests_until_their_deadline() {
     let (at, log) = resp_engine(|parts| if parts[0] == "want" { Some(String::new()) } else { served(parts) });
-    let mut site = Site::new(&[at]);
+    let mut shared_gateway = SharedGateway::new(&[at]);
     // The target latency exceeds the request's deadline, so that the request is not late before its deadline.
-    site.config = site.config.replace("\"on_time\":500", "\"on_time\":4900");
-    let old = site.start();
+    shared_gateway.config = shared_gateway.config.replace("\"on_time\":500", "\"on_time\":4900");
+    let old = shared_gateway.start();
     let mut client = old.client();
     let fields = [("verb", "lookup"), ("txn", "00000000000000a1"), ("limit", "4500")];
     client.write_all(&call(1, &fields, "select 1")).expect("sent");
-    until(&log, |l| l.iter().any(|p| p[0] == "want"));
-    let _new = site.start();
+    wait_for_log(&log, |l| l.iter().any(|p| p[0] == "want"));
+    let _new = shared_gateway.start();
     old.signal("-TERM");
     // The request's deadline is after 4.5 s; SIGKILL follows after 5.7 s at the earliest.
     answer(&mut client);
     drop(client);
-    let output = old.ended();
+    let output = old.wait_for_exit();
     let refused: Vec<_> = output.iter().filter(|l| l.contains(": rejected for {")).collect();
     assert!(!refused.is_empty() && !refused.iter().any(|l| l.contains("ending")), "{refused:?}");
 }
@@ -41,22 +41,23 @@
     let (third, removed_log) = resp_engine(served);
     let (names, list) = list_service();
     let publish = |version, engines: Vec<_>| *list.lock().expect("list") = Some((version, engines));
-    let mut site = Site::new(&[first, second, third]);
-    site.config = site.config.replacen("\"known\"", &format!("\"names\":\"{names}\",\"known\""), 1);
+    let mut shared_gateway = SharedGateway::new(&[first, second, third]);
+    shared_gateway.config =
+        shared_gateway.config.replacen("\"known\"", &format!("\"names\":\"{names}\",\"known\""), 1);
     publish(2, vec![("s-0", first, false), ("s-1", second, true)]);
-    let old = site.start();
+    let old = shared_gateway.start();
     let knows_drain =
         || old.metric("gateway.cluster_size") == 2 && old.metric("gateway.cluster_unhealthy") == 1;
     assert!((0..100_000).any(|_| knows_drain()), "the list was applied");
     *list.lock().expect("list") = None;
-    let new = site.start();
+    let new = shared_gateway.start();
     assert_eq!(new.request("GET /api/ready HTTP/1.1\r\n\r\n").0, 200);
     old.signal("-TERM");
-    old.ended();
-    let before = (wants(&draining_log), wants(&removed_log));
+    old.wait_for_exit();
+    let before = (attempt_count(&draining_log), attempt_count(&removed_log));
     assert_eq!(served_lookups(&new, 0, 60), 60);
     assert_eq!(
-        (wants(&draining_log), wants(&removed_log)),
+        (attempt_count(&draining_log), attempt_count(&removed_log)),
         before,
         "nothing was sent to the draining or the removed engine"
     );
@@ -65,7 +66,7 @@
     assert!((0..100_000).any(|_| new.metric("gateway.cluster_unhealthy") == 0), "the new list was applied");
     assert_eq!(served_lookups(&new, 100, 60), 60);
     assert!(
-        wants(&draining_log) > before.0 && wants(&removed_log) > before.1,
+        attempt_count(&draining_log) > before.0 && attempt_count(&removed_log) > before.1,
         "both engines are in use again"
     );
 }
@@ -194,26 +195,26 @@
         served(parts)
     });
     let (second, log) = resp_engine(served);
-    let site = Site::new(&[first, second]);
-    let mut current = site.start();
+    let shared_gateway = SharedGateway::new(&[first, second]);
+    let mut current = shared_gateway.start();
     assert_eq!(current.put("/api/exclude", "s-1"), 200);
     let clients: Vec<_> = (0..6)
         .map(|client| {
-            let (stop, at) = (stop.clone(), site.at);
+            let (stop, at) = (stop.clone(), shared_gateway.at);
             std::thread::spawn(move || closed_loop(at, client, &stop))
         })
         .collect();
     let mut draining: Vec<Process> = Vec::new();
     let mut read = 0;
     for upgrade in 0..50 {
-        let next = site.start();
+        let next = shared_gateway.start();
         assert_eq!(next.request("GET /api/ready HTTP/1.1\r\n\r\n").0, 200);
         let old = std::mem::replace(&mut current, next);
         old.signal("-TERM");
         draining.push(old);
         if upgrade % 5 == 0 {
             for old in draining.drain(..) {
-                let output = old.ended();
+                let output = old.wait_for_exit();
                 assert!(output.iter().any(|l| l.contains("a successor process listens")), "{output:?}");
                 read += requests_read(&output);
             }
@@ -223,9 +224,10 @@
     let outcomes: Vec<ClientOutcome> =
         clients.into_iter().map(|c| c.join().expect("the client received all answers")).collect();
     current.signal("-TERM");
-    read += draining.into_iter().chain([current]).map(|old| requests_read(&old.ended())).sum::<usize>();
+    read +=
+        draining.into_iter().chain([current]).map(|old| requests_read(&old.wait_for_exit())).sum::<usize>();
     check_outcomes(&outcomes, read);
-    assert_eq!(wants(&log), 0, "nothing was sent to the excluded engine");
+    assert_eq!(attempt_count(&log), 0, "nothing was sent to the excluded engine");
     let repeated: Vec<_> =
         runs.lock().expect("counts").iter().filter(|(_, n)| **n > 1).map(|(k, _)| k.clone()).collect();
     assert!(repeated.is_empty(), "keys that ran more than once: {repeated:?}");
@@ -237,23 +239,24 @@
 fn successor_without_known_engines_does_not_listen_before_it_receives_the_list() {
     let (at, _) = resp_engine(served);
     let (names, list) = list_service();
-    let mut site = Site::new(&[]);
-    site.config = site.config.replacen("\"known\"", &format!("\"names\":\"{names}\",\"known\""), 1);
+    let mut shared_gateway = SharedGateway::new(&[]);
+    shared_gateway.config =
+        shared_gateway.config.replacen("\"known\"", &format!("\"names\":\"{names}\",\"known\""), 1);
     *list.lock().expect("list") = Some((2, vec![("s-0", at, false)]));
-    let old = site.start();
+    let old = shared_gateway.start();
     assert!(
         (0..100_000).any(|_| old.request("GET /api/ready HTTP/1.1\r\n\r\n").0 == 200),
         "the gateway is ready"
     );
     *list.lock().expect("list") = None;
-    let mut child = site.spawn();
+    let mut child = shared_gateway.spawn();
     let mut lines = BufReader::new(child.stdout.take().expect("piped")).lines();
     let mut operators = lines.by_ref().map_while(Result::ok).filter_map(|l| {
         let (_, rest) = l.strip_suffix(" for its operators")?.split_once(" listens at ")?;
         rest.parse::<SocketAddr>().ok()
     });
     let operators = operators.next().expect("the process logs its address for operators");
-    let new = Process { child, operators, clients: site.at, output: None };
+    let new = Process { child, operators, clients: shared_gateway.at, output: None };
     // Longer than a successor with known engines waits for the list.
     let begun = std::time::Instant::now();
     let mut requested = 0;
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -26,10 +26,10 @@
 fn with_slow_start(config: &str, name_service: SocketAddr) -> String {
     let rules =
         r#""answer_slack":20,"cold_from":0.31,"warm_within":15000,"fall_multiple":3,"tip_after":2000"#;
-    let config = changed(config, r#""answer_slack":20"#, rules);
-    let config = changed(&config, r#""on_time":500"#, r#""on_time":20000"#);
-    let config = changed(&config, r#""cpu_of_kind":[8]"#, r#""cpu_of_kind":[32]"#);
-    changed(&config, r#""seed":"7""#, &format!(r#""seed":"7","names":"{name_service}""#))
+    let config = with_replacement(config, r#""answer_slack":20"#, rules);
+    let config = with_replacement(&config, r#""on_time":500"#, r#""on_time":20000"#);
+    let config = with_replacement(&config, r#""cpu_of_kind":[8]"#, r#""cpu_of_kind":[32]"#);
+    with_replacement(&config, r#""seed":"7""#, &format!(r#""seed":"7","names":"{name_service}""#))
 }
 
 /// Serial number and endpoint list of a name service, shared so that a test can change them. An entry has the engine's name, its
@@ -82,7 +82,7 @@
 fn send_all(gateway: &Gateway) -> Arc<AtomicUsize> {
     let answered = Arc::new(AtomicUsize::new(0));
     for client_number in 0..CLIENTS {
-        let mut client = gateway.client();
+        let mut client = gateway.thrift_client();
         for seq in 1..=REQUESTS_PER_CLIENT {
             let txn = format!("{:016x}", client_number * REQUESTS_PER_CLIENT + seq);
             let fields = [("verb", "lookup"), ("txn", txn.as_str()), ("limit", "20000")];
@@ -117,17 +117,17 @@
     let faults = Faults::new(&format!("wall_step_ms={step_ms}"));
     let config = with_slow_start(&config(&[warm], "resp", 20_000), name_service);
     let gateway = Gateway::start_with_faults(&config, &faults);
-    until(&responses, |log| !log.is_empty());
+    wait_for_log(&responses, |log| !log.is_empty());
     faults.begin();
     let unix_ms = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as i64;
     let started = (unix_ms + step_ms) as u64;
     *endpoint_list.lock().expect("listing") =
         (2, vec![("s-0", warm, false, 0), ("s-1", starting, false, started)]);
-    until(&responses, |log| log.iter().filter(|line| line[0] == "2").count() >= 2);
+    wait_for_log(&responses, |log| log.iter().filter(|line| line[0] == "2").count() >= 2);
     let answered = send_all(&gateway);
     let sent =
         || received_by_warm.lock().expect("times").len() + received_by_starting.lock().expect("times").len();
-    until_true(|| sent() + answered.load(Ordering::SeqCst) == CLIENTS * REQUESTS_PER_CLIENT);
+    wait_until(|| sent() + answered.load(Ordering::SeqCst) == CLIENTS * REQUESTS_PER_CLIENT);
     let received = max_received_within_a_span(&received_by_starting.lock().expect("times"));
     let allowed = BUDGET + 3.0 * BUDGET.sqrt() + 3.0;
     assert!(received as f64 <= allowed, "{received} requests within one span, {allowed:.1} are allowed");
