--- a/tests/clickhouse.rs
+++ b/tests/clickhouse.rs
@@ -160,7 +160,7 @@
 }
 
 /// Sends one mix of requests over Thrift, over HTTP or over both alternately, and returns the gateway's request counts.
-fn request_counts(thrift: bool, http: bool) -> Vec<String> {
+fn request_counts_of_mix(thrift: bool, http: bool) -> Vec<String> {
     let (address, _) = http_engine(answer_query);
     let gateway = Gateway::start(&config(&[address], "clickhouse", 5000));
     let (mut thrift_client, mut http_client) = (gateway.thrift_client(), gateway.http_client());
@@ -200,7 +200,7 @@
             ),
         ]
     };
-    assert_eq!(request_counts(true, false), expected(1));
-    assert_eq!(request_counts(false, true), expected(1));
-    assert_eq!(request_counts(true, true), expected(2));
+    assert_eq!(request_counts_of_mix(true, false), expected(1));
+    assert_eq!(request_counts_of_mix(false, true), expected(1));
+    assert_eq!(request_counts_of_mix(true, true), expected(2));
 }
