--- a/tests/core.rs
+++ b/tests/core.rs
@@ -14,8 +14,8 @@
 #[test]
 fn late_answer_to_an_ended_attempt_is_not_taken_for_the_next_attempt() {
     let mut harness = Harness::new(settings());
-    harness.list(1, &["a", "b"]);
-    let first = sent(&harness.take(1, None)).expect("sent");
+    harness.receive_list(1, &["a", "b"]);
+    let first = sent(&harness.receive_request(1, None)).expect("sent");
     let effects = harness.step(Event::AttemptEnded(first, AttemptEnd::from_outcome(Outcome::ConnectFailed)));
     let second = sent(&effects).expect("sent again");
     assert_eq!(second, AttemptId { request: first.request, number: 1 });
@@ -48,8 +48,8 @@
 #[test]
 fn disconnect_of_a_client_aborts_its_attempts_at_once() {
     let mut harness = Harness::new(settings());
-    harness.list(1, &["a"]);
-    let first = sent(&harness.take(1, None)).expect("sent");
+    harness.receive_list(1, &["a"]);
+    let first = sent(&harness.receive_request(1, None)).expect("sent");
     let mut effects = Vec::new();
     harness.core.handle(harness.now, Event::ClientDisconnected(RequestId(1)), &mut effects);
     assert!(effects.iter().any(|e| matches!(e, Effect::AbortAttempt { attempt, .. } if *attempt == first)));
@@ -58,8 +58,8 @@
 #[test]
 fn request_is_answered_once_and_before_its_deadline() {
     let mut harness = Harness::new(settings());
-    harness.list(1, &["a"]);
-    assert!(sent(&harness.take(1, None)).is_some());
+    harness.receive_list(1, &["a"]);
+    assert!(sent(&harness.receive_request(1, None)).is_some());
     harness.now += 1_990.0;
     assert_eq!(answers(&harness.step(Event::TimersDue)).len(), 1);
     harness.now += 100.0;
@@ -71,8 +71,8 @@
 #[test]
 fn no_attempt_starts_in_the_time_reserved_for_the_answer() {
     let mut harness = Harness::new(settings());
-    harness.list(1, &["a", "b"]);
-    assert!(sent(&harness.take(1, None)).is_some());
+    harness.receive_list(1, &["a", "b"]);
+    assert!(sent(&harness.receive_request(1, None)).is_some());
     harness.now += 1_970.0;
     let mut effects = Vec::new();
     for _ in 0..6 {
@@ -87,12 +87,12 @@
     let mut s = settings();
     s.classes[0].idempotency = Idempotency::Keyed { scope: Scope::All, window: 1_000.0 };
     let mut harness = Harness::new(s);
-    harness.list(1, &["a"]);
-    let first = sent(&harness.take(1, Some("k"))).expect("sent");
+    harness.receive_list(1, &["a"]);
+    let first = sent(&harness.receive_request(1, Some("k"))).expect("sent");
     harness.step(Event::AttemptEnded(first, AttemptEnd::from_outcome(Outcome::Ok)));
     harness.now += 980.0;
-    assert_eq!(sent(&harness.take(2, Some("k"))), None);
-    assert!(sent(&harness.take(3, Some("other"))).is_some());
+    assert_eq!(sent(&harness.receive_request(2, Some("k"))), None);
+    assert!(sent(&harness.receive_request(3, Some("other"))).is_some());
     harness.now += 100.0;
     let late = harness.take(4, Some("k"));
     assert!(
@@ -224,8 +224,8 @@
 #[test]
 fn restored_engine_state_is_used_once_the_endpoint_list_names_the_engines() {
     let mut first = Harness::new(settings());
-    first.list(1, &["a", "b"]);
-    let send = sent(&first.take(1, None)).expect("sent");
+    first.receive_list(1, &["a", "b"]);
+    let send = sent(&first.receive_request(1, None)).expect("sent");
     (0..60).for_each(|_| drop(first.step(Event::TimersDue)));
     first.step(Event::AttemptEnded(send, AttemptEnd::from_outcome(Outcome::Ok)));
     let learned = first.core.learned(first.now);
@@ -251,8 +251,8 @@
 #[test]
 fn shutdown_answers_open_requests_and_then_exits() {
     let mut harness = Harness::new(settings());
-    harness.list(1, &["a"]);
-    harness.take(1, None);
+    harness.receive_list(1, &["a"]);
+    harness.receive_request(1, None);
     harness.step(Event::Terminate { requested_at: harness.now });
     harness.now += 1_000.0;
     assert!(!harness.step(Event::TimersDue).iter().any(|e| matches!(e, Effect::Exit)));
@@ -267,9 +267,9 @@
 #[test]
 fn shutdown_requested_during_a_pause_answers_open_requests_in_time() {
     let mut harness = Harness::new(settings());
-    harness.list(1, &["a"]);
+    harness.receive_list(1, &["a"]);
     harness.now += 2_500.0;
-    harness.take(1, None);
+    harness.receive_request(1, None);
     harness.step(Event::Terminate { requested_at: harness.now - 2_500.0 });
     harness.now += 800.0;
     let effects = harness.step(Event::TimersDue);
@@ -282,9 +282,9 @@
 #[test]
 fn shutdown_noticed_after_its_time_answers_open_requests_and_still_rejects_new_ones() {
     let mut harness = Harness::new(settings());
-    harness.list(1, &["a"]);
+    harness.receive_list(1, &["a"]);
     harness.now += 10_000.0;
-    harness.take(1, None);
+    harness.receive_request(1, None);
     let mut effects = harness.step(Event::Terminate { requested_at: harness.now - 10_000.0 });
     effects.extend(harness.step(Event::TimersDue));
     assert_eq!(answers(&effects).len(), 1);
@@ -299,12 +299,12 @@
 #[test]
 fn request_after_the_end_of_the_shutdown_time_is_rejected_at_once() {
     let mut harness = Harness::new(settings());
-    harness.list(1, &["a"]);
+    harness.receive_list(1, &["a"]);
     harness.step(Event::Terminate { requested_at: harness.now });
     assert!(sent(&harness.take(1, None)).is_some(), "a request is sent while shutdown time is left");
     harness.now += 60_000.0;
     harness.step(Event::TimersDue);
-    let effects = harness.take(2, None);
+    let effects = harness.receive_request(2, None);
     assert!(effects.iter().any(|e| matches!(e, Effect::Answer(RequestId(2), Answer::Rejected(_)))));
     assert!(sent(&effects).is_none());
 }
@@ -317,14 +317,14 @@
     s.classes[0].idempotency = Idempotency::Keyed { scope: Scope::All, window: 12_000.0 };
     let mut harness = Harness::new(s);
     harness.now = 100_000.0;
-    harness.list(1, &["a"]);
+    harness.receive_list(1, &["a"]);
     let sends = deduplication_window::KeySends {
         first: harness.now - 11_990.0,
         last: harness.now - 11_990.0,
         window: 12_000.0,
     };
     harness.step(Event::PeerKeys(vec![(deduplication_window::key("k1"), sends)]));
-    let effects = harness.take(1, Some("k1"));
+    let effects = harness.receive_request(1, Some("k1"));
     assert!(effects.iter().any(|e| matches!(e, Effect::Answer(_, Answer::Rejected(_)))), "{effects:?}");
-    assert!(sent(&harness.take(2, Some("k2"))).is_some());
+    assert!(sent(&harness.receive_request(2, Some("k2"))).is_some());
 }
--- a/tests/core_membership.rs
+++ b/tests/core_membership.rs
@@ -28,7 +28,7 @@
     assert!(sent(&harness.take(2, None)).is_none());
     // The next lists are one with the engine, one without it, and one with it again.
     for (serial, engines) in [(2, &["a", "b"][..]), (3, &["b"]), (4, &["a", "b"])] {
-        harness.list(serial, engines);
+        harness.receive_list(serial, engines);
         for id in 0..20 {
             let effects = harness.take(serial * 100 + id, None);
             let sent_to =
@@ -46,7 +46,7 @@
     // The engine is in slow start: its budget admits the first request once a random draw allows it.
     let is_used = (0..500).any(|n| {
         harness.now += 10.0;
-        sent(&harness.take(2_000 + n, None)).is_some()
+        sent(&harness.receive_request(2_000 + n, None)).is_some()
     });
     assert!(is_used);
 }
@@ -88,11 +88,11 @@
 #[test]
 fn requests_before_the_first_list_are_rejected_at_once_with_spread_retry_times() {
     let mut harness = Harness::new(Settings { max_retry_after: 10_000.0, ..settings() });
-    harness.list(0, &[]);
+    harness.receive_list(0, &[]);
     harness.core.await_endpoint_list(harness.now);
     harness.now += 1_000.0;
     let waits: Vec<f64> = (0..20)
-        .map(|id| match answers(&harness.take(id, None))[..] {
+        .map(|id| match answers(&harness.receive_request(id, None))[..] {
             [Answer::Rejected(ms)] => *ms,
             ref other => panic!("{other:?}"),
         })
@@ -146,7 +146,7 @@
 #[test]
 fn nothing_is_sent_while_the_lease_of_the_list_is_expired() {
     let mut harness = Harness::new(settings());
-    harness.list(1, &["a"]);
+    harness.receive_list(1, &["a"]);
     let until = harness.now + 1_000.0;
     assert_eq!(logged_reliability(&harness.step(Event::EndpointListLease(until))), None);
     let effects = harness.take(1, None);
@@ -171,7 +171,7 @@
 #[test]
 fn renewed_lease_is_valid_beyond_its_previous_end() {
     let mut harness = Harness::new(settings());
-    harness.list(1, &["a"]);
+    harness.receive_list(1, &["a"]);
     for _ in 0..100 {
         let effects = harness.step(Event::EndpointListLease(harness.now + 3_500.0));
         assert_eq!(logged_reliability(&effects), None);
@@ -189,22 +189,22 @@
 #[test]
 fn drains_from_a_previous_address_apply_until_the_new_address_reaches_their_version() {
     let mut harness = Harness::new(settings());
-    harness.list(1, &["a", "b"]);
+    harness.receive_list(1, &["a", "b"]);
     let drains = |id| endpoint(id, Availability::Draining);
     let live = |id| endpoint(id, Availability::Live);
-    harness.list(1, &["a", "b"]);
+    harness.receive_list(1, &["a", "b"]);
     harness.step(Event::EndpointList { version: 9, endpoints: vec![drains("a"), live("b")] });
-    harness.list(9, &["a", "b"]);
+    harness.receive_list(9, &["a", "b"]);
     harness.step(Event::PreviousAddressSuperseded);
-    harness.list(2, &["a", "b", "c"]);
+    harness.receive_list(2, &["a", "b", "c"]);
     assert_eq!((harness.core.membership_version(), harness.core.draining()), (Some(2), vec!["a"]));
-    harness.list(8, &["a", "c"]);
+    harness.receive_list(8, &["a", "c"]);
     assert_eq!(harness.core.draining(), ["a"]);
-    harness.list(9, &["a", "c"]);
+    harness.receive_list(9, &["a", "c"]);
     assert!(harness.core.draining().is_empty());
     harness.step(Event::EndpointList { version: 10, endpoints: vec![drains("a"), live("b")] });
     harness.step(Event::PreviousAddressSuperseded);
-    harness.list(9, &["a"]);
+    harness.receive_list(9, &["a"]);
     assert_eq!(harness.core.draining(), ["a"]);
     harness.now += 61_000.0;
     harness.step(Event::TimersDue);
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -1,7 +1,7 @@
 //! The operator's file: a valid file is read into settings, and every error is reported with file, line and key.
 
 use rstest::rstest;
-use starlingplank::config::{Config, ConfigError, EngineWire};
+use starlingplank::config::{Config, ConfigError, EngineProtocol};
 use starlingplank::interface::{Idempotency, Scope};
 use std::process::Command;
 
@@ -23,7 +23,7 @@
         (config.name.as_str(), settings.seed, settings.gateways),
         ("gateway-1", 0x5f2c_9a1e_77d0_4b36, 1)
     );
-    assert_eq!((config.engine_wire, config.endpoints.len()), (EngineWire::ClickHouse, 2));
+    assert_eq!((config.engine_protocol, config.endpoints.len()), (EngineProtocol::ClickHouse, 2));
     assert_eq!(settings.machine_types[0].memory_mb, 24_576.0);
     assert_eq!(settings.classes[2].idempotency, Idempotency::Keyed { scope: Scope::All, window: 12_000.0 });
     assert!(
@@ -37,7 +37,7 @@
         settings.retry_budget.map(|budget| (budget.min_retries, budget.retry_ratio, budget.window)),
         Some((2.0, 0.2, 10_000.0))
     );
-    assert!(config.clickhouse.is_some() && config.knowledge.is_none());
+    assert!(config.clickhouse.is_some() && config.persistence.is_none());
 }
 
 #[rstest]
@@ -49,7 +49,11 @@
 )]
 #[case("\"6s\"", "\"6 sec\"", "class \"lookup\".give_up: must be text of a number and ms")]
 #[case("\"192MiB\"", "\"192MB\"", "machine.memory: must be text of a number and KiB, MiB or GiB")]
-#[case("send_cap        = 3", "send_capp = 3", "limits.send_capp: is not known here; send_cap is")]
+#[case(
+    "send_cap        = 3",
+    "send_capp = 3",
+    "limits.send_capp: is not a key or block here; did you mean send_cap?"
+)]
 #[case("cancel          = true", "cancel = \"yes\"", "limits.cancel: must be true or false")]
 #[case(
     "repeat      = \"keyed\"",
@@ -57,15 +61,19 @@
     "class \"load\".repeat: must be one of safe, keyed, unsafe"
 )]
 #[case("window      = \"12s\"", "", "class \"load\".window: is missing")]
-#[case("class = \"load\"", "class = \"loads\"", "clickhouse.rule.class: \"loads\" is no class of this file")]
+#[case(
+    "class = \"load\"",
+    "class = \"loads\"",
+    "clickhouse.rule.class: \"loads\" is not a class defined in this file"
+)]
 #[case(
     "kind    = \"std-12\"\n}\n\nengine",
     "kind    = \"std\"\n}\n\nengine",
-    "engine \"ch-1\".kind: \"std\" is no kind of this file"
+    "engine \"ch-1\".kind: \"std\" is not a kind defined in this file"
 )]
-#[case("engine \"ch-2\"", "engine \"ch-1\"", "engine \"ch-1\": stands already in line")]
-#[case("ratio_span        = \"10s\"", "", "rules.extra_free: needs ratio_span beside it")]
-#[case("aim             = \"1200ms\"", "aim = \"7s\"", "class \"lookup\".aim: lies past give_up")]
+#[case("engine \"ch-2\"", "engine \"ch-1\"", "engine \"ch-1\": is already defined in line")]
+#[case("ratio_span        = \"10s\"", "", "rules.extra_free: requires ratio_span")]
+#[case("aim             = \"1200ms\"", "aim = \"7s\"", "class \"lookup\".aim: is longer than give_up")]
 #[case(
     "listen        = \"127.0.0.1:9090\"",
     "listen = \"localhost\"",
@@ -76,7 +84,7 @@
 #[case(
     "  rule {\n    class = \"lookup\"\n  }\n",
     "",
-    "clickhouse.rule: must end with a rule that holds for all statements"
+    "clickhouse.rule: must end with a rule that matches all statements"
 )]
 fn error_names_its_line_and_key(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
     let text = EXAMPLE.replacen(from, to, 1);
@@ -103,7 +111,7 @@
 fn operator_file_beside_the_platform_s_configuration_sets_only_its_own_keys() {
     let text = "knowledge {\n  folder = \"/tmp/k\"\n  every = \"2s\"\n}\nlog {\n  form = \"json\"\n}\n";
     let config = Config::load(Some(PLATFORM), Some(("o.hcl", text))).expect("it can be used");
-    let knowledge = config.knowledge.expect("set up");
+    let knowledge = config.persistence.expect("set up");
     assert_eq!(
         (knowledge.snapshot_interval, knowledge.logs_keys, knowledge.required),
         (2_000.0, true, false)
@@ -112,11 +120,14 @@
     let example = include_str!("../deploy/knowledge.hcl");
     assert!(Config::load(Some(PLATFORM), Some(("o.hcl", example)))
         .expect("it can be used")
-        .knowledge
+        .persistence
         .is_some());
     let all = operator_errors("gateways = 3\nrules {\n  drain_grace = \"9s\"\n}\n", Some(PLATFORM));
     assert_eq!(all.len(), 2, "{all:#?}");
-    assert!(all.iter().all(|p| p.ends_with("is the platform's to give; leave it out here")), "{all:#?}");
+    assert!(
+        all.iter().all(|p| p.ends_with("belongs in the platform's configuration; remove it here")),
+        "{all:#?}"
+    );
 }
 
 /// On the platform the rules fix the poll interval. Elsewhere the interval grows to reduce the load on an overloaded name service.
@@ -151,7 +162,8 @@
     let stderr = String::from_utf8_lossy(&run.stderr);
     assert_eq!(run.status.code(), Some(1));
     assert!(
-        stderr.contains("limits.cancel") && stderr.contains("zoen: is not known here; zone is"),
+        stderr.contains("limits.cancel")
+            && stderr.contains("zoen: is not a key or block here; did you mean zone?"),
         "{stderr}"
     );
     assert_eq!(stderr.lines().count(), 2, "{stderr}");
--- a/tests/unsafe_classes.rs
+++ b/tests/unsafe_classes.rs
@@ -59,14 +59,14 @@
     /// Returns the response to a request of the ClickHouse interface, `None` to close the connection.
     fn http(self, target: &str) -> Option<String> {
         if target.starts_with("/ping") {
-            return Some(web_answer("200 OK", "", "Ok.\n"));
+            return Some(encode_http("200 OK", "", "Ok.\n"));
         }
         match self {
             End::Overload => {
-                Some(web_answer("503 Busy", "X-ClickHouse-Exception-Code: 202\r\n", "Code: 202."))
+                Some(encode_http("503 Busy", "X-ClickHouse-Exception-Code: 202\r\n", "Code: 202."))
             }
             End::Crashed => {
-                Some(web_answer("500 Error", "X-ClickHouse-Exception-Code: 241\r\n", "Code: 241."))
+                Some(encode_http("500 Error", "X-ClickHouse-Exception-Code: 241\r\n", "Code: 241."))
             }
             _ => None,
         }
@@ -80,7 +80,7 @@
         End::WaitsThenReset => "detail=w,v=2",
         _ => return resp_engine(move |parts| end.resp(parts)),
     };
-    resp_engine_that(move |parts, stream| {
+    resp_engine_with_handler(move |parts, stream| {
         let runs = parts[0] == "want";
         let reply = if runs { Some(reply(&[&parts[1], "update", update, ""])) } else { served(parts) };
         stream.write_all(reply.unwrap_or_default().as_bytes()).is_ok() && !runs
@@ -102,7 +102,7 @@
     client.write_all(&request(1, class, LOAD, LONG)).expect("sent");
     let (seq, kind, _) = answer(&mut client);
     assert_eq!(seq, 1);
-    (kind, all_runs(&logs, LOAD))
+    (kind, total_attempt_count(&logs, LOAD))
 }
 
 #[rstest]
@@ -148,7 +148,7 @@
     #[case] hangs: bool,
     #[case] protocol: &str,
 ) {
-    let (_held, refusing) = refusing();
+    let (_held, refusing) = refused_address();
     let (listener, filling) = full_listener();
     let at = if hangs { listener.local_addr().expect("bound") } else { refusing };
     let gateway = Gateway::start(&settings(&[at], protocol, AIM));
@@ -172,13 +172,13 @@
 fn request_with_a_refused_connection_runs_once_at_another_engine() {
     let (_held, refusing) = refusing();
     let (good, log) = resp_engine(served);
-    let gateway = Gateway::start(&settings(&[refusing, good], "resp", LONG));
-    let mut client = gateway.client();
+    let gateway = Gateway::start(&settings(&[refusing, good], "resp", LONG_TIMEOUT_MS));
+    let mut client = gateway.thrift_client();
     for seq in 1..=20 {
         let txn = format!("{seq:016x}");
-        client.write_all(&request(seq, "load", &txn, LONG)).expect("sent");
+        client.write_all(&request(seq, "load", &txn, LONG_TIMEOUT_MS)).expect("sent");
         assert_eq!(answer(&mut client).1, "served");
-        assert_eq!(runs(&log, &txn), 1);
+        assert_eq!(attempt_count(&log, &txn), 1);
     }
 }
 
@@ -190,7 +190,7 @@
     let start = || match protocol {
         "resp" => resp_engine(silent),
         _ => http_engine(|target, _| {
-            let answer = || web_answer("200 OK", "", "Ok.\n");
+            let answer = || encode_http("200 OK", "", "Ok.\n");
             Some(if target.starts_with("/ping") { answer() } else { String::new() })
         }),
     };
@@ -199,7 +199,7 @@
     let mut client = gateway.client();
     client.write_all(&request(1, "load", LOAD, 400)).expect("sent");
     assert_eq!(answer(&mut client).1, FAILED);
-    assert_eq!(runs(&engines[0].1, LOAD) + runs(&engines[1].1, LOAD), 1);
+    assert_eq!(attempt_count(&engines[0].1, LOAD) + attempt_count(&engines[1].1, LOAD), 1);
 }
 
 /// The client cancels its request or disconnects while an attempt runs. The attempt is cancelled, and the request must not be
@@ -224,7 +224,7 @@
     let mut after = gateway.client();
     after.write_all(&request(1, "lookup", "abcdef00000000b1", 200)).expect("sent");
     answer(&mut after);
-    assert_eq!(all_runs(&logs, LOAD), 1);
+    assert_eq!(total_attempt_count(&logs, LOAD), 1);
 }
 
 /// An engine answers twice that an attempt never ran, the second time after the next attempt has arrived. The duplicate
@@ -252,7 +252,7 @@
     until(&log, |l| l.iter().filter(|p| p[0] == "want" && p[1] == LOAD).count() >= 2);
     // Later answers on the same connection are read after the duplicate.
     for seq in 2..10 {
-        client.write_all(&request(seq, "lookup", &format!("{seq:016x}"), LONG)).expect("sent");
+        client.write_all(&request(seq, "lookup", &format!("{seq:016x}"), LONG_TIMEOUT_MS)).expect("sent");
         answer(&mut client);
     }
     assert_eq!(runs(&log, LOAD), 2, "expected two attempts, the second of which runs");
--- a/tests/unsafe_classes_through_changes.rs
+++ b/tests/unsafe_classes_through_changes.rs
@@ -40,7 +40,7 @@
     let text = changed(
         &settings(&[old], "resp", LONG),
         r#""connect_timeout":250"#,
-        &format!(r#""connect_timeout":{LONG}"#),
+        &format!(r#""connect_timeout":{LONG_TIMEOUT_MS}"#),
     );
     let gateway = Gateway::start(&text.replacen('{', &format!(r#"{{"names":"{name_service}","#), 1));
     let mut client = gateway.client();
@@ -83,7 +83,7 @@
 /// A reload of the configuration, which adds an engine, must not move a request that runs.
 #[test]
 fn request_that_runs_through_a_reload_is_not_sent_again() {
-    let (old, old_log, released) = holding();
+    let (old, old_log, released) = withholding_engine();
     let (new, new_log) = resp_engine(served);
     let (name_service, list_answer) = list_service();
     let text = settings(&[old], "resp", LONG);
@@ -96,7 +96,7 @@
     until_used(&gateway, &new_log);
     released.store(true, Ordering::SeqCst);
     assert_eq!(answer(&mut client).1, "served");
-    assert_eq!((runs(&old_log, LOAD), runs(&new_log, LOAD)), (1, 0));
+    assert_eq!((attempt_count(&old_log, LOAD), attempt_count(&new_log, LOAD)), (1, 0));
 }
 
 /// The process receives SIGTERM while an attempt is in flight that its engine never answers. A request that may have run must
@@ -108,7 +108,7 @@
     #[case] class: &str,
     #[case] expected_answer: &str,
 ) {
-    let engines = [resp_engine(silent), resp_engine(silent)];
+    let engines = [resp_engine(unresponsive_engine), resp_engine(unresponsive_engine)];
     let logs = engines.each_ref().map(|e| e.1.clone());
     // Requests that are open at SIGTERM are answered within the longest client timeout of the settings; the client's own limit
     // is longer.
@@ -116,9 +116,9 @@
     // Without cancelling, only the end of the process ends an attempt early.
     let text = changed(&text, r#""cancelling":true"#, r#""cancelling":false"#);
     let mut gateway = Gateway::start(&text);
-    let mut client = gateway.client();
+    let mut client = gateway.thrift_client();
     client.write_all(&request(1, class, LOAD, 9_000)).expect("sent");
-    until_either(&logs, |parts| parts[0] == "want");
+    wait_for_any_log(&logs, |parts| parts[0] == "want");
     gateway.terminate();
     assert_eq!(answer(&mut client).1, expected_answer);
     drop(client);
@@ -139,9 +139,9 @@
         port.set_reuseport(true).expect("set");
         port.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
         let at = port.local_addr().expect("bound");
-        let text = settings(engines, "resp", LONG);
+        let text = settings(engines, "resp", LONG_TIMEOUT_MS);
         let listens = format!(r#""listen":"{at}","operator":"127.0.0.1:0""#);
-        let config = changed(&text, r#""listen":"127.0.0.1:0""#, &listens);
+        let config = with_replacement(&text, r#""listen":"127.0.0.1:0""#, &listens);
         Self { config, folder: tempfile::tempdir().expect("a folder"), _port: port }
     }
 
