--- a/tests/core.rs
+++ b/tests/core.rs
@@ -35,10 +35,10 @@
 #[test]
 fn older_endpoint_list_is_ignored_and_a_newer_one_drops_removed_engines() {
     let mut harness = Harness::new(settings());
-    harness.list(5, &["a"]);
-    assert!(!harness.list(4, &[]).iter().any(|e| matches!(e, Effect::DropQueued(_))));
-    let first = sent(&harness.take(1, None)).expect("sent");
-    assert!(harness.list(6, &[]).iter().any(|e| matches!(e, Effect::DropQueued(_))));
+    harness.receive_list(5, &["a"]);
+    assert!(!harness.receive_list(4, &[]).iter().any(|e| matches!(e, Effect::DropQueued(_))));
+    let first = sent(&harness.receive_request(1, None)).expect("sent");
+    assert!(harness.receive_list(6, &[]).iter().any(|e| matches!(e, Effect::DropQueued(_))));
     // The attempt on the removed engine can no longer end. It is aborted soon, and not only at its deadline.
     harness.now += 300.0;
     let effects = harness.step(Event::TimersDue);
@@ -94,13 +94,16 @@
     assert_eq!(sent(&harness.receive_request(2, Some("k"))), None);
     assert!(sent(&harness.receive_request(3, Some("other"))).is_some());
     harness.now += 100.0;
-    let late = harness.take(4, Some("k"));
+    let late = harness.receive_request(4, Some("k"));
     assert!(
         sent(&late).is_none() && matches!(answers(&late)[..], [Answer::Rejected(_)]),
         "attempts may arrive late at engines"
     );
     harness.now += deduplication_window::MAX_ARRIVAL_DELAY;
-    assert!(sent(&harness.take(5, Some("k"))).is_some(), "after the window the request counts as a new one");
+    assert!(
+        sent(&harness.receive_request(5, Some("k"))).is_some(),
+        "after the window the request counts as a new one"
+    );
 }
 
 /// Returns a harness with an idempotency log that has been rewritten once and is in use.
@@ -111,7 +114,7 @@
     let mut window = DeduplicationWindow::new(LogState::Open { required: false }, 12_000.0, 100, harness.now);
     window.restore(TrustedLog::default(), harness.now);
     harness.core.resume(window, None);
-    harness.list(1, &["a", "b"]);
+    harness.receive_list(1, &["a", "b"]);
     assert!(harness.step(Event::MaintenanceTick).iter().any(|e| matches!(e, Effect::RewriteLog(_))));
     assert!(harness
         .step(Event::LogRewritten(Vec::new()))
@@ -127,10 +130,13 @@
 #[test]
 fn keyed_attempt_is_sent_once_and_only_after_its_log_record_is_durable() {
     let mut harness = harness_with_log();
-    let effects = harness.take(1, Some("k"));
+    let effects = harness.receive_request(1, Some("k"));
     let number = written_record(&effects).expect("a record");
     assert_eq!(sent(&effects), None);
-    assert!(sent(&harness.take(2, None)).is_some(), "a request without a key does not wait for a record");
+    assert!(
+        sent(&harness.receive_request(2, None)).is_some(),
+        "a request without a key does not wait for a record"
+    );
     assert_eq!(
         sent(&harness.step(Event::RecordsDurable(vec![number]))),
         Some(AttemptId { request: RequestId(1), number: 0 })
@@ -141,8 +147,8 @@
 #[test]
 fn attempt_is_not_sent_if_its_engine_is_removed_while_the_log_record_is_written() {
     let mut harness = harness_with_log();
-    let number = written_record(&harness.take(1, Some("k"))).expect("a record");
-    harness.list(2, &[]);
+    let number = written_record(&harness.receive_request(1, Some("k"))).expect("a record");
+    harness.receive_list(2, &[]);
     let effects = harness.step(Event::RecordsDurable(vec![number]));
     assert_eq!(sent(&effects), None);
     assert_eq!(
@@ -159,7 +165,7 @@
     let mut s = settings();
     s.classes[0].idempotency = Idempotency::Keyed { scope: Scope::All, window: 800.0 };
     let mut harness = Harness::new(s);
-    harness.list(1, &["a"]);
+    harness.receive_list(1, &["a"]);
     let transmit_within = |effects: &[Effect]| {
         let sends =
             effects
@@ -168,28 +174,28 @@
         sends.collect::<Vec<_>>()
     };
     // 20 ms are reserved for the transmission to the engine.
-    assert_eq!(transmit_within(&harness.take(1, Some("k"))), [Some(780.0)]);
-    let unkeyed = harness.take(2, None);
+    assert_eq!(transmit_within(&harness.receive_request(1, Some("k"))), [Some(780.0)]);
+    let unkeyed = harness.receive_request(2, None);
     assert_eq!(transmit_within(&unkeyed), [None]);
 }
 
 #[test]
 fn waiting_request_of_a_disconnected_client_is_not_sent_when_an_engine_is_added() {
     let mut harness = Harness::new(settings());
-    harness.list(1, &[]);
-    assert_eq!(sent(&harness.take(1, None)), None, "the request waits for an engine");
+    harness.receive_list(1, &[]);
+    assert_eq!(sent(&harness.receive_request(1, None)), None, "the request waits for an engine");
     harness.step(Event::ClientDisconnected(RequestId(1)));
-    assert_eq!(sent(&harness.list(2, &["a"])), None);
+    assert_eq!(sent(&harness.receive_list(2, &["a"])), None);
     // The request of a client that stays connected is sent when an engine is added.
-    harness.list(3, &[]);
-    assert_eq!(sent(&harness.take(2, None)), None);
-    assert_eq!(sent(&harness.list(4, &["a"])), Some(AttemptId { request: RequestId(2), number: 0 }));
+    harness.receive_list(3, &[]);
+    assert_eq!(sent(&harness.receive_request(2, None)), None);
+    assert_eq!(sent(&harness.receive_list(4, &["a"])), Some(AttemptId { request: RequestId(2), number: 0 }));
 }
 
 #[test]
 fn attempt_is_not_sent_if_its_client_disconnects_while_the_log_record_is_written() {
     let mut harness = harness_with_log();
-    let number = written_record(&harness.take(1, Some("k"))).expect("a record");
+    let number = written_record(&harness.receive_request(1, Some("k"))).expect("a record");
     harness.step(Event::ClientDisconnected(RequestId(1)));
     assert_eq!(sent(&harness.step(Event::RecordsDurable(vec![number]))), None);
 }
@@ -197,7 +203,7 @@
 #[test]
 fn hanging_disk_affects_only_keyed_requests_which_are_rejected_at_once() {
     let mut harness = harness_with_log();
-    let number = written_record(&harness.take(1, Some("k"))).expect("a record");
+    let number = written_record(&harness.receive_request(1, Some("k"))).expect("a record");
     let mut effects = Vec::new();
     for _ in 0..400 {
         effects.extend(harness.step(Event::TimersDue));
@@ -208,9 +214,9 @@
         None,
         "the attempt was sent after the answer"
     );
-    let refused = harness.take(2, Some("other"));
+    let refused = harness.receive_request(2, Some("other"));
     assert!(matches!(answers(&refused)[..], [Answer::Rejected(_)]) && written_record(&refused).is_none());
-    assert!(sent(&harness.take(3, None)).is_some());
+    assert!(sent(&harness.receive_request(3, None)).is_some());
     // The disk works again. The log is rewritten, and keyed attempts are sent again once that is durable.
     let effects = harness.step(Event::MaintenanceTick);
     let keys =
@@ -218,7 +224,7 @@
     let rewrite = keys.expect("the log is rewritten");
     assert_eq!(rewrite.mark, None, "a log that failed gets no mark until it is complete");
     harness.step(Event::LogRewritten(rewrite.keys));
-    assert!(written_record(&harness.take(4, Some("third"))).is_some());
+    assert!(written_record(&harness.receive_request(4, Some("third"))).is_some());
 }
 
 #[test]
@@ -237,7 +243,7 @@
     let restored_state = RestoredState::new(&snapshot, second.now, recovery::DEFAULT_SETTINGS)
         .expect("the snapshot is recent enough");
     second.core.resume(DeduplicationWindow::in_memory(), Some(restored_state));
-    second.list(1, &["a", "b"]);
+    second.receive_list(1, &["a", "b"]);
     let restored = second.core.learned(second.now);
     assert!(restored.classes[0].bands.iter().any(|b| b.samples > 0.5), "{restored:?}");
     let maybe_in_slow_start: Vec<_> = restored.engines.iter().filter(|e| e.maybe_in_slow_start).collect();
@@ -292,7 +298,7 @@
         !effects.iter().any(|e| matches!(e, Effect::Exit)),
         "clients may not have noticed the shutdown yet"
     );
-    let effects = harness.take(2, None);
+    let effects = harness.receive_request(2, None);
     assert!(effects.iter().any(|e| matches!(e, Effect::Answer(RequestId(2), Answer::Rejected(_)))));
 }
 
@@ -301,7 +307,10 @@
     let mut harness = Harness::new(settings());
     harness.receive_list(1, &["a"]);
     harness.step(Event::Terminate { requested_at: harness.now });
-    assert!(sent(&harness.take(1, None)).is_some(), "a request is sent while shutdown time is left");
+    assert!(
+        sent(&harness.receive_request(1, None)).is_some(),
+        "a request is sent while shutdown time is left"
+    );
     harness.now += 60_000.0;
     harness.step(Event::TimersDue);
     let effects = harness.receive_request(2, None);
--- a/tests/core_membership.rs
+++ b/tests/core_membership.rs
@@ -18,19 +18,19 @@
 #[test]
 fn engine_excluded_by_an_operator_drains_until_it_is_included_again() {
     let mut harness = Harness::new(settings());
-    harness.list(1, &["a"]);
-    assert!(sent(&harness.take(1, None)).is_some());
+    harness.receive_list(1, &["a"]);
+    assert!(sent(&harness.receive_request(1, None)).is_some());
     let mut overrides = OperatorOverrides::default();
     overrides.exclude("a", true, harness.now).expect("listed");
     let effects = harness.step(Event::OperatorOverrides(overrides.clone()));
     assert!(effects.iter().any(|e| matches!(e, Effect::DropQueued(engine) if &*engine.0 == "a")));
     assert_eq!(harness.core.member_counts(), (1, 1));
-    assert!(sent(&harness.take(2, None)).is_none());
+    assert!(sent(&harness.receive_request(2, None)).is_none());
     // The next lists are one with the engine, one without it, and one with it again.
     for (serial, engines) in [(2, &["a", "b"][..]), (3, &["b"]), (4, &["a", "b"])] {
         harness.receive_list(serial, engines);
         for id in 0..20 {
-            let effects = harness.take(serial * 100 + id, None);
+            let effects = harness.receive_request(serial * 100 + id, None);
             let sent_to =
                 effects
                     .iter()
@@ -38,8 +38,8 @@
             assert!(sent_to.is_none_or(|engine| &*engine.0 == "b"));
         }
     }
-    harness.list(5, &["a"]);
-    assert!(sent(&harness.take(1_000, None)).is_none());
+    harness.receive_list(5, &["a"]);
+    assert!(sent(&harness.receive_request(1_000, None)).is_none());
     overrides.include("a", true, harness.now).expect("out");
     harness.step(Event::OperatorOverrides(overrides));
     assert_eq!(harness.core.member_counts(), (1, 0));
@@ -61,11 +61,11 @@
     let mut harness = Harness::new(settings());
     let now = harness.now;
     harness.step(Event::InheritedMembership(InheritedMembership::new(now, ["b".to_owned()])));
-    harness.list(1, &["a", "b"]);
+    harness.receive_list(1, &["a", "b"]);
     let engine_counts = |harness: &Harness| harness.core.member_counts();
     assert_eq!(engine_counts(&harness), (2, 1));
     // An older list does not end the drain.
-    harness.list(0, &["a", "b"]);
+    harness.receive_list(0, &["a", "b"]);
     assert_eq!(engine_counts(&harness), (2, 1));
     // The inherited membership is passed on unchanged to the next successor.
     assert_eq!(
@@ -73,7 +73,7 @@
         Some(InheritedMembership::new(now, ["b".to_owned()]))
     );
     if current_list_arrives {
-        harness.list(1, &["a", "b"]);
+        harness.receive_list(1, &["a", "b"]);
     } else {
         harness.now += 60_000.0;
         harness.step(Event::TimersDue);
@@ -100,8 +100,8 @@
     assert!(waits.iter().all(|ms| (1_000.0..2_600.0).contains(ms)), "{waits:?}");
     let differ = |w: &[f64]| (w[0] - w[1]).abs() > 1.0;
     assert!(waits.windows(2).filter(|w| differ(w)).count() > 15, "{waits:?}");
-    harness.list(0, &["a"]);
-    assert!(!harness.core.awaits_endpoint_list() && sent(&harness.take(100, None)).is_some());
+    harness.receive_list(0, &["a"]);
+    assert!(!harness.core.awaits_endpoint_list() && sent(&harness.receive_request(100, None)).is_some());
 }
 
 /// 300 gateways that start together must not all check the engines' health at the same time. The gateway with index 150 sends
@@ -117,8 +117,8 @@
     let started_at = harness.now;
     let count_checks =
         |effects: &[Effect]| effects.iter().filter(|e| matches!(e, Effect::CheckHealth { .. })).count();
-    let mut checks_before_slot = count_checks(&harness.list(1, &["a", "b", "c"]));
-    let effects = harness.take(1, None);
+    let mut checks_before_slot = count_checks(&harness.receive_list(1, &["a", "b", "c"]));
+    let effects = harness.receive_request(1, None);
     assert!(sent(&effects).is_some(), "a request does not wait for the first health checks");
     checks_before_slot += count_checks(&effects);
     while harness.now < started_at + 140.0 {
@@ -149,7 +149,7 @@
     harness.receive_list(1, &["a"]);
     let until = harness.now + 1_000.0;
     assert_eq!(logged_reliability(&harness.step(Event::EndpointListLease(until))), None);
-    let effects = harness.take(1, None);
+    let effects = harness.receive_request(1, None);
     let permit = permits(&effects)[0].clone();
     assert_eq!(permit.check(until - 1.0), Ok(()));
     // The writer of the attempt checks the lease itself, so it refuses even before the reducer's timer has expired.
@@ -158,7 +158,7 @@
     let effects = harness.step(Event::TimersDue);
     assert_eq!(logged_reliability(&effects), Some(false));
     assert!(!effects.iter().any(|e| matches!(e, Effect::DropQueued(_))), "connections stay open");
-    assert!(sent(&harness.take(2, None)).is_none());
+    assert!(sent(&harness.receive_request(2, None)).is_none());
     let until = harness.now + 1_000.0;
     let effects = harness.step(Event::EndpointListLease(until));
     assert_eq!(logged_reliability(&effects), Some(true));
@@ -177,10 +177,10 @@
         assert_eq!(logged_reliability(&effects), None);
         harness.now += 200.0;
     }
-    assert!(sent(&harness.take(1, None)).is_some());
+    assert!(sent(&harness.receive_request(1, None)).is_some());
     // The new lease ends earlier than the previous one, and the earlier end applies.
     assert_eq!(logged_reliability(&harness.step(Event::EndpointListLease(harness.now))), Some(false));
-    assert!(sent(&harness.take(2, None)).is_none());
+    assert!(sent(&harness.receive_request(2, None)).is_none());
 }
 
 /// After the name service has moved, its new address may send an older version of the list than its previous address did.
--- a/tests/unsafe_classes.rs
+++ b/tests/unsafe_classes.rs
@@ -97,9 +97,9 @@
     let engines = [start(), start()];
     let at = engines.each_ref().map(|e| e.0);
     let logs = engines.each_ref().map(|e| e.1.clone());
-    let gateway = Gateway::start(&settings(&at, protocol, AIM));
-    let mut client = gateway.client();
-    client.write_all(&request(1, class, LOAD, LONG)).expect("sent");
+    let gateway = Gateway::start(&settings(&at, protocol, LATENCY_OBJECTIVE_MS));
+    let mut client = gateway.thrift_client();
+    client.write_all(&request(1, class, LOAD, LONG_TIMEOUT_MS)).expect("sent");
     let (seq, kind, _) = answer(&mut client);
     assert_eq!(seq, 1);
     (kind, total_attempt_count(&logs, LOAD))
@@ -114,7 +114,7 @@
     #[case] protocol: &str,
 ) {
     let (kind, sent) = send_to_two_engines(end, protocol, "load");
-    assert_eq!(kind, TURNED_AWAY, "the client may safely retry");
+    assert_eq!(kind, REJECTED, "the client may safely retry");
     assert!(sent >= 2, "sent {sent} times");
 }
 
@@ -151,10 +151,10 @@
     let (_held, refusing) = refused_address();
     let (listener, filling) = full_listener();
     let at = if hangs { listener.local_addr().expect("bound") } else { refusing };
-    let gateway = Gateway::start(&settings(&[at], protocol, AIM));
-    let mut client = gateway.client();
-    client.write_all(&request(1, "load", LOAD, LONG)).expect("sent");
-    assert_eq!(answer(&mut client).1, TURNED_AWAY);
+    let gateway = Gateway::start(&settings(&[at], protocol, LATENCY_OBJECTIVE_MS));
+    let mut client = gateway.thrift_client();
+    client.write_all(&request(1, "load", LOAD, LONG_TIMEOUT_MS)).expect("sent");
+    assert_eq!(answer(&mut client).1, REJECTED);
     // Connections that are established later must not carry the request.
     drop(filling);
     drop(gateway);
@@ -170,7 +170,7 @@
 /// One engine refuses connections. Each request must run exactly once at the other engine.
 #[test]
 fn request_with_a_refused_connection_runs_once_at_another_engine() {
-    let (_held, refusing) = refusing();
+    let (_held, refusing) = refused_address();
     let (good, log) = resp_engine(served);
     let gateway = Gateway::start(&settings(&[refusing, good], "resp", LONG_TIMEOUT_MS));
     let mut client = gateway.thrift_client();
@@ -188,15 +188,15 @@
 #[case::clickhouse("clickhouse")]
 fn request_that_times_out_fails_and_is_not_sent_again(#[case] protocol: &str) {
     let start = || match protocol {
-        "resp" => resp_engine(silent),
+        "resp" => resp_engine(unresponsive_engine),
         _ => http_engine(|target, _| {
             let answer = || encode_http("200 OK", "", "Ok.\n");
             Some(if target.starts_with("/ping") { answer() } else { String::new() })
         }),
     };
     let engines = [start(), start()];
-    let gateway = Gateway::start(&settings(&[engines[0].0, engines[1].0], protocol, LONG));
-    let mut client = gateway.client();
+    let gateway = Gateway::start(&settings(&[engines[0].0, engines[1].0], protocol, LONG_TIMEOUT_MS));
+    let mut client = gateway.thrift_client();
     client.write_all(&request(1, "load", LOAD, 400)).expect("sent");
     assert_eq!(answer(&mut client).1, FAILED);
     assert_eq!(attempt_count(&engines[0].1, LOAD) + attempt_count(&engines[1].1, LOAD), 1);
@@ -208,20 +208,20 @@
 #[case::cancel(true)]
 #[case::close(false)]
 fn request_cancelled_by_its_client_is_not_sent_again(#[case] sends_cancel: bool) {
-    let engines = [resp_engine(silent), resp_engine(silent)];
+    let engines = [resp_engine(unresponsive_engine), resp_engine(unresponsive_engine)];
     let logs = engines.each_ref().map(|e| e.1.clone());
-    let gateway = Gateway::start(&settings(&[engines[0].0, engines[1].0], "resp", LONG));
-    let mut client = gateway.client();
-    client.write_all(&request(1, "load", LOAD, LONG)).expect("sent");
-    until_either(&logs, |parts| parts[0] == "want");
+    let gateway = Gateway::start(&settings(&[engines[0].0, engines[1].0], "resp", LONG_TIMEOUT_MS));
+    let mut client = gateway.thrift_client();
+    client.write_all(&request(1, "load", LOAD, LONG_TIMEOUT_MS)).expect("sent");
+    wait_for_any_log(&logs, |parts| parts[0] == "want");
     if sends_cancel {
         client.write_all(&cancel(1)).expect("sent");
     } else {
         drop(client);
     }
-    until_either(&logs, |parts| parts[0] == "never_mind" && parts[1] == LOAD);
+    wait_for_any_log(&logs, |parts| parts[0] == "never_mind" && parts[1] == LOAD);
     // Once another request has been answered, the gateway has completed its processing of the first one.
-    let mut after = gateway.client();
+    let mut after = gateway.thrift_client();
     after.write_all(&request(1, "lookup", "abcdef00000000b1", 200)).expect("sent");
     answer(&mut after);
     assert_eq!(total_attempt_count(&logs, LOAD), 1);
@@ -234,7 +234,7 @@
 #[case::overload("overload")]
 fn duplicate_answer_does_not_end_the_next_attempt(#[case] word: &'static str) {
     let first: Arc<Mutex<Option<TcpStream>>> = Arc::default();
-    let (at, log) = resp_engine_that(move |parts, stream| {
+    let (at, log) = resp_engine_with_handler(move |parts, stream| {
         let never_ran_reply = || reply(&[&parts[1], word, "-", ""]);
         if parts[0] != "want" || parts[1] != LOAD {
             return stream.write_all(served(parts).unwrap_or_default().as_bytes()).is_ok();
@@ -246,14 +246,14 @@
         *first = Some(connection);
         is_written
     });
-    let gateway = Gateway::start(&settings(&[at], "resp", LONG));
-    let mut client = gateway.client();
-    client.write_all(&request(1, "load", LOAD, LONG)).expect("sent");
-    until(&log, |l| l.iter().filter(|p| p[0] == "want" && p[1] == LOAD).count() >= 2);
+    let gateway = Gateway::start(&settings(&[at], "resp", LONG_TIMEOUT_MS));
+    let mut client = gateway.thrift_client();
+    client.write_all(&request(1, "load", LOAD, LONG_TIMEOUT_MS)).expect("sent");
+    wait_for_log(&log, |l| l.iter().filter(|p| p[0] == "want" && p[1] == LOAD).count() >= 2);
     // Later answers on the same connection are read after the duplicate.
     for seq in 2..10 {
         client.write_all(&request(seq, "lookup", &format!("{seq:016x}"), LONG_TIMEOUT_MS)).expect("sent");
         answer(&mut client);
     }
-    assert_eq!(runs(&log, LOAD), 2, "expected two attempts, the second of which runs");
+    assert_eq!(attempt_count(&log, LOAD), 2, "expected two attempts, the second of which runs");
 }
--- a/tests/unsafe_classes_through_changes.rs
+++ b/tests/unsafe_classes_through_changes.rs
@@ -37,23 +37,23 @@
     let old = listener.local_addr().expect("bound");
     let (new, log) = resp_engine(served);
     let (name_service, list_answer) = list_service();
-    let text = changed(
-        &settings(&[old], "resp", LONG),
+    let text = with_replacement(
+        &settings(&[old], "resp", LONG_TIMEOUT_MS),
         r#""connect_timeout":250"#,
         &format!(r#""connect_timeout":{LONG_TIMEOUT_MS}"#),
     );
     let gateway = Gateway::start(&text.replacen('{', &format!(r#"{{"names":"{name_service}","#), 1));
-    let mut client = gateway.client();
-    client.write_all(&request(1, "load", LOAD, LONG)).expect("sent");
-    until_coming_up(old);
+    let mut client = gateway.thrift_client();
+    client.write_all(&request(1, "load", LOAD, LONG_TIMEOUT_MS)).expect("sent");
+    wait_until_connecting(old);
     *list_answer.lock().expect("not poisoned") = Some(departure.list(old, new));
     assert_eq!(answer(&mut client).1, "served");
     let late = resp_engine_at(listener, served);
     drop(filling);
     // The connection that filled the queue is closed, and so is the gateway's, which has been established and carried no
     // request.
-    until(&late, |l| l.iter().filter(|p| p[0] == "closed").count() == 2);
-    assert_eq!((runs(&log, LOAD), runs(&late, LOAD)), (1, 0));
+    wait_for_log(&late, |l| l.iter().filter(|p| p[0] == "closed").count() == 2);
+    assert_eq!((attempt_count(&log, LOAD), attempt_count(&late, LOAD)), (1, 0));
 }
 
 /// A request runs on an engine that leaves the list. A draining engine finishes it. On a removed engine the request may have
@@ -65,19 +65,19 @@
     #[case] departure: Departure,
     #[case] expected_answer: &str,
 ) {
-    let (old, old_log, released) = holding();
+    let (old, old_log, released) = withholding_engine();
     let (new, new_log) = resp_engine(served);
     let (name_service, list_answer) = list_service();
-    let text = settings(&[old], "resp", LONG);
+    let text = settings(&[old], "resp", LONG_TIMEOUT_MS);
     let gateway = Gateway::start(&text.replacen('{', &format!(r#"{{"names":"{name_service}","#), 1));
-    let mut client = gateway.client();
-    client.write_all(&request(1, "load", LOAD, LONG)).expect("sent");
-    until(&old_log, |l| l.iter().any(|p| p[0] == "want"));
+    let mut client = gateway.thrift_client();
+    client.write_all(&request(1, "load", LOAD, LONG_TIMEOUT_MS)).expect("sent");
+    wait_for_log(&old_log, |l| l.iter().any(|p| p[0] == "want"));
     *list_answer.lock().expect("not poisoned") = Some(departure.list(old, new));
-    until_used(&gateway, &new_log);
+    send_until_used(&gateway, &new_log);
     released.store(departure == Departure::Draining, Ordering::SeqCst);
     assert_eq!(answer(&mut client).1, expected_answer);
-    assert_eq!((runs(&old_log, LOAD), runs(&new_log, LOAD)), (1, 0));
+    assert_eq!((attempt_count(&old_log, LOAD), attempt_count(&new_log, LOAD)), (1, 0));
 }
 
 /// A reload of the configuration, which adds an engine, must not move a request that runs.
@@ -86,14 +86,14 @@
     let (old, old_log, released) = withholding_engine();
     let (new, new_log) = resp_engine(served);
     let (name_service, list_answer) = list_service();
-    let text = settings(&[old], "resp", LONG);
+    let text = settings(&[old], "resp", LONG_TIMEOUT_MS);
     let gateway = Gateway::start(&text);
-    let mut client = gateway.client();
-    client.write_all(&request(1, "load", LOAD, LONG)).expect("sent");
-    until(&old_log, |l| l.iter().any(|p| p[0] == "want"));
+    let mut client = gateway.thrift_client();
+    client.write_all(&request(1, "load", LOAD, LONG_TIMEOUT_MS)).expect("sent");
+    wait_for_log(&old_log, |l| l.iter().any(|p| p[0] == "want"));
     *list_answer.lock().expect("not poisoned") = Some((2, vec![("s-0", old, false), ("s-1", new, false)]));
     gateway.reload(&text.replacen('{', &format!(r#"{{"names":"{name_service}","#), 1));
-    until_used(&gateway, &new_log);
+    send_until_used(&gateway, &new_log);
     released.store(true, Ordering::SeqCst);
     assert_eq!(answer(&mut client).1, "served");
     assert_eq!((attempt_count(&old_log, LOAD), attempt_count(&new_log, LOAD)), (1, 0));
@@ -103,7 +103,7 @@
 /// fail; an idempotent one is rejected, so that its client retries it.
 #[rstest]
 #[case::must_not_run_twice("load", FAILED)]
-#[case::idempotent("lookup", TURNED_AWAY)]
+#[case::idempotent("lookup", REJECTED)]
 fn request_in_flight_when_the_process_ends_is_not_sent_again(
     #[case] class: &str,
     #[case] expected_answer: &str,
@@ -112,9 +112,12 @@
     let logs = engines.each_ref().map(|e| e.1.clone());
     // Requests that are open at SIGTERM are answered within the longest client timeout of the settings; the client's own limit
     // is longer.
-    let text = without_retry_budget(&at_most_once(&config(&[engines[0].0, engines[1].0], "resp", 900)), 5);
+    let text = without_retry_budget(
+        &with_non_idempotent_loads(&config(&[engines[0].0, engines[1].0], "resp", 900)),
+        5,
+    );
     // Without cancelling, only the end of the process ends an attempt early.
-    let text = changed(&text, r#""cancelling":true"#, r#""cancelling":false"#);
+    let text = with_replacement(&text, r#""cancelling":true"#, r#""cancelling":false"#);
     let mut gateway = Gateway::start(&text);
     let mut client = gateway.thrift_client();
     client.write_all(&request(1, class, LOAD, 9_000)).expect("sent");
@@ -123,7 +126,7 @@
     assert_eq!(answer(&mut client).1, expected_answer);
     drop(client);
     assert!(gateway.child.wait().expect("the process exits").success());
-    assert_eq!(all_runs(&logs, LOAD), 1);
+    assert_eq!(total_attempt_count(&logs, LOAD), 1);
 }
 
 /// Configuration, port and folder that two processes of one gateway share.
@@ -165,39 +168,39 @@
 /// send it again.
 #[test]
 fn request_that_runs_through_a_hot_restart_is_answered_by_the_old_process_and_not_sent_again() {
-    let (at, log, released) = holding();
+    let (at, log, released) = withholding_engine();
     let shared = SharedState::new(&[at]);
     let mut old = shared.start();
-    let mut client = old.client();
-    client.write_all(&request(1, "load", LOAD, LONG)).expect("sent");
-    until(&log, |l| l.iter().any(|p| p[0] == "want"));
+    let mut client = old.thrift_client();
+    client.write_all(&request(1, "load", LOAD, LONG_TIMEOUT_MS)).expect("sent");
+    wait_for_log(&log, |l| l.iter().any(|p| p[0] == "want"));
     let new = shared.start();
     assert_eq!(listeners(old.thrift), 2);
     old.terminate();
     assert!((0..1_000_000).any(|_| listeners(old.thrift) == 1), "the old process still listens");
-    until_used(&new, &log);
+    send_until_used(&new, &log);
     released.store(true, Ordering::SeqCst);
     assert_eq!(answer(&mut client).1, "served");
     drop(client);
     assert!(old.child.wait().expect("the process exits").success());
-    assert_eq!(runs(&log, LOAD), 1);
+    assert_eq!(attempt_count(&log, LOAD), 1);
 }
 
 /// The process is killed while a request runs. Its client must not receive an answer that invites a retry, and the next
 /// process of this gateway must not send the request.
 #[test]
 fn request_that_runs_when_the_process_is_killed_is_not_sent_by_the_next_process() {
-    let (at, log, _released) = holding();
+    let (at, log, _released) = withholding_engine();
     let shared = SharedState::new(&[at]);
     let mut old = shared.start();
-    let mut client = old.client();
-    client.write_all(&request(1, "load", LOAD, LONG)).expect("sent");
-    until(&log, |l| l.iter().any(|p| p[0] == "want"));
+    let mut client = old.thrift_client();
+    client.write_all(&request(1, "load", LOAD, LONG_TIMEOUT_MS)).expect("sent");
+    wait_for_log(&log, |l| l.iter().any(|p| p[0] == "want"));
     old.signal("-KILL");
     old.child.wait().expect("the process exits");
     let mut received = Vec::new();
     let _ = client.read_to_end(&mut received);
     assert!(received.is_empty(), "{received:?}");
-    until_used(&shared.start(), &log);
-    assert_eq!(runs(&log, LOAD), 1);
+    send_until_used(&shared.start(), &log);
+    assert_eq!(attempt_count(&log, LOAD), 1);
 }
